--- a/packages/daemon/src/http/callersApi.ts
+++ b/packages/daemon/src/http/callersApi.ts
@@ -7,7 +7,7 @@
 import * as errors from '../requests/errors';
 import * as execution from '../requests/execution';
 import type * as serviceProxy from '../requests/serviceProxy';
-import * as chatRequest from './chatRequest';
+import * as completionRequest from './completionRequest';
 import * as completionWriter from './completionWriter';
 import * as listener from './listener';
 import * as reply from './reply';
@@ -26,7 +26,7 @@
 const SERVICE_PATH = /^\/services\/([^/]+)(\/.*)?$/;
 
 /** Headers that belong to one connection or to this system, and are not passed on. */
-const OWN_HEADERS = new Set([
+const HEADERS_NOT_FORWARDED = new Set([
   'authorization',
   'connection',
   'content-length',
@@ -71,14 +71,14 @@
     const startedAt = this.options.now();
     this.active += 1;
     try {
-      await this.admitted(call);
+      await this.routeReady(call);
     } finally {
       this.active -= 1;
     }
     this.options.observer.timing('request.ms', this.options.now() - startedAt);
   }
 
-  private async admitted(call: listener.Call): Promise<void> {
+  private async routeReady(call: listener.Call): Promise<void> {
     const tenant = this.options.admission.tenant(listener.bearer(call.headers));
     if (tenant.err) {
       reply.error(call.response, tenant.val);
@@ -90,9 +90,9 @@
     } else if (call.path === '/v1/models' && call.method === 'GET') {
       this.listModels(call, tenant.val);
     } else if (call.path === '/v1/chat/completions' && call.method === 'POST') {
-      await this.complete(call, tenant.val, true);
+      await this.handleCompletion(call, tenant.val, true);
     } else if (call.path === '/v1/completions' && call.method === 'POST') {
-      await this.complete(call, tenant.val, false);
+      await this.handleCompletion(call, tenant.val, false);
     } else {
       const message = `no such path: ${call.method} ${call.path}`;
       reply.error(call.response, errors.notRun('notFound', message));
@@ -106,104 +106,110 @@
     reply.json(call.response, 200, { object: 'list', data });
   }
 
-  private async complete(
+  private async handleCompletion(
     call: listener.Call,
     tenant: domain.settings.directory.Tenant,
     chat: boolean,
   ): Promise<void> {
-    const read = chatRequest.read(call.body, chat);
-    if (read.err) {
-      reply.error(call.response, read.val);
+    const parsed = completionRequest.parse(call.body, chat);
+    if (parsed.err) {
+      reply.error(call.response, parsed.val);
       return;
     }
-    const prompt = this.prompt(call, tenant, read.val);
-    if ('kind' in prompt) {
-      reply.error(call.response, prompt);
+    const admitted = this.admit(call, tenant, parsed.val);
+    if ('kind' in admitted) {
+      reply.error(call.response, admitted);
       return;
     }
-    await this.execute(call, read.val, prompt, chat);
+    await this.runCompletion(call, parsed.val, admitted, chat);
   }
 
-  private prompt(
+  private admit(
     call: listener.Call,
     tenant: domain.settings.directory.Tenant,
-    wish: chatRequest.ChatRequest,
-  ): execution.Prompt | errors.RequestError {
-    const { admission: admit } = this.options;
-    const model = admit.model(tenant, wish.model);
+    completion: completionRequest.CompletionRequest,
+  ): execution.ModelRequest | errors.RequestError {
+    const { admission: callerAdmission } = this.options;
+    const model = callerAdmission.model(tenant, completion.model);
     if (model.err) return model.val;
-    const deadline = admit.deadline(tenant, header(call, 'x-deadline-ms'));
+    const deadline = callerAdmission.deadline(tenant, header(call, 'x-deadline-ms'));
     if (deadline.err) return deadline.val;
-    const priority = admit.priority(tenant, header(call, 'x-priority'));
+    const priority = callerAdmission.priority(tenant, header(call, 'x-priority'));
     if (priority.err) return priority.val;
-    const promptTokens = admit.estimator.estimate(model.val.base, wish.prompt.length);
-    const total = promptTokens + wish.answerTokens;
+    const promptTokens = callerAdmission.estimator.estimate(
+      model.val.base,
+      completion.prompt.length,
+    );
+    const total = promptTokens + completion.answerTokens;
     const { gatherer, router } = this.options.execution;
     const { base, adapter, version } = model.val;
-    const largest = router.dispatcher.largestMemory({ base, adapter, version });
-    if (largest > 0 && total > largest && !gatherer.canHold(total)) {
+    const largestMemory = router.dispatcher.largestMemory({ base, adapter, version });
+    if (largestMemory > 0 && total > largestMemory && !gatherer.canHold(total)) {
       return errors.notRun('tooLong', `about ${total} tokens are more than the engines can hold`);
     }
-    const charged = admit.charge(tenant, total);
+    const charged = callerAdmission.charge(tenant, total);
     if (charged.err) return charged.val;
     return {
       id: crypto.randomUUID(),
       tenant,
       model: model.val,
-      prompt: wish.prompt,
+      prompt: completion.prompt,
       promptTokens,
-      answerTokens: wish.answerTokens,
-      prefixKeys: admit.prefixKeys(wish.prompt),
+      answerTokens: completion.answerTokens,
+      prefixKeys: callerAdmission.prefixKeys(completion.prompt),
       priority: priority.val,
       deadline: deadline.val,
     };
   }
 
-  private async execute(
+  private async runCompletion(
     call: listener.Call,
-    wish: chatRequest.ChatRequest,
-    prompt: execution.Prompt,
+    completion: completionRequest.CompletionRequest,
+    request: execution.ModelRequest,
     chat: boolean,
   ): Promise<void> {
     const { response } = call;
-    const gone = new AbortController();
+    const callerGone = new AbortController();
     response.on('close', () => {
-      if (!response.writableFinished) gone.abort();
+      if (!response.writableFinished) callerGone.abort();
     });
-    const shape: completionWriter.Shape = {
-      id: `${chat ? 'chatcmpl' : 'cmpl'}-${prompt.id}`,
-      model: wish.model,
+    const metadata: completionWriter.ResponseMetadata = {
+      id: `${chat ? 'chatcmpl' : 'cmpl'}-${request.id}`,
+      model: completion.model,
       chat,
       created: Math.floor(clock.timeOfDay() / 1_000),
-      includeUsage: wish.includeUsage,
+      includeUsage: completion.includeUsage,
     };
-    const writer = new completionWriter.StreamWriter(response, shape);
+    const writer = new completionWriter.StreamWriter(response, metadata);
     const write = (text: string): void => {
-      if (wish.stream) writer.write(text);
+      if (completion.stream) writer.write(text);
     };
     const running = new execution.Execution(
-      prompt,
-      { write, gone: gone.signal },
+      request,
+      { write, gone: callerGone.signal },
       this.options.execution,
     );
     this.options.running.add(running);
     const result = await running.run();
     this.options.running.delete(running);
-    this.report(prompt, result.ok ? 'completed' : result.val.outcome);
+    this.reportOutcome(request, result.ok ? 'completed' : result.val.outcome);
     if (result.err) writer.fail(result.val);
-    else if (wish.stream) writer.end(result.val);
-    else completionWriter.whole(response, shape, result.val);
+    else if (completion.stream) writer.end(result.val);
+    else completionWriter.writeCompletion(response, metadata, result.val);
   }
 
-  private report(prompt: execution.Prompt, outcome: domain.request.outcome.Outcome): void {
+  private reportOutcome(
+    request: execution.ModelRequest,
+    outcome: domain.request.outcome.Outcome,
+  ): void {
     const { observer: observe } = this.options;
     observe.count(`request.${outcome}`);
     observe.log('requestEnded', {
-      request: prompt.id,
+      request: request.id,
       outcome,
-      team: prompt.tenant.team,
-      organisation: prompt.tenant.organisation.name,
-      tokens: prompt.promptTokens,
+      team: request.tenant.team,
+      organisation: request.tenant.organisation.name,
+      tokens: request.promptTokens,
     });
   }
 
@@ -224,9 +230,9 @@
       reply.error(call.response, deadline.val);
       return;
     }
-    const longest = this.options.now() + service.val.timeoutSeconds * 1_000;
+    const serviceDeadline = this.options.now() + service.val.timeoutSeconds * 1_000;
     const headers = Object.entries(call.headers).flatMap(([key, value]): [string, string][] =>
-      OWN_HEADERS.has(key) || typeof value !== 'string' ? [] : [[key, value]],
+      HEADERS_NOT_FORWARDED.has(key) || typeof value !== 'string' ? [] : [[key, value]],
     );
     const result = await this.options.services.handle({
       tenant,
@@ -236,7 +242,7 @@
       headers: Object.fromEntries(headers),
       body: call.body,
       key: header(call, 'idempotency-key'),
-      deadline: Math.min(deadline.val, longest),
+      deadline: Math.min(deadline.val, serviceDeadline),
     });
     this.options.observer.count(`service.${result.ok ? 'completed' : result.val.outcome}`);
     if (result.err) {
--- a/packages/daemon/src/http/chatRequest.ts
+++ b/packages/daemon/src/http/completionRequest.ts
@@ -2,7 +2,7 @@
 import { Err, Ok, Result } from 'ts-results';
 import * as errors from '../requests/errors';
 
-export interface ChatRequest {
+export interface CompletionRequest {
   model: string;
   prompt: string;
   answerTokens: number;
@@ -15,13 +15,13 @@
 
 const MAX_ANSWER_TOKENS = 32_768;
 
-type Fields = Record<string, unknown>;
+type JsonObject = Record<string, unknown>;
 
-function isFields(value: unknown): value is Fields {
+function isJsonObject(value: unknown): value is JsonObject {
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
-function bad(message: string): Err<errors.RequestError> {
+function badRequest(message: string): Err<errors.RequestError> {
   return Err(errors.notRun('badRequest', message));
 }
 
@@ -30,7 +30,7 @@
   if (content === null || content === undefined) return '';
   if (!Array.isArray(content)) return undefined;
   const parts = content.map((part: unknown) =>
-    isFields(part) && typeof part.text === 'string' ? part.text : undefined,
+    isJsonObject(part) && typeof part.text === 'string' ? part.text : undefined,
   );
   return parts.includes(undefined) ? undefined : parts.join('');
 }
@@ -38,46 +38,46 @@
 function promptOfMessages(messages: unknown): string | undefined {
   if (!Array.isArray(messages) || messages.length === 0) return undefined;
   const lines = messages.map((message: unknown) => {
-    if (!isFields(message) || typeof message.role !== 'string') return undefined;
+    if (!isJsonObject(message) || typeof message.role !== 'string') return undefined;
     const text = contentText(message.content);
     return text === undefined ? undefined : `${message.role}: ${text}\n`;
   });
   return lines.includes(undefined) ? undefined : lines.join('');
 }
 
-function promptOf(fields: Fields, chat: boolean): Result<string, errors.RequestError> {
+function promptOf(fields: JsonObject, chat: boolean): Result<string, errors.RequestError> {
   if (chat) {
     const prompt = promptOfMessages(fields.messages);
     if (prompt !== undefined) return Ok(prompt);
-    return bad('messages: give a non-empty list of {role, content} with text content');
+    return badRequest('messages: give a non-empty list of {role, content} with text content');
   }
   if (typeof fields.prompt === 'string' && fields.prompt !== '') return Ok(fields.prompt);
-  return bad('prompt: give a non-empty text');
+  return badRequest('prompt: give a non-empty text');
 }
 
-function answerTokensOf(fields: Fields): Result<number, errors.RequestError> {
+function answerTokensOf(fields: JsonObject): Result<number, errors.RequestError> {
   const given = fields.max_completion_tokens ?? fields.max_tokens ?? DEFAULT_ANSWER_TOKENS;
   const usable =
     Number.isInteger(given) && (given as number) >= 1 && (given as number) <= MAX_ANSWER_TOKENS;
   if (usable) return Ok(given as number);
-  return bad(`max_tokens: give a whole number from 1 to ${MAX_ANSWER_TOKENS}`);
+  return badRequest(`max_tokens: give a whole number from 1 to ${MAX_ANSWER_TOKENS}`);
 }
 
-export function read(body: Buffer, chat: boolean): Result<ChatRequest, errors.RequestError> {
+export function parse(body: Buffer, chat: boolean): Result<CompletionRequest, errors.RequestError> {
   let fields: unknown;
   try {
     fields = JSON.parse(body.toString('utf8'));
   } catch {
-    return bad('the body is no JSON');
+    return badRequest('the body is no JSON');
   }
-  if (!isFields(fields)) return bad('the body must be a JSON object');
-  if (typeof fields.model !== 'string') return bad('model: give the name of a model');
-  if (fields.n !== undefined && fields.n !== 1) return bad('n: only 1 is served');
+  if (!isJsonObject(fields)) return badRequest('the body must be a JSON object');
+  if (typeof fields.model !== 'string') return badRequest('model: give the name of a model');
+  if (fields.n !== undefined && fields.n !== 1) return badRequest('n: only 1 is served');
   const prompt = promptOf(fields, chat);
   if (prompt.err) return prompt;
   const answerTokens = answerTokensOf(fields);
   if (answerTokens.err) return answerTokens;
-  const options = isFields(fields.stream_options) ? fields.stream_options : {};
+  const options = isJsonObject(fields.stream_options) ? fields.stream_options : {};
   return Ok({
     model: fields.model,
     prompt: prompt.val,
--- a/packages/daemon/src/http/completionWriter.ts
+++ b/packages/daemon/src/http/completionWriter.ts
@@ -4,7 +4,7 @@
 import type * as execution from '../requests/execution';
 import * as reply from './reply';
 
-export interface Shape {
+export interface ResponseMetadata {
   id: string;
   model: string;
   chat: boolean;
@@ -12,14 +12,19 @@
   includeUsage: boolean;
 }
 
-function choice({ chat }: Shape, text: string, finish: string | null, streamed: boolean): unknown {
-  const base = { index: 0, finish_reason: finish, logprobs: null };
+function choice(
+  { chat }: ResponseMetadata,
+  text: string,
+  finishReason: string | null,
+  isStreamed: boolean,
+): unknown {
+  const base = { index: 0, finish_reason: finishReason, logprobs: null };
   if (!chat) return { ...base, text };
-  if (!streamed) return { ...base, message: { role: 'assistant', content: text, refusal: null } };
+  if (!isStreamed) return { ...base, message: { role: 'assistant', content: text, refusal: null } };
   return { ...base, delta: text === '' ? {} : { role: 'assistant', content: text } };
 }
 
-function usage({ promptTokens, tokens }: execution.Whole): unknown {
+function usage({ promptTokens, tokens }: execution.Completion): unknown {
   return {
     prompt_tokens: promptTokens,
     completion_tokens: tokens,
@@ -27,13 +32,20 @@
   };
 }
 
-function envelope({ id, model, chat, created }: Shape, streamed: boolean): Record<string, unknown> {
+function envelope(
+  { id, model, chat, created }: ResponseMetadata,
+  isStreamed: boolean,
+): Record<string, unknown> {
   const kind = chat ? 'chat.completion' : 'text_completion';
-  return { id, object: chat && streamed ? `${kind}.chunk` : kind, created, model };
+  return { id, object: chat && isStreamed ? `${kind}.chunk` : kind, created, model };
 }
 
 /** The whole answer at once. */
-export function whole(response: http.ServerResponse, shape: Shape, result: execution.Whole): void {
+export function writeCompletion(
+  response: http.ServerResponse,
+  shape: ResponseMetadata,
+  result: execution.Completion,
+): void {
   const content = {
     ...envelope(shape, false),
     choices: [choice(shape, result.text, 'stop', false)],
@@ -53,25 +65,25 @@
 export class StreamWriter {
   private started = false;
 
-  private readonly prefix: Record<string, unknown>;
+  private readonly envelope: Record<string, unknown>;
 
   constructor(
     private readonly response: http.ServerResponse,
-    private readonly shape: Shape,
+    private readonly metadata: ResponseMetadata,
   ) {
-    this.prefix = envelope(shape, true);
+    this.envelope = envelope(metadata, true);
   }
 
   write(text: string): void {
     this.start();
-    this.frame({ ...this.prefix, choices: [choice(this.shape, text, null, true)] });
+    this.frame({ ...this.envelope, choices: [choice(this.metadata, text, null, true)] });
   }
 
-  end(result: execution.Whole): void {
+  end(result: execution.Completion): void {
     this.start();
-    this.frame({ ...this.prefix, choices: [choice(this.shape, '', 'stop', true)] });
-    if (this.shape.includeUsage) {
-      this.frame({ ...this.prefix, choices: [], usage: usage(result) });
+    this.frame({ ...this.envelope, choices: [choice(this.metadata, '', 'stop', true)] });
+    if (this.metadata.includeUsage) {
+      this.frame({ ...this.envelope, choices: [], usage: usage(result) });
     }
     this.response.end('data: [DONE]\n\n');
   }
--- a/packages/daemon/src/http/listener.ts
+++ b/packages/daemon/src/http/listener.ts
@@ -22,18 +22,18 @@
 
 export type Route = (call: Call) => Promise<void>;
 
-const HEADER_BYTES = 16 * 1024;
+const MAX_HEADER_BYTES = 16 * 1024;
 
 /** The body is longer than the bound. */
-class TooLarge extends Error {}
+class BodyTooLarge extends Error {}
 
 async function readBody(request: http.IncomingMessage, limit: number): Promise<Buffer> {
-  if (Number(request.headers['content-length'] ?? 0) > limit) throw new TooLarge();
+  if (Number(request.headers['content-length'] ?? 0) > limit) throw new BodyTooLarge();
   const chunks: Buffer[] = [];
   let length = 0;
   for await (const chunk of request) {
     length += (chunk as Buffer).length;
-    if (length > limit) throw new TooLarge();
+    if (length > limit) throw new BodyTooLarge();
     chunks.push(chunk as Buffer);
   }
   return Buffer.concat(chunks);
@@ -55,7 +55,7 @@
     private readonly onError: (error: unknown) => void,
   ) {
     const options = {
-      maxHeaderSize: HEADER_BYTES,
+      maxHeaderSize: MAX_HEADER_BYTES,
       headersTimeout: limits.headerSeconds * 1_000,
       requestTimeout: limits.bodySeconds * 1_000,
       connectionsCheckingInterval: 1_000,
@@ -114,7 +114,7 @@
   }
 
   private fail(request: http.IncomingMessage, response: http.ServerResponse, error: unknown): void {
-    if (error instanceof TooLarge) {
+    if (error instanceof BodyTooLarge) {
       const message = `the body is over ${this.limits.bodyBytes} bytes`;
       response.setHeader('connection', 'close');
       reply.error(response, errors.notRun('tooLarge', message));
@@ -125,9 +125,11 @@
       this.onError(error);
       response.destroy();
     } else {
-      const bad = error instanceof SyntaxError || error instanceof URIError;
-      if (!bad) this.onError(error);
-      const message = bad ? `the request can't be read: ${error.message}` : 'unexpected error';
+      const isMalformed = error instanceof SyntaxError || error instanceof URIError;
+      if (!isMalformed) this.onError(error);
+      const message = isMalformed
+        ? `the request can't be read: ${error.message}`
+        : 'unexpected error';
       reply.error(response, errors.notRun('badRequest', message));
     }
   }
--- a/packages/daemon/src/http/operatorsApi.ts
+++ b/packages/daemon/src/http/operatorsApi.ts
@@ -44,9 +44,9 @@
   graceSeconds?: unknown;
 }
 
-const SUBJECTS: readonly unknown[] = ['target', 'vm', 'dataCentre'];
+const STOP_SUBJECTS: readonly unknown[] = ['target', 'vm', 'dataCentre'];
 
-const ANSWER_STATUS: Record<domain.settings.tree.Answer['kind'], number> = {
+const STATUS_BY_ANSWER: Record<domain.settings.tree.Answer['kind'], number> = {
   accepted: 200,
   conflict: 409,
   invalid: 400,
@@ -64,22 +64,25 @@
       return;
     }
     const [, , collection, id = ''] = call.path.split('/').map(decodeURIComponent);
-    const key = `${call.method} ${collection}`;
-    if (key === 'PUT settings') await this.change(call, author, id);
-    else if (key === 'GET settings') await this.read(call, { kind: 'subtree', name: id });
-    else if (key === 'GET subtrees') await this.read(call, { kind: 'subtrees' });
-    else if (key === 'GET audit') await this.read(call, { kind: 'audit', limit: limitOf(call) });
-    else if (key === 'GET force') await this.read(call, { kind: 'inForce', index: Number(id) });
-    else if (key === 'GET stops') await this.read(call, { kind: 'stops' });
-    else if (key === 'POST stops') await this.announceStop(call, author);
-    else if (key === 'DELETE stops') await this.cancelStop(call, author, id);
-    else if (key === 'GET status') reply.json(call.response, 200, this.options.status());
-    else if (key === 'GET targets') reply.json(call.response, 200, this.options.targets());
+    const operation = `${call.method} ${collection}`;
+    if (operation === 'PUT settings') await this.changeSettings(call, author, id);
+    else if (operation === 'GET settings')
+      await this.answerQuery(call, { kind: 'subtree', name: id });
+    else if (operation === 'GET subtrees') await this.answerQuery(call, { kind: 'subtrees' });
+    else if (operation === 'GET audit')
+      await this.answerQuery(call, { kind: 'audit', limit: limitOf(call) });
+    else if (operation === 'GET force')
+      await this.answerQuery(call, { kind: 'inForce', index: Number(id) });
+    else if (operation === 'GET stops') await this.answerQuery(call, { kind: 'stops' });
+    else if (operation === 'POST stops') await this.announceStop(call, author);
+    else if (operation === 'DELETE stops') await this.cancelStop(call, author, id);
+    else if (operation === 'GET status') reply.json(call.response, 200, this.options.status());
+    else if (operation === 'GET targets') reply.json(call.response, 200, this.options.targets());
     else reply.error(call.response, errors.notRun('notFound', `no such path: ${call.path}`));
   }
 
   private author(call: listener.Call): Author | undefined {
-    const hash = admission.hashOf(listener.bearer(call.headers));
+    const hash = admission.keyHash(listener.bearer(call.headers));
     const fleet = Buffer.from(this.options.fleetTokenHash, 'hex');
     if (crypto.timingSafeEqual(Buffer.from(hash, 'hex'), fleet)) {
       return { name: 'fleet', teams: undefined };
@@ -94,7 +97,11 @@
     return { name: names[0] ?? '', teams };
   }
 
-  private async change(call: listener.Call, author: Author, subtree: string): Promise<void> {
+  private async changeSettings(
+    call: listener.Call,
+    author: Author,
+    subtree: string,
+  ): Promise<void> {
     if (author.teams !== undefined && !author.teams.includes(subtree)) {
       const message = `your token doesn't speak for subtree ${subtree}`;
       reply.json(call.response, 403, { error: { message, type: 'forbidden' } });
@@ -119,32 +126,32 @@
       address: call.address,
       at: 0,
     };
-    const done = await this.options.client.execute(logServer.SETTINGS_LOG, {
+    const executed = await this.options.client.execute(logServer.SETTINGS_LOG, {
       kind: 'change',
       change,
     });
-    if (done.err) {
-      this.unavailable(call, done.val);
+    if (executed.err) {
+      this.unavailable(call, executed.val);
       return;
     }
-    const answer = done.val.answer as domain.settings.tree.Answer;
+    const answer = executed.val.answer as domain.settings.tree.Answer;
     const event = answer.kind === 'accepted' ? 'settingAccepted' : 'settingRefused';
     this.options.observer.log(event, { subtree, change: id, kind: answer.kind });
-    reply.json(call.response, ANSWER_STATUS[answer.kind], answer);
+    reply.json(call.response, STATUS_BY_ANSWER[answer.kind], answer);
   }
 
   private async announceStop(call: listener.Call, author: Author): Promise<void> {
-    if (!this.mayStop(call, author)) return;
+    if (!this.mayPlanStops(call, author)) return;
     const body = JSON.parse(call.body.toString('utf8')) as StopBody;
     const { id, subject, name, graceSeconds = 60 } = body;
-    const usable =
+    const isValid =
       typeof id === 'string' &&
       id !== '' &&
-      SUBJECTS.includes(subject) &&
+      STOP_SUBJECTS.includes(subject) &&
       typeof name === 'string' &&
       typeof graceSeconds === 'number' &&
       graceSeconds >= 0;
-    if (!usable) {
+    if (!isValid) {
       badRequest(call, 'give id, subject (target, vm or dataCentre), name and graceSeconds');
       return;
     }
@@ -156,29 +163,38 @@
       at: 0,
       graceSeconds,
     };
-    await this.execute(call, { kind: 'announceStop', stop, address: call.address });
+    await this.executeCommand(call, { kind: 'announceStop', stop, address: call.address });
   }
 
   private async cancelStop(call: listener.Call, author: Author, id: string): Promise<void> {
-    if (!this.mayStop(call, author)) return;
+    if (!this.mayPlanStops(call, author)) return;
     const { address } = call;
-    await this.execute(call, { kind: 'cancelStop', id, author: author.name, address, at: 0 });
+    await this.executeCommand(call, {
+      kind: 'cancelStop',
+      id,
+      author: author.name,
+      address,
+      at: 0,
+    });
   }
 
-  private mayStop(call: listener.Call, author: Author): boolean {
+  private mayPlanStops(call: listener.Call, author: Author): boolean {
     if (author.teams === undefined) return true;
     const message = 'planned stops take the token of the fleet';
     reply.json(call.response, 403, { error: { message, type: 'forbidden' } });
     return false;
   }
 
-  private async execute(call: listener.Call, command: domain.control.state.Command): Promise<void> {
-    const done = await this.options.client.execute(logServer.SETTINGS_LOG, command);
-    if (done.err) this.unavailable(call, done.val);
-    else reply.json(call.response, 200, { index: done.val.index });
+  private async executeCommand(
+    call: listener.Call,
+    command: domain.control.state.Command,
+  ): Promise<void> {
+    const executed = await this.options.client.execute(logServer.SETTINGS_LOG, command);
+    if (executed.err) this.unavailable(call, executed.val);
+    else reply.json(call.response, 200, { index: executed.val.index });
   }
 
-  private async read(call: listener.Call, question: query.Question): Promise<void> {
+  private async answerQuery(call: listener.Call, question: query.Question): Promise<void> {
     const answer = await this.options.query.ask(question);
     if (answer.err) this.unavailable(call, answer.val);
     else if (answer.val === null) {
@@ -193,8 +209,8 @@
 }
 
 function limitOf(call: listener.Call): number {
-  const wish = Number(call.query.get('limit') ?? 50);
-  return Number.isInteger(wish) && wish > 0 ? Math.min(wish, 1_000) : 50;
+  const requested = Number(call.query.get('limit') ?? 50);
+  return Number.isInteger(requested) && requested > 0 ? Math.min(requested, 1_000) : 50;
 }
 
 function badRequest(call: listener.Call, message: string): void {
--- a/packages/daemon/src/http/reply.ts
+++ b/packages/daemon/src/http/reply.ts
@@ -5,7 +5,7 @@
 
 export const OUTCOME_HEADER = 'x-celerydrift-outcome';
 
-const OUTCOME_WORD: Record<domain.request.outcome.Outcome, string> = {
+const OUTCOME_HEADER_VALUES: Record<domain.request.outcome.Outcome, string> = {
   completed: 'completed',
   notRun: 'not-run',
   failed: 'failed',
@@ -24,18 +24,18 @@
 }
 
 export function outcomeHeader(outcome: domain.request.outcome.Outcome): Record<string, string> {
-  return { [OUTCOME_HEADER]: OUTCOME_WORD[outcome] };
+  return { [OUTCOME_HEADER]: OUTCOME_HEADER_VALUES[outcome] };
 }
 
-export function errorBody(problem: errors.RequestError): unknown {
-  const { kind, message, outcome } = problem;
-  return { error: { message, type: kind, code: kind, outcome: OUTCOME_WORD[outcome] } };
+export function errorBody(requestError: errors.RequestError): unknown {
+  const { kind, message, outcome } = requestError;
+  return { error: { message, type: kind, code: kind, outcome: OUTCOME_HEADER_VALUES[outcome] } };
 }
 
-export function error(response: http.ServerResponse, problem: errors.RequestError): void {
-  const headers = outcomeHeader(problem.outcome);
-  if (problem.retryAfterMs > 0) {
-    headers['retry-after'] = String(Math.ceil(problem.retryAfterMs / 1_000));
+export function error(response: http.ServerResponse, requestError: errors.RequestError): void {
+  const headers = outcomeHeader(requestError.outcome);
+  if (requestError.retryAfterMs > 0) {
+    headers['retry-after'] = String(Math.ceil(requestError.retryAfterMs / 1_000));
   }
-  json(response, errors.STATUS[problem.kind], errorBody(problem), headers);
+  json(response, errors.STATUS_BY_KIND[requestError.kind], errorBody(requestError), headers);
 }
--- a/packages/daemon/src/http/targetsApi.ts
+++ b/packages/daemon/src/http/targetsApi.ts
@@ -8,7 +8,7 @@
 import * as listener from './listener';
 import * as reply from './reply';
 
-const LOADED = t.type({ base: t.string, adapter: t.string, version: t.string });
+const LOADED_MODEL = t.type({ base: t.string, adapter: t.string, version: t.string });
 
 const TARGET = t.type({
   name: t.string,
@@ -20,7 +20,7 @@
   status: t.union([t.literal('serving'), t.literal('leaving')]),
   fencing: t.union([t.literal('checked'), t.literal('ignored')]),
   service: t.string,
-  models: t.array(LOADED),
+  models: t.array(LOADED_MODEL),
   memoryTokens: t.number,
   load: t.type({ queuedTokens: t.number, streams: t.number, freeTokens: t.number }),
 });
@@ -52,7 +52,7 @@
       reply.error(call.response, errors.notRun('badRequest', message));
       return;
     }
-    await this.table.announced(decoded.right satisfies domain.target.target.Target);
+    await this.table.handleAnnouncement(decoded.right satisfies domain.target.target.Target);
     reply.json(call.response, 200, { taken: true });
   }
 }
--- a/packages/daemon/src/orders/orderLoop.ts
+++ b/packages/daemon/src/orders/orderLoop.ts
@@ -11,7 +11,7 @@
 }
 
 export interface Options {
-  adapter: adapter.Adapter;
+  adapter: adapter.EngineAdapter;
   observer: observer.Observer;
   now: () => number;
   /** The term in which this daemon leads with its lease, or undefined. */
@@ -24,10 +24,10 @@
 }
 
 /** The former leader's lease plus the longest way of one of its orders. */
-const QUIET_MS =
+const TAKEOVER_WAIT_MS =
   domain.replication.replica.DEFAULT_TIMING.electionMax + domain.placement.order.ORDER_DELAY_MS;
 
-const EVERY_MS = 500;
+const ROUND_INTERVAL_MS = 500;
 
 export class OrderLoop {
   private issuer: domain.placement.order.Issuer | undefined;
@@ -36,42 +36,42 @@
 
   private timer: NodeJS.Timeout | undefined;
 
-  private busy = false;
+  private isRunning = false;
 
   constructor(private readonly options: Options) {}
 
   start(): void {
     this.timer = setInterval(() => {
-      void this.round();
-    }, EVERY_MS);
+      void this.runRound();
+    }, ROUND_INTERVAL_MS);
   }
 
   stop(): void {
     clearInterval(this.timer);
   }
 
-  private async round(): Promise<void> {
+  private async runRound(): Promise<void> {
     const leadership = this.options.leadership();
-    if (leadership === undefined || this.busy) return;
-    this.busy = true;
+    if (leadership === undefined || this.isRunning) return;
+    this.isRunning = true;
     await this.issue(leadership);
-    this.busy = false;
+    this.isRunning = false;
   }
 
   private async issue({ term, since }: Leadership): Promise<void> {
     if (this.issuer === undefined || this.term !== term) {
-      this.issuer = new domain.placement.order.Issuer(term, since, QUIET_MS);
+      this.issuer = new domain.placement.order.Issuer(term, since, TAKEOVER_WAIT_MS);
       this.term = term;
     }
     const targets = this.options.targets();
     const fencingOf = (name: string): domain.target.target.Fencing =>
       targets.find((target) => target.name === name)?.fencing ?? 'ignored';
-    const wishes = domain.placement.order.differences(
+    const differences = domain.placement.order.differences(
       this.options.wanted(),
       targets,
       this.options.ours(),
     );
-    const orders = this.issuer.issue(wishes, fencingOf, this.options.now());
+    const orders = this.issuer.issue(differences, fencingOf, this.options.now());
     for (const order of orders) await this.send(order, targets);
   }
 
--- a/packages/daemon/src/requests/__tests__/contentMemory.test.ts
+++ b/packages/daemon/src/requests/__tests__/contentMemory.test.ts
@@ -5,11 +5,14 @@
 
 const { expect } = chai;
 
-type Prompt = Parameters<contentMemory.ContentMemory['standing']>[0];
+type Prompt = Parameters<contentMemory.ContentMemory['status']>[0];
 
 function prompt(text: string): Prompt {
-  const tenant = { team: 'pits', organisation: { name: 'north' } } as execution.Prompt['tenant'];
-  const model = { base: 'm', adapter: '', version: '1' } as execution.Prompt['model'];
+  const tenant = {
+    team: 'pits',
+    organisation: { name: 'north' },
+  } as execution.ModelRequest['tenant'];
+  const model = { base: 'm', adapter: '', version: '1' } as execution.ModelRequest['model'];
   return { prompt: text, tenant, model };
 }
 
@@ -23,25 +26,26 @@
     const memory = new contentMemory.ContentMemory(() => now);
     const [culprit, other] = [prompt('crashes'), prompt('another')];
     const standings = [1, 2, 3, 4].map((run) => {
-      const standing = memory.standing(culprit);
+      const standing = memory.status(culprit);
       now += 1_000;
       const target = { name: `engine-${run}`, incarnation: 1 };
       const isTrial = standing !== 'free';
-      if (standing !== 'quarantined') memory.engineLost(culprit, { target, sentAt: now, isTrial });
+      if (standing !== 'quarantined')
+        memory.reportEngineLoss(culprit, { target, sentAt: now, isTrial });
       return standing;
     });
     expect(standings).to.deep.equal(['free', 'suspected', 'suspected', 'quarantined']);
-    expect(memory.standing(other)).to.equal('free');
+    expect(memory.status(other)).to.equal('free');
     now += 120_000;
-    expect(memory.standing(culprit)).to.equal('suspected');
+    expect(memory.status(culprit)).to.equal('suspected');
   });
 
   it('forgets a suspicion once the prompt runs whole', () => {
     const memory = new contentMemory.ContentMemory(() => 0);
     const target = { name: 'engine-1', incarnation: 1 };
-    memory.engineLost(prompt('a'), { target, sentAt: 0, isTrial: false });
-    expect(memory.standing(prompt('a'))).to.equal('suspected');
-    memory.ranWhole(prompt('a'));
-    expect(memory.standing(prompt('a'))).to.equal('free');
+    memory.reportEngineLoss(prompt('a'), { target, sentAt: 0, isTrial: false });
+    expect(memory.status(prompt('a'))).to.equal('suspected');
+    memory.clearSuspicion(prompt('a'));
+    expect(memory.status(prompt('a'))).to.equal('free');
   });
 });
--- a/packages/daemon/src/requests/admission.ts
+++ b/packages/daemon/src/requests/admission.ts
@@ -21,16 +21,20 @@
 /** Longest deadline that a caller may ask for, in milliseconds. */
 const MAX_DEADLINE_MS = 3_600_000;
 
-const REBALANCE_MS = 1_000;
+const REBALANCE_INTERVAL_MS = 1_000;
 
-interface Limited {
+interface TrackedLimit {
   limit: domain.request.limit.SharedLimit;
   rebalancedAt: number;
 }
 
-const RANK: Record<domain.settings.document.Priority, number> = { high: 0, normal: 1, low: 2 };
+const PRIORITY_RANK: Record<domain.settings.document.Priority, number> = {
+  high: 0,
+  normal: 1,
+  low: 2,
+};
 
-export function hashOf(key: string): string {
+export function keyHash(key: string): string {
   return crypto.createHash('sha256').update(key).digest('hex');
 }
 
@@ -39,12 +43,12 @@
 
   readonly estimator = new domain.request.tokens.Estimator();
 
-  private readonly limits = new Map<string, Limited>();
+  private readonly limits = new Map<string, TrackedLimit>();
 
   constructor(private readonly options: Options) {}
 
   tenant(key: string): Result<Tenant, errors.RequestError> {
-    const found = key === '' ? Option.none : this.directory.tenant(hashOf(key));
+    const found = key === '' ? Option.none : this.directory.tenant(keyHash(key));
     if (Option.isSome(found)) return Ok(found.value);
     return Err(errors.notRun('unauthorized', 'give the bearer key of your organisation'));
   }
@@ -65,10 +69,10 @@
   }
 
   /** The deadline as a time, from the caller's wish in milliseconds or the organisation's setting. */
-  deadline({ organisation }: Tenant, wish: string): Result<number, errors.RequestError> {
+  deadline({ organisation }: Tenant, requested: string): Result<number, errors.RequestError> {
     const now = this.options.now();
-    if (wish === '') return Ok(now + organisation.deadlineSeconds * 1_000);
-    const ms = Number(wish);
+    if (requested === '') return Ok(now + organisation.deadlineSeconds * 1_000);
+    const ms = Number(requested);
     if (ms > 0 && ms <= MAX_DEADLINE_MS) return Ok(now + ms);
     const message = `x-deadline-ms: give milliseconds up to ${MAX_DEADLINE_MS}`;
     return Err(errors.notRun('badRequest', message));
@@ -77,23 +81,31 @@
   /** A caller may lower its organisation's priority for a request, not raise it. */
   priority(
     { organisation }: Tenant,
-    wish: string,
+    requested: string,
   ): Result<domain.settings.document.Priority, errors.RequestError> {
-    const own = organisation.priority;
-    if (wish === '') return Ok(own);
-    if (!(wish in RANK)) {
+    const ownPriority = organisation.priority;
+    if (requested === '') return Ok(ownPriority);
+    if (!(requested in PRIORITY_RANK)) {
       return Err(errors.notRun('badRequest', 'x-priority: give high, normal or low'));
     }
-    const wished = wish as domain.settings.document.Priority;
-    return Ok(RANK[wished] < RANK[own] ? own : wished);
+    const requestedPriority = requested as domain.settings.document.Priority;
+    return Ok(
+      PRIORITY_RANK[requestedPriority] < PRIORITY_RANK[ownPriority]
+        ? ownPriority
+        : requestedPriority,
+    );
   }
 
   /** Charges the organisation's limit. */
   charge({ team, organisation }: Tenant, tokens: number): Result<void, errors.RequestError> {
     if (organisation.tokensPerSecond === 0) return Ok(undefined);
     const now = this.options.now();
-    const limited = this.limited(`${team}/${organisation.name}`, organisation.tokensPerSecond, now);
-    const admission = limited.admit(tokens, now);
+    const limit = this.sharedLimit(
+      `${team}/${organisation.name}`,
+      organisation.tokensPerSecond,
+      now,
+    );
+    const admission = limit.admit(tokens, now);
     if (admission.kind === 'admitted') return Ok(undefined);
     const message = `the limit of ${organisation.tokensPerSecond} tokens per second is used up`;
     return Err(errors.notRun('overLimit', message, admission.retryAfterMs));
@@ -122,7 +134,7 @@
     return keys;
   }
 
-  private limited(name: string, rate: number, now: number): domain.request.limit.SharedLimit {
+  private sharedLimit(name: string, rate: number, now: number): domain.request.limit.SharedLimit {
     const daemons = this.options.daemons();
     const known = this.limits.get(name);
     if (known === undefined) {
@@ -130,7 +142,7 @@
       this.limits.set(name, { limit, rebalancedAt: now });
       return limit;
     }
-    if (now - known.rebalancedAt > REBALANCE_MS) {
+    if (now - known.rebalancedAt > REBALANCE_INTERVAL_MS) {
       known.rebalancedAt = now;
       known.limit.rebalance(rate, this.options.peerDemand(name), daemons, now);
     }
--- a/packages/daemon/src/requests/allocation.ts
+++ b/packages/daemon/src/requests/allocationMessages.ts
@@ -5,10 +5,10 @@
 type Request = domain.routing.dispatcher.Request;
 
 /** Prefix keys sent along; further ones matter little for the choice. */
-const KEYS_LIMIT = 64;
+const MAX_PREFIX_KEYS = 64;
 
 /** Times travel as ages and remaining times, since the clocks of VMs differ. */
-export type Ask = readonly [
+export type AllocateRequest = readonly [
   owner: string,
   id: string,
   organisation: string,
@@ -23,30 +23,30 @@
   excluded: readonly string[],
 ];
 
-export type Told =
+export type AllocateReply =
   | readonly [
       'placed',
       target: string,
       band: domain.routing.band.Band,
       priority: number,
-      room: boolean,
+      needsRoom: boolean,
     ]
   | readonly ['wait']
   | readonly ['refused', reason: domain.routing.dispatcher.Refusal]
   | readonly ['ended', reason: 'withdrawn' | 'deadline'];
 
-export type NoteKind = 'first' | 'ended' | 'withdrawn' | 'noRoom';
+export type NotificationKind = 'first' | 'ended' | 'withdrawn' | 'noRoom';
 
 /** What happened to a placed request, with the engine's load where it was told. */
-export type Note = readonly [
-  kind: NoteKind,
+export type Notification = readonly [
+  kind: NotificationKind,
   id: string,
   target: string,
   load:
     readonly [queuedTokens: number, streams: number, freeTokens: number, ageMs: number] | undefined,
 ];
 
-export function pack(owner: string, request: Request, now: number): Ask {
+export function packRequest(owner: string, request: Request, now: number): AllocateRequest {
   const { base, adapter: loaded, version } = request.model;
   return [
     owner,
@@ -57,15 +57,15 @@
     [base, loaded, version],
     request.promptTokens,
     request.answerTokens,
-    request.prefixKeys.slice(0, KEYS_LIMIT),
+    request.prefixKeys.slice(0, MAX_PREFIX_KEYS),
     now - request.enqueuedAt,
     request.deadline - now,
     [...request.excluded],
   ];
 }
 
-export function unpack(ask: Ask, now: number): Request {
-  const [, id, organisation, share, priority, [base, loaded, version], ...rest] = ask;
+export function unpackRequest(message: AllocateRequest, now: number): Request {
+  const [, id, organisation, share, priority, [base, loaded, version], ...rest] = message;
   const [promptTokens, answerTokens, prefixKeys, waitedMs, leftMs, excluded] = rest;
   return {
     id,
@@ -82,12 +82,12 @@
   };
 }
 
-export function packLoad(load: adapter.AgedLoad | undefined): Note[3] {
+export function packLoad(load: adapter.AgedLoad | undefined): Notification[3] {
   if (load === undefined) return undefined;
   return [load.queuedTokens, load.streams, load.freeTokens, load.ageMs];
 }
 
-export function unpackLoad(packed: Note[3] | null): adapter.AgedLoad | undefined {
+export function unpackLoad(packed: Notification[3] | null): adapter.AgedLoad | undefined {
   if (packed === undefined || packed === null) return undefined;
   const [queuedTokens, streams, freeTokens, ageMs] = packed;
   return { queuedTokens, streams, freeTokens, ageMs };
--- a/packages/daemon/src/requests/allocations.ts
+++ b/packages/daemon/src/requests/allocations.ts
@@ -8,7 +8,7 @@
 import * as outbox from '../replicas/outbox';
 import type * as peerClient from '../rpc/peerClient';
 import type * as adapter from '../targets/adapter';
-import * as allocation from './allocation';
+import * as allocation from './allocationMessages';
 import type * as router from './router';
 
 type Request = domain.routing.dispatcher.Request;
@@ -27,98 +27,108 @@
 }
 
 /** Beyond the allocator's own wait; then this daemon places by itself. */
-const CALL_TIMEOUT_MS = 400;
+const ALLOCATE_TIMEOUT_MS = 400;
 
 /** How long an allocator that did not answer is left alone, in milliseconds. */
-const AVOID_MS = 2_000;
+const ALLOCATOR_BACK_OFF_MS = 2_000;
 
-interface Remote {
+interface RemoteRequest {
   address: string;
   request: Request;
 }
 
 export class Allocations {
-  private readonly remote = new Map<string, Remote>();
+  private readonly remoteRequests = new Map<string, RemoteRequest>();
 
-  private readonly notes: outbox.Outbox<allocation.Note>;
+  private readonly notifications: outbox.Outbox<allocation.Notification>;
 
-  private avoidUntil = 0;
+  private backOffUntil = 0;
 
   constructor(private readonly options: Options) {
-    this.notes = new outbox.Outbox((address, notes) => {
-      options.client.notify(address, 'allocated', notes);
+    this.notifications = new outbox.Outbox((address, batch) => {
+      options.client.notify(address, 'allocated', batch);
     });
   }
 
-  async acquire(request: Request): Promise<Dispatch | router.Ended | Refusal> {
+  async acquire(request: Request): Promise<Dispatch | router.DequeueReason | Refusal> {
     const address = this.options.allocator();
-    const usable = address !== '' && this.options.now() >= this.avoidUntil;
+    const usable = address !== '' && this.options.now() >= this.backOffUntil;
     if (!usable) return this.options.router.acquire(request);
-    const remote = { address, request: this.withBroken(request) };
-    this.remote.set(request.id, remote);
-    return this.ask(remote);
+    const remote = { address, request: this.withOpenCircuitsExcluded(request) };
+    this.remoteRequests.set(request.id, remote);
+    return this.requestPlacement(remote);
   }
 
   /** The engine had no room for it; asks for the next target. */
-  async refused(id: string, load: adapter.AgedLoad): Promise<Dispatch | router.Ended | Refusal> {
-    const remote = this.remote.get(id);
-    if (remote === undefined) return this.options.router.refused(id, load);
-    this.tell(remote, 'noRoom', id, '', load);
-    return this.ask(remote);
+  async requeue(
+    id: string,
+    load: adapter.AgedLoad,
+  ): Promise<Dispatch | router.DequeueReason | Refusal> {
+    const remote = this.remoteRequests.get(id);
+    if (remote === undefined) return this.options.router.requeue(id, load);
+    this.notify(remote, 'noRoom', id, '', load);
+    return this.requestPlacement(remote);
   }
 
   withdraw(id: string): void {
-    const remote = this.remote.get(id);
-    this.remote.delete(id);
+    const remote = this.remoteRequests.get(id);
+    this.remoteRequests.delete(id);
     if (remote === undefined) this.options.router.withdraw(id);
-    else this.tell(remote, 'withdrawn', id, '', undefined);
+    else this.notify(remote, 'withdrawn', id, '', undefined);
   }
 
   firstToken(id: string, target: string, load: adapter.AgedLoad | undefined): void {
-    const remote = this.remote.get(id);
+    const remote = this.remoteRequests.get(id);
     if (remote === undefined) this.options.router.firstToken(id);
-    else this.tell(remote, 'first', id, target, load);
+    else this.notify(remote, 'first', id, target, load);
   }
 
-  ended(id: string, target: string, load: adapter.AgedLoad | undefined): void {
-    const remote = this.remote.get(id);
-    this.remote.delete(id);
-    if (remote === undefined) this.options.router.ended(id);
-    else this.tell(remote, 'ended', id, target, load);
+  finished(id: string, target: string, load: adapter.AgedLoad | undefined): void {
+    const remote = this.remoteRequests.get(id);
+    this.remoteRequests.delete(id);
+    if (remote === undefined) this.options.router.finished(id);
+    else this.notify(remote, 'ended', id, target, load);
   }
 
-  private withBroken(request: Request): Request {
-    const broken = this.options.router.brokenTargets();
-    return { ...request, excluded: new Set([...request.excluded, ...broken]) };
+  private withOpenCircuitsExcluded(request: Request): Request {
+    const openCircuits = this.options.router.openCircuitTargets();
+    return { ...request, excluded: new Set([...request.excluded, ...openCircuits]) };
   }
 
-  private tell(
-    { address }: Remote,
-    kind: allocation.NoteKind,
+  private notify(
+    { address }: RemoteRequest,
+    kind: allocation.NotificationKind,
     id: string,
     target: string,
     load: adapter.AgedLoad | undefined,
   ): void {
-    this.notes.add(address, [kind, id, target, allocation.packLoad(load)]);
+    this.notifications.add(address, [kind, id, target, allocation.packLoad(load)]);
   }
 
-  private async ask(remote: Remote): Promise<Dispatch | router.Ended | Refusal> {
+  private async requestPlacement(
+    remote: RemoteRequest,
+  ): Promise<Dispatch | router.DequeueReason | Refusal> {
     const { client, self, now } = this.options;
     const { request, address } = remote;
     for (;;) {
       if (now() >= request.deadline) return this.giveUp(request.id, 'deadline');
-      const ask = allocation.pack(self, request, now());
-      const call = { timeoutMs: CALL_TIMEOUT_MS };
-      const answer = await client.call<allocation.Told>(address, 'allocate', ask, call);
-      if (!this.remote.has(request.id)) return 'withdrawn';
-      if (answer.err) return this.placeAlone(remote);
-      const told = answer.val;
-      if (told[0] === 'refused') return this.end(request.id, told[1]);
-      if (told[0] === 'ended') return this.end(request.id, told[1]);
-      if (told[0] === 'placed') {
-        const dispatch = this.dispatchOf(request, told);
+      const allocateRequest = allocation.packRequest(self, request, now());
+      const callOptions = { timeoutMs: ALLOCATE_TIMEOUT_MS };
+      const answer = await client.call<allocation.AllocateReply>(
+        address,
+        'allocate',
+        allocateRequest,
+        callOptions,
+      );
+      if (!this.remoteRequests.has(request.id)) return 'withdrawn';
+      if (answer.err) return this.placeLocally(remote);
+      const reply = answer.val;
+      if (reply[0] === 'refused') return this.conclude(request.id, reply[1]);
+      if (reply[0] === 'ended') return this.conclude(request.id, reply[1]);
+      if (reply[0] === 'placed') {
+        const dispatch = this.dispatchOf(request, reply);
         // A target that only the allocator knows of is none here yet.
-        return dispatch ?? this.placeAlone(remote);
+        return dispatch ?? this.placeLocally(remote);
       }
     }
   }
@@ -126,7 +136,7 @@
   private dispatchOf(
     request: Request,
     [, name, band, enginePriority, needsRoom]: Extract<
-      allocation.Told,
+      allocation.AllocateReply,
       readonly ['placed', ...unknown[]]
     >,
   ): Dispatch | undefined {
@@ -135,19 +145,19 @@
     return { request, target, band, enginePriority, needsRoom, predictedMs: 0 };
   }
 
-  private end<T extends router.Ended | Refusal>(id: string, reason: T): T {
-    this.remote.delete(id);
+  private conclude<T extends router.DequeueReason | Refusal>(id: string, reason: T): T {
+    this.remoteRequests.delete(id);
     return reason;
   }
 
-  private giveUp(id: string, reason: router.Ended): router.Ended {
+  private giveUp(id: string, reason: router.DequeueReason): router.DequeueReason {
     this.withdraw(id);
     return reason;
   }
 
-  private placeAlone(remote: Remote): Promise<Dispatch | router.Ended | Refusal> {
+  private placeLocally(remote: RemoteRequest): Promise<Dispatch | router.DequeueReason | Refusal> {
     this.withdraw(remote.request.id);
-    this.avoidUntil = this.options.now() + AVOID_MS;
+    this.backOffUntil = this.options.now() + ALLOCATOR_BACK_OFF_MS;
     this.options.observer.count('allocation.alone');
     return this.options.router.acquire(remote.request);
   }
--- a/packages/daemon/src/requests/allocator.ts
+++ b/packages/daemon/src/requests/allocator.ts
@@ -4,7 +4,7 @@
  */
 import type * as domain from '@celerydrift/domain';
 import type * as peerServer from '../rpc/peerServer';
-import * as allocation from './allocation';
+import * as allocation from './allocationMessages';
 import type * as router from './router';
 
 type Dispatch = domain.routing.dispatcher.Dispatch;
@@ -17,22 +17,22 @@
 }
 
 /** Longest wait for a placement in one call; then the entry asks again. */
-const WAIT_MS = 200;
+const MAX_PLACEMENT_WAIT_MS = 200;
 
 /** An entry that has not asked for so long has given up or died. */
-const ABANDONED_MS = 2_000;
+const ABANDONED_AFTER_MS = 2_000;
 
-const SWEEP_EVERY_MS = 500;
+const SWEEP_INTERVAL_MS = 500;
 
 interface Allocation {
   owner: string;
   deadline: number;
-  askedAt: number;
-  told: allocation.Told | undefined;
+  lastRequestAt: number;
+  reply: allocation.AllocateReply | undefined;
   pending: Promise<void>;
 }
 
-function toldOf(result: Awaited<ReturnType<router.Router['acquire']>>): allocation.Told {
+function replyOf(result: Awaited<ReturnType<router.Router['acquire']>>): allocation.AllocateReply {
   if (result === 'withdrawn' || result === 'deadline') return ['ended', result];
   if (typeof result === 'string') return ['refused', result];
   const { target, band, enginePriority, needsRoom } = result;
@@ -47,77 +47,90 @@
   constructor(private readonly options: Options) {}
 
   start(server: peerServer.PeerServer): void {
-    server.add('allocate', (parameters) => this.allocate(parameters as allocation.Ask));
+    server.add('allocate', (parameters) => this.allocate(parameters as allocation.AllocateRequest));
     server.add('allocated', (parameters) => {
-      (parameters as allocation.Note[]).forEach((note) => this.note(note));
+      (parameters as allocation.Notification[]).forEach((note) => this.handleNotification(note));
     });
-    this.timer = setInterval(() => this.sweep(), SWEEP_EVERY_MS);
+    this.timer = setInterval(() => this.sweep(), SWEEP_INTERVAL_MS);
   }
 
   stop(): void {
     clearInterval(this.timer);
   }
 
-  private async allocate(ask: allocation.Ask): Promise<allocation.Told> {
+  private async allocate(request: allocation.AllocateRequest): Promise<allocation.AllocateReply> {
     const now = this.options.now();
-    const [owner, id] = ask;
-    const known = this.allocations.get(id) ?? this.take(owner, allocation.unpack(ask, now), now);
-    known.askedAt = now;
-    if (known.told === undefined) {
+    const [owner, id] = request;
+    const known =
+      this.allocations.get(id) ?? this.place(owner, allocation.unpackRequest(request, now), now);
+    known.lastRequestAt = now;
+    if (known.reply === undefined) {
       await Promise.race([
         known.pending,
         new Promise((resolve) => {
-          setTimeout(resolve, WAIT_MS);
+          setTimeout(resolve, MAX_PLACEMENT_WAIT_MS);
         }),
       ]);
     }
-    const told = known.told ?? ['wait'];
-    if (told[0] === 'refused' || told[0] === 'ended') this.allocations.delete(id);
-    return told;
+    const reply = known.reply ?? ['wait'];
+    if (reply[0] === 'refused' || reply[0] === 'ended') this.allocations.delete(id);
+    return reply;
   }
 
-  private take(owner: string, request: domain.routing.dispatcher.Request, now: number): Allocation {
+  private place(
+    owner: string,
+    request: domain.routing.dispatcher.Request,
+    now: number,
+  ): Allocation {
     const pending = Promise.resolve();
     const { deadline } = request;
-    const made: Allocation = { owner, deadline, askedAt: now, told: undefined, pending };
-    this.allocations.set(request.id, made);
-    this.await(made, this.options.router.acquire(request));
-    return made;
+    const placed: Allocation = {
+      owner,
+      deadline,
+      lastRequestAt: now,
+      reply: undefined,
+      pending,
+    };
+    this.allocations.set(request.id, placed);
+    this.trackPlacement(placed, this.options.router.acquire(request));
+    return placed;
   }
 
-  private await(
-    made: Allocation,
-    result: Promise<Dispatch | router.Ended | domain.routing.dispatcher.Refusal>,
+  private trackPlacement(
+    tracked: Allocation,
+    result: Promise<Dispatch | router.DequeueReason | domain.routing.dispatcher.Refusal>,
   ): void {
-    made.told = undefined;
-    made.pending = result.then((answer) => {
-      made.told = toldOf(answer);
+    tracked.reply = undefined;
+    tracked.pending = result.then((placement) => {
+      tracked.reply = replyOf(placement);
     });
   }
 
-  private note([kind, id, target, packed]: allocation.Note): void {
-    const { router: own } = this.options;
+  private handleNotification([kind, id, target, packed]: allocation.Notification): void {
+    const { router: localRouter } = this.options;
     const load = allocation.unpackLoad(packed);
-    if (load !== undefined && kind !== 'noRoom') own.load(target, load);
+    if (load !== undefined && kind !== 'noRoom') localRouter.reportLoad(target, load);
     const known = this.allocations.get(id);
     if (known === undefined) return;
-    if (kind === 'first') own.firstToken(id);
-    else if (kind === 'noRoom' && load !== undefined) this.await(known, own.refused(id, load));
-    else this.drop(id);
+    if (kind === 'first') localRouter.firstToken(id);
+    else if (kind === 'noRoom' && load !== undefined)
+      this.trackPlacement(known, localRouter.requeue(id, load));
+    else this.remove(id);
   }
 
-  private drop(id: string): void {
+  private remove(id: string): void {
     this.allocations.delete(id);
     this.options.router.withdraw(id);
-    this.options.router.ended(id);
+    this.options.router.finished(id);
   }
 
   /** Frees what dead entries and lost notes left: without it the allocator would believe targets full. */
   private sweep(): void {
     const now = this.options.now();
     this.allocations.forEach((known, id) => {
-      const abandoned = known.told === undefined && now - known.askedAt > ABANDONED_MS;
-      if (abandoned || known.deadline < now || this.options.isDead(known.owner)) this.drop(id);
+      const isAbandoned =
+        known.reply === undefined && now - known.lastRequestAt > ABANDONED_AFTER_MS;
+      if (isAbandoned || known.deadline < now || this.options.isDead(known.owner)) this.remove(id);
     });
   }
 }
--- a/packages/daemon/src/requests/cellWatch.ts
+++ b/packages/daemon/src/requests/cellWatch.ts
@@ -29,7 +29,7 @@
   /** Targets of any kind that may get work. */
   open(): Target[] {
     const { targets, stops } = this.options;
-    return targets.list().filter((target) => stops.isOpen(target));
+    return targets.list().filter((target) => stops.acceptsNewWork(target));
   }
 
   openEngines(): Target[] {
@@ -39,28 +39,28 @@
   openTarget(name: string): Target | undefined {
     const { targets, stops } = this.options;
     const target = targets.get(name);
-    return target !== undefined && stops.isOpen(target) ? target : undefined;
+    return target !== undefined && stops.acceptsNewWork(target) ? target : undefined;
   }
 
   /** Looks again after a change of daemons, targets or stops. */
   refresh(): void {
-    const { hash, self, members: known, router: own } = this.options;
+    const { hash, self, members: membership, router: localRouter } = this.options;
     const engines = this.openEngines();
-    const live = known.detector.list().filter(domain.membership.daemon.isLive);
+    const live = membership.detector.list().filter(domain.membership.daemon.isLive);
     const ids = live.map(({ id }) => id).sort();
-    own.setPosition(Math.max(0, ids.indexOf(self.id)), ids.length);
-    const places = engines.map(({ name, dataCentre }) => ({ id: name, dataCentre }));
-    this.cell = domain.routing.cell.cellOf(hash, self, live, places);
+    localRouter.setPosition(Math.max(0, ids.indexOf(self.id)), ids.length);
+    const enginePlaces = engines.map(({ name, dataCentre }) => ({ id: name, dataCentre }));
+    this.cell = domain.routing.cell.cellOf(hash, self, live, enginePlaces);
     const names = new Set(this.cell.targets);
-    own.setEngines(engines.filter(({ name }) => names.has(name)));
+    localRouter.setEngines(engines.filter(({ name }) => names.has(name)));
   }
 
   /** Peer address of the daemon that places for this cell; empty when it is this one. */
   allocatorAddress(): string {
-    const { self, members: known } = this.options;
+    const { self, members: membership } = this.options;
     const { allocator: id } = this.cell;
     if (id === self.id) return '';
-    const daemon = known.detector.get(id);
+    const daemon = membership.detector.get(id);
     return daemon?.status === 'alive' ? daemon.address : '';
   }
 }
--- a/packages/daemon/src/requests/contentMemory.ts
+++ b/packages/daemon/src/requests/contentMemory.ts
@@ -6,10 +6,10 @@
 import * as fingerprint from '../entry/fingerprint';
 import type * as execution from './execution';
 
-type Prompt = Pick<execution.Prompt, 'prompt' | 'tenant' | 'model'>;
+type Prompt = Pick<execution.ModelRequest, 'prompt' | 'tenant' | 'model'>;
 
 /** A run that got no whole answer, as its engine was lost. */
-export interface Lost {
+export interface EngineLoss {
   target: Pick<domain.target.target.Target, 'name' | 'incarnation'>;
   sentAt: number;
   /** Whether the content was suspected when it was sent. */
@@ -21,29 +21,29 @@
 
   constructor(private readonly now: () => number) {}
 
-  standing(prompt: Prompt): domain.quarantine.quarantine.Standing {
+  status(prompt: Prompt): domain.quarantine.quarantine.Standing {
     this.quarantine.tick(this.now());
-    return this.isKnown(prompt) ? this.quarantine.standing(contentOf(prompt)) : 'free';
+    return this.mayBeSuspect(prompt) ? this.quarantine.standing(fingerprintOf(prompt)) : 'free';
   }
 
-  engineLost(prompt: Prompt, { target, sentAt, isTrial }: Lost): void {
+  reportEngineLoss(prompt: Prompt, { target, sentAt, isTrial }: EngineLoss): void {
     const lifetime = { id: target.name, bornAt: target.incarnation };
     const key = domain.quarantine.endedLifetimes.lifetimeOf(lifetime);
-    this.quarantine.blame(contentOf(prompt), key, { sentAt, isTrial }, this.now());
+    this.quarantine.blame(fingerprintOf(prompt), key, { sentAt, isTrial }, this.now());
   }
 
   /** An answer came whole: whatever ended beside it, it wasn't the cause. */
-  ranWhole(prompt: Prompt): void {
-    if (this.isKnown(prompt)) this.quarantine.ranWhole(contentOf(prompt));
+  clearSuspicion(prompt: Prompt): void {
+    if (this.mayBeSuspect(prompt)) this.quarantine.ranWhole(fingerprintOf(prompt));
   }
 
   /** Spares the digest of a prompt whose length no suspect has. */
-  private isKnown({ prompt }: Prompt): boolean {
+  private mayBeSuspect({ prompt }: Prompt): boolean {
     return this.quarantine.size > 0 && this.quarantine.mayKnow(Buffer.byteLength(prompt));
   }
 }
 
-function contentOf({ prompt, tenant, model }: Prompt): string {
+function fingerprintOf({ prompt, tenant, model }: Prompt): string {
   return fingerprint.of({
     host: '',
     method: 'POST',
--- a/packages/daemon/src/requests/errors.ts
+++ b/packages/daemon/src/requests/errors.ts
@@ -1,7 +1,7 @@
 /** How a request that did not complete is told to its caller. */
 import type * as domain from '@celerydrift/domain';
 
-export type Kind =
+export type ErrorKind =
   | 'unauthorized'
   | 'notFound'
   | 'badRequest'
@@ -20,14 +20,14 @@
   | 'callerGone';
 
 export interface RequestError {
-  kind: Kind;
+  kind: ErrorKind;
   outcome: domain.request.outcome.Outcome;
   message: string;
   /** When to come again, in milliseconds; 0 says nothing. */
   retryAfterMs: number;
 }
 
-export const STATUS: Record<Kind, number> = {
+export const STATUS_BY_KIND: Record<ErrorKind, number> = {
   unauthorized: 401,
   notFound: 404,
   badRequest: 400,
@@ -47,6 +47,6 @@
 };
 
 /** A refusal before anything reached a target. */
-export function notRun(kind: Kind, message: string, retryAfterMs = 0): RequestError {
+export function notRun(kind: ErrorKind, message: string, retryAfterMs = 0): RequestError {
   return { kind, outcome: 'notRun', message, retryAfterMs };
 }
--- a/packages/daemon/src/requests/execution.ts
+++ b/packages/daemon/src/requests/execution.ts
@@ -24,7 +24,7 @@
   readonly gone: AbortSignal;
 }
 
-export interface Prompt {
+export interface ModelRequest {
   id: string;
   tenant: domain.settings.directory.Tenant;
   model: domain.settings.document.Model;
@@ -39,12 +39,12 @@
 export interface Parts {
   router: router.Router;
   allocations: allocations.Allocations;
-  adapter: adapter.Adapter;
+  adapter: adapter.EngineAdapter;
   gatherer: gatherer.Gatherer;
   holdings: holdingsLoop.HoldingsLoop;
   observer: observer.Observer;
   budget: domain.request.retry.Budget;
-  contents: Pick<contentMemory.ContentMemory, 'standing' | 'engineLost' | 'ranWhole'>;
+  contents: Pick<contentMemory.ContentMemory, 'status' | 'reportEngineLoss' | 'clearSuspicion'>;
   random: domain.shared.random.Random;
   owner: () => domain.memory.holding.Owner;
   silenceMs: number;
@@ -52,7 +52,7 @@
   now: () => number;
 }
 
-export interface Whole {
+export interface Completion {
   text: string;
   tokens: number;
   promptTokens: number;
@@ -61,19 +61,19 @@
 }
 
 /** A failed attempt, and what the target asked to wait. */
-interface Failure {
+interface AttemptFailure {
   attempt: domain.request.outcome.Attempt;
   retryAfterMs: number;
   /** The target itself is at fault; a planned stop or a gone caller is not. */
-  blame: boolean;
+  isTargetFault: boolean;
   noRoom?: adapter.AgedLoad;
 }
 
-const BLAMELESS: readonly Fault[] = ['callerGone', 'deadline', 'targetStopped', 'refused'];
+const NON_TARGET_FAULTS: readonly Fault[] = ['callerGone', 'deadline', 'targetStopped', 'refused'];
 
-const SILENT = Symbol('silent');
+const OVERDUE = Symbol('silent');
 
-const STOPPED = Symbol('stopped');
+const ABORTED = Symbol('stopped');
 
 export class Execution {
   private readonly check: domain.request.stream.StreamCheck;
@@ -82,9 +82,9 @@
 
   private excluded = new Set<string>();
 
-  private abort = new AbortController();
+  private abortController = new AbortController();
 
-  private stopReason: Fault | undefined;
+  private abortReason: Fault | undefined;
 
   private promptTokens: number;
 
@@ -95,128 +95,135 @@
   target = '';
 
   /** What an attempt that loses its engine counts as. */
-  private lossOfRun: Omit<contentMemory.Lost, 'target'> = { sentAt: 0, isTrial: false };
+  private attemptContext: Omit<contentMemory.EngineLoss, 'target'> = { sentAt: 0, isTrial: false };
 
   constructor(
-    private readonly prompt: Prompt,
+    private readonly request: ModelRequest,
     private readonly sink: Sink,
-    private readonly parts: Parts,
+    private readonly dependencies: Parts,
   ) {
-    this.check = new domain.request.stream.StreamCheck(prompt.id);
-    this.promptTokens = prompt.promptTokens;
+    this.check = new domain.request.stream.StreamCheck(request.id);
+    this.promptTokens = request.promptTokens;
   }
 
   /** Ends the attempt under way so that the request goes on elsewhere. */
   move(): void {
-    this.stop('targetStopped');
+    this.abortAttempt('targetStopped');
   }
 
-  async run(): Promise<Result<Whole, errors.RequestError>> {
-    const { now } = this.parts;
-    const onGone = (): void => this.stop('callerGone');
-    this.sink.gone.addEventListener('abort', onGone);
-    const timer = setTimeout(() => this.stop('deadline'), this.prompt.deadline - now());
+  async run(): Promise<Result<Completion, errors.RequestError>> {
+    const { now } = this.dependencies;
+    const onCallerGone = (): void => this.abortAttempt('callerGone');
+    this.sink.gone.addEventListener('abort', onCallerGone);
+    const timer = setTimeout(() => this.abortAttempt('deadline'), this.request.deadline - now());
     try {
-      this.parts.budget.firstAttempt();
-      return await this.attemptUntilEnd();
+      this.dependencies.budget.firstAttempt();
+      return await this.runAttempts();
     } finally {
       clearTimeout(timer);
-      this.sink.gone.removeEventListener('abort', onGone);
+      this.sink.gone.removeEventListener('abort', onCallerGone);
     }
   }
 
-  private stop(reason: Fault): void {
-    this.stopReason ??= reason;
-    this.parts.allocations.withdraw(this.attemptId());
-    this.abort.abort();
+  private abortAttempt(reason: Fault): void {
+    this.abortReason ??= reason;
+    this.dependencies.allocations.withdraw(this.attemptId());
+    this.abortController.abort();
   }
 
   private attemptId(): string {
-    return `${this.prompt.id}.${this.attempts.length}`;
+    return `${this.request.id}.${this.attempts.length}`;
   }
 
-  private async attemptUntilEnd(): Promise<Result<Whole, errors.RequestError>> {
+  private async runAttempts(): Promise<Result<Completion, errors.RequestError>> {
     for (;;) {
-      const ended = this.endedEarly();
-      if (ended !== undefined) return Err(ended);
-      const standing = this.parts.contents.standing(this.prompt);
-      if (standing === 'quarantined') return Err(this.heldBack());
-      this.abort = new AbortController();
-      this.stopReason = undefined;
+      const termination = this.earlyTermination();
+      if (termination !== undefined) return Err(termination);
+      const status = this.dependencies.contents.status(this.request);
+      if (status === 'quarantined') return Err(this.quarantineError());
+      this.abortController = new AbortController();
+      this.abortReason = undefined;
       const id = this.attemptId();
-      const dispatch = await this.parts.allocations.acquire(this.request(id));
-      if (typeof dispatch === 'string') return Err(this.notDispatched(dispatch));
-      this.lossOfRun = { sentAt: this.parts.now(), isTrial: standing === 'suspected' };
-      const { last, failure } = await this.attemptWithRoom(id, dispatch);
-      this.parts.allocations.ended(id, this.target, this.lastLoad);
-      if (failure === undefined) return Ok(this.whole(last));
+      const dispatch = await this.dependencies.allocations.acquire(this.routingRequest(id));
+      if (typeof dispatch === 'string') return Err(this.dispatchError(dispatch));
+      this.attemptContext = { sentAt: this.dependencies.now(), isTrial: status === 'suspected' };
+      const { last, failure } = await this.attemptUntilAccepted(id, dispatch);
+      this.dependencies.allocations.finished(id, this.target, this.lastLoad);
+      if (failure === undefined) return Ok(this.complete(last));
       if (domain.request.retry.LOST.includes(failure.attempt.fault)) {
-        this.parts.contents.engineLost(this.prompt, { target: last.target, ...this.lossOfRun });
+        this.dependencies.contents.reportEngineLoss(this.request, {
+          target: last.target,
+          ...this.attemptContext,
+        });
       }
-      const given = await this.afterFailure(failure);
-      if (given !== undefined) return Err(given);
+      const error = await this.retryOrGiveUp(failure);
+      if (error !== undefined) return Err(error);
     }
   }
 
   /** An engine without room ran nothing, so the request goes back to its place in the queue. */
-  private async attemptWithRoom(
+  private async attemptUntilAccepted(
     id: string,
     first: Dispatch,
-  ): Promise<{ last: Dispatch; failure: Failure | undefined }> {
+  ): Promise<{ last: Dispatch; failure: AttemptFailure | undefined }> {
     let last = first;
     for (;;) {
       this.target = last.target.name;
       this.lastLoad = undefined;
       const failure = await this.attempt(id, last);
       if (failure?.noRoom === undefined) return { last, failure };
-      const next = await this.parts.allocations.refused(id, failure.noRoom);
+      const next = await this.dependencies.allocations.requeue(id, failure.noRoom);
       if (typeof next === 'string') {
-        const fault = this.stopReason ?? 'deadline';
-        return { last, failure: this.failure(last.target.name, 'refusedByTarget', fault, 0) };
+        const fault = this.abortReason ?? 'deadline';
+        return {
+          last,
+          failure: this.attemptFailure(last.target.name, 'refusedByTarget', fault, 0),
+        };
       }
       last = next;
     }
   }
 
-  private endedEarly(): errors.RequestError | undefined {
+  private earlyTermination(): errors.RequestError | undefined {
     if (this.sink.gone.aborted)
-      return this.failed('callerGone', 'the caller closed the connection');
-    if (this.parts.now() >= this.prompt.deadline) return this.failed('deadline', 'out of time');
+      return this.requestError('callerGone', 'the caller closed the connection');
+    if (this.dependencies.now() >= this.request.deadline)
+      return this.requestError('deadline', 'out of time');
     return undefined;
   }
 
-  private heldBack(): errors.RequestError {
-    return this.failed(
+  private quarantineError(): errors.RequestError {
+    return this.requestError(
       'failed',
       'engines were lost under this prompt; it is held back for a while',
     );
   }
 
-  private request(id: string): domain.routing.dispatcher.Request {
-    const { tenant, model, prefixKeys, priority, deadline, answerTokens } = this.prompt;
+  private routingRequest(id: string): domain.routing.dispatcher.Request {
+    const { tenant, model, prefixKeys, priority, deadline, answerTokens } = this.request;
     return {
       id,
       organisation: `${tenant.team}/${tenant.organisation.name}`,
       share: tenant.organisation.share,
       priority,
       model: { base: model.base, adapter: model.adapter, version: model.version },
-      promptTokens: this.prompt.promptTokens + this.check.position,
+      promptTokens: this.request.promptTokens + this.check.position,
       answerTokens: Math.max(1, answerTokens - this.check.position),
       prefixKeys,
-      enqueuedAt: this.parts.now(),
+      enqueuedAt: this.dependencies.now(),
       deadline,
       excluded: this.excluded,
     };
   }
 
-  private notDispatched(
-    reason: router.Ended | domain.routing.dispatcher.Refusal,
+  private dispatchError(
+    reason: router.DequeueReason | domain.routing.dispatcher.Refusal,
   ): errors.RequestError {
     if (reason === 'withdrawn' && this.sink.gone.aborted) {
-      return this.failed('callerGone', 'the caller closed the connection');
+      return this.requestError('callerGone', 'the caller closed the connection');
     }
     if (reason === 'withdrawn' || reason === 'deadline') {
-      return this.failed('deadline', 'no target became free within the deadline');
+      return this.requestError('deadline', 'no target became free within the deadline');
     }
     const kinds = {
       queueFull: ['overloaded', 'too much work is waiting here', 1_000],
@@ -224,26 +231,27 @@
       noTarget: ['noTarget', 'no target serves this model now', 1_000],
     } as const;
     const [kind, message, retryAfterMs] = kinds[reason];
-    return this.failed(kind, message, retryAfterMs);
+    return this.requestError(kind, message, retryAfterMs);
   }
 
   /** Runs one attempt; undefined when the answer is whole. */
-  private async attempt(id: string, dispatch: Dispatch): Promise<Failure | undefined> {
+  private async attempt(id: string, dispatch: Dispatch): Promise<AttemptFailure | undefined> {
     const { target } = dispatch;
-    const gathered = await this.parts.gatherer.gather(
+    const gathered = await this.dependencies.gatherer.gather(
       id,
-      this.request(id),
+      this.routingRequest(id),
       target,
-      this.abort.signal,
+      this.abortController.signal,
     );
-    if (gathered.err) return this.failure(target.name, 'notSent', this.stopReason ?? 'refused', 0);
+    if (gathered.err)
+      return this.attemptFailure(target.name, 'notSent', this.abortReason ?? 'refused', 0);
     this.check.continueAs(id);
-    this.parts.holdings.hold(target, id, 'stream');
+    this.dependencies.holdings.hold(target, id, 'stream');
     const failure = await this.stream(id, dispatch, gathered.val.parts);
-    const nothingHeld = failure === undefined || failure.noRoom !== undefined;
-    if (nothingHeld) this.parts.holdings.holdings.confirmed(target.name, id);
-    else this.parts.holdings.release(target.name, id);
-    this.parts.gatherer.giveBack(gathered.val);
+    const nothingLeased = failure === undefined || failure.noRoom !== undefined;
+    if (nothingLeased) this.dependencies.holdings.holdings.confirmed(target.name, id);
+    else this.dependencies.holdings.release(target.name, id);
+    this.dependencies.gatherer.release(gathered.val);
     return failure;
   }
 
@@ -251,8 +259,8 @@
     id: string,
     { target, enginePriority, needsRoom }: Dispatch,
     reservations: readonly domain.memory.gathering.Part[],
-  ): Promise<Failure | undefined> {
-    const { model, prompt, answerTokens, prefixKeys } = this.prompt;
+  ): Promise<AttemptFailure | undefined> {
+    const { model, prompt, answerTokens, prefixKeys } = this.request;
     const opened = await this.open(target, {
       request: id,
       model: { base: model.base, adapter: model.adapter, version: model.version },
@@ -262,12 +270,12 @@
       resumeFrom: this.check.position,
       emitted: this.check.text,
       prefixKeys,
-      owner: this.parts.owner(),
+      owner: this.dependencies.owner(),
       reservations,
       needsRoom,
     });
-    if (opened.err) return this.openFailure(target.name, opened.val);
-    return this.readAll(id, target, opened.val);
+    if (opened.err) return this.openingFailure(target.name, opened.val);
+    return this.readFrames(id, target, opened.val);
   }
 
   /**
@@ -277,61 +285,62 @@
    */
   private async open(
     target: domain.target.target.Target,
-    generation: adapter.Generation,
+    generation: adapter.GenerateRequest,
   ): Promise<Result<adapter.EngineStream, targetErrors.TargetError>> {
-    const opening = new AbortController();
-    const signal = AbortSignal.any([this.abort.signal, opening.signal]);
-    const generated = this.parts.adapter.generate(target, generation, signal);
+    const openController = new AbortController();
+    const signal = AbortSignal.any([this.abortController.signal, openController.signal]);
+    const generated = this.dependencies.adapter.generate(target, generation, signal);
     for (;;) {
-      const opened = await this.orSilence(generated);
-      if (opened !== SILENT) return opened;
+      const opened = await this.orOverdue(generated);
+      if (opened !== OVERDUE) return opened;
       const { request } = generation;
-      const state = await this.parts.adapter.stateOf(target, request);
+      const state = await this.dependencies.adapter.stateOf(target, request);
       if (state.err || state.val === 'unknown') {
-        opening.abort();
+        openController.abort();
         return Err({ progress: 'sent', fault: 'silent', detail: 'no headers', retryAfterMs: 0 });
       }
-      const resumed = await this.parts.adapter.resume(target, request, this.check.position);
+      const resumed = await this.dependencies.adapter.resume(target, request, this.check.position);
       if (resumed.ok) {
-        this.parts.observer.log('connectionSilent', { target: target.name, request });
-        opening.abort();
+        this.dependencies.observer.log('connectionSilent', { target: target.name, request });
+        openController.abort();
         return resumed;
       }
     }
   }
 
-  private async orSilence<T>(promise: Promise<T>): Promise<T | typeof SILENT> {
+  private async orOverdue<T>(promise: Promise<T>): Promise<T | typeof OVERDUE> {
     let timer: NodeJS.Timeout | undefined;
-    const silence = new Promise<typeof SILENT>((resolve) => {
-      timer = setTimeout(() => resolve(SILENT), this.parts.silenceMs);
+    const overdue = new Promise<typeof OVERDUE>((resolve) => {
+      timer = setTimeout(() => resolve(OVERDUE), this.dependencies.silenceMs);
     });
     try {
-      return await Promise.race([promise, silence]);
+      return await Promise.race([promise, overdue]);
     } finally {
       clearTimeout(timer);
     }
   }
 
-  private openFailure(target: string, error: targetErrors.TargetError): Failure {
-    const fault = this.stopReason ?? error.fault;
-    const failure = this.failure(target, error.progress, fault, error.retryAfterMs);
-    return this.stopReason === undefined ? { ...failure, noRoom: error.noRoom } : failure;
+  private openingFailure(target: string, error: targetErrors.TargetError): AttemptFailure {
+    const fault = this.abortReason ?? error.fault;
+    const failure = this.attemptFailure(target, error.progress, fault, error.retryAfterMs);
+    return this.abortReason === undefined ? { ...failure, noRoom: error.noRoom } : failure;
   }
 
-  private async readAll(
+  private async readFrames(
     id: string,
     target: domain.target.target.Target,
     first: adapter.EngineStream,
-  ): Promise<Failure | undefined> {
+  ): Promise<AttemptFailure | undefined> {
     let stream = first;
-    let seen = false;
+    let hasFrame = false;
     try {
       for (;;) {
         const frame = await this.nextFrame(stream);
-        if (frame === STOPPED) return this.fail(target.name, this.stopReason ?? 'callerGone');
-        if (frame === SILENT) {
-          const resumed = await this.onSilence(id, target);
-          if (resumed.err) return this.fail(target.name, resumed.val);
+        if (frame === ABORTED)
+          return this.streamFailure(target.name, this.abortReason ?? 'callerGone');
+        if (frame === OVERDUE) {
+          const resumed = await this.probeOverdueStream(id, target);
+          if (resumed.err) return this.streamFailure(target.name, resumed.val);
           if (resumed.val !== undefined) {
             stream.close();
             stream = resumed.val;
@@ -339,41 +348,41 @@
           continue;
         }
         if (frame === 'broken' || frame === undefined) {
-          const resumed = await this.parts.adapter.resume(target, id, this.check.position);
-          if (resumed.err) return this.fail(target.name, 'cutShort');
+          const resumed = await this.dependencies.adapter.resume(target, id, this.check.position);
+          if (resumed.err) return this.streamFailure(target.name, 'cutShort');
           stream.close();
           stream = resumed.val;
           continue;
         }
-        if (!seen) this.parts.allocations.firstToken(id, target.name, frame.load);
-        seen = true;
-        const finding = this.take(target.name, frame);
+        if (!hasFrame) this.dependencies.allocations.firstToken(id, target.name, frame.load);
+        hasFrame = true;
+        const finding = this.acceptFrame(target.name, frame);
         if (finding === 'whole') return undefined;
-        if (finding === 'wrong') return this.fail(target.name, 'crossed');
+        if (finding === 'wrong') return this.streamFailure(target.name, 'crossed');
       }
     } finally {
       stream.close();
     }
   }
 
-  private fail(target: string, fault: Fault): Failure {
-    return this.failure(target, 'answering', this.stopReason ?? fault, 0);
+  private streamFailure(target: string, fault: Fault): AttemptFailure {
+    return this.attemptFailure(target, 'answering', this.abortReason ?? fault, 0);
   }
 
   private async nextFrame(
     stream: adapter.EngineStream,
-  ): Promise<adapter.EngineFrame | undefined | 'broken' | typeof SILENT | typeof STOPPED> {
-    if (this.abort.signal.aborted) return STOPPED;
+  ): Promise<adapter.EngineFrame | undefined | 'broken' | typeof OVERDUE | typeof ABORTED> {
+    if (this.abortController.signal.aborted) return ABORTED;
     let onAbort: (() => void) | undefined;
-    const stopped = new Promise<typeof STOPPED>((resolve) => {
-      onAbort = () => resolve(STOPPED);
-      this.abort.signal.addEventListener('abort', onAbort);
+    const stopped = new Promise<typeof ABORTED>((resolve) => {
+      onAbort = () => resolve(ABORTED);
+      this.abortController.signal.addEventListener('abort', onAbort);
     });
     const next = stream.next().catch(() => 'broken' as const);
     try {
-      return await this.orSilence(Promise.race([next, stopped]));
+      return await this.orOverdue(Promise.race([next, stopped]));
     } finally {
-      if (onAbort !== undefined) this.abort.signal.removeEventListener('abort', onAbort);
+      if (onAbort !== undefined) this.abortController.signal.removeEventListener('abort', onAbort);
     }
   }
 
@@ -383,76 +392,82 @@
    * finished means that this connection is dead: the stream is read again over a new one. Still
    * waiting or prefilling means patience. Unknown or no answer means that the attempt is lost.
    */
-  private async onSilence(
+  private async probeOverdueStream(
     id: string,
     target: domain.target.target.Target,
   ): Promise<Result<adapter.EngineStream | undefined, Fault>> {
-    const state = await this.parts.adapter.stateOf(target, id);
+    const state = await this.dependencies.adapter.stateOf(target, id);
     if (state.err) return Err('silent');
     if (state.val === 'unknown') return Err('connectionLost');
     if (state.val === 'queued' || state.val === 'prefilling') return Ok(undefined);
-    this.parts.observer.log('connectionSilent', { target: target.name, request: id });
-    const resumed = await this.parts.adapter.resume(target, id, this.check.position);
+    this.dependencies.observer.log('connectionSilent', { target: target.name, request: id });
+    const resumed = await this.dependencies.adapter.resume(target, id, this.check.position);
     return resumed.ok ? Ok(resumed.val) : Err('silent');
   }
 
-  private take(target: string, frame: adapter.EngineFrame): 'more' | 'whole' | 'wrong' {
+  private acceptFrame(target: string, frame: adapter.EngineFrame): 'more' | 'whole' | 'wrong' {
     const finding = this.check.take(frame);
     if (finding.kind === 'crossed' || finding.kind === 'gap') {
-      this.parts.observer.log('frameCrossed', { target, finding: finding.kind });
+      this.dependencies.observer.log('frameCrossed', { target, finding: finding.kind });
       return 'wrong';
     }
-    if (frame.load !== undefined) this.noteLoad(target, frame.load);
-    if (frame.promptTokens !== undefined) this.learn(frame.promptTokens);
+    if (frame.load !== undefined) this.recordLoad(target, frame.load);
+    if (frame.promptTokens !== undefined) this.recordPromptTokens(frame.promptTokens);
     if (finding.kind === 'repeated') return 'more';
     this.sink.write(finding.text);
     return finding.last ? 'whole' : 'more';
   }
 
-  private noteLoad(target: string, load: adapter.AgedLoad): void {
+  private recordLoad(target: string, load: adapter.AgedLoad): void {
     this.lastLoad = load;
-    this.parts.router.load(target, load);
+    this.dependencies.router.reportLoad(target, load);
   }
 
-  private learn(promptTokens: number): void {
+  private recordPromptTokens(promptTokens: number): void {
     this.promptTokens = promptTokens;
-    this.parts.learn(this.prompt.model.base, this.prompt.prompt.length, promptTokens);
+    this.dependencies.learn(this.request.model.base, this.request.prompt.length, promptTokens);
   }
 
-  private failure(
+  private attemptFailure(
     target: string,
     progress: domain.request.outcome.Progress,
     fault: Fault,
     retryAfterMs: number,
-  ): Failure {
-    const blame = !BLAMELESS.includes(fault);
-    return { attempt: { target, progress, fault }, retryAfterMs, blame };
+  ): AttemptFailure {
+    const isTargetFault = !NON_TARGET_FAULTS.includes(fault);
+    return { attempt: { target, progress, fault }, retryAfterMs, isTargetFault };
   }
 
   /** Decides on a retry and waits for it; an error ends the request. */
-  private async afterFailure(failure: Failure): Promise<errors.RequestError | undefined> {
-    const { attempt, retryAfterMs, blame } = failure;
+  private async retryOrGiveUp(failure: AttemptFailure): Promise<errors.RequestError | undefined> {
+    const { attempt, retryAfterMs, isTargetFault } = failure;
     this.attempts.push(attempt);
-    this.parts.observer.log('attemptFailed', { request: this.prompt.id, ...attempt });
-    this.parts.observer.count(`attempt.failed.${attempt.fault}`);
-    if (blame) this.parts.router.failed(attempt.target);
+    this.dependencies.observer.log('attemptFailed', { request: this.request.id, ...attempt });
+    this.dependencies.observer.count(`attempt.failed.${attempt.fault}`);
+    if (isTargetFault) this.dependencies.router.failed(attempt.target);
     this.excluded = new Set([...this.excluded, attempt.target]);
-    const left = this.prompt.deadline - this.parts.now();
+    const remainingMs = this.request.deadline - this.dependencies.now();
     // A prompt may be computed again: its answer goes on from the tokens already passed on.
     const decision = domain.request.retry.decide(
       this.attempts,
       true,
-      left,
+      remainingMs,
       retryAfterMs,
-      this.parts.budget,
-      this.parts.random,
+      this.dependencies.budget,
+      this.dependencies.random,
     );
     if (decision.kind === 'giveUp') {
-      const early = this.endedEarly();
-      return early ?? this.failed('failed', `${attempt.fault} at ${attempt.target}, no retry left`);
+      const termination = this.earlyTermination();
+      return (
+        termination ??
+        this.requestError('failed', `${attempt.fault} at ${attempt.target}, no retry left`)
+      );
     }
     if (attempt.fault === 'targetStopped') {
-      this.parts.observer.log('streamMoved', { request: this.prompt.id, from: attempt.target });
+      this.dependencies.observer.log('streamMoved', {
+        request: this.request.id,
+        from: attempt.target,
+      });
     }
     await new Promise((resolve) => {
       setTimeout(resolve, decision.delayMs);
@@ -460,14 +475,18 @@
     return undefined;
   }
 
-  private failed(kind: errors.Kind, message: string, retryAfterMs = 0): errors.RequestError {
+  private requestError(
+    kind: errors.ErrorKind,
+    message: string,
+    retryAfterMs = 0,
+  ): errors.RequestError {
     const outcome = domain.request.outcome.outcomeOf(this.attempts, true);
     return { kind, outcome, message, retryAfterMs };
   }
 
-  private whole({ target }: Dispatch): Whole {
-    this.parts.router.succeeded(target.name);
-    this.parts.contents.ranWhole(this.prompt);
+  private complete({ target }: Dispatch): Completion {
+    this.dependencies.router.succeeded(target.name);
+    this.dependencies.contents.clearSuspicion(this.request);
     const { position: tokens, text } = this.check;
     const attempts = this.attempts.length + 1;
     return { text, tokens, promptTokens: this.promptTokens, target: target.name, attempts };
--- a/packages/daemon/src/requests/gatherer.ts
+++ b/packages/daemon/src/requests/gatherer.ts
@@ -11,7 +11,7 @@
 type Part = domain.memory.gathering.Part;
 
 export interface Options {
-  adapter: adapter.Adapter;
+  adapter: adapter.EngineAdapter;
   holdings: holdingsLoop.HoldingsLoop;
   random: domain.shared.random.Random;
   owner: () => domain.memory.holding.Owner;
@@ -31,10 +31,10 @@
   parts: Part[];
 }
 
-const RETRY_MS = { least: 50, most: 500 };
+const RETRY_DELAY_MS = { min: 50, max: 500 };
 
 export class Gatherer {
-  private rounds = 0;
+  private tagCount = 0;
 
   constructor(private readonly options: Options) {}
 
@@ -53,8 +53,9 @@
     signal: AbortSignal,
   ): Promise<Result<Gathered, GatherError>> {
     const tokens = request.promptTokens + request.answerTokens;
-    const share = domain.routing.dispatcher.PRIMARY_SHARE;
-    if (tokens <= Math.floor(primary.memoryTokens * share)) return Ok({ tag: id, parts: [] });
+    const primaryShare = domain.routing.dispatcher.PRIMARY_SHARE;
+    if (tokens <= Math.floor(primary.memoryTokens * primaryShare))
+      return Ok({ tag: id, parts: [] });
     const { now, random } = this.options;
     while (!signal.aborted && now() < request.deadline) {
       const others = this.options.engines().filter(({ name }) => name !== primary.name);
@@ -62,17 +63,18 @@
       if (parts === undefined) return Err('tooLong');
       const gathered = { tag: this.newTag(id), parts };
       if (await this.reserveAll(gathered)) return Ok(gathered);
-      const pause = RETRY_MS.least + random.uniform() * (RETRY_MS.most - RETRY_MS.least);
+      const delayMs =
+        RETRY_DELAY_MS.min + random.uniform() * (RETRY_DELAY_MS.max - RETRY_DELAY_MS.min);
       await new Promise((resolve) => {
-        setTimeout(resolve, pause);
+        setTimeout(resolve, delayMs);
       });
     }
     return Err(signal.aborted ? 'stopped' : 'deadline');
   }
 
-  giveBack({ tag, parts }: Gathered): void {
+  release({ tag, parts }: Gathered): void {
     parts.forEach(({ target }) => {
-      this.options.holdings.release(target, this.reservation(tag, target));
+      this.options.holdings.release(target, this.reservationId(tag, target));
     });
   }
 
@@ -81,15 +83,15 @@
    * reservation of the next, and its confirmation would make this daemon forget what it still holds.
    */
   private newTag(id: string): string {
-    this.rounds += 1;
-    return `${id}~${this.rounds}`;
+    this.tagCount += 1;
+    return `${id}~${this.tagCount}`;
   }
 
   private plan(tokens: number, primary: Target, others: readonly Target[]): Part[] | undefined {
     return domain.memory.gathering.plan(tokens, primary, others, this.options.freeTokens);
   }
 
-  private reservation(tag: string, target: string): string {
+  private reservationId(tag: string, target: string): string {
     return `${tag}@${target}`;
   }
 
@@ -97,7 +99,7 @@
     for (const [position, part] of parts.entries()) {
       if (!(await this.reserve(tag, part))) {
         // The failed one too: its answer may have been lost after it was granted.
-        this.giveBack({ tag, parts: parts.slice(0, position + 1) });
+        this.release({ tag, parts: parts.slice(0, position + 1) });
         return false;
       }
     }
@@ -108,11 +110,11 @@
     const { holdings, adapter: engine, owner } = this.options;
     const target = this.options.engines().find((each) => each.name === name);
     if (target === undefined) return false;
-    const reservation = this.reservation(tag, name);
+    const reservation = this.reservationId(tag, name);
     holdings.hold(target, reservation, 'reservation');
     const leaseMs = domain.memory.holding.LEASE_MS;
-    const wish = { id: reservation, owner: owner(), tokens, leaseMs };
-    const reserved = await engine.reserve(target, wish);
+    const request = { id: reservation, owner: owner(), tokens, leaseMs };
+    const reserved = await engine.reserve(target, request);
     return reserved.ok && reserved.val;
   }
 }
--- a/packages/daemon/src/requests/holdingsLoop.ts
+++ b/packages/daemon/src/requests/holdingsLoop.ts
@@ -9,7 +9,7 @@
 type Target = domain.target.target.Target;
 
 export interface Options {
-  adapter: adapter.Adapter;
+  adapter: adapter.EngineAdapter;
   observer: observer.Observer;
   now: () => number;
   target: (name: string) => Target | undefined;
@@ -19,11 +19,11 @@
   note: (action: string, subject: string, detail: string) => void;
 }
 
-const RELEASE_EVERY_MS = 100;
+const RELEASE_INTERVAL_MS = 100;
 
-const RENEW_EVERY_MS = 5_000;
+const RENEW_INTERVAL_MS = 5_000;
 
-const RECLAIM_EVERY_MS = 3_000;
+const RECLAIM_INTERVAL_MS = 3_000;
 
 export class HoldingsLoop {
   readonly holdings = new domain.memory.holding.Holdings();
@@ -34,9 +34,9 @@
 
   start(): void {
     this.timers = [
-      setInterval(() => this.releaseDue(), RELEASE_EVERY_MS),
-      setInterval(() => this.renew(), RENEW_EVERY_MS),
-      setInterval(() => this.reclaimAll(), RECLAIM_EVERY_MS),
+      setInterval(() => this.releaseDue(), RELEASE_INTERVAL_MS),
+      setInterval(() => this.renew(), RENEW_INTERVAL_MS),
+      setInterval(() => this.reclaimAll(), RECLAIM_INTERVAL_MS),
     ];
   }
 
@@ -90,11 +90,11 @@
   private async reclaim(target: Target): Promise<void> {
     const listed = await this.options.adapter.holdings(target);
     if (listed.err || listed.val.incarnation !== target.incarnation) return;
-    const left = listed.val.holdings.filter((holding) => {
-      const standing = this.options.standing(holding.owner.daemon);
-      return domain.memory.holding.judge(holding, standing) === 'reclaim';
+    const orphaned = listed.val.holdings.filter((holding) => {
+      const ownerStatus = this.options.standing(holding.owner.daemon);
+      return domain.memory.holding.judge(holding, ownerStatus) === 'reclaim';
     });
-    for (const { id, kind, owner } of left) {
+    for (const { id, kind, owner } of orphaned) {
       const released = await this.options.adapter.release(target, id, kind);
       if (released.ok) {
         this.options.observer.log('reclaimed', { target: target.name, id, owner: owner.daemon });
--- a/packages/daemon/src/requests/ledgerClient.ts
+++ b/packages/daemon/src/requests/ledgerClient.ts
@@ -21,10 +21,10 @@
 
   async execute(
     command: Command,
-    patienceMs?: number,
+    waitLimitMs?: number,
   ): Promise<Result<Verdict, controlErrors.ControlError>> {
     const log = shardName(this.hash(command.key) % this.shards);
-    const done = await this.client.execute(log, command, patienceMs);
+    const done = await this.client.execute(log, command, waitLimitMs);
     return done.map(({ answer }) => answer as Verdict);
   }
 }
--- a/packages/daemon/src/requests/router.ts
+++ b/packages/daemon/src/requests/router.ts
@@ -14,21 +14,21 @@
   dataCentre: string;
   hash: domain.shared.hashing.Hash;
   policy: domain.routing.policy.Policy;
-  adapter: adapter.Adapter;
+  adapter: adapter.EngineAdapter;
   observer: observer.Observer;
   now: () => number;
 }
 
 /** Why a waiting request leaves the queue without a target. */
-export type Ended = 'withdrawn' | 'deadline';
+export type DequeueReason = 'withdrawn' | 'deadline';
 
-type Waiter = (result: Dispatch | Ended) => void;
+type Waiter = (result: Dispatch | DequeueReason) => void;
 
-const POLL_EVERY_MS = 5;
+const POLL_INTERVAL_MS = 5;
 
-const CIRCUITS_EVERY_MS = 100;
+const CIRCUIT_TICK_INTERVAL_MS = 100;
 
-const CACHE_EVERY_MS = 2_000;
+const CACHE_POLL_INTERVAL_MS = 2_000;
 
 export class Router {
   readonly dispatcher: domain.routing.dispatcher.Dispatcher;
@@ -37,11 +37,11 @@
 
   private readonly waiters = new Map<string, Waiter>();
 
-  private readonly peers = new Map<string, news.Work>();
+  private readonly peerWorkloads = new Map<string, news.Work>();
 
   private engines: Target[] = [];
 
-  private readonly sequences = new Map<string, number>();
+  private readonly cacheSequences = new Map<string, number>();
 
   private timers: NodeJS.Timeout[] = [];
 
@@ -54,8 +54,8 @@
 
   start(): void {
     this.timers = [
-      setInterval(() => this.tickCircuits(), CIRCUITS_EVERY_MS),
-      setInterval(() => this.readCaches(), CACHE_EVERY_MS),
+      setInterval(() => this.tickCircuits(), CIRCUIT_TICK_INTERVAL_MS),
+      setInterval(() => this.pollCaches(), CACHE_POLL_INTERVAL_MS),
     ];
   }
 
@@ -74,7 +74,7 @@
   /** Puts a request in the queue; resolves when it may go. */
   async acquire(
     request: domain.routing.dispatcher.Request,
-  ): Promise<Dispatch | Ended | domain.routing.dispatcher.Refusal> {
+  ): Promise<Dispatch | DequeueReason | domain.routing.dispatcher.Refusal> {
     const refusal = this.dispatcher.enqueue(request, this.options.now());
     if (refusal !== undefined) return refusal;
     return new Promise((resolve) => {
@@ -84,7 +84,7 @@
   }
 
   /** The engine had no room; the request waits again, and this resolves to its next target. */
-  async refused(id: string, load: adapter.AgedLoad): Promise<Dispatch | Ended> {
+  async requeue(id: string, load: adapter.AgedLoad): Promise<Dispatch | DequeueReason> {
     const now = this.options.now();
     const { ageMs, ...report } = load;
     return new Promise((resolve) => {
@@ -100,7 +100,7 @@
   }
 
   withdraw(id: string): void {
-    if (this.dispatcher.withdraw(id)) this.wake(id, 'withdrawn');
+    if (this.dispatcher.withdraw(id)) this.resolveWaiter(id, 'withdrawn');
   }
 
   firstToken(id: string): void {
@@ -108,12 +108,12 @@
     this.poll();
   }
 
-  ended(id: string): void {
+  finished(id: string): void {
     this.dispatcher.ended(id, this.options.now());
     this.poll();
   }
 
-  load(target: string, load: adapter.AgedLoad): void {
+  reportLoad(target: string, load: adapter.AgedLoad): void {
     const now = this.options.now();
     const { ageMs, ...report } = load;
     this.dispatcher.reported(target, { ...report, measuredAt: now - ageMs });
@@ -129,10 +129,10 @@
 
   failed(target: string): void {
     const circuit = this.circuit(target);
-    const before = circuit.state;
+    const formerState = circuit.state;
     circuit.failed(this.options.now());
     if (circuit.state !== 'open') return;
-    if (before !== 'open') this.options.observer.log('circuitOpened', { target });
+    if (formerState !== 'open') this.options.observer.log('circuitOpened', { target });
     this.dispatcher.setBroken(target, true);
   }
 
@@ -140,27 +140,27 @@
     return this.dispatcher.freeTokens(target, this.options.now());
   }
 
-  brokenTargets(): string[] {
-    return [...this.circuits.keys()].filter((target) => this.isBroken(target));
+  openCircuitTargets(): string[] {
+    return [...this.circuits.keys()].filter((target) => this.isCircuitOpen(target));
   }
 
-  isBroken(target: string): boolean {
+  isCircuitOpen(target: string): boolean {
     return this.circuit(target).state === 'open';
   }
 
   /** A peer's word of its own work. */
   peerWork(work: news.Work): void {
-    this.peers.set(work.daemon, work);
-    this.applyPeers();
+    this.peerWorkloads.set(work.daemon, work);
+    this.applyPeerWorkloads();
   }
 
   forgetPeer(daemon: string): void {
-    if (this.peers.delete(daemon)) this.applyPeers();
+    if (this.peerWorkloads.delete(daemon)) this.applyPeerWorkloads();
   }
 
   /** Demand of all peers for an organisation, in tokens per second. */
   peerDemand(organisation: string): number {
-    return [...this.peers.values()].reduce(
+    return [...this.peerWorkloads.values()].reduce(
       (sum, { organisations }) => sum + (organisations[organisation] ?? 0),
       0,
     );
@@ -196,24 +196,24 @@
   }
 
   /** Looks again soon, as long as something waits; an idle daemon does nothing. */
-  private pollLater(): void {
+  private schedulePoll(): void {
     if (this.pollTimer !== undefined || this.dispatcher.queueLength === 0) return;
     this.pollTimer = setTimeout(() => {
       this.pollTimer = undefined;
-      const late = this.dispatcher.expire(this.options.now());
-      late.forEach(({ id }) => this.wake(id, 'deadline'));
+      const expired = this.dispatcher.expire(this.options.now());
+      expired.forEach(({ id }) => this.resolveWaiter(id, 'deadline'));
       this.poll();
-    }, POLL_EVERY_MS);
+    }, POLL_INTERVAL_MS);
   }
 
   private poll(): void {
     this.dispatcher.poll(this.options.now()).forEach((dispatch) => {
-      this.wake(dispatch.request.id, dispatch);
+      this.resolveWaiter(dispatch.request.id, dispatch);
     });
-    this.pollLater();
+    this.schedulePoll();
   }
 
-  private wake(id: string, result: Dispatch | Ended): void {
+  private resolveWaiter(id: string, result: Dispatch | DequeueReason): void {
     const waiter = this.waiters.get(id);
     this.waiters.delete(id);
     waiter?.(result);
@@ -222,20 +222,24 @@
   private circuit(target: string): domain.request.circuit.Circuit {
     const known = this.circuits.get(target);
     if (known !== undefined) return known;
-    const made = new domain.request.circuit.Circuit();
-    this.circuits.set(target, made);
-    return made;
+    const created = new domain.request.circuit.Circuit();
+    this.circuits.set(target, created);
+    return created;
   }
 
-  private applyPeers(): void {
+  private applyPeerWorkloads(): void {
     const now = this.options.now();
-    const works = [...this.peers.values()];
-    const sum = (read: (work: news.Work) => number): number =>
-      works.reduce((total, work) => total + read(work), 0);
+    const workloads = [...this.peerWorkloads.values()];
+    const sum = (select: (work: news.Work) => number): number =>
+      workloads.reduce((total, work) => total + select(work), 0);
     this.engines.forEach(({ name }) => {
-      const part = (band: domain.routing.band.Band): number =>
+      const tokensIn = (band: domain.routing.band.Band): number =>
         sum(({ outstanding }) => outstanding[name]?.[band] ?? 0);
-      const outstanding = { short: part('short'), medium: part('medium'), long: part('long') };
+      const outstanding = {
+        short: tokensIn('short'),
+        medium: tokensIn('medium'),
+        long: tokensIn('long'),
+      };
       this.dispatcher.peersReported(name, outstanding, now);
     });
     this.dispatcher.setPeerDemand({
@@ -245,22 +249,22 @@
     });
   }
 
-  private readCaches(): void {
+  private pollCaches(): void {
     this.engines.forEach((target) => {
-      void this.readCache(target);
+      void this.pollCache(target);
     });
   }
 
   /** Cache events with gaps; a gap is answered by asking for everything. */
-  private async readCache(target: Target): Promise<void> {
+  private async pollCache(target: Target): Promise<void> {
     const { prefixes } = this.dispatcher;
-    const since = this.sequences.get(target.name) ?? -1;
+    const since = this.cacheSequences.get(target.name) ?? -1;
     const listing = await this.options.adapter.cache(target, since);
     if (listing.err) return;
     const { sequence, keys, events = [] } = listing.val;
     if (keys !== undefined) prefixes.resync(target.name, keys, sequence);
     const findings = events.map((event) => prefixes.event(target.name, event));
     const gap = findings.includes('gap') || sequence < since;
-    this.sequences.set(target.name, gap ? -1 : sequence);
+    this.cacheSequences.set(target.name, gap ? -1 : sequence);
   }
 }
--- a/packages/daemon/src/requests/serviceProxy.ts
+++ b/packages/daemon/src/requests/serviceProxy.ts
@@ -16,7 +16,7 @@
 type Target = domain.target.target.Target;
 type Verdict = domain.ledger.ledger.Verdict;
 
-export interface Call {
+export interface ServiceCall {
   tenant: domain.settings.directory.Tenant;
   service: domain.settings.document.Service;
   method: string;
@@ -29,7 +29,7 @@
   deadline: number;
 }
 
-export interface Answer {
+export interface ServiceAnswer {
   status: number;
   contentType: string;
   body: Buffer;
@@ -49,11 +49,14 @@
 }
 
 /** A resend that meets the running first call looks again so often, in milliseconds. */
-const WAIT_STEP_MS = 50;
+const CLAIM_POLL_INTERVAL_MS = 50;
 
-type Failed = { attempt: domain.request.outcome.Attempt; error: targetErrors.TargetError };
+type FailedAttempt = { attempt: domain.request.outcome.Attempt; error: targetErrors.TargetError };
 
-export function isRepeatable(service: domain.settings.document.Service, call: Call): boolean {
+export function isRepeatable(
+  service: domain.settings.document.Service,
+  call: ServiceCall,
+): boolean {
   return !service.notRepeatable.some((rule) => {
     const [method, prefix] = rule.split(' ') as [string, string];
     return call.method === method && call.path.startsWith(prefix);
@@ -61,23 +64,25 @@
 }
 
 export class ServiceProxy {
-  private readonly turns = new Map<string, number>();
+  private readonly roundRobinCounters = new Map<string, number>();
 
   constructor(private readonly options: Options) {}
 
-  async handle(call: Call): Promise<Result<Answer, errors.RequestError>> {
-    if (isRepeatable(call.service, call)) return this.repeatable(call);
+  async handle(call: ServiceCall): Promise<Result<ServiceAnswer, errors.RequestError>> {
+    if (isRepeatable(call.service, call)) return this.callRepeatable(call);
     // Without a key a resend can't be recognised; this daemon then tries once and never again.
-    return call.key === '' ? this.once(call) : this.claimed(call);
+    return call.key === '' ? this.callAtMostOnce(call) : this.callWithClaim(call);
   }
 
-  private async repeatable(call: Call): Promise<Result<Answer, errors.RequestError>> {
+  private async callRepeatable(
+    call: ServiceCall,
+  ): Promise<Result<ServiceAnswer, errors.RequestError>> {
     const attempts: domain.request.outcome.Attempt[] = [];
     this.options.budget.firstAttempt();
     for (;;) {
       const result = await this.attempt(call, attempts, false);
       if (result.ok) return result;
-      if (result.val === 'noTarget') return Err(noTarget(call, attempts, true));
+      if (result.val === 'noTarget') return Err(noTargetError(call, attempts, true));
       attempts.push(result.val.attempt);
       const decision = domain.request.retry.decide(
         attempts,
@@ -87,25 +92,30 @@
         this.options.budget,
         this.options.random,
       );
-      if (decision.kind === 'giveUp') return Err(endOf(attempts, true));
+      if (decision.kind === 'giveUp') return Err(attemptsError(attempts, true));
       await clock.pause(decision.delayMs);
     }
   }
 
   /** Tries other targets only while it is certain that none has run the call. */
-  private async once(call: Call): Promise<Result<Answer, errors.RequestError>> {
+  private async callAtMostOnce(
+    call: ServiceCall,
+  ): Promise<Result<ServiceAnswer, errors.RequestError>> {
     const attempts: domain.request.outcome.Attempt[] = [];
     for (;;) {
       const result = await this.attempt(call, attempts, true);
       if (result.ok) return result;
-      if (result.val === 'noTarget') return Err(noTarget(call, attempts, false));
+      if (result.val === 'noTarget') return Err(noTargetError(call, attempts, false));
       attempts.push(result.val.attempt);
-      const certain = domain.request.outcome.proof(result.val.attempt) === 'notRun';
-      if (!certain || this.options.now() >= call.deadline) return Err(endOf(attempts, false));
+      const isProvenNotRun = domain.request.outcome.proof(result.val.attempt) === 'notRun';
+      if (!isProvenNotRun || this.options.now() >= call.deadline)
+        return Err(attemptsError(attempts, false));
     }
   }
 
-  private async claimed(call: Call): Promise<Result<Answer, errors.RequestError>> {
+  private async callWithClaim(
+    call: ServiceCall,
+  ): Promise<Result<ServiceAnswer, errors.RequestError>> {
     const { team, organisation } = call.tenant;
     const key = [team, organisation.name, call.service.name, call.key].join('/');
     const attempt = crypto.randomUUID();
@@ -118,50 +128,57 @@
       at: 0,
     } as const;
     for (;;) {
-      const left = call.deadline - this.options.now();
-      const timed = { ...claim, timeLeftMs: left };
-      const verdict = await this.options.ledger.execute(timed, Math.min(left, 8_000));
+      const remainingMs = call.deadline - this.options.now();
+      const timedClaim = { ...claim, timeLeftMs: remainingMs };
+      const verdict = await this.options.ledger.execute(timedClaim, Math.min(remainingMs, 8_000));
       if (verdict.err) {
         // The claim may still take effect later; it is given back so that a resend can run.
         void this.options.ledger.execute({ kind: 'release', key, attempt, at: 0 }, 30_000);
-        return Err(unclaimed(verdict.val.detail));
+        return Err(claimError(verdict.val.detail));
       }
       if (verdict.val.kind === 'granted') return this.runClaimed(call, key, attempt);
-      if (verdict.val.kind !== 'running') return answerOf(verdict.val);
-      if (left <= WAIT_STEP_MS) return Err(stillRunning());
-      await clock.pause(WAIT_STEP_MS);
+      if (verdict.val.kind !== 'running') return resultOfVerdict(verdict.val);
+      if (remainingMs <= CLAIM_POLL_INTERVAL_MS) return Err(stillRunningError());
+      await clock.pause(CLAIM_POLL_INTERVAL_MS);
     }
   }
 
   private async runClaimed(
-    call: Call,
+    call: ServiceCall,
     key: string,
     attempt: string,
-  ): Promise<Result<Answer, errors.RequestError>> {
+  ): Promise<Result<ServiceAnswer, errors.RequestError>> {
     // The claim may have been granted late; after the deadline others take it for unknown.
     if (this.options.now() >= call.deadline) {
-      await this.settle({ kind: 'release', key, attempt, at: 0 });
+      await this.recordOutcome({ kind: 'release', key, attempt, at: 0 });
       return Err(errors.notRun('deadline', 'out of time before the call was sent'));
     }
-    const result = await this.once(call);
+    const result = await this.callAtMostOnce(call);
     if (result.ok) {
       const { status, contentType, body } = result.val;
       const answer = { status, contentType, body: body.toString('base64') };
-      await this.settle({ kind: 'settle', key, attempt, settlement: 'completed', answer, at: 0 });
+      await this.recordOutcome({
+        kind: 'settle',
+        key,
+        attempt,
+        settlement: 'completed',
+        answer,
+        at: 0,
+      });
       return result;
     }
     if (result.val.outcome === 'notRun') {
-      await this.settle({ kind: 'release', key, attempt, at: 0 });
+      await this.recordOutcome({ kind: 'release', key, attempt, at: 0 });
       return result;
     }
     this.options.observer.log('claimUnknown', { key });
     const unknown = { settlement: 'unknown', answer: undefined } as const;
-    await this.settle({ kind: 'settle', key, attempt, ...unknown, at: 0 });
+    await this.recordOutcome({ kind: 'settle', key, attempt, ...unknown, at: 0 });
     return result;
   }
 
   /** Not being able to record an end is safe: the claim stays, and resends hear "unknown". */
-  private async settle(
+  private async recordOutcome(
     command: domain.ledger.ledger.Settle | domain.ledger.ledger.Release,
   ): Promise<void> {
     const settled = await this.options.ledger.execute(command, 2_000);
@@ -169,50 +186,54 @@
   }
 
   private async attempt(
-    call: Call,
+    call: ServiceCall,
     attempts: readonly domain.request.outcome.Attempt[],
-    fresh: boolean,
-  ): Promise<Result<Answer, Failed | 'noTarget'>> {
-    const target = this.choose(call, attempts);
+    newConnection: boolean,
+  ): Promise<Result<ServiceAnswer, FailedAttempt | 'noTarget'>> {
+    const target = this.chooseTarget(call, attempts);
     if (target === undefined) return Err('noTarget');
     try {
-      const answer = await this.send(call, target, fresh);
+      const answer = await this.send(call, target, newConnection);
       if (answer.ok) this.options.router.succeeded(target.name);
       return answer;
     } catch (error) {
       this.options.router.failed(target.name);
-      const known = httpClient.errorOf(error);
-      const { progress, fault } = known;
-      return Err({ attempt: { target: target.name, progress, fault }, error: known });
+      const targetError = httpClient.targetErrorOf(error);
+      const { progress, fault } = targetError;
+      return Err({ attempt: { target: target.name, progress, fault }, error: targetError });
     }
   }
 
-  private choose(
-    call: Call,
+  private chooseTarget(
+    call: ServiceCall,
     attempts: readonly domain.request.outcome.Attempt[],
   ): Target | undefined {
     const tried = new Set(attempts.map(({ target }) => target));
-    const all = this.options.targets(call.service.name).filter(({ name }) => !tried.has(name));
-    const sound = all.filter(({ name }) => !this.options.router.isBroken(name));
-    const able = sound.length > 0 ? sound : all;
-    const turn = (this.turns.get(call.service.name) ?? 0) + 1;
-    this.turns.set(call.service.name, turn);
-    return able[turn % Math.max(1, able.length)];
+    const untried = this.options.targets(call.service.name).filter(({ name }) => !tried.has(name));
+    const healthy = untried.filter(({ name }) => !this.options.router.isCircuitOpen(name));
+    const candidates = healthy.length > 0 ? healthy : untried;
+    const counter = (this.roundRobinCounters.get(call.service.name) ?? 0) + 1;
+    this.roundRobinCounters.set(call.service.name, counter);
+    return candidates[counter % Math.max(1, candidates.length)];
   }
 
-  private async send(call: Call, target: Target, fresh: boolean): Promise<Result<Answer, Failed>> {
-    const left = Math.max(1, Math.ceil(call.deadline - this.options.now()));
-    const timeout = Math.min(left, call.service.timeoutSeconds * 1_000);
+  private async send(
+    call: ServiceCall,
+    target: Target,
+    newConnection: boolean,
+  ): Promise<Result<ServiceAnswer, FailedAttempt>> {
+    const remainingMs = Math.max(1, Math.ceil(call.deadline - this.options.now()));
+    const timeoutMs = Math.min(remainingMs, call.service.timeoutSeconds * 1_000);
     const { statusCode, headers, body } = await this.options.client.request(target.address, {
       method: call.method,
       path: call.path,
       headers: { ...call.headers, 'x-organisation': call.tenant.organisation.name },
       body: call.body,
-      signal: AbortSignal.timeout(timeout),
+      signal: AbortSignal.timeout(timeoutMs),
       headersTimeoutMs: 0,
       // A pooled connection may have been closed by the other side just now; then nobody could tell
       // whether the call was read. A call that runs once always takes a new connection.
-      fresh,
+      newConnection,
     });
     const content = Buffer.from(await body.arrayBuffer());
     if (headers['x-not-run'] === 'true') {
@@ -230,30 +251,30 @@
   }
 }
 
-function digestOf({ method, path, body }: Call): string {
+function digestOf({ method, path, body }: ServiceCall): string {
   return crypto.createHash('sha256').update(`${method} ${path}\n`).update(body).digest('hex');
 }
 
-function unclaimed(detail: string): errors.RequestError {
+function claimError(detail: string): errors.RequestError {
   // Nothing is dispatched without a granted claim, so this is certain.
   return errors.notRun('notReady', `the ledger can't take the call now: ${detail}`, 1_000);
 }
 
-function stillRunning(): errors.RequestError {
+function stillRunningError(): errors.RequestError {
   const message = 'the first call with this key is still running';
   return { kind: 'outcomeUnknown', outcome: 'unknown', message, retryAfterMs: 1_000 };
 }
 
-function noTarget(
-  { service }: Call,
+function noTargetError(
+  { service }: ServiceCall,
   attempts: readonly domain.request.outcome.Attempt[],
   repeatable: boolean,
 ): errors.RequestError {
-  if (attempts.length > 0) return endOf(attempts, repeatable);
+  if (attempts.length > 0) return attemptsError(attempts, repeatable);
   return errors.notRun('noTarget', `no target of service ${service.name} is there now`, 1_000);
 }
 
-function endOf(
+function attemptsError(
   attempts: readonly domain.request.outcome.Attempt[],
   repeatable: boolean,
 ): errors.RequestError {
@@ -264,7 +285,7 @@
   return { kind: 'failed', outcome, message, retryAfterMs: outcome === 'notRun' ? 1_000 : 0 };
 }
 
-function answerOf(verdict: Verdict): Result<Answer, errors.RequestError> {
+function resultOfVerdict(verdict: Verdict): Result<ServiceAnswer, errors.RequestError> {
   if (verdict.kind === 'mismatch') {
     return Err(errors.notRun('keyMismatch', 'this idempotency key was used for another call'));
   }
--- a/packages/daemon/src/requests/stopWatch.ts
+++ b/packages/daemon/src/requests/stopWatch.ts
@@ -26,7 +26,7 @@
   constructor(private readonly options: Options) {}
 
   /** Whether a target may get new work. */
-  isOpen(target: Target): boolean {
+  acceptsNewWork(target: Target): boolean {
     return target.status === 'serving' && this.stopFor(target) === undefined;
   }
 
@@ -49,10 +49,10 @@
   remainders(): domain.stop.stop.Remainder[] {
     const { host, dataCentre } = this.options;
     return this.options.stops().map((stop) => {
-      const own = domain.stop.stop.covers(stop, { target: '', host, dataCentre });
+      const coversSelf = domain.stop.stop.covers(stop, { target: '', host, dataCentre });
       const running = [...this.options.running].filter((each) => {
         const target = this.options.target(each.target);
-        return own || (target !== undefined && this.stopFor(target)?.id === stop.id);
+        return coversSelf || (target !== undefined && this.stopFor(target)?.id === stop.id);
       });
       return { stop: stop.id, running: running.length };
     });
--- a/packages/daemon/src/targets/adapter.ts
+++ b/packages/daemon/src/targets/adapter.ts
@@ -9,7 +9,7 @@
 type Target = domain.target.target.Target;
 
 /** One attempt at a prompt. */
-export interface Generation {
+export interface GenerateRequest {
   /** Id of the attempt, unique over all daemons. */
   request: string;
   model: domain.target.target.Loaded;
@@ -48,7 +48,7 @@
 
 export type RequestState = 'unknown' | 'queued' | 'prefilling' | 'decoding' | 'finished';
 
-export interface Holdings {
+export interface LeaseListing {
   incarnation: number;
   holdings: domain.memory.holding.Listed[];
 }
@@ -59,17 +59,17 @@
   events?: domain.routing.prefixIndex.CacheEvent[];
 }
 
-export interface Reservation {
+export interface ReservationRequest {
   id: string;
   owner: domain.memory.holding.Owner;
   tokens: number;
   leaseMs: number;
 }
 
-export interface Adapter {
+export interface EngineAdapter {
   generate(
     target: Target,
-    generation: Generation,
+    generation: GenerateRequest,
     signal: AbortSignal,
   ): Promise<Result<EngineStream, errors.TargetError>>;
   /** Reads a running request's stream again, from a token on, over a new connection. */
@@ -86,9 +86,12 @@
     id: string,
     kind: domain.memory.holding.Kind,
   ): Promise<Result<void, errors.TargetError>>;
-  reserve(target: Target, reservation: Reservation): Promise<Result<boolean, errors.TargetError>>;
+  reserve(
+    target: Target,
+    reservation: ReservationRequest,
+  ): Promise<Result<boolean, errors.TargetError>>;
   renew(target: Target, id: string, leaseMs: number): Promise<Result<void, errors.TargetError>>;
-  holdings(target: Target): Promise<Result<Holdings, errors.TargetError>>;
+  holdings(target: Target): Promise<Result<LeaseListing, errors.TargetError>>;
   order(
     target: Target,
     order: domain.placement.order.Order,
--- a/packages/daemon/src/targets/httpAdapter.ts
+++ b/packages/daemon/src/targets/httpAdapter.ts
@@ -9,9 +9,9 @@
 import * as httpClient from './httpClient';
 
 type Target = domain.target.target.Target;
-type Answer<T> = Promise<Result<T, errors.TargetError>>;
+type AdapterResult<T> = Promise<Result<T, errors.TargetError>>;
 
-interface Refused {
+interface RefusalBody {
   error?: string;
   notRun?: boolean;
   /** Load of an engine that refused for lack of memory. */
@@ -24,7 +24,7 @@
 }
 
 /** Frames of a server-sent event stream, as they come. */
-class HttpStream implements adapter.EngineStream {
+class EventStream implements adapter.EngineStream {
   private readonly frames: adapter.EngineFrame[] = [];
 
   private waiter: Waiter | undefined;
@@ -35,7 +35,7 @@
 
   constructor(private readonly body: undici.Dispatcher.ResponseData['body']) {
     const parser = eventSource.createParser({
-      onEvent: ({ data }) => this.put(JSON.parse(data) as adapter.EngineFrame),
+      onEvent: ({ data }) => this.deliver(JSON.parse(data) as adapter.EngineFrame),
     });
     // A character may be split between two chunks.
     const decoder = new stringDecoder.StringDecoder('utf8');
@@ -67,31 +67,31 @@
     this.finish();
   }
 
-  private put(frame: adapter.EngineFrame): void {
+  private deliver(frame: adapter.EngineFrame): void {
     if (this.waiter === undefined) this.frames.push(frame);
-    else this.settle((waiter) => waiter.resolve(frame));
+    else this.settleWaiter((waiter) => waiter.resolve(frame));
   }
 
   private finish(): void {
     this.ended = true;
-    this.settle((waiter) => waiter.resolve(undefined));
+    this.settleWaiter((waiter) => waiter.resolve(undefined));
   }
 
   private fail(error: Error): void {
     this.failure = error;
-    this.settle((waiter) => waiter.reject(error));
+    this.settleWaiter((waiter) => waiter.reject(error));
   }
 
-  private settle(how: (waiter: Waiter) => void): void {
+  private settleWaiter(action: (waiter: Waiter) => void): void {
     const { waiter } = this;
     this.waiter = undefined;
-    if (waiter !== undefined) how(waiter);
+    if (waiter !== undefined) action(waiter);
   }
 }
 
-function refusal(
+function refusalError(
   status: number,
-  { error, notRun, noRoom }: Refused,
+  { error, notRun, noRoom }: RefusalBody,
   retryAfter: string,
 ): errors.TargetError {
   return {
@@ -103,76 +103,76 @@
   };
 }
 
-export class HttpAdapter implements adapter.Adapter {
+export class HttpAdapter implements adapter.EngineAdapter {
   constructor(private readonly client: httpClient.HttpClient) {}
 
   async generate(
     target: Target,
-    generation: adapter.Generation,
+    generation: adapter.GenerateRequest,
     signal: AbortSignal,
-  ): Answer<adapter.EngineStream> {
+  ): AdapterResult<adapter.EngineStream> {
     const body = JSON.stringify({ ...generation, system: domain.memory.holding.SYSTEM });
     const headers = { 'content-type': 'application/json' };
     const call = { method: 'POST', path: '/v1/generate', body, headers, signal } as const;
     return this.open(target, { ...call, headersTimeoutMs: 0 });
   }
 
-  async resume(target: Target, request: string, from: number): Answer<adapter.EngineStream> {
+  async resume(target: Target, request: string, from: number): AdapterResult<adapter.EngineStream> {
     const path = `/v1/requests/${encodeURIComponent(request)}/stream?from=${from}`;
-    return this.open(target, { method: 'GET', path, fresh: true });
+    return this.open(target, { method: 'GET', path, newConnection: true });
   }
 
-  async stateOf(target: Target, request: string): Answer<adapter.RequestState> {
+  async stateOf(target: Target, request: string): AdapterResult<adapter.RequestState> {
     const path = `/v1/requests/${encodeURIComponent(request)}`;
-    const call = { method: 'GET', path, fresh: true } as const;
+    const call = { method: 'GET', path, newConnection: true } as const;
     const answer = await this.json<{ state: adapter.RequestState }>(target, call);
     return answer.map(({ state }) => state);
   }
 
-  async release(target: Target, id: string, kind: domain.memory.holding.Kind): Answer<void> {
+  async release(target: Target, id: string, kind: domain.memory.holding.Kind): AdapterResult<void> {
     const collection = kind === 'stream' ? 'requests' : 'holdings';
     const path = `/v1/${collection}/${encodeURIComponent(id)}`;
-    const answer = await this.json(target, { method: 'DELETE', path, fresh: true });
+    const answer = await this.json(target, { method: 'DELETE', path, newConnection: true });
     return answer.map(() => undefined);
   }
 
-  async reserve(target: Target, reservation: adapter.Reservation): Answer<boolean> {
+  async reserve(target: Target, reservation: adapter.ReservationRequest): AdapterResult<boolean> {
     const body = JSON.stringify({ ...reservation, system: domain.memory.holding.SYSTEM });
     const call = { method: 'POST', path: '/v1/reservations', body } as const;
     const answer = await this.json<{ granted: boolean }>(target, call, [409]);
     return answer.map(({ granted }) => granted);
   }
 
-  async renew(target: Target, id: string, leaseMs: number): Answer<void> {
+  async renew(target: Target, id: string, leaseMs: number): AdapterResult<void> {
     const body = JSON.stringify({ leaseMs });
     const path = `/v1/reservations/${encodeURIComponent(id)}`;
     const answer = await this.json(target, { method: 'PUT', path, body });
     return answer.map(() => undefined);
   }
 
-  async holdings(target: Target): Answer<adapter.Holdings> {
-    return this.json<adapter.Holdings>(target, { method: 'GET', path: '/v1/holdings' });
+  async holdings(target: Target): AdapterResult<adapter.LeaseListing> {
+    return this.json<adapter.LeaseListing>(target, { method: 'GET', path: '/v1/holdings' });
   }
 
-  async order(target: Target, order: domain.placement.order.Order): Answer<void> {
+  async order(target: Target, order: domain.placement.order.Order): AdapterResult<void> {
     const body = JSON.stringify(order);
     const answer = await this.json(target, { method: 'POST', path: '/v1/orders', body });
     return answer.map(() => undefined);
   }
 
-  async cache(target: Target, since: number): Answer<adapter.CacheListing> {
+  async cache(target: Target, since: number): AdapterResult<adapter.CacheListing> {
     const path = `/v1/cache?since=${since}`;
     return this.json<adapter.CacheListing>(target, { method: 'GET', path });
   }
 
-  private async open(target: Target, call: httpClient.Call): Answer<adapter.EngineStream> {
+  private async open(target: Target, call: httpClient.Call): AdapterResult<adapter.EngineStream> {
     try {
       const { statusCode, body, headers } = await this.client.request(target.address, call);
-      if (statusCode === 200) return Ok(new HttpStream(body));
-      const content = (await body.json().catch(() => ({}))) as Refused;
-      return Err(refusal(statusCode, content, String(headers['retry-after'] ?? '')));
+      if (statusCode === 200) return Ok(new EventStream(body));
+      const content = (await body.json().catch(() => ({}))) as RefusalBody;
+      return Err(refusalError(statusCode, content, String(headers['retry-after'] ?? '')));
     } catch (error) {
-      return Err(httpClient.errorOf(error));
+      return Err(httpClient.targetErrorOf(error));
     }
   }
 
@@ -180,13 +180,13 @@
     target: Target,
     call: httpClient.Call,
     accepted: readonly number[] = [],
-  ): Answer<T> {
+  ): AdapterResult<T> {
     try {
-      const { status, content } = await this.client.json<T & Refused>(target.address, call);
+      const { status, content } = await this.client.json<T & RefusalBody>(target.address, call);
       if (status < 300 || accepted.includes(status)) return Ok(content);
-      return Err(refusal(status, content, ''));
+      return Err(refusalError(status, content, ''));
     } catch (error) {
-      return Err(httpClient.errorOf(error));
+      return Err(httpClient.targetErrorOf(error));
     }
   }
 }
--- a/packages/daemon/src/targets/httpClient.ts
+++ b/packages/daemon/src/targets/httpClient.ts
@@ -10,7 +10,7 @@
 /** A target that has not answered a control call by then is asked again later; milliseconds. */
 const CONTROL_TIMEOUT_MS = 2_000;
 
-const NOT_SENT = ['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT'];
+const NOT_SENT_CODES = ['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT'];
 
 export interface Call {
   method: undici.Dispatcher.HttpMethod;
@@ -18,7 +18,7 @@
   body?: string | Buffer;
   headers?: Record<string, string>;
   signal?: AbortSignal;
-  fresh?: boolean;
+  newConnection?: boolean;
   /** Zero waits for ever. */
   headersTimeoutMs?: number;
 }
@@ -38,15 +38,15 @@
     if (this.cut.has(address)) {
       throw Object.assign(new Error('path cut'), { code: 'EHOSTUNREACH' });
     }
-    const { fresh = false, headersTimeoutMs = CONTROL_TIMEOUT_MS, ...rest } = call;
-    const dispatcher = fresh ? this.single(address) : this.pool(address);
+    const { newConnection = false, headersTimeoutMs = CONTROL_TIMEOUT_MS, ...rest } = call;
+    const dispatcher = newConnection ? this.singleUseClient(address) : this.pool(address);
     const answer = await dispatcher
       .request({ ...rest, headersTimeout: headersTimeoutMs, bodyTimeout: 0 })
       .catch((error: unknown) => {
-        if (fresh) void dispatcher.destroy();
+        if (newConnection) void dispatcher.destroy();
         throw error;
       });
-    if (fresh) {
+    if (newConnection) {
       const close = (): void => {
         void dispatcher.destroy();
       };
@@ -78,7 +78,7 @@
     return this.tlsOptions === undefined ? `http://${address}` : `https://${address}`;
   }
 
-  private options(): undici.Pool.Options {
+  private poolOptions(): undici.Pool.Options {
     const connect = { timeout: this.connectMs, ...this.tlsOptions };
     return { connect, pipelining: 1, allowH2: false };
   }
@@ -86,23 +86,26 @@
   private pool(address: string): undici.Pool {
     const known = this.pools.get(address);
     if (known !== undefined) return known;
-    const made = new undici.Pool(this.origin(address), { ...this.options(), connections: 256 });
-    this.pools.set(address, made);
-    return made;
+    const created = new undici.Pool(this.origin(address), {
+      ...this.poolOptions(),
+      connections: 256,
+    });
+    this.pools.set(address, created);
+    return created;
   }
 
-  private single(address: string): undici.Client {
-    return new undici.Client(this.origin(address), this.options());
+  private singleUseClient(address: string): undici.Client {
+    return new undici.Client(this.origin(address), this.poolOptions());
   }
 }
 
 /** What an error of a call proves. Anything not known to be before the sending counts as sent. */
-export function errorOf(error: unknown): errors.TargetError {
+export function targetErrorOf(error: unknown): errors.TargetError {
   const { code = '', message = String(error) } = error as { code?: string; message?: string };
-  const notSent = NOT_SENT.includes(code);
+  const isNotSent = NOT_SENT_CODES.includes(code);
   return {
-    progress: notSent ? 'notSent' : 'sent',
-    fault: notSent ? 'connectFailed' : 'connectionLost',
+    progress: isNotSent ? 'notSent' : 'sent',
+    fault: isNotSent ? 'connectFailed' : 'connectionLost',
     detail: `${code} ${message}`.trim(),
     retryAfterMs: 0,
   };
--- a/packages/daemon/src/targets/targetTable.ts
+++ b/packages/daemon/src/targets/targetTable.ts
@@ -19,12 +19,12 @@
   onChange: (target: Target, before: Target | undefined) => void;
 }
 
-const HAND_OVER_TIMEOUT_MS = 500;
+const FORWARD_TIMEOUT_MS = 500;
 
-const EXPIRE_EVERY_MS = 500;
+const EXPIRE_INTERVAL_MS = 500;
 
 /** Between two looks at which targets this daemon keeps; it ranks all of them, so it is rare. */
-const ADOPT_EVERY_MS = 3_000;
+const ADOPT_INTERVAL_MS = 3_000;
 
 /** Name, incarnation and sequence: all that a keeper needs while nothing else changes. */
 type Renewal = [name: string, incarnation: number, sequence: number];
@@ -40,7 +40,7 @@
 
   start(server: peerServer.PeerServer): void {
     server.add('announce', (parameters) => {
-      this.keep(parameters as Target);
+      this.acceptAsKeeper(parameters as Target);
       return { taken: true };
     });
     server.add('renew', (parameters) => {
@@ -48,8 +48,8 @@
       return this.keeper.renew(name, incarnation, sequence, this.options.now());
     });
     this.timers = [
-      setInterval(() => this.expire(), EXPIRE_EVERY_MS),
-      setInterval(() => this.adopt(), ADOPT_EVERY_MS),
+      setInterval(() => this.expireLeases(), EXPIRE_INTERVAL_MS),
+      setInterval(() => this.adoptLeases(), ADOPT_INTERVAL_MS),
     ];
   }
 
@@ -70,18 +70,18 @@
   }
 
   /** An announcement that the balancer gave to this daemon. */
-  async announced(target: Target): Promise<void> {
+  async handleAnnouncement(target: Target): Promise<void> {
     if (target.status === 'leaving' && this.get(target.name)?.status !== 'leaving') {
       this.merge(target);
       await this.options.members().push({ kind: 'target', target });
     }
     const known = this.get(target.name);
-    const unchanged = known !== undefined && !domain.target.target.isNews(target, known);
+    const isUnchanged = known !== undefined && !domain.target.target.isNews(target, known);
     const { self } = this.options.members();
     const keepers = this.keepersOf(target);
-    if (keepers.includes(self.id)) this.keep(target);
+    if (keepers.includes(self.id)) this.acceptAsKeeper(target);
     const others = keepers.filter((id) => id !== self.id);
-    await Promise.all(others.map((id) => this.handOver(id, target, unchanged)));
+    await Promise.all(others.map((id) => this.forward(id, target, isUnchanged)));
   }
 
   /** Takes a record from gossip, a push or a keeper; true when it was new here. */
@@ -105,46 +105,47 @@
   }
 
   private keepersOf({ name, dataCentre }: Target): readonly string[] {
-    const near = this.options.members().liveIn(dataCentre);
+    const localDaemons = this.options.members().liveIn(dataCentre);
     // A data centre may have targets and no daemon; then those of this one keep them.
     const { self } = this.options.members();
-    const live = near.length > 0 ? near : this.options.members().liveIn(self.dataCentre);
-    return domain.target.keeper.keepersOf(this.options.hash, name, live);
+    const candidates =
+      localDaemons.length > 0 ? localDaemons : this.options.members().liveIn(self.dataCentre);
+    return domain.target.keeper.keepersOf(this.options.hash, name, candidates);
   }
 
-  private async handOver(id: string, target: Target, unchanged: boolean): Promise<void> {
+  private async forward(id: string, target: Target, isUnchanged: boolean): Promise<void> {
     const peer = this.options.members().detector.get(id);
     if (peer === undefined) return;
     const { client } = this.options;
-    const call = { timeoutMs: HAND_OVER_TIMEOUT_MS };
-    if (unchanged) {
+    const callOptions = { timeoutMs: FORWARD_TIMEOUT_MS };
+    if (isUnchanged) {
       const renewal: Renewal = [target.name, target.incarnation, target.sequence];
-      const renewed = await client.call<boolean>(peer.address, 'renew', renewal, call);
+      const renewed = await client.call<boolean>(peer.address, 'renew', renewal, callOptions);
       if (renewed.ok && renewed.val) return;
     }
-    const taken = await client.call(peer.address, 'announce', target, call);
+    const taken = await client.call(peer.address, 'announce', target, callOptions);
     // A keeper that can't be reached must not make a target look gone, so this daemon tells it on.
-    if (taken.err) this.keep(target);
+    if (taken.err) this.acceptAsKeeper(target);
   }
 
-  private keep(target: Target): void {
-    const news = this.keeper.announce(target, this.options.now());
+  private acceptAsKeeper(target: Target): void {
+    const isNews = this.keeper.announce(target, this.options.now());
     if (!this.merge(target)) return;
-    if (news) this.options.members().post({ kind: 'target', target });
+    if (isNews) this.options.members().post({ kind: 'target', target });
   }
 
   /** Takes up leases whose former keepers died, and gives up those that others keep now. */
-  private adopt(): void {
+  private adoptLeases(): void {
     const now = this.options.now();
     const { self } = this.options.members();
     this.targets.forEach((target) => {
-      const mine = this.keepersOf(target).includes(self.id);
-      if (mine && target.status === 'serving') this.keeper.adopt(target, now);
-      if (!mine) this.keeper.drop(target.name);
+      const isKeeper = this.keepersOf(target).includes(self.id);
+      if (isKeeper && target.status === 'serving') this.keeper.adopt(target, now);
+      if (!isKeeper) this.keeper.drop(target.name);
     });
   }
 
-  private expire(): void {
+  private expireLeases(): void {
     this.keeper.expire(this.options.now()).forEach((gone) => {
       if (this.merge(gone)) void this.options.members().push({ kind: 'target', target: gone });
     });
