--- a/packages/daemon/src/edges/protocols.ts
+++ b/packages/daemon/src/edges/protocols.ts
@@ -1,33 +1,34 @@
 /**
- * What a fleet's surroundings say and want to hear, in the product's own words. An adapter implements
- * these interfaces for one platform: it knows names and formats and decides nothing.
+ * Interfaces between the product and the platform that it runs on, in protocol-independent terms. An adapter
+ * implements them for one platform: it translates names and formats and takes no decisions.
  */
 import type * as http from 'node:http';
 import type * as domain from '@celerydrift/domain';
 import type { Result } from 'ts-results';
 
-/** What a caller's headers say of its request. */
+/** Properties of a request that its caller states in headers. */
 export interface CallerFacts {
   requestId: string;
-  /** How long the caller waits, milliseconds; undefined where it doesn't say. */
+  /** How long the caller waits for the answer, in milliseconds; undefined if not stated. */
   patienceMs: number | undefined;
+  /** API key of the caller. */
   key: string | undefined;
   promptTokens: number | undefined;
-  /** Most tokens of the answer. */
+  /** Limit on the tokens of the answer. */
   maxAnswerTokens: number | undefined;
-  /** The caller's own guess of the answer's tokens. */
+  /** The caller's estimate of the tokens of the answer. */
   likelyAnswerTokens: number | undefined;
-  /** Last event that the caller has of a stream that it goes on with. */
+  /** Id of the last event that the caller received of the stream that it resumes. */
   lastEventId: string | undefined;
 }
 
-/** A target that helps to read a prompt, and the reservation there that keeps a part of its memory. */
+/** A target that prefills a part of a prompt, and the reservation of memory for it there. */
 export interface Helper {
   address: string;
   reservation: string | undefined;
 }
 
-/** A call to a target that isn't a caller's request. */
+/** A call that an entry makes to a target for itself, not for a caller. */
 export interface TargetCall {
   method: string;
   path: string;
@@ -35,76 +36,76 @@
   body: string;
 }
 
-/** What an entry adds to a request for a target. */
+/** What an entry adds to a request that it forwards to a target. */
 export interface Dispatch {
-  /** Lifetime that must serve it; another one at that address refuses. */
+  /** Id of the target lifetime that must serve the request; another lifetime at the address refuses it. */
   target: string;
   organisation: string | undefined;
-  /** Time that the target has, milliseconds. */
+  /** Time left for the target, in milliseconds. */
   timeLeftMs: number;
-  /** Targets that help to read the prompt. */
+  /** Targets that prefill parts of the prompt. */
   helpers: readonly Helper[];
-  /** Last event that has reached the caller; undefined for a stream from the beginning. */
+  /** Id of the last event sent to the caller; undefined to stream from the beginning. */
   resumeAfter: string | undefined;
 }
 
-/** What a target's answer says of how much the target takes; in requests a second of the whole fleet. */
+/** Request rate that a target's response allows, in requests per second of the whole fleet. */
 export type NamedLimit =
   { kind: 'named'; perSecond: number } | { kind: 'none' } | { kind: 'unreadable' };
 
-/** How long a target that turned a message away wants nothing more from this VM. */
+/** Back-off towards this VM that a target asks for when it rejects a message. */
 export type BackOff = { kind: 'none' } | { kind: 'asked'; forMs: number } | { kind: 'unreadable' };
 
-/** What the head of a target's answer proves. */
+/** What the status and headers of a target's response prove. */
 export interface AnswerFacts {
   requestId: string | undefined;
-  /** Whether the target signed it. An unsigned success can't be told from bytes of something else. */
+  /** Whether the target signed the response. An unsigned success may come from anything else at the address. */
   isSigned: boolean;
-  /** Whether the target says for certain that it didn't run the request and won't. */
+  /** Whether the target guarantees that it didn't run the request and won't. */
   isNotRun: boolean;
-  /** Whether another lifetime has the address, which doesn't run the request. */
+  /** Whether another lifetime answers at the address and didn't run the request. */
   isWrongLifetime: boolean;
-  /** The target that made the request fail, as the answer names it; undefined for the one that answers. */
+  /** Id of the target that the response names as the cause of the failure; undefined for the responding one. */
   faulty: string | undefined;
-  /** Whether the body is encoded though nobody asked for it; it isn't the target's then. */
+  /** Whether the body has an encoding that wasn't requested, so that it doesn't come from the target. */
   isEncoded: boolean;
   limit: NamedLimit;
   backOff: BackOff;
-  /** Whether the target says that it leaves: from now on it wants no new request. */
+  /** Whether the target reports that it drains and accepts no new requests. */
   isLeaving: boolean;
 }
 
-/** The protocol of callers and targets. */
+/** Protocol of callers' requests and of calls to targets. */
 export interface TrafficProtocol {
   facts(headers: http.IncomingHttpHeaders): CallerFacts;
-  /** Headers of a request for a target: the caller's, with what the entry adds and replaces. */
+  /** Headers of a request to a target: the caller's, with those that the entry adds or replaces. */
   requestHeaders(raw: readonly string[], dispatch: Dispatch): string[];
   answerFacts(status: number, headers: Readonly<Record<string, unknown>>): AnswerFacts;
-  /** Reserves memory on a target for so long from the call's arrival; sent again it renews. */
+  /** Reserves memory on a target for `holdMs` from the call's arrival; repeating the call renews it. */
   reserve(target: string, reservation: string, tokens: number, holdMs: number): TargetCall;
   release(target: string, reservation: string): TargetCall;
-  /** Asks a target for its state; one that lives answers at once, however busy. */
+  /** Requests a target's state; a live target answers at once, however busy. */
   report(target: string): TargetCall;
 }
 
-/** A call from a target or an operator that the keepers' listener understands. */
+/** A call of a target or an operator that the keepers' listener recognises. */
 export type ControlCall =
   | { kind: 'announce'; id: string }
   | { kind: 'depart'; id: string }
   | { kind: 'submit' }
   | { kind: 'read' };
 
-/** Why a document or an announcement can't be read. */
+/** Why a document or an announcement can't be parsed. */
 export interface Unreadable {
   kind: 'unreadable';
   detail: string;
 }
 
-/** The protocol of targets' announcements and of operators. */
+/** Protocol of targets' announcements and of operators' calls. */
 export interface ControlProtocol {
   call(method: string, path: string): ControlCall | undefined;
   announcement(id: string, body: Buffer): Result<domain.registry.registry.Announcement, Unreadable>;
-  /** When the lifetime that says it departs began, Unix milliseconds; undefined where it doesn't say. */
+  /** Start time of the departing lifetime, in Unix milliseconds; undefined if not stated. */
   departedLifetime(body: Buffer): number | undefined;
   catalogue(document: Buffer): Result<domain.catalogue.catalogue.Catalogue, Unreadable>;
 }
--- a/packages/daemon/src/http/callersApi.ts
+++ b/packages/daemon/src/http/callersApi.ts
@@ -1,4 +1,4 @@
-/** The interface for callers: OpenAI-compatible paths, plain services, health for the balancer. */
+/** HTTP API for callers: OpenAI-compatible paths, plain services, and health checks for the load balancer. */
 import * as crypto from 'node:crypto';
 import * as domain from '@celerydrift/domain';
 import * as clock from '../clock';
@@ -17,7 +17,7 @@
   services: serviceProxy.ServiceProxy;
   execution: execution.Parts;
   observer: observer.Observer;
-  /** Why this daemon admits nothing now, or undefined. */
+  /** Why this daemon is not ready to admit requests; undefined if it is. */
   unready: () => string | undefined;
   running: Set<execution.Execution>;
   now: () => number;
@@ -25,7 +25,7 @@
 
 const SERVICE_PATH = /^\/services\/([^/]+)(\/.*)?$/;
 
-/** Headers that belong to one connection or to this system, and are not passed on. */
+/** Headers that concern one connection or this system, which are not forwarded to services. */
 const HEADERS_NOT_FORWARDED = new Set([
   'authorization',
   'connection',
@@ -49,7 +49,7 @@
 }
 
 export class CallersApi {
-  /** Admitted calls without a last byte yet; a planned stop waits for them. */
+  /** Number of calls whose response is not finished yet; a planned stop waits for them. */
   active = 0;
 
   constructor(private readonly options: Options) {}
--- a/packages/daemon/src/http/completionRequest.ts
+++ b/packages/daemon/src/http/completionRequest.ts
@@ -1,4 +1,4 @@
-/** Reads bodies of `/v1/chat/completions` and `/v1/completions`, whatever a caller sends. */
+/** Parses and validates request bodies of `/v1/chat/completions` and `/v1/completions`. */
 import { Err, Ok, Result } from 'ts-results';
 import * as errors from '../requests/errors';
 
@@ -10,7 +10,7 @@
   includeUsage: boolean;
 }
 
-/** Answer tokens when the caller names none. */
+/** Used when the caller sets no limit on the answer. */
 const DEFAULT_ANSWER_TOKENS = 256;
 
 const MAX_ANSWER_TOKENS = 32_768;
@@ -68,11 +68,11 @@
   try {
     fields = JSON.parse(body.toString('utf8'));
   } catch {
-    return badRequest('the body is no JSON');
+    return badRequest('the body is not valid JSON');
   }
   if (!isJsonObject(fields)) return badRequest('the body must be a JSON object');
   if (typeof fields.model !== 'string') return badRequest('model: give the name of a model');
-  if (fields.n !== undefined && fields.n !== 1) return badRequest('n: only 1 is served');
+  if (fields.n !== undefined && fields.n !== 1) return badRequest('n: only 1 is supported');
   const prompt = promptOf(fields, chat);
   if (prompt.err) return prompt;
   const answerTokens = answerTokensOf(fields);
--- a/packages/daemon/src/http/completionWriter.ts
+++ b/packages/daemon/src/http/completionWriter.ts
@@ -1,14 +1,16 @@
-/** Writes answers in the shapes of `/v1/chat/completions` and `/v1/completions`. */
+/** Writes responses in the formats of `/v1/chat/completions` and `/v1/completions`. */
 import type * as http from 'node:http';
 import type * as errors from '../requests/errors';
 import type * as execution from '../requests/execution';
 import * as reply from './reply';
 
+/** Fields that all objects of one response share, and how to write it. */
 export interface ResponseMetadata {
   id: string;
   model: string;
   chat: boolean;
   created: number;
+  /** Whether a stream ends with the token usage. */
   includeUsage: boolean;
 }
 
@@ -40,7 +42,7 @@
   return { id, object: chat && isStreamed ? `${kind}.chunk` : kind, created, model };
 }
 
-/** The whole answer at once. */
+/** Writes the complete answer as one JSON response. */
 export function writeCompletion(
   response: http.ServerResponse,
   shape: ResponseMetadata,
@@ -58,9 +60,8 @@
 }
 
 /**
- * A streamed answer. Headers leave with the first token, so that what fails before it still gets a
- * status of its own; after that an error is an explicit frame, and `[DONE]` comes only after the
- * whole answer.
+ * Writes a streamed answer. The headers are sent with the first token, so that an earlier failure still
+ * gets its own status. A later failure is sent as an error frame; `[DONE]` follows only a complete answer.
  */
 export class StreamWriter {
   private started = false;
--- a/packages/daemon/src/http/listener.ts
+++ b/packages/daemon/src/http/listener.ts
@@ -1,6 +1,6 @@
 /**
- * An HTTP listener with bounds: header and body size, slow senders, connections. Every route gets the
- * whole body or the caller gets a clear error.
+ * HTTP listener with limits on header size, body size, slow senders and connections. A route is called only
+ * with the complete body; otherwise the caller receives an error.
  */
 import * as http from 'node:http';
 import * as https from 'node:https';
@@ -10,6 +10,7 @@
 import * as errors from '../requests/errors';
 import * as reply from './reply';
 
+/** A request with its complete body, and the response to write. */
 export interface Call {
   method: string;
   path: string;
@@ -24,7 +25,7 @@
 
 const MAX_HEADER_BYTES = 16 * 1024;
 
-/** The body is longer than the bound. */
+/** Thrown when a body exceeds the limit. */
 class BodyTooLarge extends Error {}
 
 async function readBody(request: http.IncomingMessage, limit: number): Promise<Buffer> {
@@ -39,7 +40,7 @@
   return Buffer.concat(chunks);
 }
 
-/** The header that carries a bearer token or key. */
+/** Extracts the bearer token or API key; empty if there is none. */
 export function bearer(headers: http.IncomingHttpHeaders): string {
   const match = /^Bearer (\S+)$/i.exec(headers.authorization ?? '');
   return match?.[1] ?? '';
@@ -80,7 +81,7 @@
     return (this.server.address() as net.AddressInfo).port;
   }
 
-  /** Stops accepting; open calls go on to their end. */
+  /** Stops accepting connections and resolves when the open calls have finished. */
   async close(): Promise<void> {
     const closed = new Promise<void>((resolve) => {
       this.server.close(() => resolve());
@@ -91,6 +92,7 @@
     clearInterval(idle);
   }
 
+  /** Closes all connections at once, including those with open calls. */
   abort(): void {
     this.server.closeAllConnections();
   }
--- a/packages/daemon/src/http/listening.ts
+++ b/packages/daemon/src/http/listening.ts
@@ -1,13 +1,13 @@
-/** Starting to listen, as a promise that fails when the address is taken. */
+/** Starts servers, as promises that reject if the address is in use, and adopts early listeners. */
 import type * as net from 'node:net';
 import type * as codecs from '../configuration/codecs';
 
-/** A listener that was begun before its server existed. */
+/** A socket that accepts connections before the server that will handle them exists. */
 export interface EarlyListener {
   address: codecs.Address;
-  /** Listens; its handle goes over to the server. */
+  /** The listening socket, whose handle is passed to the final server. */
   server: net.Server;
-  /** Connections that came meanwhile, paused. */
+  /** Paused connections that were accepted in the meantime. */
   held: net.Socket[];
 }
 
@@ -18,7 +18,7 @@
   });
 }
 
-/** Takes an early listener over, with the connections that it has. */
+/** Passes an early listener and its accepted connections to a server. */
 export async function takeOver(server: net.Server, early: EarlyListener): Promise<void> {
   await new Promise<void>((resolve, reject) => {
     server.once('error', reject);
@@ -30,7 +30,7 @@
   });
 }
 
-/** Listens at an address, with the early listener if it is there. */
+/** Listens at an address, with the early listener if it has the same address. */
 export function listenOrTakeOver(
   server: net.Server,
   address: codecs.Address,
--- a/packages/daemon/src/http/operatorsApi.ts
+++ b/packages/daemon/src/http/operatorsApi.ts
@@ -1,6 +1,6 @@
 /**
- * The interface for operators: settings, stops, audit trail, status. A token speaks for its team's
- * subtree; the fleet's token speaks for all. Reads that must be current go to the leader.
+ * HTTP API for operators: settings, planned stops, audit trail and status. A team's token gives access to the
+ * team's subtree, the fleet's token to all. Reads that must be current are answered by the leader.
  */
 import * as crypto from 'node:crypto';
 import * as domain from '@celerydrift/domain';
@@ -25,9 +25,10 @@
   targets: () => unknown;
 }
 
+/** The authenticated operator. */
 interface Author {
   name: string;
-  /** Teams it may act for; undefined for all. */
+  /** Teams that the operator may act for; undefined for all. */
   teams: readonly string[] | undefined;
 }
 
@@ -198,7 +199,7 @@
     const answer = await this.options.query.ask(question);
     if (answer.err) this.unavailable(call, answer.val);
     else if (answer.val === null) {
-      reply.error(call.response, errors.notRun('notFound', 'nothing by this name'));
+      reply.error(call.response, errors.notRun('notFound', 'nothing exists under this name'));
     } else reply.json(call.response, 200, answer.val);
   }
 
--- a/packages/daemon/src/http/reply.ts
+++ b/packages/daemon/src/http/reply.ts
@@ -1,4 +1,4 @@
-/** Answers in the form that callers of OpenAI-compatible interfaces expect. */
+/** JSON responses and errors in the format of OpenAI-compatible APIs. */
 import type * as http from 'node:http';
 import * as domain from '@celerydrift/domain';
 import * as errors from '../requests/errors';
--- a/packages/daemon/src/http/targetsApi.ts
+++ b/packages/daemon/src/http/targetsApi.ts
@@ -1,4 +1,4 @@
-/** The interface on which targets announce themselves, renew and leave. */
+/** HTTP API on which targets announce themselves, renew their lease and report that they drain. */
 import * as crypto from 'node:crypto';
 import type * as domain from '@celerydrift/domain';
 import * as t from 'io-ts';
@@ -48,7 +48,7 @@
     const decoded = TARGET.decode(JSON.parse(call.body.toString('utf8')));
     if (Either.isLeft(decoded)) {
       const keys = decoded.left.map(({ context }) => context.map(({ key }) => key).join('.'));
-      const message = `announcement is wrong at ${keys.join(', ')}`;
+      const message = `the announcement is invalid at ${keys.join(', ')}`;
       reply.error(call.response, errors.notRun('badRequest', message));
       return;
     }
--- a/packages/daemon/src/orders/orderLoop.ts
+++ b/packages/daemon/src/orders/orderLoop.ts
@@ -1,4 +1,4 @@
-/** Sends orders to targets while this daemon leads: the difference between settings and reports. */
+/** While this daemon leads, sends targets the load and unload orders by which their models differ from the settings. */
 import * as domain from '@celerydrift/domain';
 import type * as observer from '../observability/observer';
 import type * as adapter from '../targets/adapter';
@@ -14,16 +14,18 @@
   adapter: adapter.EngineAdapter;
   observer: observer.Observer;
   now: () => number;
-  /** The term in which this daemon leads with its lease, or undefined. */
+  /** Term and start of this daemon's leadership; undefined unless it leads and has the lease. */
   leadership: () => Leadership | undefined;
+  /** Models that the settings in force require. */
   wanted: () => domain.settings.document.Model[];
   targets: () => Target[];
+  /** Keys of the models that this system has loaded; only these may be unloaded. */
   ours: () => ReadonlySet<string>;
-  /** Records what this system loaded, before the order leaves. */
+  /** Records in the control log whether this system has loaded a model; resolves to whether that succeeded. */
   record: (key: string, loaded: boolean) => Promise<boolean>;
 }
 
-/** The former leader's lease plus the longest way of one of its orders. */
+/** Wait after a change of leader: the former leader's lease plus the maximum delay of its last orders. */
 const TAKEOVER_WAIT_MS =
   domain.replication.replica.DEFAULT_TIMING.electionMax + domain.placement.order.ORDER_DELAY_MS;
 
@@ -82,7 +84,7 @@
     const target = targets.find(({ name }) => name === order.target);
     if (target === undefined) return;
     const key = domain.placement.order.keyOf(order.target, order.model);
-    // Recorded first: a model that was loaded and not recorded could never be unloaded again.
+    // Recorded before it is sent: a model that was loaded but not recorded could never be unloaded.
     if (order.kind === 'load' && !(await this.options.record(key, true))) return;
     if (this.options.now() > order.expiresAt || this.options.leadership()?.term !== this.term)
       return;
--- a/packages/daemon/src/requests/__tests__/contentMemory.test.ts
+++ b/packages/daemon/src/requests/__tests__/contentMemory.test.ts
@@ -1,4 +1,4 @@
-/** Prompts that crash each engine that runs them, sent again and again to one daemon. */
+/** Quarantine of prompts that crash every engine, when one daemon receives them repeatedly. */
 import * as chai from 'chai';
 import type * as execution from '../execution';
 import * as contentMemory from '../contentMemory';
@@ -16,12 +16,12 @@
   return { prompt: text, tenant, model };
 }
 
-describe('memory of contents', () => {
+describe('quarantine of prompts in a daemon', () => {
   /*
-   * A foreman's summary crashed three engines, was refused, and was sent again: three more. The daemon bounded each request and
-   * remembered nothing between them.
+   * A prompt crashed three engines, was refused and was resent, which crashed three more: each request had its own
+   * retry limit, and nothing was kept between requests.
    */
-  it('holds back a prompt under which three engines were lost, in whichever request', () => {
+  it('quarantines a prompt that lost three engines, counted across requests', () => {
     let now = 0;
     const memory = new contentMemory.ContentMemory(() => now);
     const [culprit, other] = [prompt('crashes'), prompt('another')];
@@ -40,7 +40,7 @@
     expect(memory.status(culprit)).to.equal('suspected');
   });
 
-  it('forgets a suspicion once the prompt runs whole', () => {
+  it('clears the suspicion once the prompt gets a complete answer', () => {
     const memory = new contentMemory.ContentMemory(() => 0);
     const target = { name: 'engine-1', incarnation: 1 };
     memory.reportEngineLoss(prompt('a'), { target, sentAt: 0, isTrial: false });
--- a/packages/daemon/src/requests/admission.ts
+++ b/packages/daemon/src/requests/admission.ts
@@ -1,6 +1,6 @@
 /**
- * Admission: who calls, for which model, how long the prompt is, by when it must be answered, and
- * whether the organisation's limit still allows it. What is refused here was certainly not run.
+ * Admission control: authenticates the caller, resolves the model or service, the deadline and the
+ * priority, and charges the organisation's rate limit. A request refused here has certainly not run.
  */
 import * as crypto from 'node:crypto';
 import * as domain from '@celerydrift/domain';
@@ -13,12 +13,13 @@
 export interface Options {
   hash: domain.shared.hashing.Hash;
   now: () => number;
-  /** Live daemons, which share each limit. */
+  /** Number of live daemons, which share each limit. */
   daemons: () => number;
+  /** Demand of all peers for an organisation, in tokens per second. */
   peerDemand: (organisation: string) => number;
 }
 
-/** Longest deadline that a caller may ask for, in milliseconds. */
+/** Longest deadline that a caller may request. */
 const MAX_DEADLINE_MS = 3_600_000;
 
 const REBALANCE_INTERVAL_MS = 1_000;
@@ -68,7 +69,7 @@
     return Err(errors.notRun('notFound', `no service ${name} for this organisation`));
   }
 
-  /** The deadline as a time, from the caller's wish in milliseconds or the organisation's setting. */
+  /** The absolute deadline, from the caller's header in milliseconds or else the organisation's setting. */
   deadline({ organisation }: Tenant, requested: string): Result<number, errors.RequestError> {
     const now = this.options.now();
     if (requested === '') return Ok(now + organisation.deadlineSeconds * 1_000);
@@ -78,7 +79,7 @@
     return Err(errors.notRun('badRequest', message));
   }
 
-  /** A caller may lower its organisation's priority for a request, not raise it. */
+  /** The priority of a request; a caller may lower its organisation's priority but not raise it. */
   priority(
     { organisation }: Tenant,
     requested: string,
@@ -96,7 +97,7 @@
     );
   }
 
-  /** Charges the organisation's limit. */
+  /** Charges the tokens to the organisation's rate limit. */
   charge({ team, organisation }: Tenant, tokens: number): Result<void, errors.RequestError> {
     if (organisation.tokensPerSecond === 0) return Ok(undefined);
     const now = this.options.now();
@@ -111,7 +112,7 @@
     return Err(errors.notRun('overLimit', message, admission.retryAfterMs));
   }
 
-  /** Own demand by limited organisation, in tokens per second, for the peers. */
+  /** Demand at this daemon by organisation with a limit, in tokens per second; sent to the peers. */
   demand(): Record<string, number> {
     const now = this.options.now();
     const rates = [...this.limits].map(([name, { limit }]): [string, number] => [
@@ -121,7 +122,7 @@
     return Object.fromEntries(rates.filter(([, rate]) => rate > 0));
   }
 
-  /** Keys of the prompt's blocks, each covering all before it. */
+  /** Hashes of the prompt's blocks, each chained to all blocks before it. */
   prefixKeys(prompt: string): number[] {
     const blockLength =
       domain.routing.prefixIndex.BLOCK_TOKENS * domain.request.tokens.INITIAL_RATIO;
--- a/packages/daemon/src/requests/allocationMessages.ts
+++ b/packages/daemon/src/requests/allocationMessages.ts
@@ -1,13 +1,13 @@
-/** What entries and allocators say to each other, as short lists: it is said for every request. */
+/** Messages between entries and allocators, encoded as tuples because they are sent for every request. */
 import type * as domain from '@celerydrift/domain';
 import type * as adapter from '../targets/adapter';
 
 type Request = domain.routing.dispatcher.Request;
 
-/** Prefix keys sent along; further ones matter little for the choice. */
+/** Only the first prefix keys are sent; later ones have little effect on the choice of a target. */
 const MAX_PREFIX_KEYS = 64;
 
-/** Times travel as ages and remaining times, since the clocks of VMs differ. */
+/** Times are sent as elapsed and remaining milliseconds, since the clocks of VMs differ. */
 export type AllocateRequest = readonly [
   owner: string,
   id: string,
@@ -23,6 +23,7 @@
   excluded: readonly string[],
 ];
 
+/** Reply to an allocate call; `wait` means that the caller should repeat it. */
 export type AllocateReply =
   | readonly [
       'placed',
@@ -37,7 +38,7 @@
 
 export type NotificationKind = 'first' | 'ended' | 'withdrawn' | 'noRoom';
 
-/** What happened to a placed request, with the engine's load where it was told. */
+/** Progress of a placed request, with the engine's load if it was reported. */
 export type Notification = readonly [
   kind: NotificationKind,
   id: string,
--- a/packages/daemon/src/requests/allocations.ts
+++ b/packages/daemon/src/requests/allocations.ts
@@ -1,7 +1,7 @@
 /**
- * The entry's side: asks the cell's allocator where to send a request, and places by itself when it is
- * the allocator or can't reach it. A silent allocator costs one timeout and is then left alone for a
- * while; membership finds out by itself whether it died.
+ * Client side of allocation: requests placements from the cell's allocator, and places locally when this
+ * daemon is the allocator or can't reach it. An allocator that doesn't answer costs one timeout and is then
+ * skipped during a back-off; membership detects independently whether it died.
  */
 import type * as domain from '@celerydrift/domain';
 import type * as observer from '../observability/observer';
@@ -26,12 +26,13 @@
   target: (name: string) => domain.target.target.Target | undefined;
 }
 
-/** Beyond the allocator's own wait; then this daemon places by itself. */
+/** Longer than the allocator's own wait for a placement; after it this daemon places locally. */
 const ALLOCATE_TIMEOUT_MS = 400;
 
-/** How long an allocator that did not answer is left alone, in milliseconds. */
+/** How long an allocator that did not answer is skipped. */
 const ALLOCATOR_BACK_OFF_MS = 2_000;
 
+/** A request that is placed by a remote allocator. */
 interface RemoteRequest {
   address: string;
   request: Request;
@@ -59,7 +60,7 @@
     return this.requestPlacement(remote);
   }
 
-  /** The engine had no room for it; asks for the next target. */
+  /** Requests the next target after an engine refused for lack of memory. */
   async requeue(
     id: string,
     load: adapter.AgedLoad,
@@ -127,7 +128,7 @@
       if (reply[0] === 'ended') return this.conclude(request.id, reply[1]);
       if (reply[0] === 'placed') {
         const dispatch = this.dispatchOf(request, reply);
-        // A target that only the allocator knows of is none here yet.
+        // The allocator may know a target that this daemon has not received yet.
         return dispatch ?? this.placeLocally(remote);
       }
     }
--- a/packages/daemon/src/requests/allocator.ts
+++ b/packages/daemon/src/requests/allocator.ts
@@ -1,6 +1,6 @@
 /**
- * The allocator's side: places requests of other daemons with its own router. An ask is idempotent by
- * the attempt's id, so one whose answer was lost is asked again and gets the same placement.
+ * Server side of allocation: places requests of other daemons with the local router. Calls are idempotent
+ * by the attempt's id, so a call whose reply was lost can be repeated and returns the same placement.
  */
 import type * as domain from '@celerydrift/domain';
 import type * as peerServer from '../rpc/peerServer';
@@ -16,18 +16,20 @@
   isDead: (daemon: string) => boolean;
 }
 
-/** Longest wait for a placement in one call; then the entry asks again. */
+/** Longest wait for a placement in one call; the entry then repeats the call. */
 const MAX_PLACEMENT_WAIT_MS = 200;
 
-/** An entry that has not asked for so long has given up or died. */
+/** A request without a placement whose entry has not called for this long is abandoned. */
 const ABANDONED_AFTER_MS = 2_000;
 
 const SWEEP_INTERVAL_MS = 500;
 
+/** A request of another daemon, waiting or placed. */
 interface Allocation {
   owner: string;
   deadline: number;
   lastRequestAt: number;
+  /** Undefined until the router has decided. */
   reply: allocation.AllocateReply | undefined;
   pending: Promise<void>;
 }
@@ -124,7 +126,10 @@
     this.options.router.finished(id);
   }
 
-  /** Frees what dead entries and lost notes left: without it the allocator would believe targets full. */
+  /**
+   * Removes allocations of dead entries and of lost notifications; otherwise the allocator would keep
+   * counting them as load and consider targets full.
+   */
   private sweep(): void {
     const now = this.options.now();
     this.allocations.forEach((known, id) => {
--- a/packages/daemon/src/requests/cellWatch.ts
+++ b/packages/daemon/src/requests/cellWatch.ts
@@ -1,6 +1,6 @@
 /**
- * Which targets this daemon may use, and which daemon places for its cell, as membership, targets and
- * planned stops change.
+ * Tracks which targets this daemon may use and which daemon is the allocator of its cell, as membership,
+ * targets and planned stops change.
  */
 import * as domain from '@celerydrift/domain';
 import type * as members from '../membership/members';
@@ -26,7 +26,7 @@
     this.cell = { targets: [], allocator: options.self.id };
   }
 
-  /** Targets of any kind that may get work. */
+  /** Targets of any kind that accept new work. */
   open(): Target[] {
     const { targets, stops } = this.options;
     return targets.list().filter((target) => stops.acceptsNewWork(target));
@@ -42,7 +42,7 @@
     return target !== undefined && stops.acceptsNewWork(target) ? target : undefined;
   }
 
-  /** Looks again after a change of daemons, targets or stops. */
+  /** Recomputes the cell after a change of daemons, targets or planned stops. */
   refresh(): void {
     const { hash, self, members: membership, router: localRouter } = this.options;
     const engines = this.openEngines();
@@ -55,7 +55,7 @@
     localRouter.setEngines(engines.filter(({ name }) => names.has(name)));
   }
 
-  /** Peer address of the daemon that places for this cell; empty when it is this one. */
+  /** Peer address of the cell's allocator; empty if it is this daemon or isn't alive. */
   allocatorAddress(): string {
     const { self, members: membership } = this.options;
     const { allocator: id } = this.cell;
--- a/packages/daemon/src/requests/contentMemory.ts
+++ b/packages/daemon/src/requests/contentMemory.ts
@@ -1,6 +1,6 @@
 /**
- * Contents under which engines were lost, remembered across the requests of this daemon. A prompt that crashes what runs it comes
- * again as a new request; bounded by each request alone, every copy would cost three further engines.
+ * Quarantines prompts that crash engines, across the requests of this daemon. Callers resend such a prompt as
+ * a new request; with only the retry limit of each request, every resend would crash three more engines.
  */
 import * as domain from '@celerydrift/domain';
 import * as fingerprint from '../entry/fingerprint';
@@ -8,11 +8,11 @@
 
 type Prompt = Pick<execution.ModelRequest, 'prompt' | 'tenant' | 'model'>;
 
-/** A run that got no whole answer, as its engine was lost. */
+/** An attempt without a complete answer because its engine was lost. */
 export interface EngineLoss {
   target: Pick<domain.target.target.Target, 'name' | 'incarnation'>;
   sentAt: number;
-  /** Whether the content was suspected when it was sent. */
+  /** Whether the prompt was already suspected when it was sent, so that this was its canary run. */
   isTrial: boolean;
 }
 
@@ -32,12 +32,12 @@
     this.quarantine.blame(fingerprintOf(prompt), key, { sentAt, isTrial }, this.now());
   }
 
-  /** An answer came whole: whatever ended beside it, it wasn't the cause. */
+  /** Clears the suspicion after a complete answer: the prompt wasn't the cause of the losses. */
   clearSuspicion(prompt: Prompt): void {
     if (this.mayBeSuspect(prompt)) this.quarantine.ranWhole(fingerprintOf(prompt));
   }
 
-  /** Spares the digest of a prompt whose length no suspect has. */
+  /** Filters by length, so that the digest is computed only for prompts as long as some suspect. */
   private mayBeSuspect({ prompt }: Prompt): boolean {
     return this.quarantine.size > 0 && this.quarantine.mayKnow(Buffer.byteLength(prompt));
   }
--- a/packages/daemon/src/requests/errors.ts
+++ b/packages/daemon/src/requests/errors.ts
@@ -1,4 +1,4 @@
-/** How a request that did not complete is told to its caller. */
+/** Errors of requests that did not complete, as they are returned to the caller. */
 import type * as domain from '@celerydrift/domain';
 
 export type ErrorKind =
@@ -23,10 +23,11 @@
   kind: ErrorKind;
   outcome: domain.request.outcome.Outcome;
   message: string;
-  /** When to come again, in milliseconds; 0 says nothing. */
+  /** Suggested delay before a retry; 0 if there is no suggestion. */
   retryAfterMs: number;
 }
 
+/** HTTP status by kind of error. */
 export const STATUS_BY_KIND: Record<ErrorKind, number> = {
   unauthorized: 401,
   notFound: 404,
@@ -46,7 +47,7 @@
   callerGone: 499,
 };
 
-/** A refusal before anything reached a target. */
+/** The error of a request that was refused before anything reached a target. */
 export function notRun(kind: ErrorKind, message: string, retryAfterMs = 0): RequestError {
   return { kind, outcome: 'notRun', message, retryAfterMs };
 }
--- a/packages/daemon/src/requests/execution.ts
+++ b/packages/daemon/src/requests/execution.ts
@@ -1,6 +1,6 @@
 /**
- * One model request from its admission to its end: waits for a target, runs attempts, checks every
- * frame, goes on elsewhere when an attempt fails, and always ends: whole, or with an explicit error.
+ * Runs one admitted model request: waits for a target, runs attempts, validates every frame and resumes
+ * on another target when an attempt fails. Always finishes, with the complete answer or an explicit error.
  */
 import * as domain from '@celerydrift/domain';
 import { Err, Ok, Result } from 'ts-results';
@@ -17,13 +17,14 @@
 type Dispatch = domain.routing.dispatcher.Dispatch;
 type Fault = domain.request.outcome.Fault;
 
-/** Where the answer goes. */
+/** Receives the text of the answer as it is generated. */
 export interface Sink {
   write(text: string): void;
-  /** Aborted when the caller is gone. */
+  /** Aborted when the caller closes the connection. */
   readonly gone: AbortSignal;
 }
 
+/** An admitted request to a model. */
 export interface ModelRequest {
   id: string;
   tenant: domain.settings.directory.Tenant;
@@ -33,9 +34,11 @@
   answerTokens: number;
   prefixKeys: readonly number[];
   priority: domain.settings.document.Priority;
+  /** Time by which the answer must be complete, on the daemon's steady clock. */
   deadline: number;
 }
 
+/** What an execution needs from the rest of the daemon. */
 export interface Parts {
   router: router.Router;
   allocations: allocations.Allocations;
@@ -44,14 +47,18 @@
   holdings: holdingsLoop.HoldingsLoop;
   observer: observer.Observer;
   budget: domain.request.retry.Budget;
+  /** Quarantine of prompts that crash engines. */
   contents: Pick<contentMemory.ContentMemory, 'status' | 'reportEngineLoss' | 'clearSuspicion'>;
   random: domain.shared.random.Random;
   owner: () => domain.memory.holding.Owner;
+  /** Response timeout: an engine that sends nothing for so long is probed. */
   silenceMs: number;
+  /** Updates the ratio of prompt length to tokens of a model. */
   learn: (model: string, bytes: number, tokens: number) => void;
   now: () => number;
 }
 
+/** A complete answer. */
 export interface Completion {
   text: string;
   tokens: number;
@@ -60,20 +67,25 @@
   attempts: number;
 }
 
-/** A failed attempt, and what the target asked to wait. */
+/** A failed attempt and its consequences. */
 interface AttemptFailure {
   attempt: domain.request.outcome.Attempt;
+  /** Delay that the target asked for before a retry; 0 if none. */
   retryAfterMs: number;
-  /** The target itself is at fault; a planned stop or a gone caller is not. */
+  /** Whether the failure counts against the target's circuit; a planned stop or a closed connection doesn't. */
   isTargetFault: boolean;
+  /** Load of an engine that refused for lack of memory. */
   noRoom?: adapter.AgedLoad;
 }
 
+/** Faults that don't count against the target. */
 const NON_TARGET_FAULTS: readonly Fault[] = ['callerGone', 'deadline', 'targetStopped', 'refused'];
 
-const OVERDUE = Symbol('silent');
+/** Nothing arrived within the response timeout. */
+const OVERDUE = Symbol('overdue');
 
-const ABORTED = Symbol('stopped');
+/** The attempt was aborted while it waited for a frame. */
+const ABORTED = Symbol('aborted');
 
 export class Execution {
   private readonly check: domain.request.stream.StreamCheck;
@@ -88,13 +100,13 @@
 
   private promptTokens: number;
 
-  /** Load of the target that the latest frame with one told. */
+  /** Most recent load report of the target, from the frames of the current attempt. */
   private lastLoad: adapter.AgedLoad | undefined;
 
-  /** Target of the attempt under way, for planned stops. */
+  /** Target of the current attempt; planned stops use it to find affected requests. */
   target = '';
 
-  /** What an attempt that loses its engine counts as. */
+  /** What a loss of the engine in the current attempt is reported with. */
   private attemptContext: Omit<contentMemory.EngineLoss, 'target'> = { sentAt: 0, isTrial: false };
 
   constructor(
@@ -106,7 +118,7 @@
     this.promptTokens = request.promptTokens;
   }
 
-  /** Ends the attempt under way so that the request goes on elsewhere. */
+  /** Aborts the current attempt so that the request resumes on another target. */
   move(): void {
     this.abortAttempt('targetStopped');
   }
@@ -161,7 +173,7 @@
     }
   }
 
-  /** An engine without room ran nothing, so the request goes back to its place in the queue. */
+  /** An engine that refuses for lack of memory ran nothing, so the request returns to its place in the queue. */
   private async attemptUntilAccepted(
     id: string,
     first: Dispatch,
@@ -188,14 +200,14 @@
     if (this.sink.gone.aborted)
       return this.requestError('callerGone', 'the caller closed the connection');
     if (this.dependencies.now() >= this.request.deadline)
-      return this.requestError('deadline', 'out of time');
+      return this.requestError('deadline', 'the deadline has passed');
     return undefined;
   }
 
   private quarantineError(): errors.RequestError {
     return this.requestError(
       'failed',
-      'engines were lost under this prompt; it is held back for a while',
+      'this prompt is temporarily quarantined: engines were lost while running it',
     );
   }
 
@@ -223,10 +235,10 @@
       return this.requestError('callerGone', 'the caller closed the connection');
     }
     if (reason === 'withdrawn' || reason === 'deadline') {
-      return this.requestError('deadline', 'no target became free within the deadline');
+      return this.requestError('deadline', 'no target became available before the deadline');
     }
     const kinds = {
-      queueFull: ['overloaded', 'too much work is waiting here', 1_000],
+      queueFull: ['overloaded', 'the wait queue is full', 1_000],
       deadlineInfeasible: ['deadlineInfeasible', 'the deadline is too short for this prompt', 0],
       noTarget: ['noTarget', 'no target serves this model now', 1_000],
     } as const;
@@ -234,7 +246,7 @@
     return this.requestError(kind, message, retryAfterMs);
   }
 
-  /** Runs one attempt; undefined when the answer is whole. */
+  /** Runs one attempt; undefined when the answer is complete. */
   private async attempt(id: string, dispatch: Dispatch): Promise<AttemptFailure | undefined> {
     const { target } = dispatch;
     const gathered = await this.dependencies.gatherer.gather(
@@ -279,9 +291,9 @@
   }
 
   /**
-   * Sends the prompt and waits for the engine to take it. A pooled connection may have gone silent while
-   * idle: then no headers ever come, and without a look over a new connection the request would wait for
-   * its deadline. An engine that knows it is read over the new one; one that doesn't never got it.
+   * Sends the prompt and waits for the response headers. A pooled connection may have died while idle, in
+   * which case no headers ever arrive, so an overdue request is probed over a new connection. If the engine
+   * knows the request, its stream is resumed there; otherwise the engine never received it.
    */
   private async open(
     target: domain.target.target.Target,
@@ -387,10 +399,12 @@
   }
 
   /**
-   * Nothing came for a while. A long prompt legitimately takes long, and a connection can die in
-   * silence while the engine works on; so the engine is asked over a new connection. Decoding or
-   * finished means that this connection is dead: the stream is read again over a new one. Still
-   * waiting or prefilling means patience. Unknown or no answer means that the attempt is lost.
+   * Probes the engine over a new connection when a stream is overdue: a long prompt may legitimately take
+   * this long, and a connection can die unnoticed while the engine works on.
+   *
+   * - `queued`, `prefilling`: keep waiting.
+   * - `decoding`, `finished`: this connection is dead; resume the stream over a new one.
+   * - `unknown` or no answer: the attempt has failed.
    */
   private async probeOverdueStream(
     id: string,
@@ -438,7 +452,7 @@
     return { attempt: { target, progress, fault }, retryAfterMs, isTargetFault };
   }
 
-  /** Decides on a retry and waits for it; an error ends the request. */
+  /** Waits for the next retry, or returns the error that ends the request. */
   private async retryOrGiveUp(failure: AttemptFailure): Promise<errors.RequestError | undefined> {
     const { attempt, retryAfterMs, isTargetFault } = failure;
     this.attempts.push(attempt);
@@ -447,7 +461,7 @@
     if (isTargetFault) this.dependencies.router.failed(attempt.target);
     this.excluded = new Set([...this.excluded, attempt.target]);
     const remainingMs = this.request.deadline - this.dependencies.now();
-    // A prompt may be computed again: its answer goes on from the tokens already passed on.
+    // Generation is repeatable: a retry resumes after the tokens already sent to the caller.
     const decision = domain.request.retry.decide(
       this.attempts,
       true,
@@ -460,7 +474,7 @@
       const termination = this.earlyTermination();
       return (
         termination ??
-        this.requestError('failed', `${attempt.fault} at ${attempt.target}, no retry left`)
+        this.requestError('failed', `${attempt.fault} at ${attempt.target}, no retries left`)
       );
     }
     if (attempt.fault === 'targetStopped') {
--- a/packages/daemon/src/requests/gatherer.ts
+++ b/packages/daemon/src/requests/gatherer.ts
@@ -1,6 +1,6 @@
 /**
- * Gathers memory of several engines for one long prompt: in the order of their names, all or none,
- * everything given back on refusal before the next try.
+ * Reserves memory on several engines for one long prompt. All or none, in the order of the engines' names:
+ * after a refusal everything is released before the next attempt, so daemons never deadlock on each other.
  */
 import * as domain from '@celerydrift/domain';
 import { Err, Ok, Result } from 'ts-results';
@@ -17,7 +17,7 @@
   owner: () => domain.memory.holding.Owner;
   /** Engines that may lend memory. */
   engines: () => Target[];
-  /** Memory believed free on an engine. */
+  /** Estimated free memory of an engine, in tokens. */
   freeTokens: (name: string) => number;
   now: () => number;
 }
@@ -38,7 +38,7 @@
 
   constructor(private readonly options: Options) {}
 
-  /** Whether engines together could ever hold so much. */
+  /** Whether the engines together have enough memory for so many tokens when all of it is free. */
   canHold(tokens: number): boolean {
     const engines = this.options.engines();
     const [primary, ...others] = [...engines].sort((a, b) => b.memoryTokens - a.memoryTokens);
@@ -46,6 +46,7 @@
     return this.plan(tokens, primary, others) !== undefined;
   }
 
+  /** Reserves what the request needs beyond the primary engine's share; retries until the deadline. */
   async gather(
     id: string,
     request: domain.routing.dispatcher.Request,
@@ -72,6 +73,7 @@
     return Err(signal.aborted ? 'stopped' : 'deadline');
   }
 
+  /** Releases all reservations of a gathering. */
   release({ tag, parts }: Gathered): void {
     parts.forEach(({ target }) => {
       this.options.holdings.release(target, this.reservationId(tag, target));
@@ -79,8 +81,9 @@
   }
 
   /**
-   * Every try has ids of its own. With the same ids, a late release of the former try would free the
-   * reservation of the next, and its confirmation would make this daemon forget what it still holds.
+   * Returns a tag with new reservation ids for each attempt. With reused ids, a late release of the former
+   * attempt would free the reservation of the next one, and its confirmation would make this daemon forget
+   * a reservation that it still has.
    */
   private newTag(id: string): string {
     this.tagCount += 1;
@@ -98,7 +101,7 @@
   private async reserveAll({ tag, parts }: Gathered): Promise<boolean> {
     for (const [position, part] of parts.entries()) {
       if (!(await this.reserve(tag, part))) {
-        // The failed one too: its answer may have been lost after it was granted.
+        // Includes the failed one: it may have been granted and only its answer lost.
         this.release({ tag, parts: parts.slice(0, position + 1) });
         return false;
       }
--- a/packages/daemon/src/requests/holdingsLoop.ts
+++ b/packages/daemon/src/requests/holdingsLoop.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps what this daemon holds on engines: renews it, releases it until each engine confirmed, and
- * reclaims what dead daemons left behind. Of several survivors the one that keeps the target reclaims.
+ * Maintains the resources that this daemon leases on engines: renews them, repeats releases until the engine
+ * confirms them, and reclaims those of dead daemons. Among the survivors the keeper of the target reclaims.
  */
 import * as domain from '@celerydrift/domain';
 import type * as observer from '../observability/observer';
@@ -13,9 +13,11 @@
   observer: observer.Observer;
   now: () => number;
   target: (name: string) => Target | undefined;
-  /** Engines that this daemon keeps, for reclaiming. */
+  /** Engines whose keeper is this daemon; it reclaims the leases of dead daemons there. */
   keptEngines: () => Target[];
+  /** What is known about the daemon that owns a lease. */
   standing: (daemon: string) => domain.memory.holding.Standing;
+  /** Writes an entry to the audit trail. */
   note: (action: string, subject: string, detail: string) => void;
 }
 
@@ -48,7 +50,7 @@
     this.holdings.hold(target.name, target.incarnation, id, kind);
   }
 
-  /** Releases now, and again until the engine confirmed. */
+  /** Releases at once and repeats it until the engine confirms. */
   release(target: string, id: string): void {
     this.holdings.release(target, id, this.options.now());
     this.releaseDue();
@@ -86,7 +88,7 @@
     });
   }
 
-  /** Only what the engine itself lists as ours, with an owner that is surely dead, is freed. */
+  /** Frees only what the engine itself lists for this system and whose owner is dead or has restarted. */
   private async reclaim(target: Target): Promise<void> {
     const listed = await this.options.adapter.holdings(target);
     if (listed.err || listed.val.incarnation !== target.incarnation) return;
--- a/packages/daemon/src/requests/ledgerClient.ts
+++ b/packages/daemon/src/requests/ledgerClient.ts
@@ -1,4 +1,4 @@
-/** Claims on calls that run at most once, spread over the ledger shards by their key. */
+/** Executes ledger commands for calls that run at most once, on the ledger shard of the call's key. */
 import type * as domain from '@celerydrift/domain';
 import type { Result } from 'ts-results';
 import type * as controlErrors from '../control/errors';
--- a/packages/daemon/src/requests/policies.ts
+++ b/packages/daemon/src/requests/policies.ts
@@ -1,4 +1,4 @@
-/** The routing policies by the names that a daemon's settings use. */
+/** Creates routing policies by their names in a daemon's settings. */
 import * as domain from '@celerydrift/domain';
 
 const { policy } = domain.routing;
--- a/packages/daemon/src/requests/router.ts
+++ b/packages/daemon/src/requests/router.ts
@@ -1,6 +1,6 @@
 /**
- * The dispatcher in the daemon: feeds it targets, reports, peers' work and circuits, and hands a
- * waiting request its target when there is one.
+ * Connects the dispatcher to the daemon: passes it targets, load reports, peer workloads and circuit
+ * states, and resolves each waiting request once a target is chosen for it.
  */
 import * as domain from '@celerydrift/domain';
 import type * as observer from '../observability/observer';
@@ -19,7 +19,7 @@
   now: () => number;
 }
 
-/** Why a waiting request leaves the queue without a target. */
+/** Why a request left the queue without a target. */
 export type DequeueReason = 'withdrawn' | 'deadline';
 
 type Waiter = (result: Dispatch | DequeueReason) => void;
@@ -64,14 +64,14 @@
     clearTimeout(this.pollTimer);
   }
 
-  /** Sets the engines of the cell that may get work: serving, and under no planned stop. */
+  /** Sets the engines of the cell that accept new work: serving, and not covered by a planned stop. */
   setEngines(engines: readonly Target[]): void {
     this.engines = [...engines];
     this.dispatcher.setTargets(this.engines);
     this.poll();
   }
 
-  /** Puts a request in the queue; resolves when it may go. */
+  /** Queues a request; resolves once it is dispatched, withdrawn or expired, or at once if it is refused. */
   async acquire(
     request: domain.routing.dispatcher.Request,
   ): Promise<Dispatch | DequeueReason | domain.routing.dispatcher.Refusal> {
@@ -83,7 +83,7 @@
     });
   }
 
-  /** The engine had no room; the request waits again, and this resolves to its next target. */
+  /** Queues a request again that an engine refused for lack of memory; resolves to its next target. */
   async requeue(id: string, load: adapter.AgedLoad): Promise<Dispatch | DequeueReason> {
     const now = this.options.now();
     const { ageMs, ...report } = load;
@@ -94,7 +94,7 @@
     });
   }
 
-  /** Where this daemon stands among the live ones. */
+  /** Sets this daemon's index among the live daemons. */
   setPosition(index: number, count: number): void {
     this.dispatcher.setPosition(index, count);
   }
@@ -148,7 +148,7 @@
     return this.circuit(target).state === 'open';
   }
 
-  /** A peer's word of its own work. */
+  /** Takes a peer's workload report. */
   peerWork(work: news.Work): void {
     this.peerWorkloads.set(work.daemon, work);
     this.applyPeerWorkloads();
@@ -166,7 +166,7 @@
     );
   }
 
-  /** Own work for the peers: only what load reports show too late. */
+  /** Own workload for the peers; short requests are omitted since the engines' load reports cover them in time. */
   ownWork(): Pick<news.Work, 'outstanding' | 'demand'> {
     const { quantised } = domain.target.target;
     const outstanding: news.Work['outstanding'] = {};
@@ -195,7 +195,7 @@
     });
   }
 
-  /** Looks again soon, as long as something waits; an idle daemon does nothing. */
+  /** Schedules the next poll while requests wait; an idle daemon runs no timer. */
   private schedulePoll(): void {
     if (this.pollTimer !== undefined || this.dispatcher.queueLength === 0) return;
     this.pollTimer = setTimeout(() => {
@@ -255,7 +255,7 @@
     });
   }
 
-  /** Cache events with gaps; a gap is answered by asking for everything. */
+  /** Applies an engine's cache events; after a gap in their sequence the next poll requests the full listing. */
   private async pollCache(target: Target): Promise<void> {
     const { prefixes } = this.dispatcher;
     const since = this.cacheSequences.get(target.name) ?? -1;
--- a/packages/daemon/src/requests/serviceProxy.ts
+++ b/packages/daemon/src/requests/serviceProxy.ts
@@ -1,6 +1,6 @@
 /**
- * Calls to plain services. A call that may be repeated is retried like any other; one that may not is
- * claimed in the ledger first and dispatched at most once, by whoever got the claim.
+ * Forwards calls to plain services. Repeatable calls are retried. A call that must not be repeated is
+ * claimed in the ledger first, and only the daemon that holds the claim dispatches it, at most once.
  */
 import * as crypto from 'node:crypto';
 import * as domain from '@celerydrift/domain';
@@ -20,7 +20,7 @@
   tenant: domain.settings.directory.Tenant;
   service: domain.settings.document.Service;
   method: string;
-  /** Path and query below the service. */
+  /** Path and query, relative to the service. */
   path: string;
   headers: Record<string, string>;
   body: Buffer;
@@ -33,7 +33,7 @@
   status: number;
   contentType: string;
   body: Buffer;
-  /** From the ledger rather than from the service just now. */
+  /** Whether the answer is the stored one of an earlier call, from the ledger. */
   replayed: boolean;
 }
 
@@ -48,11 +48,12 @@
   now: () => number;
 }
 
-/** A resend that meets the running first call looks again so often, in milliseconds. */
+/** Interval at which a resend polls the ledger while the first call still runs. */
 const CLAIM_POLL_INTERVAL_MS = 50;
 
 type FailedAttempt = { attempt: domain.request.outcome.Attempt; error: targetErrors.TargetError };
 
+/** Whether no rule of the service (method and path prefix) marks the call as not repeatable. */
 export function isRepeatable(
   service: domain.settings.document.Service,
   call: ServiceCall,
@@ -70,7 +71,7 @@
 
   async handle(call: ServiceCall): Promise<Result<ServiceAnswer, errors.RequestError>> {
     if (isRepeatable(call.service, call)) return this.callRepeatable(call);
-    // Without a key a resend can't be recognised; this daemon then tries once and never again.
+    // Without an idempotency key a resend can't be recognised; the call then runs at most once, without a claim.
     return call.key === '' ? this.callAtMostOnce(call) : this.callWithClaim(call);
   }
 
@@ -97,7 +98,7 @@
     }
   }
 
-  /** Tries other targets only while it is certain that none has run the call. */
+  /** Tries another target only while it is certain that none has run the call. */
   private async callAtMostOnce(
     call: ServiceCall,
   ): Promise<Result<ServiceAnswer, errors.RequestError>> {
@@ -132,7 +133,7 @@
       const timedClaim = { ...claim, timeLeftMs: remainingMs };
       const verdict = await this.options.ledger.execute(timedClaim, Math.min(remainingMs, 8_000));
       if (verdict.err) {
-        // The claim may still take effect later; it is given back so that a resend can run.
+        // The claim may still be committed later; it is released so that a resend can run.
         void this.options.ledger.execute({ kind: 'release', key, attempt, at: 0 }, 30_000);
         return Err(claimError(verdict.val.detail));
       }
@@ -148,10 +149,10 @@
     key: string,
     attempt: string,
   ): Promise<Result<ServiceAnswer, errors.RequestError>> {
-    // The claim may have been granted late; after the deadline others take it for unknown.
+    // The claim may be granted late; after the deadline others treat its outcome as unknown.
     if (this.options.now() >= call.deadline) {
       await this.recordOutcome({ kind: 'release', key, attempt, at: 0 });
-      return Err(errors.notRun('deadline', 'out of time before the call was sent'));
+      return Err(errors.notRun('deadline', 'the deadline passed before the call was sent'));
     }
     const result = await this.callAtMostOnce(call);
     if (result.ok) {
@@ -177,7 +178,7 @@
     return result;
   }
 
-  /** Not being able to record an end is safe: the claim stays, and resends hear "unknown". */
+  /** A failure to record the outcome is safe: the claim stays, and resends receive "unknown". */
   private async recordOutcome(
     command: domain.ledger.ledger.Settle | domain.ledger.ledger.Release,
   ): Promise<void> {
@@ -231,8 +232,8 @@
       body: call.body,
       signal: AbortSignal.timeout(timeoutMs),
       headersTimeoutMs: 0,
-      // A pooled connection may have been closed by the other side just now; then nobody could tell
-      // whether the call was read. A call that runs once always takes a new connection.
+      // The target may close a pooled connection at the moment of sending, which leaves it unknown whether
+      // the call was received. A call that must run at most once always uses a new connection.
       newConnection,
     });
     const content = Buffer.from(await body.arrayBuffer());
@@ -256,8 +257,8 @@
 }
 
 function claimError(detail: string): errors.RequestError {
-  // Nothing is dispatched without a granted claim, so this is certain.
-  return errors.notRun('notReady', `the ledger can't take the call now: ${detail}`, 1_000);
+  // Calls are dispatched only with a granted claim, so this one certainly did not run.
+  return errors.notRun('notReady', `the ledger is unavailable: ${detail}`, 1_000);
 }
 
 function stillRunningError(): errors.RequestError {
@@ -271,7 +272,7 @@
   repeatable: boolean,
 ): errors.RequestError {
   if (attempts.length > 0) return attemptsError(attempts, repeatable);
-  return errors.notRun('noTarget', `no target of service ${service.name} is there now`, 1_000);
+  return errors.notRun('noTarget', `no target of service ${service.name} is available`, 1_000);
 }
 
 function attemptsError(
--- a/packages/daemon/src/requests/stopWatch.ts
+++ b/packages/daemon/src/requests/stopWatch.ts
@@ -1,6 +1,6 @@
 /**
- * Carries out planned stops in one daemon: which targets get nothing more, which running requests are
- * moved once the grace is over, and what still runs where.
+ * Applies planned stops in one daemon: which targets receive no new work, which running requests move to
+ * another target after the grace period, and how many still run under each stop.
  */
 import * as domain from '@celerydrift/domain';
 import type * as execution from './execution';
@@ -9,8 +9,9 @@
 type Target = domain.target.target.Target;
 
 export interface Options {
-  /** This daemon's own place. */
+  /** Host of this daemon. */
   host: string;
+  /** Data centre of this daemon. */
   dataCentre: string;
   stops: () => Stop[];
   target: (name: string) => Target | undefined;
@@ -25,18 +26,18 @@
 export class StopWatch {
   constructor(private readonly options: Options) {}
 
-  /** Whether a target may get new work. */
+  /** Whether a target is serving and not covered by a planned stop. */
   acceptsNewWork(target: Target): boolean {
     return target.status === 'serving' && this.stopFor(target) === undefined;
   }
 
-  /** The stop of the VM or data centre of this daemon, if one is announced. */
+  /** The planned stop of this daemon's VM or data centre, if one is announced. */
   ownStop(): Stop | undefined {
     const { host, dataCentre } = this.options;
     return domain.stop.stop.stopFor(this.options.stops(), { target: '', host, dataCentre });
   }
 
-  /** Moves requests off places whose grace is over. */
+  /** Moves requests away from targets whose grace period is over. */
   moveOverdue(): void {
     const now = this.options.now();
     this.options.running.forEach((running) => {
@@ -46,6 +47,7 @@
     });
   }
 
+  /** Number of requests still running under each planned stop, for its progress report. */
   remainders(): domain.stop.stop.Remainder[] {
     const { host, dataCentre } = this.options;
     return this.options.stops().map((stop) => {
--- a/packages/daemon/src/targets/adapter.ts
+++ b/packages/daemon/src/targets/adapter.ts
@@ -1,6 +1,6 @@
 /**
- * What the daemon needs of an engine, whatever protocol it speaks. Another engine protocol is another
- * class that implements this; nothing in the domain changes.
+ * Engine operations that the daemon uses, independent of the engine's protocol. A further protocol is
+ * supported by another implementation of `EngineAdapter`, without changes to the domain.
  */
 import type * as domain from '@celerydrift/domain';
 import type { Result } from 'ts-results';
@@ -8,25 +8,26 @@
 
 type Target = domain.target.target.Target;
 
-/** One attempt at a prompt. */
+/** Request for one attempt; serialised under these field names. */
 export interface GenerateRequest {
-  /** Id of the attempt, unique over all daemons. */
+  /** Id of the attempt, unique across all daemons. */
   request: string;
   model: domain.target.target.Loaded;
   prompt: string;
   answerTokens: number;
   priority: number;
-  /** Tokens already passed on by earlier attempts, and their text. */
+  /** Number of tokens that earlier attempts sent to the caller. */
   resumeFrom: number;
+  /** Text of these tokens. */
   emitted: string;
   prefixKeys: readonly number[];
   owner: domain.memory.holding.Owner;
   reservations: readonly domain.memory.gathering.Part[];
-  /** The engine refuses at once, as not run, if it has no memory for it now. */
+  /** Whether the engine must refuse at once, as not run, if it lacks the memory now. */
   needsRoom: boolean;
 }
 
-/** An engine's load, measured `ageMs` before it was sent. */
+/** Load report of an engine, measured `ageMs` before it was sent. */
 export interface AgedLoad {
   queuedTokens: number;
   streams: number;
@@ -40,19 +41,21 @@
 }
 
 export interface EngineStream {
-  /** The next frame; undefined at the end of the connection. Rejects when the connection breaks. */
+  /** Resolves to the next frame, or to undefined at the end of the stream. Rejects if the connection breaks. */
   next(): Promise<EngineFrame | undefined>;
-  /** Closes the connection; it is never used again. */
+  /** Closes the connection, which is not reused. */
   close(): void;
 }
 
 export type RequestState = 'unknown' | 'queued' | 'prefilling' | 'decoding' | 'finished';
 
+/** Resources that an engine lists as leased. */
 export interface LeaseListing {
   incarnation: number;
   holdings: domain.memory.holding.Listed[];
 }
 
+/** Contents or recent events of an engine's prefix cache. */
 export interface CacheListing {
   sequence: number;
   keys?: number[];
@@ -72,15 +75,15 @@
     generation: GenerateRequest,
     signal: AbortSignal,
   ): Promise<Result<EngineStream, errors.TargetError>>;
-  /** Reads a running request's stream again, from a token on, over a new connection. */
+  /** Reopens the stream of a running request over a new connection, from the given token position. */
   resume(
     target: Target,
     request: string,
     from: number,
   ): Promise<Result<EngineStream, errors.TargetError>>;
-  /** Asks over a new connection, so that a silent one is told apart from a dead engine. */
+  /** Probes a request over a new connection, to distinguish a dead connection from a dead engine. */
   stateOf(target: Target, request: string): Promise<Result<RequestState, errors.TargetError>>;
-  /** Frees a stream or reservation; resolves to whether the engine confirmed. */
+  /** Frees a stream or reservation; ok once the engine confirmed it. */
   release(
     target: Target,
     id: string,
@@ -96,6 +99,6 @@
     target: Target,
     order: domain.placement.order.Order,
   ): Promise<Result<void, errors.TargetError>>;
-  /** Cache events after `since`, or the full listing for a negative one. */
+  /** Returns the cache events after `since`, or the full listing if `since` is negative. */
   cache(target: Target, since: number): Promise<Result<CacheListing, errors.TargetError>>;
 }
--- a/packages/daemon/src/targets/errors.ts
+++ b/packages/daemon/src/targets/errors.ts
@@ -1,4 +1,4 @@
-/** Errors of calls to targets, with what they prove about whether the call ran. */
+/** Errors of calls to targets, including how far the call certainly got. */
 import type * as domain from '@celerydrift/domain';
 import type * as adapter from './adapter';
 
@@ -6,8 +6,8 @@
   progress: domain.request.outcome.Progress;
   fault: domain.request.outcome.Fault;
   detail: string;
-  /** What the target asked to wait, in milliseconds; 0 if it said nothing. */
+  /** Delay that the target asked for before a retry; 0 if none. */
   retryAfterMs: number;
-  /** Set when an engine refused for lack of memory: its load at that moment. */
+  /** Load of the engine when it refused for lack of memory; otherwise undefined. */
   noRoom?: adapter.AgedLoad;
 }
--- a/packages/daemon/src/targets/httpAdapter.ts
+++ b/packages/daemon/src/targets/httpAdapter.ts
@@ -1,4 +1,4 @@
-/** Engines that speak the HTTP protocol of docs/API.md, "Targets". */
+/** Engine adapter for the HTTP protocol in docs/API.md, "Targets". */
 import * as stringDecoder from 'node:string_decoder';
 import * as domain from '@celerydrift/domain';
 import * as eventSource from 'eventsource-parser';
@@ -11,10 +11,11 @@
 type Target = domain.target.target.Target;
 type AdapterResult<T> = Promise<Result<T, errors.TargetError>>;
 
+/** Body of an engine's error response. */
 interface RefusalBody {
   error?: string;
   notRun?: boolean;
-  /** Load of an engine that refused for lack of memory. */
+  /** Load of the engine if it refused for lack of memory. */
   noRoom?: adapter.AgedLoad;
 }
 
@@ -23,7 +24,7 @@
   reject: (error: Error) => void;
 }
 
-/** Frames of a server-sent event stream, as they come. */
+/** Frames of a server-sent event stream, queued until they are read. */
 class EventStream implements adapter.EngineStream {
   private readonly frames: adapter.EngineFrame[] = [];
 
@@ -37,7 +38,7 @@
     const parser = eventSource.createParser({
       onEvent: ({ data }) => this.deliver(JSON.parse(data) as adapter.EngineFrame),
     });
-    // A character may be split between two chunks.
+    // A multi-byte character may be split between two chunks.
     const decoder = new stringDecoder.StringDecoder('utf8');
     body.on('data', (chunk: Buffer) => {
       try {
--- a/packages/daemon/src/targets/httpClient.ts
+++ b/packages/daemon/src/targets/httpClient.ts
@@ -1,15 +1,16 @@
 /**
- * HTTP to targets through undici. Pools hold connections for calls that may be repeated; a connection
- * whose answer was not read to its end is closed by the library and never used again. Calls that must
- * not meet a connection which died unnoticed take a new one.
+ * HTTP client for targets, based on undici. Repeatable calls share pooled connections; undici closes a
+ * connection whose response was not read to the end. Calls that can't risk a pooled connection that died
+ * unnoticed use a new one.
  */
 import type * as tls from 'node:tls';
 import * as undici from 'undici';
 import type * as errors from './errors';
 
-/** A target that has not answered a control call by then is asked again later; milliseconds. */
+/** Timeout of control calls, which are retried later. */
 const CONTROL_TIMEOUT_MS = 2_000;
 
+/** Error codes that prove that nothing was sent. */
 const NOT_SENT_CODES = ['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT'];
 
 export interface Call {
@@ -18,15 +19,16 @@
   body?: string | Buffer;
   headers?: Record<string, string>;
   signal?: AbortSignal;
+  /** Whether to use a new connection instead of a pooled one. */
   newConnection?: boolean;
-  /** Zero waits for ever. */
+  /** Zero disables the timeout. */
   headersTimeoutMs?: number;
 }
 
 export class HttpClient {
   private readonly pools = new Map<string, undici.Pool>();
 
-  /** Addresses that may not be reached; tests cut paths with it. */
+  /** Addresses treated as unreachable; tests cut network paths with it. */
   readonly cut = new Set<string>();
 
   constructor(
@@ -61,7 +63,7 @@
     return { status: statusCode, content: (await body.json()) as T };
   }
 
-  /** The target went or restarted: its connections are of no use. */
+  /** Closes the pooled connections of a target that is gone or restarted. */
   forget(address: string): void {
     void this.pools.get(address)?.destroy();
     this.pools.delete(address);
@@ -99,7 +101,7 @@
   }
 }
 
-/** What an error of a call proves. Anything not known to be before the sending counts as sent. */
+/** Converts an error of a call. Every error not known to precede the sending counts as sent. */
 export function targetErrorOf(error: unknown): errors.TargetError {
   const { code = '', message = String(error) } = error as { code?: string; message?: string };
   const isNotSent = NOT_SENT_CODES.includes(code);
--- a/packages/daemon/src/targets/targetTable.ts
+++ b/packages/daemon/src/targets/targetTable.ts
@@ -1,6 +1,6 @@
 /**
- * The targets as this daemon knows them, from announcements, keepers and gossip. Keepers hold the
- * leases; whoever receives an announcement hands it to them.
+ * The targets that this daemon knows from announcements, keepers and gossip. Keepers hold the leases of
+ * targets; a daemon that receives an announcement forwards it to the target's keepers.
  */
 import * as domain from '@celerydrift/domain';
 import type * as members from '../membership/members';
@@ -23,10 +23,10 @@
 
 const EXPIRE_INTERVAL_MS = 500;
 
-/** Between two looks at which targets this daemon keeps; it ranks all of them, so it is rare. */
+/** Interval of recomputing which targets this daemon keeps; long because each run ranks all targets. */
 const ADOPT_INTERVAL_MS = 3_000;
 
-/** Name, incarnation and sequence: all that a keeper needs while nothing else changes. */
+/** Short form of an announcement, sufficient for a keeper while no other field of the target changes. */
 type Renewal = [name: string, incarnation: number, sequence: number];
 
 export class TargetTable {
@@ -69,7 +69,7 @@
     return this.keeper.size;
   }
 
-  /** An announcement that the balancer gave to this daemon. */
+  /** Handles an announcement that the load balancer sent to this daemon. */
   async handleAnnouncement(target: Target): Promise<void> {
     if (target.status === 'leaving' && this.get(target.name)?.status !== 'leaving') {
       this.merge(target);
@@ -84,7 +84,7 @@
     await Promise.all(others.map((id) => this.forward(id, target, isUnchanged)));
   }
 
-  /** Takes a record from gossip, a push or a keeper; true when it was new here. */
+  /** Applies a record from gossip, a push or a keeper; returns whether it was newer than the known one. */
   merge(target: Target): boolean {
     const before = this.targets.get(target.name);
     if (!domain.target.target.isNewer(target, before)) return false;
@@ -106,7 +106,7 @@
 
   private keepersOf({ name, dataCentre }: Target): readonly string[] {
     const localDaemons = this.options.members().liveIn(dataCentre);
-    // A data centre may have targets and no daemon; then those of this one keep them.
+    // A data centre may have targets but no live daemon; the daemons of this data centre then keep them.
     const { self } = this.options.members();
     const candidates =
       localDaemons.length > 0 ? localDaemons : this.options.members().liveIn(self.dataCentre);
@@ -124,7 +124,7 @@
       if (renewed.ok && renewed.val) return;
     }
     const taken = await client.call(peer.address, 'announce', target, callOptions);
-    // A keeper that can't be reached must not make a target look gone, so this daemon tells it on.
+    // An unreachable keeper must not make a target look gone, so this daemon acts as keeper and spreads it.
     if (taken.err) this.acceptAsKeeper(target);
   }
 
@@ -134,7 +134,7 @@
     if (isNews) this.options.members().post({ kind: 'target', target });
   }
 
-  /** Takes up leases whose former keepers died, and gives up those that others keep now. */
+  /** Adopts leases of targets whose keeper this daemon has become, and drops those that others keep now. */
   private adoptLeases(): void {
     const now = this.options.now();
     const { self } = this.options.members();
