--- a/packages/daemon/src/http/completionRequest.ts
+++ b/packages/daemon/src/http/completionRequest.ts
@@ -56,10 +56,12 @@
 }
 
 function answerTokensOf(fields: JsonObject): Result<number, errors.RequestError> {
-  const given = fields.max_completion_tokens ?? fields.max_tokens ?? DEFAULT_ANSWER_TOKENS;
-  const usable =
-    Number.isInteger(given) && (given as number) >= 1 && (given as number) <= MAX_ANSWER_TOKENS;
-  if (usable) return Ok(given as number);
+  const requested = fields.max_completion_tokens ?? fields.max_tokens ?? DEFAULT_ANSWER_TOKENS;
+  const isValid =
+    Number.isInteger(requested) &&
+    (requested as number) >= 1 &&
+    (requested as number) <= MAX_ANSWER_TOKENS;
+  if (isValid) return Ok(requested as number);
   return badRequest(`max_tokens: give a whole number from 1 to ${MAX_ANSWER_TOKENS}`);
 }
 
--- a/packages/daemon/src/http/targetsApi.ts
+++ b/packages/daemon/src/http/targetsApi.ts
@@ -36,8 +36,8 @@
   }
 
   async route(call: listener.Call): Promise<void> {
-    const given = crypto.createHash('sha256').update(listener.bearer(call.headers)).digest();
-    if (!crypto.timingSafeEqual(given, this.secretHash)) {
+    const givenHash = crypto.createHash('sha256').update(listener.bearer(call.headers)).digest();
+    if (!crypto.timingSafeEqual(givenHash, this.secretHash)) {
       reply.error(call.response, errors.notRun('unauthorized', 'give the secret of the targets'));
       return;
     }
--- a/packages/daemon/src/requests/__tests__/contentMemory.test.ts
+++ b/packages/daemon/src/requests/__tests__/contentMemory.test.ts
@@ -23,29 +23,29 @@
    */
   it('quarantines a prompt that lost three engines, counted across requests', () => {
     let now = 0;
-    const memory = new contentMemory.ContentMemory(() => now);
-    const [culprit, other] = [prompt('crashes'), prompt('another')];
-    const standings = [1, 2, 3, 4].map((run) => {
-      const standing = memory.status(culprit);
+    const quarantine = new contentMemory.ContentMemory(() => now);
+    const [crashing, other] = [prompt('crashes'), prompt('another')];
+    const statuses = [1, 2, 3, 4].map((run) => {
+      const status = quarantine.status(crashing);
       now += 1_000;
       const target = { name: `engine-${run}`, incarnation: 1 };
-      const isTrial = standing !== 'free';
-      if (standing !== 'quarantined')
-        memory.reportEngineLoss(culprit, { target, sentAt: now, isTrial });
-      return standing;
+      const isTrial = status !== 'free';
+      if (status !== 'quarantined')
+        quarantine.reportEngineLoss(crashing, { target, sentAt: now, isTrial });
+      return status;
     });
-    expect(standings).to.deep.equal(['free', 'suspected', 'suspected', 'quarantined']);
-    expect(memory.status(other)).to.equal('free');
+    expect(statuses).to.deep.equal(['free', 'suspected', 'suspected', 'quarantined']);
+    expect(quarantine.status(other)).to.equal('free');
     now += 120_000;
-    expect(memory.status(culprit)).to.equal('suspected');
+    expect(quarantine.status(crashing)).to.equal('suspected');
   });
 
   it('clears the suspicion once the prompt gets a complete answer', () => {
-    const memory = new contentMemory.ContentMemory(() => 0);
+    const quarantine = new contentMemory.ContentMemory(() => 0);
     const target = { name: 'engine-1', incarnation: 1 };
-    memory.reportEngineLoss(prompt('a'), { target, sentAt: 0, isTrial: false });
-    expect(memory.status(prompt('a'))).to.equal('suspected');
-    memory.clearSuspicion(prompt('a'));
-    expect(memory.status(prompt('a'))).to.equal('free');
+    quarantine.reportEngineLoss(prompt('a'), { target, sentAt: 0, isTrial: false });
+    expect(quarantine.status(prompt('a'))).to.equal('suspected');
+    quarantine.clearSuspicion(prompt('a'));
+    expect(quarantine.status(prompt('a'))).to.equal('free');
   });
 });
--- a/packages/daemon/src/requests/allocations.ts
+++ b/packages/daemon/src/requests/allocations.ts
@@ -8,7 +8,7 @@
 import * as outbox from '../replicas/outbox';
 import type * as peerClient from '../rpc/peerClient';
 import type * as adapter from '../targets/adapter';
-import * as allocation from './allocationMessages';
+import * as allocationMessages from './allocationMessages';
 import type * as router from './router';
 
 type Request = domain.routing.dispatcher.Request;
@@ -41,7 +41,7 @@
 export class Allocations {
   private readonly remoteRequests = new Map<string, RemoteRequest>();
 
-  private readonly notifications: outbox.Outbox<allocation.Notification>;
+  private readonly notifications: outbox.Outbox<allocationMessages.Notification>;
 
   private backOffUntil = 0;
 
@@ -98,12 +98,12 @@
 
   private notify(
     { address }: RemoteRequest,
-    kind: allocation.NotificationKind,
+    kind: allocationMessages.NotificationKind,
     id: string,
     target: string,
     load: adapter.AgedLoad | undefined,
   ): void {
-    this.notifications.add(address, [kind, id, target, allocation.packLoad(load)]);
+    this.notifications.add(address, [kind, id, target, allocationMessages.packLoad(load)]);
   }
 
   private async requestPlacement(
@@ -113,9 +113,9 @@
     const { request, address } = remote;
     for (;;) {
       if (now() >= request.deadline) return this.giveUp(request.id, 'deadline');
-      const allocateRequest = allocation.packRequest(self, request, now());
+      const allocateRequest = allocationMessages.packRequest(self, request, now());
       const callOptions = { timeoutMs: ALLOCATE_TIMEOUT_MS };
-      const answer = await client.call<allocation.AllocateReply>(
+      const answer = await client.call<allocationMessages.AllocateReply>(
         address,
         'allocate',
         allocateRequest,
@@ -137,7 +137,7 @@
   private dispatchOf(
     request: Request,
     [, name, band, enginePriority, needsRoom]: Extract<
-      allocation.AllocateReply,
+      allocationMessages.AllocateReply,
       readonly ['placed', ...unknown[]]
     >,
   ): Dispatch | undefined {
--- a/packages/daemon/src/requests/allocator.ts
+++ b/packages/daemon/src/requests/allocator.ts
@@ -4,7 +4,7 @@
  */
 import type * as domain from '@celerydrift/domain';
 import type * as peerServer from '../rpc/peerServer';
-import * as allocation from './allocationMessages';
+import * as allocationMessages from './allocationMessages';
 import type * as router from './router';
 
 type Dispatch = domain.routing.dispatcher.Dispatch;
@@ -30,11 +30,13 @@
   deadline: number;
   lastRequestAt: number;
   /** Undefined until the router has decided. */
-  reply: allocation.AllocateReply | undefined;
+  reply: allocationMessages.AllocateReply | undefined;
   pending: Promise<void>;
 }
 
-function replyOf(result: Awaited<ReturnType<router.Router['acquire']>>): allocation.AllocateReply {
+function replyOf(
+  result: Awaited<ReturnType<router.Router['acquire']>>,
+): allocationMessages.AllocateReply {
   if (result === 'withdrawn' || result === 'deadline') return ['ended', result];
   if (typeof result === 'string') return ['refused', result];
   const { target, band, enginePriority, needsRoom } = result;
@@ -49,9 +51,13 @@
   constructor(private readonly options: Options) {}
 
   start(server: peerServer.PeerServer): void {
-    server.add('allocate', (parameters) => this.allocate(parameters as allocation.AllocateRequest));
+    server.add('allocate', (parameters) =>
+      this.allocate(parameters as allocationMessages.AllocateRequest),
+    );
     server.add('allocated', (parameters) => {
-      (parameters as allocation.Notification[]).forEach((note) => this.handleNotification(note));
+      (parameters as allocationMessages.Notification[]).forEach((note) =>
+        this.handleNotification(note),
+      );
     });
     this.timer = setInterval(() => this.sweep(), SWEEP_INTERVAL_MS);
   }
@@ -60,21 +66,24 @@
     clearInterval(this.timer);
   }
 
-  private async allocate(request: allocation.AllocateRequest): Promise<allocation.AllocateReply> {
+  private async allocate(
+    request: allocationMessages.AllocateRequest,
+  ): Promise<allocationMessages.AllocateReply> {
     const now = this.options.now();
     const [owner, id] = request;
-    const known =
-      this.allocations.get(id) ?? this.place(owner, allocation.unpackRequest(request, now), now);
-    known.lastRequestAt = now;
-    if (known.reply === undefined) {
+    const allocation =
+      this.allocations.get(id) ??
+      this.place(owner, allocationMessages.unpackRequest(request, now), now);
+    allocation.lastRequestAt = now;
+    if (allocation.reply === undefined) {
       await Promise.race([
-        known.pending,
+        allocation.pending,
         new Promise((resolve) => {
           setTimeout(resolve, MAX_PLACEMENT_WAIT_MS);
         }),
       ]);
     }
-    const reply = known.reply ?? ['wait'];
+    const reply = allocation.reply ?? ['wait'];
     if (reply[0] === 'refused' || reply[0] === 'ended') this.allocations.delete(id);
     return reply;
   }
@@ -108,15 +117,20 @@
     });
   }
 
-  private handleNotification([kind, id, target, packed]: allocation.Notification): void {
+  private handleNotification([
+    kind,
+    id,
+    target,
+    packedLoad,
+  ]: allocationMessages.Notification): void {
     const { router: localRouter } = this.options;
-    const load = allocation.unpackLoad(packed);
+    const load = allocationMessages.unpackLoad(packedLoad);
     if (load !== undefined && kind !== 'noRoom') localRouter.reportLoad(target, load);
-    const known = this.allocations.get(id);
-    if (known === undefined) return;
+    const allocation = this.allocations.get(id);
+    if (allocation === undefined) return;
     if (kind === 'first') localRouter.firstToken(id);
     else if (kind === 'noRoom' && load !== undefined)
-      this.trackPlacement(known, localRouter.requeue(id, load));
+      this.trackPlacement(allocation, localRouter.requeue(id, load));
     else this.remove(id);
   }
 
@@ -132,10 +146,11 @@
    */
   private sweep(): void {
     const now = this.options.now();
-    this.allocations.forEach((known, id) => {
+    this.allocations.forEach((allocation, id) => {
       const isAbandoned =
-        known.reply === undefined && now - known.lastRequestAt > ABANDONED_AFTER_MS;
-      if (isAbandoned || known.deadline < now || this.options.isDead(known.owner)) this.remove(id);
+        allocation.reply === undefined && now - allocation.lastRequestAt > ABANDONED_AFTER_MS;
+      if (isAbandoned || allocation.deadline < now || this.options.isDead(allocation.owner))
+        this.remove(id);
     });
   }
 }
--- a/packages/daemon/src/requests/holdingsLoop.ts
+++ b/packages/daemon/src/requests/holdingsLoop.ts
@@ -37,7 +37,7 @@
   start(): void {
     this.timers = [
       setInterval(() => this.releaseDue(), RELEASE_INTERVAL_MS),
-      setInterval(() => this.renew(), RENEW_INTERVAL_MS),
+      setInterval(() => this.renewAll(), RENEW_INTERVAL_MS),
       setInterval(() => this.reclaimAll(), RECLAIM_INTERVAL_MS),
     ];
   }
@@ -74,7 +74,7 @@
     else this.options.observer.log('releaseRetried', { target: name, id });
   }
 
-  private renew(): void {
+  private renewAll(): void {
     this.holdings.renewable().forEach(({ target: name, id }) => {
       const target = this.options.target(name);
       if (target === undefined) return;
--- a/packages/daemon/src/requests/router.ts
+++ b/packages/daemon/src/requests/router.ts
@@ -149,8 +149,8 @@
   }
 
   /** Takes a peer's workload report. */
-  peerWork(work: news.Work): void {
-    this.peerWorkloads.set(work.daemon, work);
+  peerWork(workload: news.Work): void {
+    this.peerWorkloads.set(workload.daemon, workload);
     this.applyPeerWorkloads();
   }
 
@@ -259,12 +259,12 @@
   private async pollCache(target: Target): Promise<void> {
     const { prefixes } = this.dispatcher;
     const since = this.cacheSequences.get(target.name) ?? -1;
-    const listing = await this.options.adapter.cache(target, since);
-    if (listing.err) return;
-    const { sequence, keys, events = [] } = listing.val;
+    const response = await this.options.adapter.cache(target, since);
+    if (response.err) return;
+    const { sequence, keys, events = [] } = response.val;
     if (keys !== undefined) prefixes.resync(target.name, keys, sequence);
     const findings = events.map((event) => prefixes.event(target.name, event));
-    const gap = findings.includes('gap') || sequence < since;
-    this.cacheSequences.set(target.name, gap ? -1 : sequence);
+    const hasGap = findings.includes('gap') || sequence < since;
+    this.cacheSequences.set(target.name, hasGap ? -1 : sequence);
   }
 }
--- a/packages/daemon/src/requests/serviceProxy.ts
+++ b/packages/daemon/src/requests/serviceProxy.ts
@@ -182,8 +182,8 @@
   private async recordOutcome(
     command: domain.ledger.ledger.Settle | domain.ledger.ledger.Release,
   ): Promise<void> {
-    const settled = await this.options.ledger.execute(command, 2_000);
-    if (settled.err) void this.options.ledger.execute(command, 30_000);
+    const recorded = await this.options.ledger.execute(command, 2_000);
+    if (recorded.err) void this.options.ledger.execute(command, 30_000);
   }
 
   private async attempt(
--- a/packages/daemon/src/targets/httpClient.ts
+++ b/packages/daemon/src/targets/httpClient.ts
@@ -42,7 +42,7 @@
     }
     const { newConnection = false, headersTimeoutMs = CONTROL_TIMEOUT_MS, ...rest } = call;
     const dispatcher = newConnection ? this.singleUseClient(address) : this.pool(address);
-    const answer = await dispatcher
+    const response = await dispatcher
       .request({ ...rest, headersTimeout: headersTimeoutMs, bodyTimeout: 0 })
       .catch((error: unknown) => {
         if (newConnection) void dispatcher.destroy();
@@ -52,9 +52,9 @@
       const close = (): void => {
         void dispatcher.destroy();
       };
-      answer.body.once('close', close);
+      response.body.once('close', close);
     }
-    return answer;
+    return response;
   }
 
   async json<T>(address: string, call: Call): Promise<{ status: number; content: T }> {
