--- a/packages/daemon/src/http/listener.ts
+++ b/packages/daemon/src/http/listener.ts
@@ -1,6 +1,6 @@
 /**
- * An HTTP listener with bounds: header and body size, slow senders, connections. Every route gets the
- * whole body or the caller gets a clear error.
+ * HTTP listener with limits on header size, body size, slow senders and connections. A route is called only
+ * with the complete body; otherwise the caller receives an error.
  */
 import * as http from 'node:http';
 import * as https from 'node:https';
@@ -10,6 +10,7 @@
 import * as errors from '../requests/errors';
 import * as reply from './reply';
 
+/** A request with its complete body, and the response to write. */
 export interface Call {
   method: string;
   path: string;
@@ -22,24 +23,24 @@
 
 export type Route = (call: Call) => Promise<void>;
 
-const HEADER_BYTES = 16 * 1024;
+const MAX_HEADER_BYTES = 16 * 1024;
 
-/** The body is longer than the bound. */
-class TooLarge extends Error {}
+/** Thrown when a body exceeds the limit. */
+class BodyTooLarge extends Error {}
 
 async function readBody(request: http.IncomingMessage, limit: number): Promise<Buffer> {
-  if (Number(request.headers['content-length'] ?? 0) > limit) throw new TooLarge();
+  if (Number(request.headers['content-length'] ?? 0) > limit) throw new BodyTooLarge();
   const chunks: Buffer[] = [];
   let length = 0;
   for await (const chunk of request) {
     length += (chunk as Buffer).length;
-    if (length > limit) throw new TooLarge();
+    if (length > limit) throw new BodyTooLarge();
     chunks.push(chunk as Buffer);
   }
   return Buffer.concat(chunks);
 }
 
-/** The header that carries a bearer token or key. */
+/** Extracts the bearer token or API key; empty if there is none. */
 export function bearer(headers: http.IncomingHttpHeaders): string {
   const match = /^Bearer (\S+)$/i.exec(headers.authorization ?? '');
   return match?.[1] ?? '';
@@ -55,7 +56,7 @@
     private readonly onError: (error: unknown) => void,
   ) {
     const options = {
-      maxHeaderSize: HEADER_BYTES,
+      maxHeaderSize: MAX_HEADER_BYTES,
       headersTimeout: limits.headerSeconds * 1_000,
       requestTimeout: limits.bodySeconds * 1_000,
       connectionsCheckingInterval: 1_000,
@@ -80,7 +81,7 @@
     return (this.server.address() as net.AddressInfo).port;
   }
 
-  /** Stops accepting; open calls go on to their end. */
+  /** Stops accepting connections and resolves when the open calls have finished. */
   async close(): Promise<void> {
     const closed = new Promise<void>((resolve) => {
       this.server.close(() => resolve());
@@ -91,6 +92,7 @@
     clearInterval(idle);
   }
 
+  /** Closes all connections at once, including those with open calls. */
   abort(): void {
     this.server.closeAllConnections();
   }
@@ -114,7 +116,7 @@
   }
 
   private fail(request: http.IncomingMessage, response: http.ServerResponse, error: unknown): void {
-    if (error instanceof TooLarge) {
+    if (error instanceof BodyTooLarge) {
       const message = `the body is over ${this.limits.bodyBytes} bytes`;
       response.setHeader('connection', 'close');
       reply.error(response, errors.notRun('tooLarge', message));
@@ -125,9 +127,11 @@
       this.onError(error);
       response.destroy();
     } else {
-      const bad = error instanceof SyntaxError || error instanceof URIError;
-      if (!bad) this.onError(error);
-      const message = bad ? `the request can't be read: ${error.message}` : 'unexpected error';
+      const isMalformed = error instanceof SyntaxError || error instanceof URIError;
+      if (!isMalformed) this.onError(error);
+      const message = isMalformed
+        ? `the request can't be read: ${error.message}`
+        : 'unexpected error';
       reply.error(response, errors.notRun('badRequest', message));
     }
   }
--- a/packages/daemon/src/http/targetsApi.ts
+++ b/packages/daemon/src/http/targetsApi.ts
@@ -1,4 +1,4 @@
-/** The interface on which targets announce themselves, renew and leave. */
+/** HTTP API on which targets announce themselves, renew their lease and report that they drain. */
 import * as crypto from 'node:crypto';
 import type * as domain from '@celerydrift/domain';
 import * as t from 'io-ts';
@@ -8,7 +8,7 @@
 import * as listener from './listener';
 import * as reply from './reply';
 
-const LOADED = t.type({ base: t.string, adapter: t.string, version: t.string });
+const LOADED_MODEL = t.type({ base: t.string, adapter: t.string, version: t.string });
 
 const TARGET = t.type({
   name: t.string,
@@ -20,7 +20,7 @@
   status: t.union([t.literal('serving'), t.literal('leaving')]),
   fencing: t.union([t.literal('checked'), t.literal('ignored')]),
   service: t.string,
-  models: t.array(LOADED),
+  models: t.array(LOADED_MODEL),
   memoryTokens: t.number,
   load: t.type({ queuedTokens: t.number, streams: t.number, freeTokens: t.number }),
 });
@@ -36,8 +36,8 @@
   }
 
   async route(call: listener.Call): Promise<void> {
-    const given = crypto.createHash('sha256').update(listener.bearer(call.headers)).digest();
-    if (!crypto.timingSafeEqual(given, this.secretHash)) {
+    const givenHash = crypto.createHash('sha256').update(listener.bearer(call.headers)).digest();
+    if (!crypto.timingSafeEqual(givenHash, this.secretHash)) {
       reply.error(call.response, errors.notRun('unauthorized', 'give the secret of the targets'));
       return;
     }
@@ -48,11 +48,11 @@
     const decoded = TARGET.decode(JSON.parse(call.body.toString('utf8')));
     if (Either.isLeft(decoded)) {
       const keys = decoded.left.map(({ context }) => context.map(({ key }) => key).join('.'));
-      const message = `announcement is wrong at ${keys.join(', ')}`;
+      const message = `the announcement is invalid at ${keys.join(', ')}`;
       reply.error(call.response, errors.notRun('badRequest', message));
       return;
     }
-    await this.table.announced(decoded.right satisfies domain.target.target.Target);
+    await this.table.handleAnnouncement(decoded.right satisfies domain.target.target.Target);
     reply.json(call.response, 200, { taken: true });
   }
 }
--- a/packages/daemon/src/requests/allocator.ts
+++ b/packages/daemon/src/requests/allocator.ts
@@ -1,10 +1,10 @@
 /**
- * The allocator's side: places requests of other daemons with its own router. An ask is idempotent by
- * the attempt's id, so one whose answer was lost is asked again and gets the same placement.
+ * Server side of allocation: places requests of other daemons with the local router. Calls are idempotent
+ * by the attempt's id, so a call whose reply was lost can be repeated and returns the same placement.
  */
 import type * as domain from '@celerydrift/domain';
 import type * as peerServer from '../rpc/peerServer';
-import * as allocation from './allocation';
+import * as allocationMessages from './allocationMessages';
 import type * as router from './router';
 
 type Dispatch = domain.routing.dispatcher.Dispatch;
@@ -16,23 +16,27 @@
   isDead: (daemon: string) => boolean;
 }
 
-/** Longest wait for a placement in one call; then the entry asks again. */
-const WAIT_MS = 200;
+/** Longest wait for a placement in one call; the entry then repeats the call. */
+const MAX_PLACEMENT_WAIT_MS = 200;
 
-/** An entry that has not asked for so long has given up or died. */
-const ABANDONED_MS = 2_000;
+/** A request without a placement whose entry has not called for this long is abandoned. */
+const ABANDONED_AFTER_MS = 2_000;
 
-const SWEEP_EVERY_MS = 500;
+const SWEEP_INTERVAL_MS = 500;
 
+/** A request of another daemon, waiting or placed. */
 interface Allocation {
   owner: string;
   deadline: number;
-  askedAt: number;
-  told: allocation.Told | undefined;
+  lastRequestAt: number;
+  /** Undefined until the router has decided. */
+  reply: allocationMessages.AllocateReply | undefined;
   pending: Promise<void>;
 }
 
-function toldOf(result: Awaited<ReturnType<router.Router['acquire']>>): allocation.Told {
+function replyOf(
+  result: Awaited<ReturnType<router.Router['acquire']>>,
+): allocationMessages.AllocateReply {
   if (result === 'withdrawn' || result === 'deadline') return ['ended', result];
   if (typeof result === 'string') return ['refused', result];
   const { target, band, enginePriority, needsRoom } = result;
@@ -47,77 +51,106 @@
   constructor(private readonly options: Options) {}
 
   start(server: peerServer.PeerServer): void {
-    server.add('allocate', (parameters) => this.allocate(parameters as allocation.Ask));
+    server.add('allocate', (parameters) =>
+      this.allocate(parameters as allocationMessages.AllocateRequest),
+    );
     server.add('allocated', (parameters) => {
-      (parameters as allocation.Note[]).forEach((note) => this.note(note));
+      (parameters as allocationMessages.Notification[]).forEach((note) =>
+        this.handleNotification(note),
+      );
     });
-    this.timer = setInterval(() => this.sweep(), SWEEP_EVERY_MS);
+    this.timer = setInterval(() => this.sweep(), SWEEP_INTERVAL_MS);
   }
 
   stop(): void {
     clearInterval(this.timer);
   }
 
-  private async allocate(ask: allocation.Ask): Promise<allocation.Told> {
+  private async allocate(
+    request: allocationMessages.AllocateRequest,
+  ): Promise<allocationMessages.AllocateReply> {
     const now = this.options.now();
-    const [owner, id] = ask;
-    const known = this.allocations.get(id) ?? this.take(owner, allocation.unpack(ask, now), now);
-    known.askedAt = now;
-    if (known.told === undefined) {
+    const [owner, id] = request;
+    const allocation =
+      this.allocations.get(id) ??
+      this.place(owner, allocationMessages.unpackRequest(request, now), now);
+    allocation.lastRequestAt = now;
+    if (allocation.reply === undefined) {
       await Promise.race([
-        known.pending,
+        allocation.pending,
         new Promise((resolve) => {
-          setTimeout(resolve, WAIT_MS);
+          setTimeout(resolve, MAX_PLACEMENT_WAIT_MS);
         }),
       ]);
     }
-    const told = known.told ?? ['wait'];
-    if (told[0] === 'refused' || told[0] === 'ended') this.allocations.delete(id);
-    return told;
+    const reply = allocation.reply ?? ['wait'];
+    if (reply[0] === 'refused' || reply[0] === 'ended') this.allocations.delete(id);
+    return reply;
   }
 
-  private take(owner: string, request: domain.routing.dispatcher.Request, now: number): Allocation {
+  private place(
+    owner: string,
+    request: domain.routing.dispatcher.Request,
+    now: number,
+  ): Allocation {
     const pending = Promise.resolve();
     const { deadline } = request;
-    const made: Allocation = { owner, deadline, askedAt: now, told: undefined, pending };
-    this.allocations.set(request.id, made);
-    this.await(made, this.options.router.acquire(request));
-    return made;
+    const placed: Allocation = {
+      owner,
+      deadline,
+      lastRequestAt: now,
+      reply: undefined,
+      pending,
+    };
+    this.allocations.set(request.id, placed);
+    this.trackPlacement(placed, this.options.router.acquire(request));
+    return placed;
   }
 
-  private await(
-    made: Allocation,
-    result: Promise<Dispatch | router.Ended | domain.routing.dispatcher.Refusal>,
+  private trackPlacement(
+    tracked: Allocation,
+    result: Promise<Dispatch | router.DequeueReason | domain.routing.dispatcher.Refusal>,
   ): void {
-    made.told = undefined;
-    made.pending = result.then((answer) => {
-      made.told = toldOf(answer);
+    tracked.reply = undefined;
+    tracked.pending = result.then((placement) => {
+      tracked.reply = replyOf(placement);
     });
   }
 
-  private note([kind, id, target, packed]: allocation.Note): void {
-    const { router: own } = this.options;
-    const load = allocation.unpackLoad(packed);
-    if (load !== undefined && kind !== 'noRoom') own.load(target, load);
-    const known = this.allocations.get(id);
-    if (known === undefined) return;
-    if (kind === 'first') own.firstToken(id);
-    else if (kind === 'noRoom' && load !== undefined) this.await(known, own.refused(id, load));
-    else this.drop(id);
+  private handleNotification([
+    kind,
+    id,
+    target,
+    packedLoad,
+  ]: allocationMessages.Notification): void {
+    const { router: localRouter } = this.options;
+    const load = allocationMessages.unpackLoad(packedLoad);
+    if (load !== undefined && kind !== 'noRoom') localRouter.reportLoad(target, load);
+    const allocation = this.allocations.get(id);
+    if (allocation === undefined) return;
+    if (kind === 'first') localRouter.firstToken(id);
+    else if (kind === 'noRoom' && load !== undefined)
+      this.trackPlacement(allocation, localRouter.requeue(id, load));
+    else this.remove(id);
   }
 
-  private drop(id: string): void {
+  private remove(id: string): void {
     this.allocations.delete(id);
     this.options.router.withdraw(id);
-    this.options.router.ended(id);
+    this.options.router.finished(id);
   }
 
-  /** Frees what dead entries and lost notes left: without it the allocator would believe targets full. */
+  /**
+   * Removes allocations of dead entries and of lost notifications; otherwise the allocator would keep
+   * counting them as load and consider targets full.
+   */
   private sweep(): void {
     const now = this.options.now();
-    this.allocations.forEach((known, id) => {
-      const abandoned = known.told === undefined && now - known.askedAt > ABANDONED_MS;
-      if (abandoned || known.deadline < now || this.options.isDead(known.owner)) this.drop(id);
+    this.allocations.forEach((allocation, id) => {
+      const isAbandoned =
+        allocation.reply === undefined && now - allocation.lastRequestAt > ABANDONED_AFTER_MS;
+      if (isAbandoned || allocation.deadline < now || this.options.isDead(allocation.owner))
+        this.remove(id);
     });
   }
 }
--- a/packages/daemon/src/requests/errors.ts
+++ b/packages/daemon/src/requests/errors.ts
@@ -1,7 +1,7 @@
-/** How a request that did not complete is told to its caller. */
+/** Errors of requests that did not complete, as they are returned to the caller. */
 import type * as domain from '@celerydrift/domain';
 
-export type Kind =
+export type ErrorKind =
   | 'unauthorized'
   | 'notFound'
   | 'badRequest'
@@ -20,14 +20,15 @@
   | 'callerGone';
 
 export interface RequestError {
-  kind: Kind;
+  kind: ErrorKind;
   outcome: domain.request.outcome.Outcome;
   message: string;
-  /** When to come again, in milliseconds; 0 says nothing. */
+  /** Suggested delay before a retry; 0 if there is no suggestion. */
   retryAfterMs: number;
 }
 
-export const STATUS: Record<Kind, number> = {
+/** HTTP status by kind of error. */
+export const STATUS_BY_KIND: Record<ErrorKind, number> = {
   unauthorized: 401,
   notFound: 404,
   badRequest: 400,
@@ -46,7 +47,7 @@
   callerGone: 499,
 };
 
-/** A refusal before anything reached a target. */
-export function notRun(kind: Kind, message: string, retryAfterMs = 0): RequestError {
+/** The error of a request that was refused before anything reached a target. */
+export function notRun(kind: ErrorKind, message: string, retryAfterMs = 0): RequestError {
   return { kind, outcome: 'notRun', message, retryAfterMs };
 }
--- a/packages/daemon/src/requests/gatherer.ts
+++ b/packages/daemon/src/requests/gatherer.ts
@@ -1,6 +1,6 @@
 /**
- * Gathers memory of several engines for one long prompt: in the order of their names, all or none,
- * everything given back on refusal before the next try.
+ * Reserves memory on several engines for one long prompt. All or none, in the order of the engines' names:
+ * after a refusal everything is released before the next attempt, so daemons never deadlock on each other.
  */
 import * as domain from '@celerydrift/domain';
 import { Err, Ok, Result } from 'ts-results';
@@ -11,13 +11,13 @@
 type Part = domain.memory.gathering.Part;
 
 export interface Options {
-  adapter: adapter.Adapter;
+  adapter: adapter.EngineAdapter;
   holdings: holdingsLoop.HoldingsLoop;
   random: domain.shared.random.Random;
   owner: () => domain.memory.holding.Owner;
   /** Engines that may lend memory. */
   engines: () => Target[];
-  /** Memory believed free on an engine. */
+  /** Estimated free memory of an engine, in tokens. */
   freeTokens: (name: string) => number;
   now: () => number;
 }
@@ -31,14 +31,14 @@
   parts: Part[];
 }
 
-const RETRY_MS = { least: 50, most: 500 };
+const RETRY_DELAY_MS = { min: 50, max: 500 };
 
 export class Gatherer {
-  private rounds = 0;
+  private tagCount = 0;
 
   constructor(private readonly options: Options) {}
 
-  /** Whether engines together could ever hold so much. */
+  /** Whether the engines together have enough memory for so many tokens when all of it is free. */
   canHold(tokens: number): boolean {
     const engines = this.options.engines();
     const [primary, ...others] = [...engines].sort((a, b) => b.memoryTokens - a.memoryTokens);
@@ -46,6 +46,7 @@
     return this.plan(tokens, primary, others) !== undefined;
   }
 
+  /** Reserves what the request needs beyond the primary engine's share; retries until the deadline. */
   async gather(
     id: string,
     request: domain.routing.dispatcher.Request,
@@ -53,8 +54,9 @@
     signal: AbortSignal,
   ): Promise<Result<Gathered, GatherError>> {
     const tokens = request.promptTokens + request.answerTokens;
-    const share = domain.routing.dispatcher.PRIMARY_SHARE;
-    if (tokens <= Math.floor(primary.memoryTokens * share)) return Ok({ tag: id, parts: [] });
+    const primaryShare = domain.routing.dispatcher.PRIMARY_SHARE;
+    if (tokens <= Math.floor(primary.memoryTokens * primaryShare))
+      return Ok({ tag: id, parts: [] });
     const { now, random } = this.options;
     while (!signal.aborted && now() < request.deadline) {
       const others = this.options.engines().filter(({ name }) => name !== primary.name);
@@ -62,42 +64,45 @@
       if (parts === undefined) return Err('tooLong');
       const gathered = { tag: this.newTag(id), parts };
       if (await this.reserveAll(gathered)) return Ok(gathered);
-      const pause = RETRY_MS.least + random.uniform() * (RETRY_MS.most - RETRY_MS.least);
+      const delayMs =
+        RETRY_DELAY_MS.min + random.uniform() * (RETRY_DELAY_MS.max - RETRY_DELAY_MS.min);
       await new Promise((resolve) => {
-        setTimeout(resolve, pause);
+        setTimeout(resolve, delayMs);
       });
     }
     return Err(signal.aborted ? 'stopped' : 'deadline');
   }
 
-  giveBack({ tag, parts }: Gathered): void {
+  /** Releases all reservations of a gathering. */
+  release({ tag, parts }: Gathered): void {
     parts.forEach(({ target }) => {
-      this.options.holdings.release(target, this.reservation(tag, target));
+      this.options.holdings.release(target, this.reservationId(tag, target));
     });
   }
 
   /**
-   * Every try has ids of its own. With the same ids, a late release of the former try would free the
-   * reservation of the next, and its confirmation would make this daemon forget what it still holds.
+   * Returns a tag with new reservation ids for each attempt. With reused ids, a late release of the former
+   * attempt would free the reservation of the next one, and its confirmation would make this daemon forget
+   * a reservation that it still has.
    */
   private newTag(id: string): string {
-    this.rounds += 1;
-    return `${id}~${this.rounds}`;
+    this.tagCount += 1;
+    return `${id}~${this.tagCount}`;
   }
 
   private plan(tokens: number, primary: Target, others: readonly Target[]): Part[] | undefined {
     return domain.memory.gathering.plan(tokens, primary, others, this.options.freeTokens);
   }
 
-  private reservation(tag: string, target: string): string {
+  private reservationId(tag: string, target: string): string {
     return `${tag}@${target}`;
   }
 
   private async reserveAll({ tag, parts }: Gathered): Promise<boolean> {
     for (const [position, part] of parts.entries()) {
       if (!(await this.reserve(tag, part))) {
-        // The failed one too: its answer may have been lost after it was granted.
-        this.giveBack({ tag, parts: parts.slice(0, position + 1) });
+        // Includes the failed one: it may have been granted and only its answer lost.
+        this.release({ tag, parts: parts.slice(0, position + 1) });
         return false;
       }
     }
@@ -108,11 +113,11 @@
     const { holdings, adapter: engine, owner } = this.options;
     const target = this.options.engines().find((each) => each.name === name);
     if (target === undefined) return false;
-    const reservation = this.reservation(tag, name);
+    const reservation = this.reservationId(tag, name);
     holdings.hold(target, reservation, 'reservation');
     const leaseMs = domain.memory.holding.LEASE_MS;
-    const wish = { id: reservation, owner: owner(), tokens, leaseMs };
-    const reserved = await engine.reserve(target, wish);
+    const request = { id: reservation, owner: owner(), tokens, leaseMs };
+    const reserved = await engine.reserve(target, request);
     return reserved.ok && reserved.val;
   }
 }
--- a/packages/daemon/src/requests/holdingsLoop.ts
+++ b/packages/daemon/src/requests/holdingsLoop.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps what this daemon holds on engines: renews it, releases it until each engine confirmed, and
- * reclaims what dead daemons left behind. Of several survivors the one that keeps the target reclaims.
+ * Maintains the resources that this daemon leases on engines: renews them, repeats releases until the engine
+ * confirms them, and reclaims those of dead daemons. Among the survivors the keeper of the target reclaims.
  */
 import * as domain from '@celerydrift/domain';
 import type * as observer from '../observability/observer';
@@ -9,21 +9,23 @@
 type Target = domain.target.target.Target;
 
 export interface Options {
-  adapter: adapter.Adapter;
+  adapter: adapter.EngineAdapter;
   observer: observer.Observer;
   now: () => number;
   target: (name: string) => Target | undefined;
-  /** Engines that this daemon keeps, for reclaiming. */
+  /** Engines whose keeper is this daemon; it reclaims the leases of dead daemons there. */
   keptEngines: () => Target[];
+  /** What is known about the daemon that owns a lease. */
   standing: (daemon: string) => domain.memory.holding.Standing;
+  /** Writes an entry to the audit trail. */
   note: (action: string, subject: string, detail: string) => void;
 }
 
-const RELEASE_EVERY_MS = 100;
+const RELEASE_INTERVAL_MS = 100;
 
-const RENEW_EVERY_MS = 5_000;
+const RENEW_INTERVAL_MS = 5_000;
 
-const RECLAIM_EVERY_MS = 3_000;
+const RECLAIM_INTERVAL_MS = 3_000;
 
 export class HoldingsLoop {
   readonly holdings = new domain.memory.holding.Holdings();
@@ -34,9 +36,9 @@
 
   start(): void {
     this.timers = [
-      setInterval(() => this.releaseDue(), RELEASE_EVERY_MS),
-      setInterval(() => this.renew(), RENEW_EVERY_MS),
-      setInterval(() => this.reclaimAll(), RECLAIM_EVERY_MS),
+      setInterval(() => this.releaseDue(), RELEASE_INTERVAL_MS),
+      setInterval(() => this.renewAll(), RENEW_INTERVAL_MS),
+      setInterval(() => this.reclaimAll(), RECLAIM_INTERVAL_MS),
     ];
   }
 
@@ -48,7 +50,7 @@
     this.holdings.hold(target.name, target.incarnation, id, kind);
   }
 
-  /** Releases now, and again until the engine confirmed. */
+  /** Releases at once and repeats it until the engine confirms. */
   release(target: string, id: string): void {
     this.holdings.release(target, id, this.options.now());
     this.releaseDue();
@@ -72,7 +74,7 @@
     else this.options.observer.log('releaseRetried', { target: name, id });
   }
 
-  private renew(): void {
+  private renewAll(): void {
     this.holdings.renewable().forEach(({ target: name, id }) => {
       const target = this.options.target(name);
       if (target === undefined) return;
@@ -86,15 +88,15 @@
     });
   }
 
-  /** Only what the engine itself lists as ours, with an owner that is surely dead, is freed. */
+  /** Frees only what the engine itself lists for this system and whose owner is dead or has restarted. */
   private async reclaim(target: Target): Promise<void> {
     const listed = await this.options.adapter.holdings(target);
     if (listed.err || listed.val.incarnation !== target.incarnation) return;
-    const left = listed.val.holdings.filter((holding) => {
-      const standing = this.options.standing(holding.owner.daemon);
-      return domain.memory.holding.judge(holding, standing) === 'reclaim';
+    const orphaned = listed.val.holdings.filter((holding) => {
+      const ownerStatus = this.options.standing(holding.owner.daemon);
+      return domain.memory.holding.judge(holding, ownerStatus) === 'reclaim';
     });
-    for (const { id, kind, owner } of left) {
+    for (const { id, kind, owner } of orphaned) {
       const released = await this.options.adapter.release(target, id, kind);
       if (released.ok) {
         this.options.observer.log('reclaimed', { target: target.name, id, owner: owner.daemon });
--- a/packages/daemon/src/targets/httpClient.ts
+++ b/packages/daemon/src/targets/httpClient.ts
@@ -1,16 +1,17 @@
 /**
- * HTTP to targets through undici. Pools hold connections for calls that may be repeated; a connection
- * whose answer was not read to its end is closed by the library and never used again. Calls that must
- * not meet a connection which died unnoticed take a new one.
+ * HTTP client for targets, based on undici. Repeatable calls share pooled connections; undici closes a
+ * connection whose response was not read to the end. Calls that can't risk a pooled connection that died
+ * unnoticed use a new one.
  */
 import type * as tls from 'node:tls';
 import * as undici from 'undici';
 import type * as errors from './errors';
 
-/** A target that has not answered a control call by then is asked again later; milliseconds. */
+/** Timeout of control calls, which are retried later. */
 const CONTROL_TIMEOUT_MS = 2_000;
 
-const NOT_SENT = ['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT'];
+/** Error codes that prove that nothing was sent. */
+const NOT_SENT_CODES = ['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT'];
 
 export interface Call {
   method: undici.Dispatcher.HttpMethod;
@@ -18,15 +19,16 @@
   body?: string | Buffer;
   headers?: Record<string, string>;
   signal?: AbortSignal;
-  fresh?: boolean;
-  /** Zero waits for ever. */
+  /** Whether to use a new connection instead of a pooled one. */
+  newConnection?: boolean;
+  /** Zero disables the timeout. */
   headersTimeoutMs?: number;
 }
 
 export class HttpClient {
   private readonly pools = new Map<string, undici.Pool>();
 
-  /** Addresses that may not be reached; tests cut paths with it. */
+  /** Addresses treated as unreachable; tests cut network paths with it. */
   readonly cut = new Set<string>();
 
   constructor(
@@ -38,21 +40,21 @@
     if (this.cut.has(address)) {
       throw Object.assign(new Error('path cut'), { code: 'EHOSTUNREACH' });
     }
-    const { fresh = false, headersTimeoutMs = CONTROL_TIMEOUT_MS, ...rest } = call;
-    const dispatcher = fresh ? this.single(address) : this.pool(address);
-    const answer = await dispatcher
+    const { newConnection = false, headersTimeoutMs = CONTROL_TIMEOUT_MS, ...rest } = call;
+    const dispatcher = newConnection ? this.singleUseClient(address) : this.pool(address);
+    const response = await dispatcher
       .request({ ...rest, headersTimeout: headersTimeoutMs, bodyTimeout: 0 })
       .catch((error: unknown) => {
-        if (fresh) void dispatcher.destroy();
+        if (newConnection) void dispatcher.destroy();
         throw error;
       });
-    if (fresh) {
+    if (newConnection) {
       const close = (): void => {
         void dispatcher.destroy();
       };
-      answer.body.once('close', close);
+      response.body.once('close', close);
     }
-    return answer;
+    return response;
   }
 
   async json<T>(address: string, call: Call): Promise<{ status: number; content: T }> {
@@ -61,7 +63,7 @@
     return { status: statusCode, content: (await body.json()) as T };
   }
 
-  /** The target went or restarted: its connections are of no use. */
+  /** Closes the pooled connections of a target that is gone or restarted. */
   forget(address: string): void {
     void this.pools.get(address)?.destroy();
     this.pools.delete(address);
@@ -78,7 +80,7 @@
     return this.tlsOptions === undefined ? `http://${address}` : `https://${address}`;
   }
 
-  private options(): undici.Pool.Options {
+  private poolOptions(): undici.Pool.Options {
     const connect = { timeout: this.connectMs, ...this.tlsOptions };
     return { connect, pipelining: 1, allowH2: false };
   }
@@ -86,23 +88,26 @@
   private pool(address: string): undici.Pool {
     const known = this.pools.get(address);
     if (known !== undefined) return known;
-    const made = new undici.Pool(this.origin(address), { ...this.options(), connections: 256 });
-    this.pools.set(address, made);
-    return made;
+    const created = new undici.Pool(this.origin(address), {
+      ...this.poolOptions(),
+      connections: 256,
+    });
+    this.pools.set(address, created);
+    return created;
   }
 
-  private single(address: string): undici.Client {
-    return new undici.Client(this.origin(address), this.options());
+  private singleUseClient(address: string): undici.Client {
+    return new undici.Client(this.origin(address), this.poolOptions());
   }
 }
 
-/** What an error of a call proves. Anything not known to be before the sending counts as sent. */
-export function errorOf(error: unknown): errors.TargetError {
+/** Converts an error of a call. Every error not known to precede the sending counts as sent. */
+export function targetErrorOf(error: unknown): errors.TargetError {
   const { code = '', message = String(error) } = error as { code?: string; message?: string };
-  const notSent = NOT_SENT.includes(code);
+  const isNotSent = NOT_SENT_CODES.includes(code);
   return {
-    progress: notSent ? 'notSent' : 'sent',
-    fault: notSent ? 'connectFailed' : 'connectionLost',
+    progress: isNotSent ? 'notSent' : 'sent',
+    fault: isNotSent ? 'connectFailed' : 'connectionLost',
     detail: `${code} ${message}`.trim(),
     retryAfterMs: 0,
   };
