--- a/packages/daemon/src/control/contacts.ts
+++ b/packages/daemon/src/control/contacts.ts
@@ -11,51 +11,51 @@
   ageMs: number;
 }
 
-interface Heard {
+interface ContactRecord {
   index: number;
   at: number;
-  passedOn: boolean;
+  isForwarded: boolean;
 }
 
 export class Contacts {
-  private readonly heard = new Map<string, Heard>();
+  private readonly records = new Map<string, ContactRecord>();
 
-  at(id: string): number {
-    return this.heard.get(id)?.at ?? -Infinity;
+  lastContactAt(id: string): number {
+    return this.records.get(id)?.at ?? -Infinity;
   }
 
-  indexOf(id: string): number {
-    return this.heard.get(id)?.index ?? 0;
+  viewIndexOf(id: string): number {
+    return this.records.get(id)?.index ?? 0;
   }
 
-  take(contacts: readonly Contact[], now: number): void {
+  update(contacts: readonly Contact[], now: number): void {
     contacts.forEach(({ id, index, ageMs }) => {
-      const known = this.heard.get(id);
+      const known = this.records.get(id);
       const at = now - ageMs;
       if (known !== undefined && known.at >= at && known.index >= index) return;
       const newest = Math.max(index, known?.index ?? 0);
-      this.heard.set(id, { index: newest, at: Math.max(at, known?.at ?? 0), passedOn: false });
+      this.records.set(id, { index: newest, at: Math.max(at, known?.at ?? 0), isForwarded: false });
     });
   }
 
   /** What has not been passed on yet. */
-  news(now: number): Contact[] {
-    const fresh = [...this.heard].filter(([, { passedOn }]) => !passedOn);
-    return fresh.map(([id, entry]) => {
-      entry.passedOn = true;
+  takeUnsent(now: number): Contact[] {
+    const unsent = [...this.records].filter(([, { isForwarded }]) => !isForwarded);
+    return unsent.map(([id, entry]) => {
+      entry.isForwarded = true;
       return { id, index: entry.index, ageMs: now - entry.at };
     });
   }
 
   /** The pass failed; pass these on again. */
-  restore(contacts: readonly Contact[]): void {
+  markUnsent(contacts: readonly Contact[]): void {
     contacts.forEach(({ id }) => {
-      const entry = this.heard.get(id);
-      if (entry !== undefined) entry.passedOn = false;
+      const entry = this.records.get(id);
+      if (entry !== undefined) entry.isForwarded = false;
     });
   }
 
   forget(id: string): void {
-    this.heard.delete(id);
+    this.records.delete(id);
   }
 }
--- a/packages/daemon/src/control/controlPlane.ts
+++ b/packages/daemon/src/control/controlPlane.ts
@@ -23,7 +23,7 @@
 import * as logServer from './logServer';
 import * as query from './query';
 import * as registrar from './registrar';
-import type * as spread from './spread';
+import type * as followProtocol from './followProtocol';
 import * as stopProgress from './stopProgress';
 import * as upstream from './upstream';
 
@@ -41,9 +41,9 @@
   onDiskFailure: (error: unknown) => void;
 }
 
-const DUTY_EVERY_MS = 250;
+const DUTY_INTERVAL_MS = 250;
 
-const PROBE_EVERY_MS = 500;
+const FRESHNESS_EXCHANGE_INTERVAL_MS = 500;
 
 /** Daemons asked at once while this one has no lease. */
 const EXCHANGE_FANOUT = 16;
@@ -75,7 +75,7 @@
 
   private timers: NodeJS.Timeout[] = [];
 
-  private busy = false;
+  private areDutiesRunning = false;
 
   private leaderSince = 0;
 
@@ -86,27 +86,42 @@
     this.client = new logClient.LogClient(client, addresses, now);
     this.query = new query.QueryClient(client, addresses);
     const ageMs = (): number => this.ageMs();
-    const { view, contacts: heard, freshness } = this;
+    const { view, contacts: contactTable, freshness } = this;
     const leader = (): string => this.leaderAddress();
-    this.upstream = new upstream.Upstream({ view, contacts: heard, hash, ageMs, now, leader });
-    const onChange = (): void => this.changed();
+    this.upstream = new upstream.Upstream({
+      view,
+      contacts: contactTable,
+      hash,
+      ageMs,
+      now,
+      leader,
+    });
+    const onChange = (): void => this.handleViewChange();
     const upstreams = (): string[] => this.upstreams();
     const self = settings.name;
-    const shared = { view, contacts: heard, freshness, client, observer: observe, hash, now };
+    const shared = {
+      view,
+      contacts: contactTable,
+      freshness,
+      client,
+      observer: observe,
+      hash,
+      now,
+    };
     this.follower = new follower.Follower({ ...shared, upstreams, self, onChange });
     this.machine = new controlMachine.ControlMachine(
       (deltas, index) => {
-        if (this.view.advance(deltas, index)) this.changed();
+        if (this.view.advance(deltas, index)) this.handleViewChange();
       },
       (state) => {
-        if (this.view.adopt(state)) this.changed();
+        if (this.view.adopt(state)) this.handleViewChange();
       },
     );
     this.registrar = new registrar.Registrar({
       configuration: settings,
       address: options.address,
       view,
-      contacts: heard,
+      contacts: contactTable,
       logs: this.client,
       peers: client,
       observer: observe,
@@ -155,19 +170,22 @@
       if (opened.err) return opened;
       this.replicas?.start(server);
     }
-    this.serve(server);
+    this.addMethods(server);
     return Ok(undefined);
   }
 
   start(): void {
     void this.follower.run();
     const duties = (): void => {
-      void this.duties();
+      void this.runDuties();
     };
     const exchange = (): void => {
       void this.exchangeFreshness();
     };
-    this.timers = [setInterval(duties, DUTY_EVERY_MS), setInterval(exchange, PROBE_EVERY_MS)];
+    this.timers = [
+      setInterval(duties, DUTY_INTERVAL_MS),
+      setInterval(exchange, FRESHNESS_EXCHANGE_INTERVAL_MS),
+    ];
   }
 
   async stop(): Promise<void> {
@@ -235,38 +253,44 @@
     return Ok(undefined);
   }
 
-  private serve(server: peerServer.PeerServer): void {
+  private addMethods(server: peerServer.PeerServer): void {
     const hosts = this.replicas?.hosts ?? new Map<string, logHost.LogHost>();
     const registered = (): ReadonlyMap<string, unknown> => this.machine.state.daemons;
     const { now } = this.options;
     const logs = new logServer.LogServer(hosts, registered, this.contacts, now);
-    server.add('execute', (parameters) => logs.execute(parameters as logServer.Execute));
-    server.add('follow', (parameters) => this.onFollow(parameters as spread.Follow));
+    server.add('execute', (parameters) => logs.execute(parameters as logServer.ExecuteRequest));
+    server.add('follow', (parameters) =>
+      this.handleFollow(parameters as followProtocol.FollowRequest),
+    );
     server.add('report', (parameters) => {
-      this.contacts.take((parameters as { contacts: contacts.Contact[] }).contacts, now());
+      this.contacts.update((parameters as { contacts: contacts.Contact[] }).contacts, now());
       this.follower.reportSoon();
       return { taken: true };
     });
-    server.add('parts', (parameters) => this.upstream.parts(parameters as spread.PartsRequest));
+    server.add('parts', (parameters) =>
+      this.upstream.parts(parameters as followProtocol.PartsRequest),
+    );
     server.add('freshness', () => ({ index: this.view.index }));
     server.add('stopReport', (parameters) => {
       const { daemon, remainders } = parameters as {
         daemon: string;
         remainders: domain.stop.stop.Remainder[];
       };
-      this.stops.take(daemon, remainders);
+      this.stops.update(daemon, remainders);
       return { taken: true };
     });
-    server.add('query', (parameters) => this.onQuery(parameters as query.Question));
+    server.add('query', (parameters) => this.handleQuery(parameters as query.Question));
   }
 
-  private onFollow(request: spread.Follow): Promise<spread.Followed> {
+  private handleFollow(
+    request: followProtocol.FollowRequest,
+  ): Promise<followProtocol.FollowResponse> {
     const followed = this.upstream.follow(request);
     this.follower.reportSoon();
     return followed;
   }
 
-  private onQuery(question: query.Question): query.Answered {
+  private handleQuery(question: query.Question): query.QueryResponse {
     const { host } = this;
     if (host === undefined) return { kind: 'notLeader', leader: '' };
     const { now } = this.options;
@@ -282,22 +306,22 @@
     return this.freshness.age(now);
   }
 
-  private changed(): void {
-    if (this.host?.isLeader === true) this.countSelf();
-    this.upstream.changed();
+  private handleViewChange(): void {
+    if (this.host?.isLeader === true) this.recordSelfContact();
+    this.upstream.notifyWaiters();
     this.options.onChange();
   }
 
   /** The leader follows nobody, so it counts itself among those that hold the view. */
-  private countSelf(): void {
+  private recordSelfContact(): void {
     const { name: id } = this.options.configuration;
     const contact = { id, index: this.view.index, ageMs: 0 };
-    this.contacts.take([contact], this.options.now());
+    this.contacts.update([contact], this.options.now());
   }
 
   private leaderAddress(): string {
-    const own = this.host?.leaderAddress ?? '';
-    return own === '' ? this.follower.leader : own;
+    const ownReplicasLeader = this.host?.leaderAddress ?? '';
+    return ownReplicasLeader === '' ? this.follower.leader : ownReplicasLeader;
   }
 
   private replicaAddresses(): string[] {
@@ -316,10 +340,10 @@
   /** Peer addresses to follow, best first. The leader of the log follows nobody. */
   private upstreams(): string[] {
     const { host } = this;
-    const { address: own, hash, configuration: settings } = this.options;
+    const { address: ownAddress, hash, configuration: settings } = this.options;
     if (host?.isLeader === true) return [];
-    const others = this.replicaAddresses().filter((address) => address !== own);
-    const isMember = host?.replica.members.some(({ address }) => address === own) === true;
+    const others = this.replicaAddresses().filter((address) => address !== ownAddress);
+    const isMember = host?.replica.members.some(({ address }) => address === ownAddress) === true;
     if (isMember) return others;
     const { daemons } = this.view;
     const addressOf = (id: string): string => daemons.get(id)?.address ?? '';
@@ -330,7 +354,7 @@
     const ranked = domain.membership.relay.upstreams(hash, settings.name, relays, others);
     const isAddress = (name: string): boolean => name.includes(':');
     const addresses = ranked.map((name) => (isAddress(name) ? name : addressOf(name)));
-    return [...new Set(addresses)].filter((address) => address !== '' && address !== own);
+    return [...new Set(addresses)].filter((address) => address !== '' && address !== ownAddress);
   }
 
   /**
@@ -344,22 +368,22 @@
       .map(({ replica, address, dataCentre }) => ({ id: replica, address, dataCentre }));
   }
 
-  private async duties(): Promise<void> {
+  private async runDuties(): Promise<void> {
     const now = this.options.now();
     const { host } = this;
     if (host?.hasFreshState() === true) {
       if (this.leaderSince === 0) this.leaderSince = now;
       this.freshness.confirm(now);
-      this.countSelf();
+      this.recordSelfContact();
     } else this.leaderSince = 0;
     this.replicas?.hosts.forEach((each) => this.repairer?.step(each));
-    if (this.busy) return;
-    this.busy = true;
+    if (this.areDutiesRunning) return;
+    this.areDutiesRunning = true;
     await this.registrar.found(this.replicas);
     await this.registrar.register(this.replicas);
     const since = this.leadership()?.since;
     if (since !== undefined) await this.registrar.unregisterSilent(since);
-    this.busy = false;
+    this.areDutiesRunning = false;
   }
 
   /** Without a lease, asks other registered daemons where they stand and catches up with them. */
@@ -369,13 +393,13 @@
     const { name } = this.options.configuration;
     const others = [...this.view.daemons.values()].filter(({ id }) => id !== name);
     const { random, client } = this.options;
-    const asked = others
+    const sampled = others
       .map((daemon) => ({ daemon, order: random.uniform() }))
       .sort((a, b) => a.order - b.order)
       .slice(0, EXCHANGE_FANOUT);
     await Promise.all(
-      asked.map(async ({ daemon: { id, address } }) => {
-        const call = { timeoutMs: PROBE_EVERY_MS, fresh: true };
+      sampled.map(async ({ daemon: { id, address } }) => {
+        const call = { timeoutMs: FRESHNESS_EXCHANGE_INTERVAL_MS, fresh: true };
         const answer = await client.call<{ index: number }>(address, 'freshness', {}, call);
         if (answer.err) return;
         if (answer.val.index > this.view.index) await this.follower.catchUpFrom(address);
--- a/packages/daemon/src/control/spread.ts
+++ b/packages/daemon/src/control/followProtocol.ts
@@ -5,7 +5,7 @@
 import type * as domain from '@celerydrift/domain';
 import type * as contacts from './contacts';
 
-export interface Follow {
+export interface FollowRequest {
   index: number;
   contacts: contacts.Contact[];
   /** How long to wait for something new, in milliseconds. */
@@ -13,7 +13,7 @@
 }
 
 /** How old the upstream's word is, and how to get a fresher one. */
-export interface Freshness {
+export interface FreshnessInfo {
   /** Milliseconds before the answer at which its view was surely the leader's. */
   ageMs: number;
   /** How long the upstream held the call before it answered. */
@@ -22,9 +22,9 @@
   leader: string;
 }
 
-export type Followed =
-  | ({ kind: 'deltas'; index: number; deltas: domain.control.state.Delta[] } & Freshness)
-  | ({ kind: 'digest'; digest: domain.control.view.Digest } & Freshness)
+export type FollowResponse =
+  | ({ kind: 'deltas'; index: number; deltas: domain.control.state.Delta[] } & FreshnessInfo)
+  | ({ kind: 'digest'; digest: domain.control.view.Digest } & FreshnessInfo)
   /** The upstream knows no more than the follower and isn't fresh; another may be. */
   | { kind: 'stale'; index: number };
 
@@ -32,13 +32,13 @@
   buckets: number[];
 }
 
-export interface Parts {
+export interface PartsResponse {
   index: number;
   parts: domain.control.view.Part[];
 }
 
 /** Longest wait of a follow call; also the pace of freshness and contacts when nothing changes. */
-export const FOLLOW_WAIT_MS = 1_000;
+export const MAX_FOLLOW_WAIT_MS = 1_000;
 
 /** Delay that gathers several reports into one, in milliseconds. */
 export const REPORT_DELAY_MS = 20;
--- a/packages/daemon/src/control/follower.ts
+++ b/packages/daemon/src/control/follower.ts
@@ -6,7 +6,7 @@
 import type * as observer from '../observability/observer';
 import type * as peerClient from '../rpc/peerClient';
 import type * as contacts from './contacts';
-import * as spread from './spread';
+import * as followProtocol from './followProtocol';
 
 export interface Options {
   view: domain.control.view.View;
@@ -24,18 +24,18 @@
 }
 
 /** Pause after every upstream failed, in milliseconds. */
-const PAUSE_MS = 100;
+const RETRY_PAUSE_MS = 100;
 
 /** Beyond the wait of a call; silence after that means a dead path. */
-const MARGIN_MS = 700;
+const TIMEOUT_MARGIN_MS = 700;
 
 /** How often a follower on a second-best upstream tries the best again, in milliseconds. */
-const RETURN_MS = 5_000;
+const BEST_UPSTREAM_RETRY_MS = 5_000;
 
 export class Follower {
   private running = true;
 
-  private current = '';
+  private currentUpstream = '';
 
   /** Peer address of the leader, as the upstream told it. */
   leader = '';
@@ -48,10 +48,10 @@
 
   async run(): Promise<void> {
     while (this.running) {
-      const followed = await this.followBest();
-      if (!followed) {
+      const succeeded = await this.pollBestUpstream();
+      if (!succeeded) {
         await new Promise((resolve) => {
-          setTimeout(resolve, PAUSE_MS);
+          setTimeout(resolve, RETRY_PAUSE_MS);
         });
       }
     }
@@ -67,107 +67,117 @@
     if (this.reportTimer !== undefined || !this.running) return;
     this.reportTimer = setTimeout(() => {
       this.reportTimer = undefined;
-      void this.report();
-    }, spread.REPORT_DELAY_MS);
+      void this.sendContactReport();
+    }, followProtocol.REPORT_DELAY_MS);
   }
 
   /** One look at another daemon that knows more, fresh or not. */
   async catchUpFrom(address: string): Promise<void> {
-    await this.followOnce(address);
+    await this.pollUpstream(address);
   }
 
-  private async report(): Promise<void> {
-    const { client, contacts: heard, now } = this.options;
-    if (this.current === '') return;
-    const news = heard.news(now());
-    if (news.length === 0) return;
-    const sent = await client.call(this.current, 'report', { contacts: news });
-    if (sent.err) heard.restore(news);
+  private async sendContactReport(): Promise<void> {
+    const { client, contacts: contactTable, now } = this.options;
+    if (this.currentUpstream === '') return;
+    const unsent = contactTable.takeUnsent(now());
+    if (unsent.length === 0) return;
+    const sent = await client.call(this.currentUpstream, 'report', { contacts: unsent });
+    if (sent.err) contactTable.markUnsent(unsent);
   }
 
-  private async followBest(): Promise<boolean> {
+  private async pollBestUpstream(): Promise<boolean> {
     const ranked = this.options.upstreams();
     const now = this.options.now();
-    const stay = ranked.includes(this.current) && now - this.bestTriedAt < RETURN_MS;
-    const order = stay ? [this.current, ...ranked.filter((a) => a !== this.current)] : ranked;
-    if (!stay) this.bestTriedAt = now;
-    for (const address of order) {
+    const keepsCurrent =
+      ranked.includes(this.currentUpstream) && now - this.bestTriedAt < BEST_UPSTREAM_RETRY_MS;
+    const candidates = keepsCurrent
+      ? [this.currentUpstream, ...ranked.filter((a) => a !== this.currentUpstream)]
+      : ranked;
+    if (!keepsCurrent) this.bestTriedAt = now;
+    for (const address of candidates) {
       if (!this.running) return true;
-      if (await this.followOnce(address)) {
-        this.use(address);
+      if (await this.pollUpstream(address)) {
+        this.setUpstream(address);
         return true;
       }
     }
     return false;
   }
 
-  private use(address: string): void {
-    if (address === this.current) return;
-    this.current = address;
+  private setUpstream(address: string): void {
+    if (address === this.currentUpstream) return;
+    this.currentUpstream = address;
     this.options.observer.log('upstreamChanged', { upstream: address });
   }
 
-  private async followOnce(address: string): Promise<boolean> {
-    const { client, view, contacts: heard, now, observer: observe } = this.options;
-    heard.take([{ id: this.options.self, index: view.index, ageMs: 0 }], now());
-    const news = heard.news(now());
-    const askedAt = now();
+  private async pollUpstream(address: string): Promise<boolean> {
+    const { client, view, contacts: contactTable, now, observer: observe } = this.options;
+    contactTable.update([{ id: this.options.self, index: view.index, ageMs: 0 }], now());
+    const unsent = contactTable.takeUnsent(now());
+    const requestedAt = now();
     // Without a current upstream the first answer must come at once, not after a wait for news.
-    const waitMs = address === this.current ? spread.FOLLOW_WAIT_MS : 0;
-    const request: spread.Follow = { index: view.index, contacts: news, waitMs };
-    const answer = await client.call<spread.Followed>(address, 'follow', request, {
-      timeoutMs: waitMs + MARGIN_MS,
+    const waitMs = address === this.currentUpstream ? followProtocol.MAX_FOLLOW_WAIT_MS : 0;
+    const request: followProtocol.FollowRequest = { index: view.index, contacts: unsent, waitMs };
+    const response = await client.call<followProtocol.FollowResponse>(address, 'follow', request, {
+      timeoutMs: waitMs + TIMEOUT_MARGIN_MS,
     });
-    if (answer.err) {
-      heard.restore(news);
-      observe.log('upstreamLost', { upstream: address, reason: answer.val.kind });
+    if (response.err) {
+      contactTable.markUnsent(unsent);
+      observe.log('upstreamLost', { upstream: address, reason: response.val.kind });
       return false;
     }
-    return this.take(address, answer.val, askedAt);
+    return this.applyResponse(address, response.val, requestedAt);
   }
 
-  private async take(
+  private async applyResponse(
     address: string,
-    followed: spread.Followed,
-    askedAt: number,
+    response: followProtocol.FollowResponse,
+    requestedAt: number,
   ): Promise<boolean> {
-    if (followed.kind === 'stale') return false;
-    if (followed.kind === 'deltas') this.advance(followed.deltas, followed.index);
-    else if (!(await this.catchUp(address, followed.digest))) return false;
+    if (response.kind === 'stale') return false;
+    if (response.kind === 'deltas') this.applyDeltas(response.deltas, response.index);
+    else if (!(await this.catchUp(address, response.digest))) return false;
     // The upstream answered no sooner than `heldMs` after this daemon asked, and its view was the
     // leader's `ageMs` before that.
-    if (Number.isFinite(followed.ageMs)) {
-      this.options.freshness.confirm(askedAt + followed.heldMs - followed.ageMs);
+    if (Number.isFinite(response.ageMs)) {
+      this.options.freshness.confirm(requestedAt + response.heldMs - response.ageMs);
     }
-    this.leader = followed.leader;
-    return followed.ageMs < domain.membership.freshness.DEFAULT_LEASE;
+    this.leader = response.leader;
+    return response.ageMs < domain.membership.freshness.DEFAULT_LEASE;
   }
 
-  private advance(deltas: domain.control.state.Delta[], index: number): void {
-    if (this.options.view.advance(deltas, index)) this.changed();
+  private applyDeltas(deltas: domain.control.state.Delta[], index: number): void {
+    if (this.options.view.advance(deltas, index)) this.handleViewChange();
   }
 
-  private async catchUp(address: string, theirs: domain.control.view.Digest): Promise<boolean> {
+  private async catchUp(
+    address: string,
+    upstreamDigest: domain.control.view.Digest,
+  ): Promise<boolean> {
     const { view, hash, client } = this.options;
-    const own = view.digest(hash);
-    const differing = theirs.buckets.flatMap((sum, i) => (sum === own.buckets[i] ? [] : [i]));
-    const fetched = await client.call<spread.Parts>(address, 'parts', { buckets: differing });
+    const ownDigest = view.digest(hash);
+    const differing = upstreamDigest.buckets.flatMap((sum, i) =>
+      sum === ownDigest.buckets[i] ? [] : [i],
+    );
+    const fetched = await client.call<followProtocol.PartsResponse>(address, 'parts', {
+      buckets: differing,
+    });
     if (fetched.err) return false;
     const { parts, index } = fetched.val;
     // Buckets compared equal at the digest's index; if the upstream moved on since, compare again.
-    if (index !== theirs.index) return this.followOnce(address);
-    const kept = new Set(parts.map(({ key }) => key));
-    const removed = view.keysBeyond(hash, new Set(differing), kept);
+    if (index !== upstreamDigest.index) return this.pollUpstream(address);
+    const receivedKeys = new Set(parts.map(({ key }) => key));
+    const removed = view.keysBeyond(hash, new Set(differing), receivedKeys);
     if (view.replace(parts, removed, index)) {
       this.options.observer.log('caughtUp', { index, parts: parts.length });
-      this.changed();
+      this.handleViewChange();
     }
     return true;
   }
 
-  private changed(): void {
-    const { view, contacts: heard, now, self, onChange } = this.options;
-    heard.take([{ id: self, index: view.index, ageMs: 0 }], now());
+  private handleViewChange(): void {
+    const { view, contacts: contactTable, now, self, onChange } = this.options;
+    contactTable.update([{ id: self, index: view.index, ageMs: 0 }], now());
     onChange();
     this.reportSoon();
   }
--- a/packages/daemon/src/control/logClient.ts
+++ b/packages/daemon/src/control/logClient.ts
@@ -7,17 +7,17 @@
 import * as errors from './errors';
 import type * as logServer from './logServer';
 
-export interface Done {
+export interface CommandResult {
   index: number;
   answer: unknown;
 }
 
-const ROUND_PAUSE_MS = 100;
+const RETRY_PAUSE_MS = 100;
 
 const CALL_TIMEOUT_MS = 6_000;
 
 /** A call that only finds the leader again is shorter than the leader's own time for a proposal. */
-const DEFAULT_PATIENCE_MS = 8_000;
+const DEFAULT_WAIT_LIMIT_MS = 8_000;
 
 export class LogClient {
   private readonly leaders = new Map<string, string>();
@@ -31,44 +31,44 @@
   async execute(
     log: string,
     command: unknown,
-    patienceMs: number = DEFAULT_PATIENCE_MS,
-  ): Promise<Result<Done, errors.ControlError>> {
-    const until = this.now() + patienceMs;
-    let sent = false;
+    waitLimitMs: number = DEFAULT_WAIT_LIMIT_MS,
+  ): Promise<Result<CommandResult, errors.ControlError>> {
+    const deadline = this.now() + waitLimitMs;
+    let mayHaveTakenEffect = false;
     let detail = 'no replica answered';
-    while (this.now() < until) {
+    while (this.now() < deadline) {
       for (const address of this.candidates(log)) {
-        const timeoutMs = Math.max(200, Math.min(CALL_TIMEOUT_MS, until - this.now()));
-        const answer = await this.client.call<logServer.Executed>(
+        const timeoutMs = Math.max(200, Math.min(CALL_TIMEOUT_MS, deadline - this.now()));
+        const response = await this.client.call<logServer.ExecuteResponse>(
           address,
           'execute',
           { log, command },
           { timeoutMs },
         );
-        if (answer.ok && answer.val.kind === 'done') {
+        if (response.ok && response.val.kind === 'done') {
           this.leaders.set(log, address);
-          return Ok({ index: answer.val.index, answer: answer.val.answer });
+          return Ok({ index: response.val.index, answer: response.val.answer });
         }
-        if (answer.ok) {
-          detail = (answer.val as { reason: string }).reason;
-          this.follow(log, (answer.val as { leader: string }).leader);
-          sent ||= answer.val.kind === 'unknown';
+        if (response.ok) {
+          detail = (response.val as { reason: string }).reason;
+          this.rememberLeader(log, (response.val as { leader: string }).leader);
+          mayHaveTakenEffect ||= response.val.kind === 'unknown';
           if (detail === 'noMajorityOfDaemons') return Err({ kind: 'refused', detail });
         } else {
-          detail = `${answer.val.kind} ${answer.val.detail}`;
+          detail = `${response.val.kind} ${response.val.detail}`;
           this.leaders.delete(log);
-          sent ||= answer.val.kind !== 'unreachable' || detail.includes('closed');
+          mayHaveTakenEffect ||= response.val.kind !== 'unreachable' || detail.includes('closed');
         }
-        if (this.now() >= until) break;
+        if (this.now() >= deadline) break;
       }
       await new Promise((resolve) => {
-        setTimeout(resolve, ROUND_PAUSE_MS);
+        setTimeout(resolve, RETRY_PAUSE_MS);
       });
     }
-    return Err({ kind: sent ? 'outcomeUnknown' : 'noLeader', detail });
+    return Err({ kind: mayHaveTakenEffect ? 'outcomeUnknown' : 'noLeader', detail });
   }
 
-  private follow(log: string, leader: string): void {
+  private rememberLeader(log: string, leader: string): void {
     if (leader === '') this.leaders.delete(log);
     else this.leaders.set(log, leader);
   }
--- a/packages/daemon/src/control/logServer.ts
+++ b/packages/daemon/src/control/logServer.ts
@@ -7,21 +7,21 @@
 import type * as logHost from '../replicas/logHost';
 import type * as contacts from './contacts';
 
-export interface Execute {
+export interface ExecuteRequest {
   log: string;
   command: unknown;
 }
 
-export type Executed =
+export type ExecuteResponse =
   | { kind: 'done'; index: number; answer: unknown }
   | { kind: 'refused'; reason: string; leader: string }
   | { kind: 'unknown'; reason: string; leader: string };
 
 export const SETTINGS_LOG = 'settings';
 
-const HELD_TIMEOUT_MS = 5_000;
+const MAJORITY_TIMEOUT_MS = 5_000;
 
-const HELD_POLL_MS = 5;
+const MAJORITY_POLL_MS = 5;
 
 type Command = domain.control.state.Command;
 
@@ -43,7 +43,7 @@
     private readonly now: () => number,
   ) {}
 
-  async execute({ log, command }: Execute): Promise<Executed> {
+  async execute({ log, command }: ExecuteRequest): Promise<ExecuteResponse> {
     const host = this.hosts.get(log);
     if (host === undefined) return { kind: 'refused', reason: 'no such log here', leader: '' };
     const leader = host.leaderAddress;
@@ -51,34 +51,34 @@
     if (log === SETTINGS_LOG && !this.mayAccept(command as Command)) {
       return { kind: 'refused', reason: 'noMajorityOfDaemons', leader };
     }
-    const result = await host.propose(this.stamped(command));
+    const result = await host.propose(this.withLeaderTime(command));
     if (result.ok) {
-      const held =
-        log !== SETTINGS_LOG || (await this.isHeld(command as Command, result.val.index));
-      if (held) return { kind: 'done', ...result.val };
+      const isReplicated =
+        log !== SETTINGS_LOG || (await this.waitForMajority(command as Command, result.val.index));
+      if (isReplicated) return { kind: 'done', ...result.val };
       return { kind: 'unknown', reason: 'not yet held by a majority of daemons', leader };
     }
     const { kind } = result.val;
-    const open = kind === 'lost' || kind === 'timeout';
-    return { kind: open ? 'unknown' : 'refused', reason: kind, leader: result.val.leader };
+    const isUndecided = kind === 'lost' || kind === 'timeout';
+    return { kind: isUndecided ? 'unknown' : 'refused', reason: kind, leader: result.val.leader };
   }
 
   /**
    * Waits until a majority of the registered daemons hold the change. Without it a leader could accept
    * and then lose touch, and a majority that never heard of the change would go on serving without it.
    */
-  private async isHeld(command: Command, index: number): Promise<boolean> {
+  private async waitForMajority(command: Command, index: number): Promise<boolean> {
     const { isHeldByMajority } = domain.membership.freshness;
-    const until = this.now() + HELD_TIMEOUT_MS;
-    const isNeeded = command.kind === 'change' || command.kind === 'announceStop';
-    while (isNeeded && this.now() < until) {
+    const deadline = this.now() + MAJORITY_TIMEOUT_MS;
+    const needsMajorityToHold = command.kind === 'change' || command.kind === 'announceStop';
+    while (needsMajorityToHold && this.now() < deadline) {
       const ids = [...this.registered().keys()];
-      if (isHeldByMajority(index, ids, (id) => this.contacts.indexOf(id))) return true;
+      if (isHeldByMajority(index, ids, (id) => this.contacts.viewIndexOf(id))) return true;
       await new Promise((resolve) => {
-        setTimeout(resolve, HELD_POLL_MS);
+        setTimeout(resolve, MAJORITY_POLL_MS);
       });
     }
-    return !isNeeded;
+    return !needsMajorityToHold;
   }
 
   private mayAccept(command: Command): boolean {
@@ -86,17 +86,19 @@
     if (!needsMajority(command, registered)) return true;
     const ids = [...registered.keys()];
     const { mayAccept, DEFAULT_LEASE } = domain.membership.freshness;
-    return mayAccept(this.now(), ids, (id) => this.contacts.at(id), DEFAULT_LEASE);
+    return mayAccept(this.now(), ids, (id) => this.contacts.lastContactAt(id), DEFAULT_LEASE);
   }
 
   /** Times come from the leader's clock, so that replicas agree on them. */
-  private stamped(command: unknown): unknown {
+  private withLeaderTime(command: unknown): unknown {
     const at = clock.timeOfDay();
     const claim = command as domain.ledger.ledger.TimedClaim;
     if (claim.kind === 'claim') return { ...claim, at, deadline: at + claim.timeLeftMs };
-    const typed = command as Command;
-    if (typed.kind === 'change') return { ...typed, change: { ...typed.change, at } };
-    if (typed.kind === 'announceStop') return { ...typed, stop: { ...typed.stop, at } };
-    return { ...typed, at };
+    const controlCommand = command as Command;
+    if (controlCommand.kind === 'change')
+      return { ...controlCommand, change: { ...controlCommand.change, at } };
+    if (controlCommand.kind === 'announceStop')
+      return { ...controlCommand, stop: { ...controlCommand.stop, at } };
+    return { ...controlCommand, at };
   }
 }
--- a/packages/daemon/src/control/query.ts
+++ b/packages/daemon/src/control/query.ts
@@ -15,7 +15,7 @@
   | { kind: 'inForce'; index: number }
   | { kind: 'stops' };
 
-export interface InForce {
+export interface InForceReport {
   index: number;
   registered: number;
   inForce: number;
@@ -23,7 +23,8 @@
   missing: string[];
 }
 
-export type Answered = { kind: 'answer'; content: unknown } | { kind: 'notLeader'; leader: string };
+export type QueryResponse =
+  { kind: 'answer'; content: unknown } | { kind: 'notLeader'; leader: string };
 
 export class QueryServer {
   constructor(
@@ -34,14 +35,14 @@
     private readonly now: () => number,
   ) {}
 
-  answer(question: Question): Answered {
+  answer(question: Question): QueryResponse {
     if (!this.host.hasFreshState()) {
       return { kind: 'notLeader', leader: this.host.leaderAddress };
     }
-    return { kind: 'answer', content: this.content(question) };
+    return { kind: 'answer', content: this.resultOf(question) };
   }
 
-  private content(question: Question): unknown {
+  private resultOf(question: Question): unknown {
     const { state } = this.machine;
     if (question.kind === 'subtree') return state.tree.get(question.name) ?? null;
     if (question.kind === 'subtrees') return state.tree.list();
@@ -51,18 +52,18 @@
   }
 
   /** A daemon that lost its freshness admits nothing, so only those in touch must hold the index. */
-  private inForce(index: number): InForce {
+  private inForce(index: number): InForceReport {
     const now = this.now();
     const ids = [...this.machine.state.daemons.keys()];
-    const lease = domain.membership.freshness.DEFAULT_LEASE;
-    const inTouch = ids.filter((id) => now - this.contacts.at(id) <= lease);
-    const missing = inTouch.filter((id) => this.contacts.indexOf(id) < index);
-    const inForce = inTouch.length - missing.length;
+    const leaseMs = domain.membership.freshness.DEFAULT_LEASE;
+    const reachable = ids.filter((id) => now - this.contacts.lastContactAt(id) <= leaseMs);
+    const missing = reachable.filter((id) => this.contacts.viewIndexOf(id) < index);
+    const inForce = reachable.length - missing.length;
     return { index, registered: ids.length, inForce, missing };
   }
 }
 
-const ROUNDS = 20;
+const MAX_ROUNDS = 20;
 
 const ROUND_PAUSE_MS = 150;
 
@@ -74,14 +75,15 @@
 
   async ask(question: Question): Promise<Result<unknown, errors.ControlError>> {
     let leader = '';
-    for (let round = 0; round < ROUNDS; round++) {
+    for (let round = 0; round < MAX_ROUNDS; round++) {
       const replicas = this.replicas();
-      const order = leader === '' ? replicas : [leader, ...replicas.filter((a) => a !== leader)];
-      for (const address of order) {
+      const candidates =
+        leader === '' ? replicas : [leader, ...replicas.filter((a) => a !== leader)];
+      for (const address of candidates) {
         const call = { timeoutMs: 1_000 };
-        const answer = await this.client.call<Answered>(address, 'query', question, call);
-        if (answer.ok && answer.val.kind === 'answer') return Ok(answer.val.content);
-        leader = answer.ok ? (answer.val as { leader: string }).leader : '';
+        const response = await this.client.call<QueryResponse>(address, 'query', question, call);
+        if (response.ok && response.val.kind === 'answer') return Ok(response.val.content);
+        leader = response.ok ? (response.val as { leader: string }).leader : '';
         if (leader !== '' && leader !== address) break;
       }
       await new Promise((resolve) => {
--- a/packages/daemon/src/control/registrar.ts
+++ b/packages/daemon/src/control/registrar.ts
@@ -29,7 +29,7 @@
 const UNREGISTER_AFTER_MS = 600_000;
 
 /** Patience of one try; the next comes with the next round of duties. */
-const TRY_MS = 1_500;
+const ATTEMPT_TIMEOUT_MS = 1_500;
 
 export class Registrar {
   private wasSpare = false;
@@ -41,7 +41,7 @@
     const { configuration: settings, peers: client, address } = this.options;
     const { founders, seeds } = settings;
     if (set === undefined || set.isFounded) return;
-    this.watchSpare();
+    this.logSpareState();
     if (!founders.includes(address)) return;
     await founding.attempt({ set, client, founders, seeds, address });
   }
@@ -51,30 +51,30 @@
     const { configuration: settings, address, view } = this.options;
     const { name: id, dataCentre } = settings;
     const daemon = { id, address, dataCentre, replica: set?.id ?? '' };
-    const known = view.daemons.get(id);
-    if (known !== undefined && JSON.stringify(known) === JSON.stringify(daemon)) return;
+    const registered = view.daemons.get(id);
+    if (registered !== undefined && JSON.stringify(registered) === JSON.stringify(daemon)) return;
     await this.execute({ kind: 'register', daemon, at: 0 });
   }
 
   /** The leader since `since` takes one silent daemon off the register. */
   async unregisterSilent(since: number): Promise<void> {
-    const { contacts: heard, view, now } = this.options;
+    const { contacts: contactTable, view, now } = this.options;
     if (now() - since < UNREGISTER_AFTER_MS) return;
     const silent = [...view.daemons.keys()].find(
-      (id) => now() - Math.max(since, heard.at(id)) > UNREGISTER_AFTER_MS,
+      (id) => now() - Math.max(since, contactTable.lastContactAt(id)) > UNREGISTER_AFTER_MS,
     );
     if (silent === undefined) return;
-    heard.forget(silent);
+    contactTable.forget(silent);
     const reason = `not heard for ${UNREGISTER_AFTER_MS / 60_000} minutes`;
     await this.execute({ kind: 'unregister', id: silent, at: 0, reason });
   }
 
   private async execute(command: Command): Promise<void> {
-    await this.options.logs.execute(logServer.SETTINGS_LOG, command, TRY_MS);
+    await this.options.logs.execute(logServer.SETTINGS_LOG, command, ATTEMPT_TIMEOUT_MS);
   }
 
   /** An empty folder in a fleet that is founded waits to be taken in by repair. */
-  private watchSpare(): void {
+  private logSpareState(): void {
     const isSpare = this.options.view.index > 0;
     if (isSpare && !this.wasSpare) this.options.observer.log('spareWaiting');
     this.wasSpare = isSpare;
--- a/packages/daemon/src/control/stopProgress.ts
+++ b/packages/daemon/src/control/stopProgress.ts
@@ -14,7 +14,7 @@
 }
 
 /** A report older than this says nothing about now; milliseconds. */
-const REPORT_AGE_MS = 5_000;
+const MAX_REPORT_AGE_MS = 5_000;
 
 export class StopProgress {
   private readonly reports = new Map<string, { remainders: Remainder[]; at: number }>();
@@ -24,7 +24,7 @@
     private readonly now: () => number,
   ) {}
 
-  take(daemon: string, remainders: Remainder[]): void {
+  update(daemon: string, remainders: Remainder[]): void {
     this.reports.set(daemon, { remainders, at: this.now() });
   }
 
@@ -33,7 +33,7 @@
     const now = this.now();
     const recent = new Map(
       [...this.reports]
-        .filter(([, { at }]) => now - at < REPORT_AGE_MS)
+        .filter(([, { at }]) => now - at < MAX_REPORT_AGE_MS)
         .map(([daemon, { remainders }]) => [daemon, remainders]),
     );
     return stops.map((stop) => {
--- a/packages/daemon/src/control/upstream.ts
+++ b/packages/daemon/src/control/upstream.ts
@@ -1,7 +1,7 @@
 /** The side of the spread of settings that answers followers. Every daemon can be an upstream. */
 import * as domain from '@celerydrift/domain';
 import type * as contacts from './contacts';
-import * as spread from './spread';
+import * as followProtocol from './followProtocol';
 
 export interface Options {
   view: domain.control.view.View;
@@ -15,45 +15,45 @@
 }
 
 export class Upstream {
-  private readonly waiting = new Set<() => void>();
+  private readonly waiters = new Set<() => void>();
 
   constructor(private readonly options: Options) {}
 
   /** The view moved; whoever waits is answered. */
-  changed(): void {
-    [...this.waiting].forEach((wake) => wake());
-    this.waiting.clear();
+  notifyWaiters(): void {
+    [...this.waiters].forEach((wake) => wake());
+    this.waiters.clear();
   }
 
-  async follow(request: spread.Follow): Promise<spread.Followed> {
-    const { view, contacts: heard, now } = this.options;
-    const askedAt = now();
-    heard.take(request.contacts, askedAt);
-    if (view.index <= request.index) await this.wait(request.waitMs);
-    const heldMs = now() - askedAt;
-    const fresh = { ageMs: this.options.ageMs(), heldMs, leader: this.options.leader() };
+  async follow(request: followProtocol.FollowRequest): Promise<followProtocol.FollowResponse> {
+    const { view, contacts: contactTable, now } = this.options;
+    const requestedAt = now();
+    contactTable.update(request.contacts, requestedAt);
+    if (view.index <= request.index) await this.waitForChange(request.waitMs);
+    const heldMs = now() - requestedAt;
+    const freshness = { ageMs: this.options.ageMs(), heldMs, leader: this.options.leader() };
     if (view.index < request.index) return { kind: 'stale', index: view.index };
     const deltas = view.since(request.index);
     if (deltas === undefined) {
-      return { kind: 'digest', digest: view.digest(this.options.hash), ...fresh };
+      return { kind: 'digest', digest: view.digest(this.options.hash), ...freshness };
     }
-    return { kind: 'deltas', index: view.index, deltas, ...fresh };
+    return { kind: 'deltas', index: view.index, deltas, ...freshness };
   }
 
-  parts({ buckets }: spread.PartsRequest): spread.Parts {
+  parts({ buckets }: followProtocol.PartsRequest): followProtocol.PartsResponse {
     const { view, hash } = this.options;
     return { index: view.index, parts: view.partsIn(hash, new Set(buckets)) };
   }
 
-  private async wait(ms: number): Promise<void> {
+  private async waitForChange(ms: number): Promise<void> {
     await new Promise<void>((resolve) => {
-      const timer = setTimeout(() => wake(), Math.min(ms, spread.FOLLOW_WAIT_MS));
+      const timer = setTimeout(() => wake(), Math.min(ms, followProtocol.MAX_FOLLOW_WAIT_MS));
       const wake = (): void => {
         clearTimeout(timer);
-        this.waiting.delete(wake);
+        this.waiters.delete(wake);
         resolve();
       };
-      this.waiting.add(wake);
+      this.waiters.add(wake);
     });
   }
 }
--- a/packages/daemon/src/replicas/founding.ts
+++ b/packages/daemon/src/replicas/founding.ts
@@ -26,42 +26,42 @@
   address: string;
 }
 
-async function ask(
+async function identifyAll(
   client: peerClient.PeerClient,
   addresses: readonly string[],
 ): Promise<Identity[]> {
-  const answers = await Promise.all(
+  const responses = await Promise.all(
     addresses.map((address) =>
       client.call<Identity>(address, 'identify', {}, { timeoutMs: 1_000 }),
     ),
   );
-  return answers.flatMap((answer) => (answer.ok ? [answer.val] : []));
+  return responses.flatMap((response) => (response.ok ? [response.val] : []));
 }
 
 /** One try at founding or at taking up an interrupted founding; true when this replica is founded. */
 export async function attempt({ set, client, ...options }: Options): Promise<boolean> {
   if (set.isFounded) return true;
-  const others = options.founders.filter((address) => address !== options.address);
-  const founders = await ask(client, others);
-  const interrupted = founders.find(({ members }) => members.some(({ id }) => id === set.id));
+  const otherAddresses = options.founders.filter((address) => address !== options.address);
+  const otherFounders = await identifyAll(client, otherAddresses);
+  const interrupted = otherFounders.find(({ members }) => members.some(({ id }) => id === set.id));
   if (interrupted !== undefined) {
     await set.found(interrupted.members);
     return true;
   }
-  const first = [...options.founders].sort()[0] === options.address;
-  if (!first || founders.length < others.length) return false;
-  const peers = await ask(client, options.seeds);
-  if ([...founders, ...peers].some(({ founded }) => founded)) return false;
+  const isInitiator = [...options.founders].sort()[0] === options.address;
+  if (!isInitiator || otherFounders.length < otherAddresses.length) return false;
+  const seedIdentities = await identifyAll(client, options.seeds);
+  if ([...otherFounders, ...seedIdentities].some(({ founded }) => founded)) return false;
   const members = [
     set.member('voter'),
-    ...founders.map(({ replica, address, dataCentre }) => {
+    ...otherFounders.map(({ replica, address, dataCentre }) => {
       return { id: replica, address, dataCentre, role: 'voter' } as const;
     }),
   ];
-  const taken = await Promise.all(
-    others.map((address) => client.call(address, 'found', { members })),
+  const acknowledgements = await Promise.all(
+    otherAddresses.map((address) => client.call(address, 'found', { members })),
   );
-  if (!taken.every(({ ok }) => ok)) return false;
+  if (!acknowledgements.every(({ ok }) => ok)) return false;
   await set.found(members);
   return true;
 }
--- a/packages/daemon/src/replicas/logHost.ts
+++ b/packages/daemon/src/replicas/logHost.ts
@@ -15,12 +15,12 @@
 type Effects = domain.replication.messages.Effects;
 type Message = domain.replication.messages.Message;
 
-export interface Applied {
+export interface AppliedCommand {
   index: number;
   answer: unknown;
 }
 
-export interface Parts {
+export interface Dependencies {
   id: string;
   replica: Replica;
   journal: journal.Journal;
@@ -31,35 +31,35 @@
   /** Makes the replica again from what the disk holds. */
   reopen: (durable: domain.replication.messages.Durable) => Replica;
   /** Entries kept before a snapshot replaces them. */
-  snapshotEvery: number | undefined;
+  snapshotIntervalEntries: number | undefined;
   /** Called when the disk lost what it had synced; the process must not go on. */
   onDiskFailure: (error: unknown) => void;
 }
 
 interface Proposal {
   command: unknown;
-  resolve: (result: Result<Applied, errors.LogError>) => void;
+  resolve: (result: Result<AppliedCommand, errors.LogError>) => void;
   term: number;
 }
 
 /** Entries kept before a snapshot replaces them. */
-const SNAPSHOT_EVERY = 4_096;
+const SNAPSHOT_INTERVAL_ENTRIES = 4_096;
 
 /** Pause before a disk that refused a write is tried again, milliseconds. */
-const RECOVER_EVERY_MS = 250;
+const RECOVERY_RETRY_MS = 250;
 
 /**
  * Urgent questions whether this replica still leads are gathered for so long, milliseconds. After a loss of all, each of
  * two hundred entries asks within some tenths of a second, and one round of the quorum answers them as well as two hundred.
  */
-const GATHER_URGENT_MS = 10;
+const QUORUM_CHECK_BATCH_MS = 10;
 
 /** How long the question whether this replica still leads may stay open, milliseconds. */
-const CONFIRM_TIMEOUT_MS = 700;
+const LEADERSHIP_CHECK_TIMEOUT_MS = 700;
 
 const PROPOSAL_TIMEOUT_MS = 5_000;
 
-interface Confirmation {
+interface LeadershipCheck {
   since: number;
   resolve: (confirmed: boolean) => void;
 }
@@ -77,50 +77,50 @@
 
   private readonly pending = new Map<number, Proposal>();
 
-  private running = false;
+  private isProcessing = false;
 
-  private applied: number;
+  private appliedIndex: number;
 
-  private lastState = '';
+  private lastLoggedState = '';
 
-  private founded: (() => void) | undefined;
+  private onFounded: (() => void) | undefined;
 
-  private confirmations: Confirmation[] = [];
+  private leadershipChecks: LeadershipCheck[] = [];
 
-  private asking: NodeJS.Timeout | undefined;
+  private quorumCheckTimer: NodeJS.Timeout | undefined;
 
-  private recovering = false;
+  private isRecovering = false;
 
   private isClosed = false;
 
-  private readonly addresses = new Map<string, string>();
+  private readonly senderAddresses = new Map<string, string>();
 
-  constructor(private readonly parts: Parts) {
-    this.id = parts.id;
-    this.replica = parts.replica;
-    this.applied = parts.replica.commit;
+  constructor(private readonly dependencies: Dependencies) {
+    this.id = dependencies.id;
+    this.replica = dependencies.replica;
+    this.appliedIndex = dependencies.replica.commit;
   }
 
   tick(): void {
-    this.put((now) => this.replica.tick(now));
+    this.enqueue((now) => this.replica.tick(now));
   }
 
   /** Takes a message that came from the peer address `from`. */
   receive(message: Message, from: string): void {
-    this.addresses.set(message.from, from);
-    this.put((now) => this.replica.receive(message, now));
+    this.senderAddresses.set(message.from, from);
+    this.enqueue((now) => this.replica.receive(message, now));
   }
 
   /** Proposes a command; resolves when it is applied here, with the machine's answer. */
-  propose(command: unknown): Promise<Result<Applied, errors.LogError>> {
+  propose(command: unknown): Promise<Result<AppliedCommand, errors.LogError>> {
     return new Promise((resolve) => {
       const timer = setTimeout(() => resolve(this.error('timeout')), PROPOSAL_TIMEOUT_MS);
-      const settle = (result: Result<Applied, errors.LogError>): void => {
+      const settle = (result: Result<AppliedCommand, errors.LogError>): void => {
         clearTimeout(timer);
         resolve(result);
       };
       this.proposals.push({ command, resolve: settle, term: 0 });
-      void this.run();
+      void this.processQueue();
     });
   }
 
@@ -130,31 +130,31 @@
    */
   confirm(urgent: boolean): Promise<boolean> {
     return new Promise((resolve) => {
-      const timer = setTimeout(() => resolve(false), CONFIRM_TIMEOUT_MS);
+      const timer = setTimeout(() => resolve(false), LEADERSHIP_CHECK_TIMEOUT_MS);
       const settle = (confirmed: boolean): void => {
         clearTimeout(timer);
         resolve(confirmed);
       };
-      this.put((now) => {
-        this.confirmations.push({ since: now, resolve: settle });
+      this.enqueue((now) => {
+        this.leadershipChecks.push({ since: now, resolve: settle });
         return domain.replication.messages.noEffects();
       });
-      if (urgent) this.askSoon();
+      if (urgent) this.scheduleQuorumCheck();
     });
   }
 
-  private askSoon(): void {
-    this.asking ??= setTimeout(() => {
-      this.asking = undefined;
-      this.put((now) => this.replica.askQuorum(now));
-    }, GATHER_URGENT_MS);
+  private scheduleQuorumCheck(): void {
+    this.quorumCheckTimer ??= setTimeout(() => {
+      this.quorumCheckTimer = undefined;
+      this.enqueue((now) => this.replica.askQuorum(now));
+    }, QUORUM_CHECK_BATCH_MS);
   }
 
   /** Proposes another replica set; the step is done when a later look shows it committed. */
-  changeMembers(members: domain.replication.messages.Member[], onTaken: () => void): void {
-    this.put((now) => {
+  changeMembers(members: domain.replication.messages.Member[], onAccepted: () => void): void {
+    this.enqueue((now) => {
       const { refusal, effects } = this.replica.changeMembers(members, now);
-      if (refusal === undefined) onTaken();
+      if (refusal === undefined) onAccepted();
       return effects;
     });
   }
@@ -162,8 +162,8 @@
   /** Makes this replica a founding member; resolves once that is on disk. */
   async found(members: domain.replication.messages.Member[]): Promise<void> {
     await new Promise<void>((resolve) => {
-      this.founded = resolve;
-      this.put(() => this.replica.found(members));
+      this.onFounded = resolve;
+      this.enqueue(() => this.replica.found(members));
     });
   }
 
@@ -173,7 +173,9 @@
 
   /** Whether reads of the machine here are as fresh as any. */
   hasFreshState(): boolean {
-    return this.replica.hasLease(this.parts.now()) && this.applied === this.replica.commit;
+    return (
+      this.replica.hasLease(this.dependencies.now()) && this.appliedIndex === this.replica.commit
+    );
   }
 
   /** Peer address of the leader that this replica follows, or empty. */
@@ -185,30 +187,30 @@
   async close(): Promise<void> {
     // A write under way fails when the journal closes; nothing must be recovered for that, for ever, in a closed host.
     this.isClosed = true;
-    clearTimeout(this.asking);
-    while (this.running) {
+    clearTimeout(this.quorumCheckTimer);
+    while (this.isProcessing) {
       await new Promise((resolve) => {
         setImmediate(resolve);
       });
     }
-    await this.parts.journal.close();
+    await this.dependencies.journal.close();
   }
 
-  private put(input: Input): void {
+  private enqueue(input: Input): void {
     this.inputs.push(input);
-    void this.run();
+    void this.processQueue();
   }
 
-  private async run(): Promise<void> {
-    if (this.running || this.recovering) return;
-    this.running = true;
+  private async processQueue(): Promise<void> {
+    if (this.isProcessing || this.isRecovering) return;
+    this.isProcessing = true;
     try {
-      while (this.inputs.length > 0 || this.proposals.length > 0) await this.round();
+      while (this.inputs.length > 0 || this.proposals.length > 0) await this.processBatch();
     } catch (error) {
-      this.parts.observer.log('diskRefused', { log: this.id, detail: String(error) });
+      this.dependencies.observer.log('diskRefused', { log: this.id, detail: String(error) });
       void this.recover();
     } finally {
-      this.running = false;
+      this.isProcessing = false;
     }
   }
 
@@ -218,55 +220,58 @@
    * another one is elected.
    */
   private async recover(): Promise<void> {
-    this.recovering = true;
-    this.dropPending();
-    while (this.recovering && !this.isClosed) {
-      await clock.pause(RECOVER_EVERY_MS);
-      this.dropPending();
-      const recovered = await this.parts.journal.recover().catch(() => undefined);
+    this.isRecovering = true;
+    this.rejectPending();
+    while (this.isRecovering && !this.isClosed) {
+      await clock.pause(RECOVERY_RETRY_MS);
+      this.rejectPending();
+      const recovered = await this.dependencies.journal.recover().catch(() => undefined);
       if (recovered?.err === true) {
-        this.parts.onDiskFailure(recovered.val);
+        this.dependencies.onDiskFailure(recovered.val);
         return;
       }
       if (recovered === undefined) continue;
       const durable = recovered.val ?? domain.replication.messages.emptyDurable();
-      this.replica = this.parts.reopen(durable);
-      this.recovering = false;
-      this.parts.observer.log('diskAccepted', { log: this.id, entries: durable.entries.length });
+      this.replica = this.dependencies.reopen(durable);
+      this.isRecovering = false;
+      this.dependencies.observer.log('diskAccepted', {
+        log: this.id,
+        entries: durable.entries.length,
+      });
     }
-    void this.run();
+    void this.processQueue();
   }
 
-  private dropPending(): void {
+  private rejectPending(): void {
     this.inputs.length = 0;
     this.proposals.splice(0).forEach(({ resolve }) => resolve(this.error('notLeader')));
     this.pending.forEach(({ resolve }) => resolve(this.error('lost')));
     this.pending.clear();
-    this.confirmations.splice(0).forEach(({ resolve }) => resolve(false));
+    this.leadershipChecks.splice(0).forEach(({ resolve }) => resolve(false));
   }
 
-  private async round(): Promise<void> {
-    const now = this.parts.now();
+  private async processBatch(): Promise<void> {
+    const now = this.dependencies.now();
     const effects = this.inputs.splice(0).map((input) => input(now));
     if (this.proposals.length > 0) effects.push(this.proposeAll(now));
     effects.push(this.compact());
     await this.persist(effects.flatMap(({ persist }) => persist));
-    this.observeState();
-    this.founded?.();
-    this.founded = undefined;
-    effects.forEach((each) => this.carryOut(each));
-    this.settleConfirmations();
+    this.logStateChange();
+    this.onFounded?.();
+    this.onFounded = undefined;
+    effects.forEach((each) => this.applyEffects(each));
+    this.settleLeadershipChecks();
   }
 
-  private settleConfirmations(): void {
-    if (this.confirmations.length === 0) return;
-    const leads = this.isLeader;
-    const settled = this.confirmations.filter(
-      ({ since }) => !leads || this.replica.isConfirmedSince(since),
+  private settleLeadershipChecks(): void {
+    if (this.leadershipChecks.length === 0) return;
+    const stillLeads = this.isLeader;
+    const settled = this.leadershipChecks.filter(
+      ({ since }) => !stillLeads || this.replica.isConfirmedSince(since),
     );
     if (settled.length === 0) return;
-    this.confirmations = this.confirmations.filter((each) => !settled.includes(each));
-    settled.forEach(({ resolve }) => resolve(leads));
+    this.leadershipChecks = this.leadershipChecks.filter((each) => !settled.includes(each));
+    settled.forEach(({ resolve }) => resolve(stillLeads));
   }
 
   private proposeAll(now: number): Effects {
@@ -282,29 +287,32 @@
   }
 
   private compact(): Effects {
-    if (this.replica.logLength < (this.parts.snapshotEvery ?? SNAPSHOT_EVERY)) {
+    if (
+      this.replica.logLength <
+      (this.dependencies.snapshotIntervalEntries ?? SNAPSHOT_INTERVAL_ENTRIES)
+    ) {
       return domain.replication.messages.noEffects();
     }
-    const effects = this.replica.compact(this.applied, this.parts.machine.snapshot());
+    const effects = this.replica.compact(this.appliedIndex, this.dependencies.machine.snapshot());
     if (effects.persist.length > 0) {
-      this.parts.observer.log('snapshotMade', { log: this.id, index: this.applied });
+      this.dependencies.observer.log('snapshotMade', { log: this.id, index: this.appliedIndex });
     }
     return effects;
   }
 
   private async persist(records: domain.replication.messages.Record[]): Promise<void> {
     if (records.length === 0) return;
-    const appended = records.filter((record) => record.kind !== 'snapshot');
-    const rewrite = appended.length < records.length;
-    if (rewrite) await this.parts.journal.rewrite(this.replica.durable);
-    else await this.parts.journal.append(appended);
-    this.parts.observer.count(`log.${this.id}.syncs`);
+    const appendable = records.filter((record) => record.kind !== 'snapshot');
+    const needsRewrite = appendable.length < records.length;
+    if (needsRewrite) await this.dependencies.journal.rewrite(this.replica.durable);
+    else await this.dependencies.journal.append(appendable);
+    this.dependencies.observer.count(`log.${this.id}.syncs`);
   }
 
-  private carryOut({ send, install, apply }: Effects): void {
+  private applyEffects({ send, install, apply }: Effects): void {
     send.forEach(({ to, message }) => {
       const address = this.addressOf(to);
-      if (address !== undefined) this.parts.send(address, message);
+      if (address !== undefined) this.dependencies.send(address, message);
     });
     if (install !== undefined) this.install(install);
     apply.forEach((entry) => this.apply(entry));
@@ -313,35 +321,37 @@
   /** A learner answers before its log tells it who the members are, so senders' addresses help. */
   private addressOf(id: string): string | undefined {
     const member = this.replica.members.find((each) => each.id === id);
-    return member?.address ?? this.addresses.get(id);
+    return member?.address ?? this.senderAddresses.get(id);
   }
 
   private install(snapshot: domain.replication.messages.Snapshot): void {
-    this.parts.machine.restore(snapshot.state);
-    this.applied = snapshot.index;
-    this.parts.observer.log('snapshotInstalled', { log: this.id, index: snapshot.index });
+    this.dependencies.machine.restore(snapshot.state);
+    this.appliedIndex = snapshot.index;
+    this.dependencies.observer.log('snapshotInstalled', { log: this.id, index: snapshot.index });
   }
 
   private apply(entry: domain.replication.messages.Entry): void {
-    if (entry.index <= this.applied) return;
-    this.applied = entry.index;
+    if (entry.index <= this.appliedIndex) return;
+    this.appliedIndex = entry.index;
     const answer =
-      entry.kind === 'command' ? this.parts.machine.apply(entry.command, entry.index) : undefined;
+      entry.kind === 'command'
+        ? this.dependencies.machine.apply(entry.command, entry.index)
+        : undefined;
     const proposal = this.pending.get(entry.index);
     if (proposal === undefined) return;
     this.pending.delete(entry.index);
-    const mine = proposal.term === entry.term;
-    proposal.resolve(mine ? Ok({ index: entry.index, answer }) : this.error('lost'));
+    const isOwnProposal = proposal.term === entry.term;
+    proposal.resolve(isOwnProposal ? Ok({ index: entry.index, answer }) : this.error('lost'));
   }
 
   private error(kind: errors.Kind): Err<errors.LogError> {
     return Err({ kind, log: this.id, leader: this.leaderAddress });
   }
 
-  private observeState(): void {
+  private logStateChange(): void {
     const { state, term } = this.replica;
-    if (state === this.lastState) return;
-    this.lastState = state;
-    this.parts.observer.log('replicaRole', { log: this.id, state, term });
+    if (state === this.lastLoggedState) return;
+    this.lastLoggedState = state;
+    this.dependencies.observer.log('replicaRole', { log: this.id, state, term });
   }
 }
--- a/packages/daemon/src/replicas/replicaSet.ts
+++ b/packages/daemon/src/replicas/replicaSet.ts
@@ -37,7 +37,7 @@
 export interface Envelope {
   /** Peer address of the sender. */
   address: string;
-  messages: { log: string; message: wire.Packed }[];
+  messages: { log: string; message: wire.PackedMessage }[];
 }
 
 const TICK_MS = 50;
@@ -59,8 +59,8 @@
     });
   }
 
-  static async open(options: Options): Promise<Result<ReplicaSet, frames.Corrupt>> {
-    const id = await identity.readOrMake(options.folder);
+  static async open(options: Options): Promise<Result<ReplicaSet, frames.CorruptFrame>> {
+    const id = await identity.readOrCreate(options.folder);
     const set = new ReplicaSet(id, options);
     for (const [log, state] of options.machines) {
       const opened = await set.openLog(log, state);
@@ -106,33 +106,35 @@
 
   private async openLog(
     log: string,
-    state: machine.Machine,
-  ): Promise<Result<void, frames.Corrupt>> {
+    stateMachine: machine.Machine,
+  ): Promise<Result<void, frames.CorruptFrame>> {
     const opened = await journal.Journal.open(path.join(this.options.folder, log));
     if (opened.err) return opened;
     const durable = opened.val.durable ?? domain.replication.messages.emptyDurable();
     if (opened.val.durable === undefined) await opened.val.journal.rewrite(durable);
-    if (opened.val.cut) this.options.observer.log('journalCut', { log });
-    if (durable.snapshot.index > 0) state.restore(durable.snapshot.state);
+    if (opened.val.wasTorn) this.options.observer.log('journalCut', { log });
+    if (durable.snapshot.index > 0) stateMachine.restore(durable.snapshot.state);
     const { timing, random, observer: observe } = this.options;
     const send = (to: string, message: domain.replication.messages.Message): void => {
       this.outgoing.add(to, { log, message: wire.pack(message) });
     };
     const now = clock.steady;
-    const open = (held: domain.replication.messages.Durable): domain.replication.replica.Replica =>
-      new domain.replication.replica.Replica(this.id, held, timing, random, now());
+    const createReplica = (
+      durableState: domain.replication.messages.Durable,
+    ): domain.replication.replica.Replica =>
+      new domain.replication.replica.Replica(this.id, durableState, timing, random, now());
     this.hosts.set(
       log,
       new logHost.LogHost({
         id: log,
-        replica: open(durable),
-        reopen: open,
+        replica: createReplica(durable),
+        reopen: createReplica,
         journal: opened.val.journal,
-        machine: state,
+        machine: stateMachine,
         send,
         now,
         observer: observe,
-        snapshotEvery: this.options.snapshotEvery,
+        snapshotIntervalEntries: this.options.snapshotEvery,
         onDiskFailure: this.options.onDiskFailure,
       }),
     );
--- a/packages/daemon/src/replicas/wire.ts
+++ b/packages/daemon/src/replicas/wire.ts
@@ -6,7 +6,7 @@
 
 type Message = domain.replication.messages.Message;
 
-export type Packed = readonly [kind: number, from: string, term: number, ...rest: unknown[]];
+export type PackedMessage = readonly [kind: number, from: string, term: number, ...rest: unknown[]];
 
 const KINDS: readonly Message['kind'][] = [
   'voteRequest',
@@ -16,7 +16,7 @@
   'snapshotRequest',
 ];
 
-function restOf(message: Message): unknown[] {
+function packFields(message: Message): unknown[] {
   if (message.kind === 'voteRequest') return [message.pre, message.lastIndex, message.lastTerm];
   if (message.kind === 'voteAnswer') return [message.pre, message.granted, message.knowsLeader];
   if (message.kind === 'appendRequest') {
@@ -28,26 +28,31 @@
   return [message.sentAt, message.snapshot];
 }
 
-export function pack(message: Message): Packed {
-  return [KINDS.indexOf(message.kind), message.from, message.term, ...restOf(message)];
+export function pack(message: Message): PackedMessage {
+  return [KINDS.indexOf(message.kind), message.from, message.term, ...packFields(message)];
 }
 
 /** The message, or undefined for what is none. */
 export function unpack(packed: unknown): Message | undefined {
   if (!Array.isArray(packed)) return undefined;
-  const [index, from, term, ...rest] = packed as unknown as [number, string, number, ...unknown[]];
-  const kind = KINDS[index];
+  const [kindIndex, from, term, ...fields] = packed as unknown as [
+    number,
+    string,
+    number,
+    ...unknown[],
+  ];
+  const kind = KINDS[kindIndex];
   if (kind === undefined || typeof from !== 'string' || typeof term !== 'number') return undefined;
-  return { kind, from, term, ...fieldsOf(kind, rest) } as Message;
+  return { kind, from, term, ...unpackFields(kind, fields) } as Message;
 }
 
-function fieldsOf(kind: Message['kind'], rest: unknown[]): object {
-  if (kind === 'voteRequest') return { pre: rest[0], lastIndex: rest[1], lastTerm: rest[2] };
-  if (kind === 'voteAnswer') return { pre: rest[0], granted: rest[1], knowsLeader: rest[2] };
+function unpackFields(kind: Message['kind'], fields: unknown[]): object {
+  if (kind === 'voteRequest') return { pre: fields[0], lastIndex: fields[1], lastTerm: fields[2] };
+  if (kind === 'voteAnswer') return { pre: fields[0], granted: fields[1], knowsLeader: fields[2] };
   if (kind === 'appendRequest') {
-    const [previousIndex, previousTerm, commit, sentAt, entries = []] = rest;
+    const [previousIndex, previousTerm, commit, sentAt, entries = []] = fields;
     return { previousIndex, previousTerm, commit, sentAt, entries };
   }
-  if (kind === 'appendAnswer') return { success: rest[0], matched: rest[1], sentAt: rest[2] };
-  return { sentAt: rest[0], snapshot: rest[1] };
+  if (kind === 'appendAnswer') return { success: fields[0], matched: fields[1], sentAt: fields[2] };
+  return { sentAt: fields[0], snapshot: fields[1] };
 }
--- a/packages/daemon/src/storage/__tests__/storage.test.ts
+++ b/packages/daemon/src/storage/__tests__/storage.test.ts
@@ -77,7 +77,7 @@
     await first.journal.close();
     fs.appendFileSync(path.join(folder, 'journal'), Buffer.from([9, 9, 9]));
     const second = (await journal.Journal.open(folder)).unwrap();
-    expect([first.durable, second.cut, second.durable]).toMatchSnapshot();
+    expect([first.durable, second.wasTorn, second.durable]).toMatchSnapshot();
     await second.journal.rewrite({
       ...(second.durable as domain.replication.messages.Durable),
       snapshot: { index: 2, term: 1, members: [], state: 'state' },
@@ -86,16 +86,18 @@
     await second.journal.close();
     const third = (await journal.Journal.open(folder)).unwrap();
     await third.journal.close();
-    expect([third.cut, third.durable?.snapshot.index, third.durable?.entries.length]).to.deep.equal(
-      [false, 2, 4],
-    );
+    expect([
+      third.wasTorn,
+      third.durable?.snapshot.index,
+      third.durable?.entries.length,
+    ]).to.deep.equal([false, 2, 4]);
   });
 
   it('gives a data folder its identity once, and an emptied one another', async () => {
-    const made = await identity.readOrMake(folder);
-    const again = await identity.readOrMake(folder);
+    const created = await identity.readOrCreate(folder);
+    const again = await identity.readOrCreate(folder);
     fs.rmSync(folder, { recursive: true });
-    const other = await identity.readOrMake(folder);
-    expect([again === made, other === made]).to.deep.equal([true, false]);
+    const other = await identity.readOrCreate(folder);
+    expect([again === created, other === created]).to.deep.equal([true, false]);
   });
 });
--- a/packages/daemon/src/storage/frames.ts
+++ b/packages/daemon/src/storage/frames.ts
@@ -12,7 +12,7 @@
 const packr = new msgpackr.Packr({ useRecords: false, structuredClone: false });
 
 /** A frame in the middle fails its checksum although whole frames follow: the disk lost data. */
-export interface Corrupt {
+export interface CorruptFrame {
   kind: 'corrupt';
   offset: number;
 }
@@ -42,8 +42,8 @@
   const start = offset + HEADER_BYTES;
   const end = start + file.readUInt32LE(offset);
   if (end > file.length) return undefined;
-  const intact = zlib.crc32(file.subarray(start, end)) === file.readUInt32LE(offset + 8);
-  return intact ? end : undefined;
+  const isIntact = zlib.crc32(file.subarray(start, end)) === file.readUInt32LE(offset + 8);
+  return isIntact ? end : undefined;
 }
 
 function hasFrameAfter(file: Buffer, offset: number): boolean {
@@ -58,7 +58,7 @@
  * ones was acknowledged and is lost: to go on as if it had never been would let this replica vote
  * against what it accepted, so that is an error.
  */
-export function replay(file: Buffer): Result<Replay, Corrupt> {
+export function replay(file: Buffer): Result<Replay, CorruptFrame> {
   const payloads: unknown[] = [];
   let offset = 0;
   while (offset < file.length) {
--- a/packages/daemon/src/storage/identity.ts
+++ b/packages/daemon/src/storage/identity.ts
@@ -9,12 +9,12 @@
 
 const FILE = 'identity';
 
-export async function readOrMake(folder: string): Promise<string> {
+export async function readOrCreate(folder: string): Promise<string> {
   await fs.mkdir(folder, { recursive: true });
   const file = path.join(folder, FILE);
-  const known = await fs.readFile(file, 'utf8').catch(() => '');
-  if (known.trim() !== '') return known.trim();
-  const made = `replica-${crypto.randomBytes(8).toString('hex')}`;
-  await replaceFile.replaceFile(folder, FILE, `${made}\n`);
-  return made;
+  const existing = await fs.readFile(file, 'utf8').catch(() => '');
+  if (existing.trim() !== '') return existing.trim();
+  const created = `replica-${crypto.randomBytes(8).toString('hex')}`;
+  await replaceFile.replaceFile(folder, FILE, `${created}\n`);
+  return created;
 }
--- a/packages/daemon/src/storage/journal.ts
+++ b/packages/daemon/src/storage/journal.ts
@@ -13,11 +13,11 @@
 /** A snapshot is no record to append: it rewrites the journal from the replica's whole state. */
 type Record = Exclude<domain.replication.messages.Record, { kind: 'snapshot' }>;
 
-export interface Opened {
+export interface OpenedJournal {
   journal: Journal;
   /** Undefined for a journal that was never founded. */
   durable: Durable | undefined;
-  cut: boolean;
+  wasTorn: boolean;
 }
 
 const FILE = 'journal';
@@ -41,7 +41,7 @@
     private syncedBytes: number,
   ) {}
 
-  static async open(folder: string): Promise<Result<Opened, frames.Corrupt>> {
+  static async open(folder: string): Promise<Result<OpenedJournal, frames.CorruptFrame>> {
     await fs.mkdir(folder, { recursive: true });
     await fs.rm(path.join(folder, `${FILE}.new`), { force: true });
     const handle = await fs.open(path.join(folder, FILE), 'a+');
@@ -56,7 +56,7 @@
       await handle.datasync();
     }
     const durable = rebuild(payloads as (Durable | Record[])[]);
-    return Ok({ journal: new Journal(folder, handle, length), durable, cut: torn });
+    return Ok({ journal: new Journal(folder, handle, length), durable, wasTorn: torn });
   }
 
   /** Writes and syncs a batch; once this resolves it survives a crash. */
@@ -71,7 +71,7 @@
    * Drops what a failed write or sync left behind and reads back the rest. After a failed sync nobody knows
    * which of its bytes the disk holds; none of them was promised to anybody, so they are cut.
    */
-  async recover(): Promise<Result<Durable | undefined, frames.Corrupt>> {
+  async recover(): Promise<Result<Durable | undefined, frames.CorruptFrame>> {
     await fs.rm(path.join(this.folder, `${FILE}.new`), { force: true });
     await this.handle.close();
     this.handle = await fs.open(path.join(this.folder, FILE), 'a+');
@@ -83,12 +83,12 @@
 
   /** Replaces the whole journal by its present content. */
   async rewrite(durable: Durable): Promise<void> {
-    const fresh = path.join(this.folder, `${FILE}.new`);
-    const handle = await fs.open(fresh, 'w');
+    const newPath = path.join(this.folder, `${FILE}.new`);
+    const handle = await fs.open(newPath, 'w');
     const frame = frames.encode(durable);
     await handle.appendFile(frame);
     await handle.sync();
-    await fs.rename(fresh, path.join(this.folder, FILE));
+    await fs.rename(newPath, path.join(this.folder, FILE));
     await syncFolder(this.folder);
     await this.handle.close();
     await handle.close();
