--- a/packages/daemon/src/rpc/__tests__/rpc.test.ts
+++ b/packages/daemon/src/rpc/__tests__/rpc.test.ts
@@ -11,7 +11,7 @@
 const { expect } = chai;
 
 /** Listens, says where, and then accepts nothing, so that its queue of new connections fills up. */
-const DEAF_LISTENER = `
+const NON_ACCEPTING_LISTENER = `
   const server = require('node:net').createServer().listen(0, '127.0.0.1', 1, () => {
     require('node:fs').writeSync(1, String(server.address().port));
     Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0, 10_000);
@@ -74,9 +74,9 @@
    * its time is begun anew with the next message. A listener whose queue is full drops opening packets just so.
    */
   it('begins a connection anew that is not there after its time', async () => {
-    const deaf = cp.spawn(process.execPath, ['-e', DEAF_LISTENER]);
+    const listenerProcess = cp.spawn(process.execPath, ['-e', NON_ACCEPTING_LISTENER]);
     const line = await new Promise<Buffer>((resolve) => {
-      deaf.stdout.once('data', resolve);
+      listenerProcess.stdout.once('data', resolve);
     });
     const port = Number(line.toString());
     const fillers = [1, 2, 3, 4].map(() => net.connect(port, '127.0.0.1'));
@@ -86,16 +86,16 @@
     caller.notify(`127.0.0.1:${port}`, 'echo', {});
     await pause(100);
     fillers.forEach((filler) => filler.destroy());
-    deaf.kill('SIGKILL');
+    listenerProcess.kill('SIGKILL');
     await new Promise((resolve) => {
-      deaf.once('exit', resolve);
+      listenerProcess.once('exit', resolve);
     });
-    const awake = new peerServer.PeerServer('right-secret', undefined, observe);
-    awake.add('echo', (parameters) => parameters);
-    await awake.listen({ host: '127.0.0.1', port });
+    const acceptingServer = new peerServer.PeerServer('right-secret', undefined, observe);
+    acceptingServer.add('echo', (parameters) => parameters);
+    await acceptingServer.listen({ host: '127.0.0.1', port });
     const answered = await caller.call(`127.0.0.1:${port}`, 'echo', { a: 1 }, { timeoutMs: 500 });
     caller.close();
-    await awake.close();
+    await acceptingServer.close();
     expect(answered.val).to.deep.equal({ a: 1 });
   });
 
@@ -105,9 +105,9 @@
    */
   it('lets the other calls on a connection go on when a call that tolerates delay times out', async () => {
     const caller = client();
-    const beside = caller.call(address, 'slow', {});
-    const late = caller.call(address, 'slow', {}, { timeoutMs: 50, toleratesDelay: true });
-    expect([(await late).ok, (await beside).val]).to.deep.equal([false, 'slow']);
+    const concurrent = caller.call(address, 'slow', {});
+    const tolerant = caller.call(address, 'slow', {}, { timeoutMs: 50, toleratesDelay: true });
+    expect([(await tolerant).ok, (await concurrent).val]).to.deep.equal([false, 'slow']);
     const strict = caller.call(address, 'slow', {}, { timeoutMs: 50 });
     expect([(await caller.call(address, 'slow', {})).ok, (await strict).ok]).to.deep.equal([
       false,
@@ -177,7 +177,7 @@
   });
 
   it('refuses a frame over the limit before reading it', () => {
-    const splitter = new framing.Splitter(() => undefined, 10);
+    const splitter = new framing.FrameDecoder(() => undefined, 10);
     expect(() => splitter.push(framing.encode('longer than ten bytes'))).to.throw(/over the limit/);
   });
 
@@ -186,14 +186,14 @@
     const all = Buffer.concat(values.map(framing.encode));
     fastCheck.assert(
       fastCheck.property(fastCheck.array(fastCheck.integer({ min: 1, max: 9 })), (sizes) => {
-        const taken: unknown[] = [];
-        const splitter = new framing.Splitter((value) => taken.push(value));
+        const decoded: unknown[] = [];
+        const splitter = new framing.FrameDecoder((value) => decoded.push(value));
         let at = 0;
         [...sizes, all.length].forEach((size) => {
           splitter.push(all.subarray(at, at + size));
           at = Math.min(all.length, at + size);
         });
-        expect(taken).to.deep.equal(values);
+        expect(decoded).to.deep.equal(values);
       }),
       { seed: 2 },
     );
--- a/packages/daemon/src/rpc/proof.ts
+++ b/packages/daemon/src/rpc/challengeResponse.ts
@@ -5,15 +5,15 @@
  */
 import * as crypto from 'node:crypto';
 
-export function challenge(): string {
+export function createNonce(): string {
   return crypto.randomBytes(16).toString('hex');
 }
 
-export function answer(secret: string, side: 'caller' | 'callee', nonce: string): string {
+export function responseTo(secret: string, side: 'caller' | 'callee', nonce: string): string {
   return crypto.createHmac('sha256', secret).update(`${side}/${nonce}`).digest('hex');
 }
 
-export function isEqual(a: string, b: string): boolean {
+export function isEqualInConstantTime(a: string, b: string): boolean {
   const left = crypto.createHash('sha256').update(a).digest();
   const right = crypto.createHash('sha256').update(b).digest();
   return crypto.timingSafeEqual(left, right);
--- a/packages/daemon/src/rpc/framing.ts
+++ b/packages/daemon/src/rpc/framing.ts
@@ -11,7 +11,7 @@
 
 const packr = new msgpackr.Packr({ useRecords: false });
 
-export type Take = (value: unknown, bytes: number) => void;
+export type FrameHandler = (value: unknown, bytes: number) => void;
 
 export function encode(value: unknown): Buffer {
   const body = packr.pack(value);
@@ -22,40 +22,41 @@
 }
 
 /** Cuts a byte stream into frames. `push` throws on a frame that is too long or no msgpack. */
-export class Splitter {
+export class FrameDecoder {
   private chunks: Buffer[] = [];
 
   private length = 0;
 
   constructor(
-    private readonly take: Take,
-    private readonly maximum: number = MAX_FRAME_BYTES,
+    private readonly onFrame: FrameHandler,
+    private readonly maxFrameBytes: number = MAX_FRAME_BYTES,
   ) {}
 
   /** @throws Error when the bytes are no frame of this protocol */
   push(chunk: Buffer): void {
     this.chunks.push(chunk);
     this.length += chunk.length;
-    let wanted = this.frameLength();
-    while (wanted !== undefined && this.length >= wanted) {
-      const all = this.joined();
-      const body = all.subarray(LENGTH_BYTES, wanted);
-      this.chunks = [all.subarray(wanted)];
-      this.length = all.length - wanted;
-      this.take(packr.unpack(body), wanted);
-      wanted = this.frameLength();
+    let frameBytes = this.frameLength();
+    while (frameBytes !== undefined && this.length >= frameBytes) {
+      const buffered = this.joinChunks();
+      const body = buffered.subarray(LENGTH_BYTES, frameBytes);
+      this.chunks = [buffered.subarray(frameBytes)];
+      this.length = buffered.length - frameBytes;
+      this.onFrame(packr.unpack(body), frameBytes);
+      frameBytes = this.frameLength();
     }
   }
 
   private frameLength(): number | undefined {
     if (this.length < LENGTH_BYTES) return undefined;
-    if ((this.chunks[0]?.length ?? 0) < LENGTH_BYTES) this.chunks = [this.joined()];
-    const body = this.chunks[0].readUInt32BE(0);
-    if (body > this.maximum) throw new Error(`frame of ${body} bytes is over the limit`);
-    return LENGTH_BYTES + body;
+    if ((this.chunks[0]?.length ?? 0) < LENGTH_BYTES) this.chunks = [this.joinChunks()];
+    const bodyBytes = this.chunks[0].readUInt32BE(0);
+    if (bodyBytes > this.maxFrameBytes)
+      throw new Error(`frame of ${bodyBytes} bytes is over the limit`);
+    return LENGTH_BYTES + bodyBytes;
   }
 
-  private joined(): Buffer {
+  private joinChunks(): Buffer {
     return this.chunks.length === 1 ? this.chunks[0] : Buffer.concat(this.chunks);
   }
 }
--- a/packages/daemon/src/rpc/peerClient.ts
+++ b/packages/daemon/src/rpc/peerClient.ts
@@ -11,7 +11,7 @@
 import type * as observer from '../observability/observer';
 import * as errors from './errors';
 import * as framing from './framing';
-import * as proof from './proof';
+import * as challengeResponse from './challengeResponse';
 
 export interface CallOptions {
   timeoutMs?: number;
@@ -27,7 +27,7 @@
 const DEFAULT_TIMEOUT_MS = 2_000;
 
 /** A connection unused for so long is closed, in milliseconds. */
-const IDLE_MS = 60_000;
+const IDLE_TIMEOUT_MS = 60_000;
 
 /**
  * A connection that isn't there after so long is given up when the next message comes, milliseconds. The opening packet to
@@ -35,9 +35,9 @@
  * answer the others for 0.4 s after they were up, and nobody was elected meanwhile. Over a round trip between far
  * regions.
  */
-const CONNECT_MS = 400;
+const CONNECT_TIMEOUT_MS = 400;
 
-interface Hello {
+interface Handshake {
   nonce?: string;
   answer?: string;
 }
@@ -51,11 +51,11 @@
 
   private readonly openedAt = clock.steady();
 
-  private proven = false;
+  private isAuthenticated = false;
 
-  private readonly waiting: Buffer[] = [];
+  private readonly unsentFrames: Buffer[] = [];
 
-  private readonly nonce = proof.challenge();
+  private readonly nonce = challengeResponse.createNonce();
 
   constructor(
     address: string,
@@ -67,13 +67,13 @@
     const colon = address.lastIndexOf(':');
     const host = address.slice(0, colon);
     const port = Number(address.slice(colon + 1));
-    const path: net.TcpNetConnectOpts = { host, port, localAddress };
+    const endpoint: net.TcpNetConnectOpts = { host, port, localAddress };
     this.socket =
       tlsOptions === undefined
-        ? net.connect({ ...path, noDelay: true })
-        : tls.connect({ ...path, ...tlsOptions });
+        ? net.connect({ ...endpoint, noDelay: true })
+        : tls.connect({ ...endpoint, ...tlsOptions });
     this.client = new jsonRpc.JSONRPCClient((request) => this.send(request));
-    const splitter = new framing.Splitter((value, bytes) => this.take(value, bytes));
+    const splitter = new framing.FrameDecoder((value, bytes) => this.handleFrame(value, bytes));
     this.socket.on('data', (chunk: Buffer) => {
       try {
         splitter.push(chunk);
@@ -83,12 +83,12 @@
     });
     this.socket.on('error', (error) => this.close(error.message));
     this.socket.on('close', () => this.close('connection closed'));
-    this.socket.setTimeout(IDLE_MS, () => this.close('idle'));
+    this.socket.setTimeout(IDLE_TIMEOUT_MS, () => this.close('idle'));
   }
 
   /** Whether the other side's VM hasn't answered at all for `connectMs`. */
-  isStuck(connectMs: number): boolean {
-    return this.socket.connecting && clock.steady() - this.openedAt > connectMs;
+  isConnectOverdue(timeoutMs: number): boolean {
+    return this.socket.connecting && clock.steady() - this.openedAt > timeoutMs;
   }
 
   close(reason: string): void {
@@ -101,29 +101,29 @@
   private send(request: jsonRpc.JSONRPCRequest): void {
     const frame = framing.encode(request);
     this.observer.count(`rpc.out.${request.method}.bytes`, frame.length);
-    if (this.proven) this.socket.write(frame);
-    else this.waiting.push(frame);
+    if (this.isAuthenticated) this.socket.write(frame);
+    else this.unsentFrames.push(frame);
   }
 
-  private take(value: unknown, bytes: number): void {
-    if (this.proven) {
+  private handleFrame(value: unknown, bytes: number): void {
+    if (this.isAuthenticated) {
       this.observer.count('rpc.in.answers.bytes', bytes);
       this.client.receive(value as jsonRpc.JSONRPCResponse);
       return;
     }
-    const hello = value as Hello;
-    if (hello.nonce !== undefined) {
-      const answer = proof.answer(this.secret, 'caller', hello.nonce);
-      this.socket.write(framing.encode({ nonce: this.nonce, answer } satisfies Hello));
+    const handshake = value as Handshake;
+    if (handshake.nonce !== undefined) {
+      const answer = challengeResponse.responseTo(this.secret, 'caller', handshake.nonce);
+      this.socket.write(framing.encode({ nonce: this.nonce, answer } satisfies Handshake));
       return;
     }
-    const expected = proof.answer(this.secret, 'callee', this.nonce);
-    if (!proof.isEqual(String(hello.answer), expected)) {
+    const expected = challengeResponse.responseTo(this.secret, 'callee', this.nonce);
+    if (!challengeResponse.isEqualInConstantTime(String(handshake.answer), expected)) {
       this.close('peer failed to prove itself');
       return;
     }
-    this.proven = true;
-    this.waiting.splice(0).forEach((frame) => this.socket.write(frame));
+    this.isAuthenticated = true;
+    this.unsentFrames.splice(0).forEach((frame) => this.socket.write(frame));
   }
 }
 
@@ -138,9 +138,9 @@
     private readonly tlsOptions: tls.ConnectionOptions | undefined,
     private readonly observer: observer.Observer,
     /** IP address that connections come from; undefined where the operating system chooses. */
-    private readonly source?: string,
+    private readonly localAddress?: string,
     /** How long a connection may take, milliseconds; for a fleet whose VMs are near each other. */
-    private readonly connectMs = CONNECT_MS,
+    private readonly connectTimeoutMs = CONNECT_TIMEOUT_MS,
   ) {}
 
   async call<T>(
@@ -169,7 +169,8 @@
 
   /** Gives a connection up that isn't there in time, with all that waits for it. */
   dropStuck(address: string): void {
-    if (this.connections.get(address)?.isStuck(this.connectMs)) this.drop(address, 'no connection');
+    if (this.connections.get(address)?.isConnectOverdue(this.connectTimeoutMs))
+      this.drop(address, 'no connection');
   }
 
   /** Sends without waiting for an answer; what is lost is sent again by the protocol above. */
@@ -206,12 +207,18 @@
       this.drop(address, 'path cut');
       return undefined;
     }
-    const open = this.connections.get(address);
-    if (open?.isStuck(this.connectMs) === true) open.close('no connection');
-    if (open !== undefined && !open.closed) return open;
-    const made = new Connection(address, this.secret, this.tlsOptions, this.observer, this.source);
-    this.connections.set(address, made);
-    return made;
+    const existing = this.connections.get(address);
+    if (existing?.isConnectOverdue(this.connectTimeoutMs) === true) existing.close('no connection');
+    if (existing !== undefined && !existing.closed) return existing;
+    const created = new Connection(
+      address,
+      this.secret,
+      this.tlsOptions,
+      this.observer,
+      this.localAddress,
+    );
+    this.connections.set(address, created);
+    return created;
   }
 
   private drop(address: string, reason: string): void {
--- a/packages/daemon/src/rpc/peerServer.ts
+++ b/packages/daemon/src/rpc/peerServer.ts
@@ -5,17 +5,17 @@
 import type * as configuration from '../configuration/configuration';
 import type * as observer from '../observability/observer';
 import * as framing from './framing';
-import * as proof from './proof';
+import * as challengeResponse from './challengeResponse';
 
 export type Method = (parameters: unknown) => unknown;
 
 /** A connection that has not proved itself by then is closed; milliseconds. */
-const PROOF_TIMEOUT_MS = 3_000;
+const HANDSHAKE_TIMEOUT_MS = 3_000;
 
 /** Longest frame before the proof. */
-const STRANGER_FRAME_BYTES = 1_024;
+const MAX_HANDSHAKE_FRAME_BYTES = 1_024;
 
-interface Hello {
+interface Handshake {
   nonce: string;
   answer?: string;
 }
@@ -62,30 +62,35 @@
     this.sockets.add(socket);
     socket.on('close', () => this.sockets.delete(socket));
     socket.on('error', () => socket.destroy());
-    socket.setTimeout(PROOF_TIMEOUT_MS, () => socket.destroy());
-    const nonce = proof.challenge();
-    let proven = false;
-    const stranger = new framing.Splitter((value) => {
-      const hello = value as Hello;
-      proven = proof.isEqual(String(hello.answer), proof.answer(this.secret, 'caller', nonce));
-      if (!proven) {
+    socket.setTimeout(HANDSHAKE_TIMEOUT_MS, () => socket.destroy());
+    const nonce = challengeResponse.createNonce();
+    let isAuthenticated = false;
+    const handshakeDecoder = new framing.FrameDecoder((value) => {
+      const handshake = value as Handshake;
+      isAuthenticated = challengeResponse.isEqualInConstantTime(
+        String(handshake.answer),
+        challengeResponse.responseTo(this.secret, 'caller', nonce),
+      );
+      if (!isAuthenticated) {
         this.observer.log('peerRejected', { address: socket.remoteAddress });
         socket.destroy();
         return;
       }
       socket.setTimeout(0);
-      const answer = proof.answer(this.secret, 'callee', String(hello.nonce));
+      const answer = challengeResponse.responseTo(this.secret, 'callee', String(handshake.nonce));
       socket.write(framing.encode({ answer }));
-    }, STRANGER_FRAME_BYTES);
-    const known = new framing.Splitter((value, bytes) => this.serve(socket, value, bytes));
+    }, MAX_HANDSHAKE_FRAME_BYTES);
+    const requestDecoder = new framing.FrameDecoder((value, bytes) =>
+      this.serve(socket, value, bytes),
+    );
     socket.on('data', (chunk: Buffer) => {
       try {
-        (proven ? known : stranger).push(chunk);
+        (isAuthenticated ? requestDecoder : handshakeDecoder).push(chunk);
       } catch {
         socket.destroy();
       }
     });
-    socket.write(framing.encode({ nonce } satisfies Hello));
+    socket.write(framing.encode({ nonce } satisfies Handshake));
   }
 
   private serve(socket: net.Socket, value: unknown, bytes: number): void {
