--- a/packages/daemon/src/membership/members.ts
+++ b/packages/daemon/src/membership/members.ts
@@ -23,14 +23,14 @@
   onDaemons: () => void;
 }
 
-interface Exchange {
+interface GossipExchange {
   from: Daemon;
   /** Checksum of the sender's lasting records. */
   checksum: number;
   records: news.News[];
 }
 
-interface Pushed {
+interface PushRequest {
   records: news.News[];
   /** The receiver passes it on within its data centre. */
   passOn: boolean;
@@ -41,7 +41,7 @@
 /** Records in one exchange; a newcomer gets the rest in the next. */
 const BATCH_LIMIT = 200;
 
-const HELPERS = 2;
+const REDUNDANT_PEERS = 2;
 
 export class Members {
   readonly detector: domain.membership.detector.Detector;
@@ -50,10 +50,10 @@
 
   private timer: NodeJS.Timeout | undefined;
 
-  private seedTurn = 0;
+  private seedCursor = 0;
 
   /** Peers with which an exchange succeeded in their present life. */
-  private readonly met = new Set<string>();
+  private readonly contacted = new Set<string>();
 
   constructor(private readonly options: Options) {
     const { self, random, hash } = options;
@@ -63,13 +63,13 @@
   }
 
   start(server: peerServer.PeerServer): void {
-    server.add('gossip', (parameters) => this.onExchange(parameters as Exchange));
-    server.add('push', (parameters) => this.onPush(parameters as Pushed));
+    server.add('gossip', (parameters) => this.handleExchange(parameters as GossipExchange));
+    server.add('push', (parameters) => this.handlePush(parameters as PushRequest));
     server.add('probeFor', (parameters) =>
       this.probeFor((parameters as { address: string }).address),
     );
     const round = (): void => {
-      void this.round();
+      void this.runRound();
     };
     this.timer = setInterval(round, domain.membership.detector.DEFAULT_TIMING.period);
     round();
@@ -109,15 +109,16 @@
    */
   async push(record: news.News): Promise<void> {
     this.post(record);
-    const everyone = this.detector.list().filter(domain.membership.daemon.isLive);
-    const near = everyone.filter(({ dataCentre }) => dataCentre === this.self.dataCentre);
-    const far = everyone.filter(({ dataCentre }) => dataCentre !== this.self.dataCentre);
-    const ambassadors = [...new Set(far.map(({ dataCentre }) => dataCentre))].flatMap((name) =>
-      far.filter(({ dataCentre }) => dataCentre === name).slice(0, HELPERS),
+    const livePeers = this.detector.list().filter(domain.membership.daemon.isLive);
+    const localPeers = livePeers.filter(({ dataCentre }) => dataCentre === this.self.dataCentre);
+    const remotePeers = livePeers.filter(({ dataCentre }) => dataCentre !== this.self.dataCentre);
+    const forwarders = [...new Set(remotePeers.map(({ dataCentre }) => dataCentre))].flatMap(
+      (name) =>
+        remotePeers.filter(({ dataCentre }) => dataCentre === name).slice(0, REDUNDANT_PEERS),
     );
     await Promise.all([
-      ...near.map((peer) => this.pushTo(peer, record, false)),
-      ...ambassadors.map((peer) => this.pushTo(peer, record, true)),
+      ...localPeers.map((peer) => this.pushTo(peer, record, false)),
+      ...forwarders.map((peer) => this.pushTo(peer, record, true)),
     ]);
   }
 
@@ -125,7 +126,7 @@
   learn(daemons: Iterable<domain.control.state.Registered>): void {
     for (const { id, address, dataCentre } of daemons) {
       if (id === this.self.id || this.detector.get(id) !== undefined) continue;
-      this.merge({ id, address, dataCentre, incarnation: 0, status: 'alive' }, '');
+      this.mergeDaemon({ id, address, dataCentre, incarnation: 0, status: 'alive' }, '');
     }
   }
 
@@ -136,7 +137,7 @@
 
   private async pushTo(peer: Daemon, record: news.News, passOn: boolean): Promise<void> {
     if (peer.id === this.self.id) return;
-    const message: Pushed = { records: [record], passOn };
+    const message: PushRequest = { records: [record], passOn };
     const { client } = this.options;
     const sent = await client.call(peer.address, 'push', message, { timeoutMs: PROBE_TIMEOUT_MS });
     // The open connection may have gone silent; a new one may work.
@@ -148,15 +149,15 @@
     }
   }
 
-  private onPush({ records, passOn }: Pushed): { taken: true } {
-    const fresh = records.filter((record) => this.take(record, ''));
+  private handlePush({ records, passOn }: PushRequest): { taken: true } {
+    const newRecords = records.filter((record) => this.mergeRecord(record, ''));
     if (passOn) {
-      const near = this.liveIn(this.self.dataCentre);
-      near
+      const localPeers = this.liveIn(this.self.dataCentre);
+      localPeers
         .map((id) => this.detector.get(id))
         .forEach((peer) => {
           if (peer === undefined) return;
-          fresh.forEach((record) => {
+          newRecords.forEach((record) => {
             void this.pushTo(peer, record, false);
           });
         });
@@ -164,30 +165,30 @@
     return { taken: true };
   }
 
-  private async round(): Promise<void> {
+  private async runRound(): Promise<void> {
     const now = this.options.now();
-    this.detector.expire(now).forEach((changed) => this.changed(changed, ''));
+    this.detector.expire(now).forEach((changed) => this.handleChange(changed, ''));
     const peer = this.detector.nextProbe();
     if (peer !== undefined) void this.probe(peer);
-    if (this.detector.list().length === 1) void this.greetSeed();
-    if (this.isRelay()) void this.exchangeAbroad();
+    if (this.detector.list().length === 1) void this.contactSeed();
+    if (this.isRelay()) void this.exchangeWithRemoteDataCentre();
   }
 
   /** Without any known peer, the configured addresses are asked in turn. */
-  private async greetSeed(): Promise<void> {
+  private async contactSeed(): Promise<void> {
     const seeds = this.options.seeds.filter((address) => address !== this.self.address);
     if (seeds.length === 0) return;
-    this.seedTurn += 1;
-    await this.exchange(seeds[this.seedTurn % seeds.length], '', false);
+    this.seedCursor += 1;
+    await this.exchange(seeds[this.seedCursor % seeds.length], '', false);
   }
 
-  private async exchangeAbroad(): Promise<void> {
-    const abroad = this.detector
+  private async exchangeWithRemoteDataCentre(): Promise<void> {
+    const remotePeers = this.detector
       .list()
       .filter(({ dataCentre }) => dataCentre !== this.self.dataCentre)
       .filter(domain.membership.daemon.isLive);
-    if (abroad.length === 0) return;
-    const peer = domain.shared.random.pick(this.options.random, abroad);
+    if (remotePeers.length === 0) return;
+    const peer = domain.shared.random.pick(this.options.random, remotePeers);
     const reached = await this.exchange(peer.address, peer.id, false);
     if (!reached) await this.exchange(peer.address, peer.id, true);
   }
@@ -196,7 +197,7 @@
     if (await this.exchange(peer.address, peer.id, false)) return;
     // The open connection may be the only thing that is dead.
     if (await this.exchange(peer.address, peer.id, true)) return;
-    const helpers = this.detector.helpers(peer.id, HELPERS);
+    const helpers = this.detector.helpers(peer.id, REDUNDANT_PEERS);
     const answers = await Promise.all(
       helpers.map(({ address }) =>
         this.options.client.call<boolean>(
@@ -208,7 +209,9 @@
       ),
     );
     if (answers.some((answer) => answer.ok && answer.val)) return;
-    this.detector.suspect(peer.id, this.options.now()).forEach((each) => this.changed(each, ''));
+    this.detector
+      .suspect(peer.id, this.options.now())
+      .forEach((each) => this.handleChange(each, ''));
   }
 
   private async probeFor(address: string): Promise<boolean> {
@@ -219,22 +222,27 @@
 
   private async exchange(address: string, id: string, fresh: boolean): Promise<boolean> {
     // At a first meeting only the checksum is sent: the answer shows whether anything is to be told.
-    const met = this.met.has(id);
-    const batch = this.board.batchFor(id, met ? BATCH_LIMIT : 0);
+    const isKnown = this.contacted.has(id);
+    const batch = this.board.batchFor(id, isKnown ? BATCH_LIMIT : 0);
     const { checksum } = this.board;
-    const message: Exchange = { from: this.self, checksum, records: batch.records };
+    const message: GossipExchange = { from: this.self, checksum, records: batch.records };
     const options = { timeoutMs: PROBE_TIMEOUT_MS, fresh };
-    const answer = await this.options.client.call<Exchange>(address, 'gossip', message, options);
+    const answer = await this.options.client.call<GossipExchange>(
+      address,
+      'gossip',
+      message,
+      options,
+    );
     if (answer.err) return false;
-    this.met.add(id);
+    this.contacted.add(id);
     if (answer.val.checksum === checksum) this.board.agreed(id);
     else this.board.acknowledged(id, batch.upTo);
-    this.takeAll(answer.val);
+    this.mergeExchange(answer.val);
     return true;
   }
 
-  private onExchange(exchange: Exchange): Exchange {
-    this.takeAll(exchange);
+  private handleExchange(exchange: GossipExchange): GossipExchange {
+    this.mergeExchange(exchange);
     const { id } = exchange.from;
     const { checksum } = this.board;
     if (exchange.checksum === checksum) this.board.agreed(id);
@@ -244,31 +252,31 @@
     return { from: this.self, checksum, records: batch.records };
   }
 
-  private takeAll({ from, records }: Exchange): void {
+  private mergeExchange({ from, records }: GossipExchange): void {
     const known = this.detector.get(from.id);
-    const restarted = known !== undefined && known.incarnation < from.incarnation;
-    if (restarted) {
+    const hasRestarted = known !== undefined && known.incarnation < from.incarnation;
+    if (hasRestarted) {
       this.board.forget(from.id);
-      this.met.delete(from.id);
+      this.contacted.delete(from.id);
     }
-    this.take({ kind: 'daemon', daemon: from }, from.id);
-    records.forEach((record) => this.take(record, from.id));
+    this.mergeRecord({ kind: 'daemon', daemon: from }, from.id);
+    records.forEach((record) => this.mergeRecord(record, from.id));
   }
 
-  private take(record: news.News, from: string): boolean {
-    if (record.kind === 'daemon') return this.merge(record.daemon, from);
-    const fresh = this.options.take(record);
-    if (fresh) this.postFrom(record, from);
-    return fresh;
+  private mergeRecord(record: news.News, from: string): boolean {
+    if (record.kind === 'daemon') return this.mergeDaemon(record.daemon, from);
+    const isNew = this.options.take(record);
+    if (isNew) this.postFrom(record, from);
+    return isNew;
   }
 
-  private merge(daemon: Daemon, from: string): boolean {
+  private mergeDaemon(daemon: Daemon, from: string): boolean {
     const changes = this.detector.merge(daemon, this.options.now());
-    changes.forEach((changed) => this.changed(changed, from));
+    changes.forEach((changed) => this.handleChange(changed, from));
     return changes.length > 0;
   }
 
-  private changed(daemon: Daemon, from: string): void {
+  private handleChange(daemon: Daemon, from: string): void {
     this.board.post(`daemon/${daemon.id}`, { kind: 'daemon', daemon }, from);
     const { id, status } = daemon;
     if (status === 'suspect') this.options.observer.log('daemonSuspected', { id });
--- a/packages/daemon/src/membership/workTeller.ts
+++ b/packages/daemon/src/membership/workTeller.ts
@@ -14,43 +14,43 @@
   post: (record: news.News) => void;
 }
 
-interface Seen {
+interface AnnouncedVersion {
   incarnation: number;
   version: number;
 }
 
 export class WorkTeller {
-  private readonly seen = new Map<string, Seen>();
+  private readonly versions = new Map<string, AnnouncedVersion>();
 
   private version = 0;
 
-  private lastShape = '';
+  private lastContent = '';
 
   constructor(private readonly options: Options) {}
 
   /** Takes a peer's word; true when it was new. */
   take(work: news.Work): boolean {
-    if (work.daemon === this.options.self || this.isOld(work)) return false;
+    if (work.daemon === this.options.self || this.isStale(work)) return false;
     const { incarnation, version } = work;
-    this.seen.set(work.daemon, { incarnation, version });
+    this.versions.set(work.daemon, { incarnation, version });
     this.options.router.peerWork(work);
     return true;
   }
 
   /** Tells own work, if it is other than at the last time. */
   tell(): void {
-    const { router: own, demand, self, incarnation, post } = this.options;
-    const content = { ...own.ownWork(), organisations: demand() };
-    const shape = JSON.stringify(content);
-    if (shape === this.lastShape) return;
-    this.lastShape = shape;
+    const { router: localRouter, demand, self, incarnation, post } = this.options;
+    const content = { ...localRouter.ownWork(), organisations: demand() };
+    const serialized = JSON.stringify(content);
+    if (serialized === this.lastContent) return;
+    this.lastContent = serialized;
     this.version += 1;
     const work = { daemon: self, incarnation, version: this.version, ...content };
     post({ kind: 'work', work });
   }
 
-  private isOld({ daemon, incarnation, version }: news.Work): boolean {
-    const known = this.seen.get(daemon);
+  private isStale({ daemon, incarnation, version }: news.Work): boolean {
+    const known = this.versions.get(daemon);
     if (known === undefined || incarnation > known.incarnation) return false;
     return incarnation < known.incarnation || version <= known.version;
   }
