--- a/packages/daemon/src/replicas/founding.ts
+++ b/packages/daemon/src/replicas/founding.ts
@@ -1,20 +1,20 @@
 /**
- * Founding of the replica set, once in the life of a fleet. All founders must be there with empty
- * data folders, and no daemon that answers may know of a set already: a VM that lost its disk, or all
- * founders after they were replaced, must never found a second set beside the first.
+ * Bootstraps the replica set, once per fleet. All founders must be reachable with empty data folders, and
+ * no daemon that answers may already know of a replica set: a VM that lost its disk, or a full set of
+ * replaced founders, must never create a second replica set beside the first.
  */
 import type * as domain from '@celerydrift/domain';
 import type * as peerClient from '../rpc/peerClient';
 import type * as replicaSet from './replicaSet';
 
-/** What a daemon says of itself. */
+/** A daemon's answer to `identify`. */
 export interface Identity {
   daemon: string;
   replica: string;
   address: string;
   dataCentre: string;
   founded: boolean;
-  /** Founding members, to be taken over by a founder that was interrupted. */
+  /** Founding members; a founder whose bootstrap was interrupted adopts them. */
   members: domain.replication.messages.Member[];
 }
 
@@ -26,6 +26,7 @@
   address: string;
 }
 
+/** Identities of the daemons that answer, in the order of the addresses. */
 async function identifyAll(
   client: peerClient.PeerClient,
   addresses: readonly string[],
@@ -38,7 +39,10 @@
   return responses.flatMap((response) => (response.ok ? [response.val] : []));
 }
 
-/** One try at founding or at taking up an interrupted founding; true when this replica is founded. */
+/**
+ * Tries once to found the replica set or to resume an interrupted founding; true when this replica is
+ * founded. Only the founder whose address sorts first initiates, so that two founders don't start at once.
+ */
 export async function attempt({ set, client, ...options }: Options): Promise<boolean> {
   if (set.isFounded) return true;
   const otherAddresses = options.founders.filter((address) => address !== options.address);
--- a/packages/daemon/src/replicas/logHost.ts
+++ b/packages/daemon/src/replicas/logHost.ts
@@ -1,7 +1,8 @@
 /**
- * Runs one replica of one log: takes messages, ticks and proposals in turn, syncs what they ask to
- * persist in one write, then sends, installs and applies. Everything that arrives during a sync is
- * taken together after it, so one sync serves many proposals (group commit).
+ * Runs one replica of one log. Each batch processes the queued messages, ticks and proposals, persists
+ * their records with one write and sync, and only then sends messages, installs snapshots and applies
+ * entries. Input that arrives during a sync forms the next batch, so one sync serves many proposals
+ * (group commit).
  */
 import * as domain from '@celerydrift/domain';
 import { Err, Ok, Result } from 'ts-results';
@@ -17,6 +18,7 @@
 
 export interface AppliedCommand {
   index: number;
+  /** Result that the state machine returned for the command. */
   answer: unknown;
 }
 
@@ -28,42 +30,46 @@
   send: (address: string, message: Message) => void;
   now: () => number;
   observer: observer.Observer;
-  /** Makes the replica again from what the disk holds. */
+  /** Recreates the replica from its durable state. */
   reopen: (durable: domain.replication.messages.Durable) => Replica;
-  /** Entries kept before a snapshot replaces them. */
+  /** Log length in entries at which a snapshot replaces them; undefined for the default. */
   snapshotIntervalEntries: number | undefined;
-  /** Called when the disk lost what it had synced; the process must not go on. */
+  /** Called when the disk lost synced data; the process must exit. */
   onDiskFailure: (error: unknown) => void;
 }
 
 interface Proposal {
   command: unknown;
   resolve: (result: Result<AppliedCommand, errors.LogError>) => void;
+  /** Term of the entry that holds the command; 0 until it is appended to the log. */
   term: number;
 }
 
-/** Entries kept before a snapshot replaces them. */
+/** Log length in entries at which a snapshot replaces them. */
 const SNAPSHOT_INTERVAL_ENTRIES = 4_096;
 
-/** Pause before a disk that refused a write is tried again, milliseconds. */
+/** Pause between attempts to recover the journal after a failed write, milliseconds. */
 const RECOVERY_RETRY_MS = 250;
 
 /**
- * Urgent questions whether this replica still leads are gathered for so long, milliseconds. After a loss of all, each of
- * two hundred entries asks within some tenths of a second, and one round of the quorum answers them as well as two hundred.
+ * Urgent leadership checks within this time share one round of the quorum, milliseconds. When a whole fleet
+ * restarts, each of two hundred entries asks within a few tenths of a second, and one round answers them as
+ * well as two hundred would.
  */
 const QUORUM_CHECK_BATCH_MS = 10;
 
-/** How long the question whether this replica still leads may stay open, milliseconds. */
+/** A leadership check without a result by then is answered negatively, milliseconds. */
 const LEADERSHIP_CHECK_TIMEOUT_MS = 700;
 
 const PROPOSAL_TIMEOUT_MS = 5_000;
 
 interface LeadershipCheck {
+  /** Time from which a quorum must have confirmed the leadership. */
   since: number;
   resolve: (confirmed: boolean) => void;
 }
 
+/** A message, tick or call for the replica, run at the time of its batch. */
 type Input = (now: number) => Effects;
 
 export class LogHost {
@@ -75,6 +81,7 @@
 
   private proposals: Proposal[] = [];
 
+  /** Proposals appended to the log, by index, until their entry is applied. */
   private readonly pending = new Map<number, Proposal>();
 
   private isProcessing = false;
@@ -93,6 +100,7 @@
 
   private isClosed = false;
 
+  /** Peer addresses from which replicas sent messages, by replica id. */
   private readonly senderAddresses = new Map<string, string>();
 
   constructor(private readonly dependencies: Dependencies) {
@@ -105,13 +113,13 @@
     this.enqueue((now) => this.replica.tick(now));
   }
 
-  /** Takes a message that came from the peer address `from`. */
+  /** Queues a message received from the peer address `from`. */
   receive(message: Message, from: string): void {
     this.senderAddresses.set(message.from, from);
     this.enqueue((now) => this.replica.receive(message, now));
   }
 
-  /** Proposes a command; resolves when it is applied here, with the machine's answer. */
+  /** Proposes a command; resolves with the state machine's answer once it is applied here. */
   propose(command: unknown): Promise<Result<AppliedCommand, errors.LogError>> {
     return new Promise((resolve) => {
       const timer = setTimeout(() => resolve(this.error('timeout')), PROPOSAL_TIMEOUT_MS);
@@ -125,8 +133,8 @@
   }
 
   /**
-   * Whether this replica still leads and holds the newest state as of now. An urgent question asks the
-   * quorum soon; any other waits for the next heartbeat.
+   * Whether this replica still leads and holds the latest state as of now. An urgent check starts a round
+   * of the quorum within milliseconds; any other waits for the next heartbeat.
    */
   confirm(urgent: boolean): Promise<boolean> {
     return new Promise((resolve) => {
@@ -150,7 +158,10 @@
     }, QUORUM_CHECK_BATCH_MS);
   }
 
-  /** Proposes another replica set; the step is done when a later look shows it committed. */
+  /**
+   * Proposes a new set of members. `onAccepted` runs when the change enters the log; callers see from the
+   * replica's members when it is committed.
+   */
   changeMembers(members: domain.replication.messages.Member[], onAccepted: () => void): void {
     this.enqueue((now) => {
       const { refusal, effects } = this.replica.changeMembers(members, now);
@@ -159,7 +170,7 @@
     });
   }
 
-  /** Makes this replica a founding member; resolves once that is on disk. */
+  /** Makes this replica a founding member; resolves once that is synced to disk. */
   async found(members: domain.replication.messages.Member[]): Promise<void> {
     await new Promise<void>((resolve) => {
       this.onFounded = resolve;
@@ -171,21 +182,21 @@
     return this.replica.state === 'leader';
   }
 
-  /** Whether reads of the machine here are as fresh as any. */
+  /** Whether reads of the local state machine are linearizable: the lease holds and all commits are applied. */
   hasFreshState(): boolean {
     return (
       this.replica.hasLease(this.dependencies.now()) && this.appliedIndex === this.replica.commit
     );
   }
 
-  /** Peer address of the leader that this replica follows, or empty. */
+  /** Peer address of the leader that this replica knows, or empty. */
   get leaderAddress(): string {
     const { leader, members } = this.replica;
     return members.find(({ id }) => id === leader)?.address ?? '';
   }
 
   async close(): Promise<void> {
-    // A write under way fails when the journal closes; nothing must be recovered for that, for ever, in a closed host.
+    // A write in progress fails when the journal closes; a closed host must not retry its recovery forever.
     this.isClosed = true;
     clearTimeout(this.quorumCheckTimer);
     while (this.isProcessing) {
@@ -215,9 +226,8 @@
   }
 
   /**
-   * A full disk refuses writes for a while. What the failed step did in memory was told to nobody, so the
-   * replica is made again from the disk, and says nothing until a write succeeds: a leader falls silent and
-   * another one is elected.
+   * A full disk refuses writes for a while. The effects of the failed batch were never sent, so the replica
+   * is recreated from disk and stays silent until a write succeeds; if it led, another leader is elected.
    */
   private async recover(): Promise<void> {
     this.isRecovering = true;
@@ -318,7 +328,7 @@
     apply.forEach((entry) => this.apply(entry));
   }
 
-  /** A learner answers before its log tells it who the members are, so senders' addresses help. */
+  /** A learner must answer before its log contains the members, so it falls back to the sender's address. */
   private addressOf(id: string): string | undefined {
     const member = this.replica.members.find((each) => each.id === id);
     return member?.address ?? this.senderAddresses.get(id);
--- a/packages/daemon/src/replicas/machine.ts
+++ b/packages/daemon/src/replicas/machine.ts
@@ -1,6 +1,6 @@
-/** What a replicated log drives: a deterministic machine whose state can be snapshotted. */
+/** A deterministic state machine, driven by a replicated log, whose state can be snapshotted. */
 export interface Machine {
-  /** Applies one committed command; the result answers its proposer. */
+  /** Applies one committed command; the result is returned to its proposer. */
   apply(command: unknown, index: number): unknown;
   snapshot(): unknown;
   restore(state: unknown): void;
--- a/packages/daemon/src/replicas/outbox.ts
+++ b/packages/daemon/src/replicas/outbox.ts
@@ -1,6 +1,6 @@
 /**
- * Gathers what goes to the same address within one turn of the loop. The logs of a VM tick together, so
- * their heartbeats share a frame, and many logs cost little more than one.
+ * Batches the items for one address that are added within one event-loop turn. All logs of a VM tick
+ * together, so their heartbeats share a frame, and many logs cost little more than one.
  */
 export class Outbox<T> {
   private readonly pending = new Map<string, T[]>();
--- a/packages/daemon/src/replicas/repairer.ts
+++ b/packages/daemon/src/replicas/repairer.ts
@@ -1,19 +1,21 @@
 /**
- * Lets the leader of each log repair its replica set from spares: VMs with a data folder that are
- * registered and answer. One step at a time, each committed before the next.
+ * Lets the leader of each log restore its replica set to full size from spares: registered VMs with a data
+ * folder that answer. Members change one step at a time, each committed before the next.
  */
 import * as domain from '@celerydrift/domain';
 import type * as observer from '../observability/observer';
 import type * as logHost from './logHost';
 
 export interface Options {
+  /** Number of members that the replica set should have. */
   size: number;
+  /** A member without contact for this long is replaced. */
   deadAfterMs: number;
   observer: observer.Observer;
   now: () => number;
-  /** Registered daemons with a disk that answered lately. */
+  /** Registered daemons with a data folder that answered recently. */
   spares: () => domain.replication.repair.Spare[];
-  /** Writes what the system did by itself into the audit trail. */
+  /** Records an automatic action in the audit trail. */
   note: (action: string, subject: string, detail: string) => void;
 }
 
--- a/packages/daemon/src/replicas/replicaSet.ts
+++ b/packages/daemon/src/replicas/replicaSet.ts
@@ -1,6 +1,6 @@
 /**
- * All logs of one data folder: the settings log and the ledger shards. Opens their journals, gives
- * each message to its log, and answers who this replica is.
+ * The replicas of all logs in one data folder: the settings log and the ledger shards. Opens their
+ * journals, routes incoming messages to their logs, and ticks them.
  */
 import * as path from 'node:path';
 import * as domain from '@celerydrift/domain';
@@ -28,12 +28,12 @@
   random: domain.shared.random.Random;
   client: peerClient.PeerClient;
   observer: observer.Observer;
-  /** Entries of a log that are kept before a snapshot replaces them. */
+  /** Log length in entries at which a snapshot replaces them. */
   snapshotEvery?: number;
   onDiskFailure: (error: unknown) => void;
 }
 
-/** Messages of any logs between two VMs, gathered for a moment into one frame. */
+/** Messages of any logs between two VMs, batched into one frame. */
 export interface Envelope {
   /** Peer address of the sender. */
   address: string;
@@ -73,7 +73,7 @@
     return [...this.hosts.values()].some(({ replica }) => replica.isFounded);
   }
 
-  /** This replica as a member of its sets. */
+  /** This replica's entry in the member lists of its logs. */
   member(role: domain.replication.messages.Role): Member {
     const { address, dataCentre } = this.options;
     return { id: this.id, address, dataCentre, role };
--- a/packages/daemon/src/replicas/wire.ts
+++ b/packages/daemon/src/replicas/wire.ts
@@ -1,13 +1,19 @@
 /**
- * Replication messages on the wire: lists in place of objects, because heartbeats are most of a quiet
- * fleet's traffic and field names were most of a heartbeat.
+ * Encodes replication messages as arrays rather than objects: heartbeats make up most of an idle fleet's
+ * traffic, and field names would make up most of a heartbeat.
  */
 import type * as domain from '@celerydrift/domain';
 
 type Message = domain.replication.messages.Message;
 
-export type PackedMessage = readonly [kind: number, from: string, term: number, ...rest: unknown[]];
+export type PackedMessage = readonly [
+  kind: number,
+  from: string,
+  term: number,
+  ...fields: unknown[],
+];
 
+/** A message's kind is sent as its index here. */
 const KINDS: readonly Message['kind'][] = [
   'voteRequest',
   'voteAnswer',
@@ -32,7 +38,7 @@
   return [KINDS.indexOf(message.kind), message.from, message.term, ...packFields(message)];
 }
 
-/** The message, or undefined for what is none. */
+/** Decodes a message; undefined if the value isn't one. */
 export function unpack(packed: unknown): Message | undefined {
   if (!Array.isArray(packed)) return undefined;
   const [kindIndex, from, term, ...fields] = packed as unknown as [
