--- a/packages/daemon/src/control/contacts.ts
+++ b/packages/daemon/src/control/contacts.ts
@@ -1,19 +1,20 @@
 /**
- * Which daemons have been heard below this one, when, and which log index they hold. A relay keeps it
- * for its followers and passes on what is new; the leader keeps it for all and answers from it whether
- * a change is in force everywhere.
+ * Records when each downstream daemon was last in contact and which log index its view holds. A relay
+ * keeps this for its followers and forwards updates upstream; the leader keeps it for all daemons and uses
+ * it to decide whether a change is in force everywhere.
  */
 
 export interface Contact {
   id: string;
   index: number;
-  /** Milliseconds since it was heard, at the time of sending. */
+  /** Milliseconds since the last contact, at the time of sending. */
   ageMs: number;
 }
 
 interface ContactRecord {
   index: number;
   at: number;
+  /** Whether the record was sent upstream since it last changed. */
   isForwarded: boolean;
 }
 
@@ -38,7 +39,7 @@
     });
   }
 
-  /** What has not been passed on yet. */
+  /** Contacts that have not been sent upstream yet; marks them as sent. */
   takeUnsent(now: number): Contact[] {
     const unsent = [...this.records].filter(([, { isForwarded }]) => !isForwarded);
     return unsent.map(([id, entry]) => {
@@ -47,7 +48,7 @@
     });
   }
 
-  /** The pass failed; pass these on again. */
+  /** Marks contacts for another attempt after sending them failed. */
   markUnsent(contacts: readonly Contact[]): void {
     contacts.forEach(({ id }) => {
       const entry = this.records.get(id);
--- a/packages/daemon/src/control/controlMachine.ts
+++ b/packages/daemon/src/control/controlMachine.ts
@@ -1,4 +1,4 @@
-/** The settings log's machine in a replica: applies commands and hands what changed to the view. */
+/** The state machine of the settings log: applies commands and passes the resulting deltas to the view. */
 import * as domain from '@celerydrift/domain';
 import type * as machine from '../replicas/machine';
 
--- a/packages/daemon/src/control/controlPlane.ts
+++ b/packages/daemon/src/control/controlPlane.ts
@@ -1,6 +1,6 @@
 /**
- * Everything about settings and state in one daemon: its view and freshness, the follower, and on a
- * VM with a disk the replicas of the logs with the duties of a leader.
+ * Control plane of one daemon: its view of the settings and their freshness, the follower that updates it
+ * and, if a data folder is configured, the replicas of the logs with the leader's duties.
  */
 import * as path from 'node:path';
 import * as domain from '@celerydrift/domain';
@@ -45,7 +45,7 @@
 
 const FRESHNESS_EXCHANGE_INTERVAL_MS = 500;
 
-/** Daemons asked at once while this one has no lease. */
+/** Daemons queried at once for their index while this one has no lease. */
 const EXCHANGE_FANOUT = 16;
 
 export class ControlPlane {
@@ -130,12 +130,12 @@
     this.stops = new stopProgress.StopProgress(() => options.live().all, now);
   }
 
-  /** The settings log's replica here, if this VM has a disk. */
+  /** The local replica of the settings log, if a data folder is configured. */
   get host(): logHost.LogHost | undefined {
     return this.replicas?.hosts.get(logServer.SETTINGS_LOG);
   }
 
-  /** All logs replicated here. */
+  /** Local replicas of all logs, by log name. */
   get hosts(): ReadonlyMap<string, logHost.LogHost> {
     return this.replicas?.hosts ?? new Map();
   }
@@ -194,20 +194,20 @@
     await this.replicas?.stop();
   }
 
-  /** Whether requests may be admitted under the settings held here. */
+  /** Whether this daemon's settings are fresh enough to admit requests. */
   verdict(): domain.membership.freshness.Verdict {
     const registered = [...this.view.daemons.keys()];
     const { name } = this.options.configuration;
     return this.freshness.verdict(this.options.now(), name, registered);
   }
 
-  /** Writes what the system did by itself into the audit trail. */
+  /** Records an automatic action in the audit trail. */
   note(action: string, subject: string, detail: string): void {
     const command: domain.control.state.Command = { kind: 'note', action, subject, detail, at: 0 };
     void this.client.execute(logServer.SETTINGS_LOG, command);
   }
 
-  /** Tells every replica what still runs here on places under a stop. */
+  /** Reports to every replica how many requests still run here on the targets covered by each stop. */
   reportStops(remainders: domain.stop.stop.Remainder[]): void {
     const report = { daemon: this.options.configuration.name, remainders };
     this.replicaAddresses().forEach((address) => {
@@ -301,7 +301,7 @@
 
   private ageMs(): number {
     const now = this.options.now();
-    // On the leader the view follows every applied entry, so its lease makes the view current.
+    // On the leader the view is updated by every applied entry, so under its lease the view is current.
     if (this.host?.hasFreshState() === true) return 0;
     return this.freshness.age(now);
   }
@@ -312,7 +312,7 @@
     this.options.onChange();
   }
 
-  /** The leader follows nobody, so it counts itself among those that hold the view. */
+  /** The leader has no upstream to report to, so it records itself as holding its view. */
   private recordSelfContact(): void {
     const { name: id } = this.options.configuration;
     const contact = { id, index: this.view.index, ageMs: 0 };
@@ -337,7 +337,7 @@
     return [...new Set(all)].filter((address) => address !== '');
   }
 
-  /** Peer addresses to follow, best first. The leader of the log follows nobody. */
+  /** Peer addresses of possible upstreams, best first; none for the leader of the settings log. */
   private upstreams(): string[] {
     const { host } = this;
     const { address: ownAddress, hash, configuration: settings } = this.options;
@@ -349,7 +349,7 @@
     const addressOf = (id: string): string => daemons.get(id)?.address ?? '';
     const { near } = this.options.live();
     const relays = domain.membership.relay.relaysOf(hash, settings.dataCentre, near);
-    // A relay follows the leader itself: each hop makes its word up to a second older.
+    // A relay follows the leader directly, because each hop adds up to a second to the age of its view.
     if (relays.includes(settings.name)) return others;
     const ranked = domain.membership.relay.upstreams(hash, settings.name, relays, others);
     const isAddress = (name: string): boolean => name.includes(':');
@@ -358,8 +358,8 @@
   }
 
   /**
-   * Registered VMs with a disk that membership knows as live. The leader's contacts would not do: the
-   * leader of a ledger shard may be another daemon, whom nobody reports to.
+   * Registered daemons with a data folder that membership considers live. The contact table would not do:
+   * the leader of a ledger shard may be another daemon than the settings leader, and receives no reports.
    */
   private spares(): domain.replication.repair.Spare[] {
     const live = new Set(this.options.live().all);
@@ -386,7 +386,7 @@
     this.areDutiesRunning = false;
   }
 
-  /** Without a lease, asks other registered daemons where they stand and catches up with them. */
+  /** Without a lease, queries other registered daemons for their index and catches up with newer ones. */
   private async exchangeFreshness(): Promise<void> {
     const now = this.options.now();
     if (this.freshness.hasLease(now)) return;
--- a/packages/daemon/src/control/errors.ts
+++ b/packages/daemon/src/control/errors.ts
@@ -1,11 +1,11 @@
-/** Errors of the control layer: changes, stops and claims that could not be carried out. */
+/** Errors of the control layer: changes, stops and claims that were not executed or whose outcome is unknown. */
 
 export type Kind =
-  /** No leader answered; the change may be sent again with the same id. */
+  /** No leader answered; the command may be resent with the same id. */
   | 'noLeader'
-  /** The leader refused before anything was logged. */
+  /** The leader refused the command before appending it to the log. */
   | 'refused'
-  /** It was sent, and nobody knows yet whether it took effect; send it again with the same id. */
+  /** The command was sent and may have taken effect; resend it with the same id to find out. */
   | 'outcomeUnknown';
 
 export interface ControlError {
--- a/packages/daemon/src/control/followProtocol.ts
+++ b/packages/daemon/src/control/followProtocol.ts
@@ -1,6 +1,6 @@
 /**
- * What travels between a follower and its upstream: the follower says where it stands and whom it has
- * heard; the upstream answers with deltas, or with a digest to compare when it is too far behind.
+ * Messages between a follower and its upstream. The follower reports the index of its view and its recent
+ * contacts; the upstream answers with deltas, or with a digest to compare if the follower is too far behind.
  */
 import type * as domain from '@celerydrift/domain';
 import type * as contacts from './contacts';
@@ -8,13 +8,13 @@
 export interface FollowRequest {
   index: number;
   contacts: contacts.Contact[];
-  /** How long to wait for something new, in milliseconds. */
+  /** How long the upstream may hold the call until its view changes, in milliseconds. */
   waitMs: number;
 }
 
-/** How old the upstream's word is, and how to get a fresher one. */
+/** Age of the upstream's view, and the leader to turn to for a fresher one. */
 export interface FreshnessInfo {
-  /** Milliseconds before the answer at which its view was surely the leader's. */
+  /** Milliseconds before the answer at which the upstream's view was last known to match the leader's. */
   ageMs: number;
   /** How long the upstream held the call before it answered. */
   heldMs: number;
@@ -25,7 +25,7 @@
 export type FollowResponse =
   | ({ kind: 'deltas'; index: number; deltas: domain.control.state.Delta[] } & FreshnessInfo)
   | ({ kind: 'digest'; digest: domain.control.view.Digest } & FreshnessInfo)
-  /** The upstream knows no more than the follower and isn't fresh; another may be. */
+  /** The upstream's view is older than the follower's; another upstream may be newer. */
   | { kind: 'stale'; index: number };
 
 export interface PartsRequest {
@@ -37,8 +37,8 @@
   parts: domain.control.view.Part[];
 }
 
-/** Longest wait of a follow call; also the pace of freshness and contacts when nothing changes. */
+/** Longest wait of a follow call in milliseconds; also how often freshness and contacts update when idle. */
 export const MAX_FOLLOW_WAIT_MS = 1_000;
 
-/** Delay that gathers several reports into one, in milliseconds. */
+/** Delay within which several contact reports are combined into one, in milliseconds. */
 export const REPORT_DELAY_MS = 20;
--- a/packages/daemon/src/control/follower.ts
+++ b/packages/daemon/src/control/follower.ts
@@ -1,6 +1,6 @@
 /**
- * The side of the spread of settings that follows. It keeps one long call open to its upstream; when
- * that is silent it tries the next over a new connection, first other relays, then the replicas.
+ * Receives settings updates from an upstream by long polling. If the upstream doesn't answer, the follower
+ * tries the next one over a new connection: first other relays, then the replicas.
  */
 import * as domain from '@celerydrift/domain';
 import type * as observer from '../observability/observer';
@@ -15,21 +15,21 @@
   client: peerClient.PeerClient;
   observer: observer.Observer;
   hash: domain.shared.hashing.Hash;
-  /** Peer addresses that may be followed, best first. */
+  /** Peer addresses of possible upstreams, best first. */
   upstreams: () => string[];
-  /** This daemon's own standing, for the reports. */
+  /** Id of this daemon, for its own entry in the contact reports. */
   self: string;
   onChange: () => void;
   now: () => number;
 }
 
-/** Pause after every upstream failed, in milliseconds. */
+/** Pause after all upstreams failed, in milliseconds. */
 const RETRY_PAUSE_MS = 100;
 
-/** Beyond the wait of a call; silence after that means a dead path. */
+/** Added to the wait of a follow call; without an answer by then the path counts as dead. Milliseconds. */
 const TIMEOUT_MARGIN_MS = 700;
 
-/** How often a follower on a second-best upstream tries the best again, in milliseconds. */
+/** Interval after which a follower on a lower-ranked upstream tries the best one again, in milliseconds. */
 const BEST_UPSTREAM_RETRY_MS = 5_000;
 
 export class Follower {
@@ -37,7 +37,7 @@
 
   private currentUpstream = '';
 
-  /** Peer address of the leader, as the upstream told it. */
+  /** Peer address of the leader as reported by the upstream, or empty. */
   leader = '';
 
   private bestTriedAt = 0;
@@ -62,7 +62,7 @@
     clearTimeout(this.reportTimer);
   }
 
-  /** Something below changed; tells the upstream soon, several changes together. */
+  /** Schedules a report of changed contacts to the upstream; changes within a short delay are combined. */
   reportSoon(): void {
     if (this.reportTimer !== undefined || !this.running) return;
     this.reportTimer = setTimeout(() => {
@@ -71,7 +71,7 @@
     }, followProtocol.REPORT_DELAY_MS);
   }
 
-  /** One look at another daemon that knows more, fresh or not. */
+  /** Polls another daemon once for a newer view, even if that daemon has no fresh lease. */
   async catchUpFrom(address: string): Promise<void> {
     await this.pollUpstream(address);
   }
@@ -115,7 +115,7 @@
     contactTable.update([{ id: this.options.self, index: view.index, ageMs: 0 }], now());
     const unsent = contactTable.takeUnsent(now());
     const requestedAt = now();
-    // Without a current upstream the first answer must come at once, not after a wait for news.
+    // The first call to a new upstream must be answered immediately, not after a wait for changes.
     const waitMs = address === this.currentUpstream ? followProtocol.MAX_FOLLOW_WAIT_MS : 0;
     const request: followProtocol.FollowRequest = { index: view.index, contacts: unsent, waitMs };
     const response = await client.call<followProtocol.FollowResponse>(address, 'follow', request, {
@@ -137,8 +137,8 @@
     if (response.kind === 'stale') return false;
     if (response.kind === 'deltas') this.applyDeltas(response.deltas, response.index);
     else if (!(await this.catchUp(address, response.digest))) return false;
-    // The upstream answered no sooner than `heldMs` after this daemon asked, and its view was the
-    // leader's `ageMs` before that.
+    // The upstream answered no earlier than `heldMs` after the request, and its view matched the leader's
+    // `ageMs` before that.
     if (Number.isFinite(response.ageMs)) {
       this.options.freshness.confirm(requestedAt + response.heldMs - response.ageMs);
     }
@@ -164,7 +164,7 @@
     });
     if (fetched.err) return false;
     const { parts, index } = fetched.val;
-    // Buckets compared equal at the digest's index; if the upstream moved on since, compare again.
+    // The buckets were compared at the digest's index; if the upstream has advanced since, start again.
     if (index !== upstreamDigest.index) return this.pollUpstream(address);
     const receivedKeys = new Set(parts.map(({ key }) => key));
     const removed = view.keysBeyond(hash, new Set(differing), receivedKeys);
--- a/packages/daemon/src/control/ledgerMachine.ts
+++ b/packages/daemon/src/control/ledgerMachine.ts
@@ -1,4 +1,4 @@
-/** One ledger shard's machine in a replica. */
+/** The state machine of one ledger shard. */
 import * as domain from '@celerydrift/domain';
 import type * as machine from '../replicas/machine';
 
--- a/packages/daemon/src/control/logClient.ts
+++ b/packages/daemon/src/control/logClient.ts
@@ -1,6 +1,6 @@
 /**
- * Sends commands to the leader of a log, wherever it is: the last one known, else whom a replica
- * names, else each replica in turn, until one answers or the time is over.
+ * Sends commands to the leader of a log. Tries the last known leader, then the leader that a replica
+ * names, then each replica in turn, until one executes the command or the wait limit is reached.
  */
 import { Err, Ok, Result } from 'ts-results';
 import type * as peerClient from '../rpc/peerClient';
@@ -16,7 +16,10 @@
 
 const CALL_TIMEOUT_MS = 6_000;
 
-/** A call that only finds the leader again is shorter than the leader's own time for a proposal. */
+/**
+ * Longer than one call, to leave time for finding the leader again; that takes less time than the leader
+ * allows for a proposal.
+ */
 const DEFAULT_WAIT_LIMIT_MS = 8_000;
 
 export class LogClient {
--- a/packages/daemon/src/control/logServer.ts
+++ b/packages/daemon/src/control/logServer.ts
@@ -1,6 +1,6 @@
 /**
- * Takes commands for the logs from other daemons and carries them out if this replica leads. Which
- * commands need contact with a majority of the registered daemons is decided here.
+ * Executes commands for the logs on behalf of other daemons while this replica leads. Decides which
+ * commands require contact with a majority of the registered daemons.
  */
 import * as domain from '@celerydrift/domain';
 import * as clock from '../clock';
@@ -26,9 +26,9 @@
 type Command = domain.control.state.Command;
 
 /**
- * Commands that must not be accepted without the majority: whatever a stale daemon would act
- * against, and whatever changes the registered daemons, of which the majority is counted. Notes and
- * a daemon's new address change neither.
+ * Whether a command must not be accepted without a majority: commands that a daemon with stale settings
+ * would violate, and commands that change the set of registered daemons from which the majority is counted.
+ * Notes and new addresses of registered daemons do neither.
  */
 function needsMajority(command: Command, registered: ReadonlyMap<string, unknown>): boolean {
   if (command.kind === 'note') return false;
@@ -64,8 +64,8 @@
   }
 
   /**
-   * Waits until a majority of the registered daemons hold the change. Without it a leader could accept
-   * and then lose touch, and a majority that never heard of the change would go on serving without it.
+   * Waits until a majority of the registered daemons hold the change. Otherwise a leader could accept a
+   * change and then be partitioned, while a majority that never received it keeps serving without it.
    */
   private async waitForMajority(command: Command, index: number): Promise<boolean> {
     const { isHeldByMajority } = domain.membership.freshness;
@@ -89,7 +89,7 @@
     return mayAccept(this.now(), ids, (id) => this.contacts.lastContactAt(id), DEFAULT_LEASE);
   }
 
-  /** Times come from the leader's clock, so that replicas agree on them. */
+  /** Adds the time of the leader's clock, so that all replicas apply the same time. */
   private withLeaderTime(command: unknown): unknown {
     const at = clock.timeOfDay();
     const claim = command as domain.ledger.ledger.TimedClaim;
--- a/packages/daemon/src/control/query.ts
+++ b/packages/daemon/src/control/query.ts
@@ -1,4 +1,4 @@
-/** Reads of the control state that must be current: the leader answers them under its lease. */
+/** Queries of the control state that must return current data: the leader answers them under its lease. */
 import * as domain from '@celerydrift/domain';
 import { Err, Ok, Result } from 'ts-results';
 import type * as logHost from '../replicas/logHost';
@@ -17,9 +17,11 @@
 
 export interface InForceReport {
   index: number;
+  /** Number of registered daemons. */
   registered: number;
+  /** Number of daemons in contact whose view holds the index. */
   inForce: number;
-  /** Daemons that are alive but don't hold the index yet. */
+  /** Daemons in contact whose view doesn't hold the index yet. */
   missing: string[];
 }
 
@@ -51,7 +53,7 @@
     return this.stops.report([...state.stops.values()]);
   }
 
-  /** A daemon that lost its freshness admits nothing, so only those in touch must hold the index. */
+  /** A daemon without a fresh lease admits no requests, so only daemons in contact must hold the index. */
   private inForce(index: number): InForceReport {
     const now = this.now();
     const ids = [...this.machine.state.daemons.keys()];
--- a/packages/daemon/src/control/registrar.ts
+++ b/packages/daemon/src/control/registrar.ts
@@ -1,6 +1,6 @@
 /**
- * Who takes part: founding of the replica set, registration of this daemon, and on the leader taking
- * daemons off the register that have been silent for long.
+ * Maintains the set of participants: founds the replica set, registers this daemon and, on the leader,
+ * unregisters daemons that have been silent for a long time.
  */
 import type * as domain from '@celerydrift/domain';
 import type * as configuration from '../configuration/configuration';
@@ -25,10 +25,10 @@
   now: () => number;
 }
 
-/** Silence after which a daemon is taken off the register, in milliseconds. */
+/** Silence after which a daemon is unregistered, in milliseconds. */
 const UNREGISTER_AFTER_MS = 600_000;
 
-/** Patience of one try; the next comes with the next round of duties. */
+/** Wait limit of one command in milliseconds; it is tried again with the next round of duties. */
 const ATTEMPT_TIMEOUT_MS = 1_500;
 
 export class Registrar {
@@ -36,7 +36,7 @@
 
   constructor(private readonly options: Options) {}
 
-  /** One try at founding, where this VM is to be a founder and nothing is founded yet. */
+  /** Tries once to found the replica set, if this daemon is a configured founder and not yet founded. */
   async found(set: replicaSet.ReplicaSet | undefined): Promise<void> {
     const { configuration: settings, peers: client, address } = this.options;
     const { founders, seeds } = settings;
@@ -46,7 +46,7 @@
     await founding.attempt({ set, client, founders, seeds, address });
   }
 
-  /** Registers this daemon, or its new address or data folder. */
+  /** Registers this daemon, or updates its address or replica id in the register. */
   async register(set: replicaSet.ReplicaSet | undefined): Promise<void> {
     const { configuration: settings, address, view } = this.options;
     const { name: id, dataCentre } = settings;
@@ -56,7 +56,10 @@
     await this.execute({ kind: 'register', daemon, at: 0 });
   }
 
-  /** The leader since `since` takes one silent daemon off the register. */
+  /**
+   * Unregisters one silent daemon; called on the leader. Contact records before `since`, when its leadership
+   * began, may be incomplete, so silence is counted from then at the earliest.
+   */
   async unregisterSilent(since: number): Promise<void> {
     const { contacts: contactTable, view, now } = this.options;
     if (now() - since < UNREGISTER_AFTER_MS) return;
@@ -73,7 +76,7 @@
     await this.options.logs.execute(logServer.SETTINGS_LOG, command, ATTEMPT_TIMEOUT_MS);
   }
 
-  /** An empty folder in a fleet that is founded waits to be taken in by repair. */
+  /** Logs when this replica starts to wait as a spare: empty, in a founded fleet, until repair adds it. */
   private logSpareState(): void {
     const isSpare = this.options.view.index > 0;
     if (isSpare && !this.wasSpare) this.options.observer.log('spareWaiting');
--- a/packages/daemon/src/control/stopProgress.ts
+++ b/packages/daemon/src/control/stopProgress.ts
@@ -1,6 +1,6 @@
 /**
- * How far planned stops have come: every daemon tells the leader what it still runs on the places
- * under a stop, and a stop is safe when all live daemons run nothing there.
+ * Tracks the progress of planned stops. Every daemon reports how many requests it still runs on the
+ * targets covered by a stop; the stop is safe once all live daemons report none.
  */
 import * as domain from '@celerydrift/domain';
 
@@ -9,11 +9,13 @@
 
 export interface StopReport extends Stop {
   progress: domain.stop.stop.Progress;
+  /** Requests still running on the stopped targets, over all live daemons. */
   running: number;
+  /** Live daemons that still run requests there or have not reported recently. */
   waitingFor: string[];
 }
 
-/** A report older than this says nothing about now; milliseconds. */
+/** Older reports are ignored, milliseconds. */
 const MAX_REPORT_AGE_MS = 5_000;
 
 export class StopProgress {
--- a/packages/daemon/src/control/upstream.ts
+++ b/packages/daemon/src/control/upstream.ts
@@ -1,4 +1,4 @@
-/** The side of the spread of settings that answers followers. Every daemon can be an upstream. */
+/** Serves settings updates to followers. Every daemon can be an upstream. */
 import * as domain from '@celerydrift/domain';
 import type * as contacts from './contacts';
 import * as followProtocol from './followProtocol';
@@ -7,19 +7,20 @@
   view: domain.control.view.View;
   contacts: contacts.Contacts;
   hash: domain.shared.hashing.Hash;
-  /** Milliseconds since this daemon's view was surely the leader's; Infinity if never. */
+  /** Milliseconds since this daemon's view was last known to match the leader's; Infinity if never. */
   ageMs: () => number;
   now: () => number;
-  /** Peer address of the leader, as far as known. */
+  /** Peer address of the leader, or empty if unknown. */
   leader: () => string;
 }
 
 export class Upstream {
+  /** Wakes the follow calls that wait for a change. */
   private readonly waiters = new Set<() => void>();
 
   constructor(private readonly options: Options) {}
 
-  /** The view moved; whoever waits is answered. */
+  /** Answers the waiting follow calls after the view changed. */
   notifyWaiters(): void {
     [...this.waiters].forEach((wake) => wake());
     this.waiters.clear();
