--- a/packages/daemon/src/rpc/__tests__/rpc.test.ts
+++ b/packages/daemon/src/rpc/__tests__/rpc.test.ts
@@ -1,4 +1,4 @@
-/** Calls between daemons: proof, garbage, silence. */
+/** Calls between daemons: authentication, malformed input, connections that stall or are never established. */
 import * as cp from 'node:child_process';
 import * as net from 'node:net';
 import * as chai from 'chai';
@@ -10,7 +10,7 @@
 
 const { expect } = chai;
 
-/** Listens, says where, and then accepts nothing, so that its queue of new connections fills up. */
+/** Program that listens, prints its port and then accepts nothing, so that its accept queue fills up. */
 const NON_ACCEPTING_LISTENER = `
   const server = require('node:net').createServer().listen(0, '127.0.0.1', 1, () => {
     require('node:fs').writeSync(1, String(server.address().port));
@@ -51,7 +51,7 @@
     return new peerClient.PeerClient(secret, undefined, observe);
   }
 
-  it('answers a peer with the secret, and nobody else', async () => {
+  it('answers only peers that know the secret', async () => {
     const good = client();
     const bad = client('wrong-secret');
     const answered = await good.call(address, 'echo', { a: [1, 'x'] });
@@ -69,11 +69,12 @@
   });
 
   /*
-   * Callers were refused for 0.4 s more than needed after a power loss. A keeper was up before the others had power; its
-   * connections to them waited for TCP to repeat the opening packet, and with them its votes. One that isn't there after
-   * its time is begun anew with the next message. A listener whose queue is full drops opening packets just so.
+   * Guards against 0.4 s of needless refusals after a power loss. A keeper that started before the others had power
+   * kept its connections to them pending until TCP retransmitted the lost SYN, and its votes waited with them. A
+   * connection that isn't established in time must be replaced with the next message. A listener with a full accept
+   * queue drops SYNs in the same way.
    */
-  it('begins a connection anew that is not there after its time', async () => {
+  it('replaces a connection that is not established in time', async () => {
     const listenerProcess = cp.spawn(process.execPath, ['-e', NON_ACCEPTING_LISTENER]);
     const line = await new Promise<Buffer>((resolve) => {
       listenerProcess.stdout.once('data', resolve);
@@ -100,10 +101,10 @@
   });
 
   /*
-   * One late answer ended all calls of an entry to a busy leader: their connection was closed, and the entry
-   * took the leader for lost. A call whose callee may be slow leaves the connection to the others.
+   * Guards against one late answer failing all calls of an entry to a busy leader: its timeout closed the shared
+   * connection, and the entry considered the leader lost. A call that tolerates delay must leave the connection open.
    */
-  it('lets the other calls on a connection go on when a call that tolerates delay times out', async () => {
+  it('keeps the connection open for other calls when a call that tolerates delay times out', async () => {
     const caller = client();
     const concurrent = caller.call(address, 'slow', {});
     const tolerant = caller.call(address, 'slow', {}, { timeoutMs: 50, toleratesDelay: true });
@@ -117,10 +118,10 @@
   });
 
   /*
-   * A connection goes silent for good because something between lost track of it, while new ones work.
-   * The call times out; the next must not wait on the same connection.
+   * A connection stalls permanently when a middlebox loses its state, while new connections work. The call times
+   * out, and the next one must not use the same connection.
    */
-  it('leaves a silent connection and reaches the peer over a new one', async () => {
+  it('drops a stalled connection and reaches the peer over a new one', async () => {
     const proxied: net.Socket[] = [];
     const proxy = net.createServer((socket) => {
       const [host, port] = address.split(':') as [string, string];
@@ -149,7 +150,7 @@
     proxy.close();
   });
 
-  it('goes on serving after a thousand malformed frames', async () => {
+  it('keeps serving after a thousand malformed frames', async () => {
     const bytes = fastCheck.sample(fastCheck.uint8Array({ minLength: 1, maxLength: 60 }), {
       seed: 7,
       numRuns: 1_000,
@@ -176,12 +177,12 @@
     caller.close();
   });
 
-  it('refuses a frame over the limit before reading it', () => {
+  it('rejects a frame over the limit before reading it', () => {
     const splitter = new framing.FrameDecoder(() => undefined, 10);
     expect(() => splitter.push(framing.encode('longer than ten bytes'))).to.throw(/over the limit/);
   });
 
-  it('puts frames together however the bytes are cut', () => {
+  it('reassembles frames however the bytes are split', () => {
     const values = [{ a: 1 }, 'x', [1, 2, 3], null];
     const all = Buffer.concat(values.map(framing.encode));
     fastCheck.assert(
--- a/packages/daemon/src/rpc/challengeResponse.ts
+++ b/packages/daemon/src/rpc/challengeResponse.ts
@@ -1,7 +1,7 @@
 /**
- * How daemons prove themselves to each other where there is no mutual TLS: each side sends a random
- * challenge, and answers the other's with an HMAC under the shared secret. The secret never travels,
- * and an answer can't be replayed on another connection.
+ * Challenge-response authentication between daemons, for deployments without mutual TLS. Each side sends
+ * a random challenge and answers the other's with an HMAC under the shared secret. The secret is never
+ * transmitted, and a response can't be replayed on another connection.
  */
 import * as crypto from 'node:crypto';
 
--- a/packages/daemon/src/rpc/errors.ts
+++ b/packages/daemon/src/rpc/errors.ts
@@ -1,4 +1,4 @@
-/** Errors of the calls between daemons. Layers above turn them into their own. */
+/** Errors of calls between daemons. Higher layers map them to their own errors. */
 
 export type Kind = 'unreachable' | 'timeout' | 'rejected' | 'failed';
 
--- a/packages/daemon/src/rpc/framing.ts
+++ b/packages/daemon/src/rpc/framing.ts
@@ -1,10 +1,10 @@
 /**
- * Frames between daemons: four bytes of length, then a msgpack value. Bytes are few and countable; the
- * values are JSON-RPC 2.0 objects.
+ * Framing between daemons: a four-byte length, then a MessagePack value that holds a JSON-RPC 2.0 object.
+ * The encoding is compact, and the bytes of each message can be counted.
  */
 import * as msgpackr from 'msgpackr';
 
-/** A longer frame is refused before it is read, so a stranger can't fill the memory. */
+/** A longer frame is rejected before it is buffered, so that an unknown peer can't exhaust memory. */
 export const MAX_FRAME_BYTES = 64 * 1024 * 1024;
 
 const LENGTH_BYTES = 4;
@@ -21,7 +21,7 @@
   return frame;
 }
 
-/** Cuts a byte stream into frames. `push` throws on a frame that is too long or no msgpack. */
+/** Splits a byte stream into frames. `push` throws on a frame that is too long or isn't valid MessagePack. */
 export class FrameDecoder {
   private chunks: Buffer[] = [];
 
@@ -32,7 +32,7 @@
     private readonly maxFrameBytes: number = MAX_FRAME_BYTES,
   ) {}
 
-  /** @throws Error when the bytes are no frame of this protocol */
+  /** @throws Error when the bytes aren't a valid frame */
   push(chunk: Buffer): void {
     this.chunks.push(chunk);
     this.length += chunk.length;
--- a/packages/daemon/src/rpc/peerClient.ts
+++ b/packages/daemon/src/rpc/peerClient.ts
@@ -1,7 +1,7 @@
 /**
- * Calls to other daemons. One open connection per address, made on demand. A call that times out
- * closes its connection: a connection can go silent for good while new ones work, so silence is never
- * judged on the old connection, and none that was silent is used again.
+ * Client for calls to other daemons, with one connection per address, opened on demand. A call that times
+ * out closes its connection: a connection can stall permanently while new ones work, so a peer is never
+ * considered unresponsive on the evidence of an old connection, and a stalled one is never reused.
  */
 import * as net from 'node:net';
 import * as tls from 'node:tls';
@@ -15,30 +15,32 @@
 
 export interface CallOptions {
   timeoutMs?: number;
-  /** Makes a new connection for this call. */
+  /** Replaces the open connection by a new one for this call. */
   fresh?: boolean;
   /**
-   * Leaves the connection open after a timeout: for calls whose callee may be slow for a reason of its own, so that
-   * one late answer doesn't end the calls beside it. Another call must watch the connection for silence.
+   * Leaves the connection open after a timeout, for calls that the callee may answer slowly for its own reasons, so
+   * that one late answer doesn't fail concurrent calls. Another call must detect that the connection has stalled.
    */
   toleratesDelay?: boolean;
 }
 
 const DEFAULT_TIMEOUT_MS = 2_000;
 
-/** A connection unused for so long is closed, in milliseconds. */
+/** A connection without traffic for this long is closed, milliseconds. */
 const IDLE_TIMEOUT_MS = 60_000;
 
 /**
- * A connection that isn't there after so long is given up when the next message comes, milliseconds. The opening packet to
- * a VM without power is lost, and TCP repeats it only after a second; a keeper that was up first couldn't
- * answer the others for 0.4 s after they were up, and nobody was elected meanwhile. Over a round trip between far
- * regions.
+ * A connection that isn't established by then is replaced when the next message is sent, milliseconds. A SYN to a
+ * VM without power is lost, and TCP retransmits it only after a second: a keeper that started first couldn't answer
+ * the others for 0.4 s after they were up, and no leader was elected meanwhile. Longer than a round trip between
+ * distant regions.
  */
 const CONNECT_TIMEOUT_MS = 400;
 
 interface Handshake {
+  /** The sender's challenge. */
   nonce?: string;
+  /** Response to the receiver's challenge. */
   answer?: string;
 }
 
@@ -53,6 +55,7 @@
 
   private isAuthenticated = false;
 
+  /** Frames held back until the connection is authenticated. */
   private readonly unsentFrames: Buffer[] = [];
 
   private readonly nonce = challengeResponse.createNonce();
@@ -78,7 +81,7 @@
       try {
         splitter.push(chunk);
       } catch {
-        this.close('bad frame');
+        this.close('malformed frame');
       }
     });
     this.socket.on('error', (error) => this.close(error.message));
@@ -86,7 +89,7 @@
     this.socket.setTimeout(IDLE_TIMEOUT_MS, () => this.close('idle'));
   }
 
-  /** Whether the other side's VM hasn't answered at all for `connectMs`. */
+  /** Whether the socket is still connecting after `timeoutMs`. */
   isConnectOverdue(timeoutMs: number): boolean {
     return this.socket.connecting && clock.steady() - this.openedAt > timeoutMs;
   }
@@ -119,7 +122,7 @@
     }
     const expected = challengeResponse.responseTo(this.secret, 'callee', this.nonce);
     if (!challengeResponse.isEqualInConstantTime(String(handshake.answer), expected)) {
-      this.close('peer failed to prove itself');
+      this.close('peer failed authentication');
       return;
     }
     this.isAuthenticated = true;
@@ -130,16 +133,16 @@
 export class PeerClient {
   private readonly connections = new Map<string, Connection>();
 
-  /** Addresses that may not be reached; tests cut paths with it. */
+  /** Addresses to which no connection is made; tests simulate network partitions with it. */
   readonly cut = new Set<string>();
 
   constructor(
     private readonly secret: string,
     private readonly tlsOptions: tls.ConnectionOptions | undefined,
     private readonly observer: observer.Observer,
-    /** IP address that connections come from; undefined where the operating system chooses. */
+    /** Local IP address of the connections; undefined to let the operating system choose. */
     private readonly localAddress?: string,
-    /** How long a connection may take, milliseconds; for a fleet whose VMs are near each other. */
+    /** Connect timeout in milliseconds; a shorter one suits a fleet whose VMs are near each other. */
     private readonly connectTimeoutMs = CONNECT_TIMEOUT_MS,
   ) {}
 
@@ -167,13 +170,13 @@
     return result;
   }
 
-  /** Gives a connection up that isn't there in time, with all that waits for it. */
+  /** Closes the connection to the address, and fails its pending calls, if it isn't established in time. */
   dropStuck(address: string): void {
     if (this.connections.get(address)?.isConnectOverdue(this.connectTimeoutMs))
       this.drop(address, 'no connection');
   }
 
-  /** Sends without waiting for an answer; what is lost is sent again by the protocol above. */
+  /** Sends a notification without an answer; the protocol above must resend what is lost. */
   notify(address: string, method: string, parameters: unknown): void {
     this.connection(address)?.client.notify(method, parameters as jsonRpc.JSONRPCParams);
   }
--- a/packages/daemon/src/rpc/peerServer.ts
+++ b/packages/daemon/src/rpc/peerServer.ts
@@ -1,4 +1,4 @@
-/** The listener for other daemons: JSON-RPC 2.0 objects in frames, after both sides proved themselves. */
+/** Server for calls from other daemons: framed JSON-RPC 2.0 after mutual authentication. */
 import * as net from 'node:net';
 import * as tls from 'node:tls';
 import * as jsonRpc from 'json-rpc-2.0';
@@ -9,14 +9,16 @@
 
 export type Method = (parameters: unknown) => unknown;
 
-/** A connection that has not proved itself by then is closed; milliseconds. */
+/** A connection that isn't authenticated by then is closed, milliseconds. */
 const HANDSHAKE_TIMEOUT_MS = 3_000;
 
-/** Longest frame before the proof. */
+/** Longest frame accepted before a connection is authenticated. */
 const MAX_HANDSHAKE_FRAME_BYTES = 1_024;
 
 interface Handshake {
+  /** The sender's challenge. */
   nonce: string;
+  /** Response to the receiver's challenge. */
   answer?: string;
 }
 
