--- a/packages/daemon/src/storage/__tests__/storage.test.ts
+++ b/packages/daemon/src/storage/__tests__/storage.test.ts
@@ -1,4 +1,4 @@
-/** The journal under crashes at every byte, and the identity of a data folder. */
+/** Recovery of the journal after a crash at any byte, and the replica id of a data folder. */
 import * as fs from 'node:fs';
 import * as os from 'node:os';
 import * as path from 'node:path';
@@ -19,8 +19,8 @@
   const payloads = [{ a: 1 }, ['b', 2], 'c'.repeat(40), { d: [1, 2, 3] }];
   const file = Buffer.concat(payloads.map(frames.encode));
 
-  /** A crash tears the last write at any byte: what was synced before must all be there. */
-  it('keeps every whole frame when the file is cut at any byte', () => {
+  /** A crash can tear the last write at any byte; everything synced before must be recovered. */
+  it('keeps every whole frame when the file is truncated at any byte', () => {
     const ends = payloads.map(
       (_p, i) => Buffer.concat(payloads.slice(0, i + 1).map(frames.encode)).length,
     );
@@ -33,10 +33,10 @@
   });
 
   /*
-   * Accepted settings vanish although the disk held them: a sector in the middle went bad, and the
-   * replica went on as if the rest had never been written.
+   * Guards against the loss of accepted settings: a sector in the middle of the journal went bad, and the replica
+   * continued as if the frames after it had never been written.
    */
-  it('never takes a bad byte before good frames for a torn end', () => {
+  it('never mistakes a corrupt byte before intact frames for a torn end', () => {
     const last = frames.encode(payloads.at(-1)).length;
     for (let at = 0; at < file.length - last; at++) {
       const bad = Buffer.from(file);
@@ -45,7 +45,7 @@
     }
   });
 
-  it('reads any bytes without throwing', () => {
+  it('replays arbitrary bytes without throwing', () => {
     fastCheck.assert(
       fastCheck.property(fastCheck.uint8Array({ maxLength: 200 }), (bytes) => {
         frames.replay(Buffer.from(bytes));
@@ -64,7 +64,7 @@
 
   afterEach(() => fs.rmSync(folder, { recursive: true, force: true }));
 
-  it('comes back with what was synced, after truncation, rewriting and a torn write', async () => {
+  it('recovers everything synced after truncation, rewriting and a torn write', async () => {
     const first = (await journal.Journal.open(folder)).unwrap();
     const empty = domain.replication.messages.emptyDurable();
     await first.journal.rewrite(empty);
@@ -93,7 +93,7 @@
     ]).to.deep.equal([false, 2, 4]);
   });
 
-  it('gives a data folder its identity once, and an emptied one another', async () => {
+  it('keeps the id of a data folder, and creates another one for an emptied folder', async () => {
     const created = await identity.readOrCreate(folder);
     const again = await identity.readOrCreate(folder);
     fs.rmSync(folder, { recursive: true });
--- a/packages/daemon/src/storage/frames.ts
+++ b/packages/daemon/src/storage/frames.ts
@@ -1,17 +1,17 @@
 /**
- * Frames of the journal: a header with length and checksums, then a msgpack payload. One frame is one
- * write and one sync, so a crash can tear only the last frame.
+ * Frame format of the journal: a header with length and checksums, then a MessagePack payload. Each frame
+ * is one write and one sync, so a crash can tear only the last frame.
  */
 import * as zlib from 'node:zlib';
 import * as msgpackr from 'msgpackr';
 import { Err, Ok, Result } from 'ts-results';
 
-/** Length, checksum of the length, checksum of the payload; four bytes each. */
+/** Payload length, checksum of the length, checksum of the payload; four bytes each. */
 const HEADER_BYTES = 12;
 
 const packr = new msgpackr.Packr({ useRecords: false, structuredClone: false });
 
-/** A frame in the middle fails its checksum although whole frames follow: the disk lost data. */
+/** A frame is damaged although intact frames follow it: the disk lost synced data. */
 export interface CorruptFrame {
   kind: 'corrupt';
   offset: number;
@@ -19,7 +19,7 @@
 
 export interface Replay {
   payloads: unknown[];
-  /** Bytes that hold whole frames; what follows is torn. */
+  /** Length in bytes of the intact frames; anything after it is a torn frame. */
   length: number;
   torn: boolean;
 }
@@ -34,7 +34,7 @@
   return frame;
 }
 
-/** End of the whole frame at `offset`, or undefined if there is none. */
+/** End of the intact frame that starts at `offset`, or undefined if there is none. */
 function frameEnd(file: Buffer, offset: number): number | undefined {
   if (offset + HEADER_BYTES > file.length) return undefined;
   const lengthField = file.subarray(offset, offset + 4);
@@ -54,9 +54,9 @@
 }
 
 /**
- * Reads a whole journal. A torn last frame was never acknowledged and is cut. A bad frame before good
- * ones was acknowledged and is lost: to go on as if it had never been would let this replica vote
- * against what it accepted, so that is an error.
+ * Decodes a whole journal. A torn last frame was never acknowledged and is dropped. A damaged frame before
+ * intact ones was acknowledged and is lost; ignoring it would let this replica vote against entries that it
+ * accepted, so that is an error.
  */
 export function replay(file: Buffer): Result<Replay, CorruptFrame> {
   const payloads: unknown[] = [];
--- a/packages/daemon/src/storage/identity.ts
+++ b/packages/daemon/src/storage/identity.ts
@@ -1,6 +1,6 @@
 /**
- * The identity of a data folder, written when it is made. A VM that comes back with an empty disk
- * gets a new one and is a new replica: it must not vote as the old, whose promises it forgot.
+ * Replica id of a data folder, written when the folder is created. A VM that restarts with an empty disk
+ * gets a new id and is a new replica: it must not vote under the old id, whose votes and entries it lost.
  */
 import * as crypto from 'node:crypto';
 import * as fs from 'node:fs/promises';
@@ -9,6 +9,7 @@
 
 const FILE = 'identity';
 
+/** Reads the replica id of a data folder, or creates the folder and a random id. */
 export async function readOrCreate(folder: string): Promise<string> {
   await fs.mkdir(folder, { recursive: true });
   const file = path.join(folder, FILE);
--- a/packages/daemon/src/storage/journal.ts
+++ b/packages/daemon/src/storage/journal.ts
@@ -1,7 +1,7 @@
 /**
- * The journal of one replica: a file of frames, each a batch of records that was synced before
- * anything that depends on it left the process. A snapshot rewrites the file beside the old one and
- * renames it, so that at every moment one whole journal is there.
+ * Append-only journal of one replica: a file of frames, each a batch of records that is synced before
+ * anything that depends on it leaves the process. A snapshot writes a new file and renames it over the old
+ * one, so that a complete journal exists at all times.
  */
 import * as fs from 'node:fs/promises';
 import * as path from 'node:path';
@@ -10,23 +10,24 @@
 import * as frames from './frames';
 
 type Durable = domain.replication.messages.Durable;
-/** A snapshot is no record to append: it rewrites the journal from the replica's whole state. */
+/** Snapshots aren't appended: they rewrite the journal from the replica's whole durable state. */
 type Record = Exclude<domain.replication.messages.Record, { kind: 'snapshot' }>;
 
 export interface OpenedJournal {
   journal: Journal;
-  /** Undefined for a journal that was never founded. */
+  /** Undefined if the journal is new and empty. */
   durable: Durable | undefined;
+  /** Whether a torn last frame was truncated. */
   wasTorn: boolean;
 }
 
 const FILE = 'journal';
 
-/** Applies one record to what the journal holds. */
+/** Applies one record to the durable state. */
 export function applyRecord(durable: Durable, record: Record): Durable {
   if (record.kind === 'vote') return { ...durable, vote: record.vote };
   if (record.kind === 'append') {
-    // Pushed in place: replay of a long journal would otherwise copy it once per record.
+    // Pushed in place, as replaying a long journal would otherwise copy all entries once per record.
     record.entries.forEach((entry) => durable.entries.push(entry));
     return durable;
   }
@@ -37,7 +38,7 @@
   private constructor(
     private readonly folder: string,
     private handle: fs.FileHandle,
-    /** Bytes that a sync has covered. */
+    /** Length of the file in bytes that is known to be synced. */
     private syncedBytes: number,
   ) {}
 
@@ -59,7 +60,7 @@
     return Ok({ journal: new Journal(folder, handle, length), durable, wasTorn: torn });
   }
 
-  /** Writes and syncs a batch; once this resolves it survives a crash. */
+  /** Writes and syncs a batch of records; once this resolves they survive a crash. */
   async append(records: readonly Record[]): Promise<void> {
     const frame = frames.encode(records);
     await this.handle.appendFile(frame);
@@ -68,8 +69,8 @@
   }
 
   /**
-   * Drops what a failed write or sync left behind and reads back the rest. After a failed sync nobody knows
-   * which of its bytes the disk holds; none of them was promised to anybody, so they are cut.
+   * Truncates what a failed write or sync left behind and reads back the rest. After a failed sync it is
+   * unknown which of its bytes are on disk; none of them was acknowledged, so all are dropped.
    */
   async recover(): Promise<Result<Durable | undefined, frames.CorruptFrame>> {
     await fs.rm(path.join(this.folder, `${FILE}.new`), { force: true });
@@ -81,7 +82,7 @@
     return replayed.map(({ payloads }) => rebuild(payloads as (Durable | Record[])[]));
   }
 
-  /** Replaces the whole journal by its present content. */
+  /** Replaces the journal by a single frame with the given state. */
   async rewrite(durable: Durable): Promise<void> {
     const newPath = path.join(this.folder, `${FILE}.new`);
     const handle = await fs.open(newPath, 'w');
@@ -107,7 +108,7 @@
   return (rest as Record[][]).flat().reduce(applyRecord, first as Durable);
 }
 
-/** A rename is durable only once its folder is synced. */
+/** Syncs a folder; a rename in it is durable only after that. */
 export async function syncFolder(folder: string): Promise<void> {
   const handle = await fs.open(folder, 'r');
   await handle.sync();
--- a/packages/daemon/src/storage/replaceFile.ts
+++ b/packages/daemon/src/storage/replaceFile.ts
@@ -1,4 +1,4 @@
-/** Replaces a small file whole: at every moment, also after a loss of power, the old or the new content is there. */
+/** Replaces a small file atomically: after a crash or power loss it has either the old or the new content. */
 import * as fs from 'node:fs/promises';
 import * as path from 'node:path';
 import * as journal from './journal';
