--- a/packages/daemon/src/membership/members.ts
+++ b/packages/daemon/src/membership/members.ts
@@ -1,6 +1,7 @@
 /**
- * Membership of this daemon: probes one peer a second, exchanges news with it, and tells everybody at
- * once what can't wait. Own data centre first; a relay also exchanges with another data centre.
+ * Fleet membership as seen by this daemon: probes one peer per second by exchanging gossip records with it,
+ * and pushes urgent records to all daemons at once. Probes stay in the own data centre first; a relay also
+ * exchanges records with a daemon of another data centre.
  */
 import * as domain from '@celerydrift/domain';
 import type * as observer from '../observability/observer';
@@ -18,29 +19,30 @@
   random: domain.shared.random.Random;
   hash: domain.shared.hashing.Hash;
   now: () => number;
-  /** News other than of daemons; gives back whether it was new here. */
+  /** Handles records other than daemons; returns whether the record was new. */
   take: (record: news.News) => boolean;
   onDaemons: () => void;
 }
 
 interface GossipExchange {
   from: Daemon;
-  /** Checksum of the sender's lasting records. */
+  /** Checksum of the sender's persistent records; transient ones are left out. */
   checksum: number;
   records: news.News[];
 }
 
 interface PushRequest {
   records: news.News[];
-  /** The receiver passes it on within its data centre. */
+  /** Whether the receiver forwards the records within its data centre. */
   passOn: boolean;
 }
 
 const PROBE_TIMEOUT_MS = 500;
 
-/** Records in one exchange; a newcomer gets the rest in the next. */
+/** Records in one exchange; a new peer receives the rest in later exchanges. */
 const BATCH_LIMIT = 200;
 
+/** Helpers of an indirect probe, and daemons per remote data centre that forward a push. */
 const REDUNDANT_PEERS = 2;
 
 export class Members {
@@ -52,7 +54,7 @@
 
   private seedCursor = 0;
 
-  /** Peers with which an exchange succeeded in their present life. */
+  /** Peers with which an exchange succeeded since they last started. */
   private readonly contacted = new Set<string>();
 
   constructor(private readonly options: Options) {
@@ -94,7 +96,7 @@
     return domain.membership.relay.relaysOf(this.options.hash, dataCentre, live).includes(id);
   }
 
-  /** Tells the news in the next exchanges. */
+  /** Queues a record for the next exchanges. */
   post(record: news.News): void {
     this.postFrom(record, '');
   }
@@ -104,8 +106,8 @@
   }
 
   /**
-   * Tells it at once to every live daemon of the data centre, and to two of each other one that pass
-   * it on. Gossip carries it as well, so one silent path keeps it from nobody.
+   * Sends a record immediately to every live daemon of this data centre and to two of each other data centre,
+   * which forward it. Gossip carries it as well, so a single broken path doesn't keep it from anyone.
    */
   async push(record: news.News): Promise<void> {
     this.post(record);
@@ -122,7 +124,7 @@
     ]);
   }
 
-  /** Daemons that the control state names; those never heard are probed like the others. */
+  /** Adds registered daemons that are not known yet, so that they are probed like the others. */
   learn(daemons: Iterable<domain.control.state.Registered>): void {
     for (const { id, address, dataCentre } of daemons) {
       if (id === this.self.id || this.detector.get(id) !== undefined) continue;
@@ -140,7 +142,7 @@
     const message: PushRequest = { records: [record], passOn };
     const { client } = this.options;
     const sent = await client.call(peer.address, 'push', message, { timeoutMs: PROBE_TIMEOUT_MS });
-    // The open connection may have gone silent; a new one may work.
+    // The open connection may have stalled; a new one may work.
     if (sent.err) {
       await client.call(peer.address, 'push', message, {
         timeoutMs: PROBE_TIMEOUT_MS,
@@ -174,7 +176,7 @@
     if (this.isRelay()) void this.exchangeWithRemoteDataCentre();
   }
 
-  /** Without any known peer, the configured addresses are asked in turn. */
+  /** Contacts the configured seeds in turn while no peer is known. */
   private async contactSeed(): Promise<void> {
     const seeds = this.options.seeds.filter((address) => address !== this.self.address);
     if (seeds.length === 0) return;
@@ -195,7 +197,7 @@
 
   private async probe(peer: Daemon): Promise<void> {
     if (await this.exchange(peer.address, peer.id, false)) return;
-    // The open connection may be the only thing that is dead.
+    // Only the open connection may have failed; a new one may work.
     if (await this.exchange(peer.address, peer.id, true)) return;
     const helpers = this.detector.helpers(peer.id, REDUNDANT_PEERS);
     const answers = await Promise.all(
@@ -221,7 +223,7 @@
   }
 
   private async exchange(address: string, id: string, fresh: boolean): Promise<boolean> {
-    // At a first meeting only the checksum is sent: the answer shows whether anything is to be told.
+    // The first exchange sends only the checksum: the answer shows whether the peer lacks any records.
     const isKnown = this.contacted.has(id);
     const batch = this.board.batchFor(id, isKnown ? BATCH_LIMIT : 0);
     const { checksum } = this.board;
@@ -247,7 +249,7 @@
     const { checksum } = this.board;
     if (exchange.checksum === checksum) this.board.agreed(id);
     const batch = this.board.batchFor(id, BATCH_LIMIT);
-    // Lost answers are not sent again to this peer, but reach it from others and by its own probes.
+    // Records in a lost answer are not resent to this peer; it receives them from others and by its own probes.
     this.board.acknowledged(id, batch.upTo);
     return { from: this.self, checksum, records: batch.records };
   }
--- a/packages/daemon/src/membership/news.ts
+++ b/packages/daemon/src/membership/news.ts
@@ -1,15 +1,15 @@
-/** What daemons tell each other by gossip: who is there, which targets, and how much work is where. */
+/** Records that daemons exchange by gossip: daemons, targets and each daemon's work. */
 import type * as domain from '@celerydrift/domain';
 
-/** One daemon's work, for the others' predictions and shares. */
+/** One daemon's current work, used by the others for load prediction and fair shares. */
 export interface Work {
   daemon: string;
   incarnation: number;
   version: number;
-  /** Prompt tokens under way by target; only medium and long ones, the rest shows in load reports. */
+  /** Outstanding prompt tokens by target; medium and long prompts only, load reports cover the rest. */
   outstanding: Record<string, domain.routing.estimate.Outstanding>;
   demand: domain.routing.band.Demand;
-  /** Demand in tokens per second by organisation with a limit. */
+  /** Demand in tokens per second, by rate-limited organisation. */
   organisations: Record<string, number>;
 }
 
@@ -18,6 +18,7 @@
   | { kind: 'target'; target: domain.target.target.Target }
   | { kind: 'work'; work: Work };
 
+/** Key under which a newer record replaces an older one. */
 export function keyOf(record: News): string {
   if (record.kind === 'daemon') return `daemon/${record.daemon.id}`;
   if (record.kind === 'target') return `target/${record.target.name}`;
--- a/packages/daemon/src/membership/workTeller.ts
+++ b/packages/daemon/src/membership/workTeller.ts
@@ -1,6 +1,6 @@
 /**
- * Tells the peers of this daemon's own work when it changed, and takes theirs. Only the newest word of a
- * peer counts, whichever way it came.
+ * Announces this daemon's work to its peers when it changed, and receives theirs. Only the newest
+ * announcement of a peer counts, whichever path it arrived by.
  */
 import type * as router from '../requests/router';
 import type * as news from './news';
@@ -9,11 +9,12 @@
   self: string;
   incarnation: number;
   router: router.Router;
-  /** Own demand in tokens per second by limited organisation. */
+  /** This daemon's demand in tokens per second, by rate-limited organisation. */
   demand: () => Record<string, number>;
   post: (record: news.News) => void;
 }
 
+/** Newest announcement received from a peer. */
 interface AnnouncedVersion {
   incarnation: number;
   version: number;
@@ -28,7 +29,7 @@
 
   constructor(private readonly options: Options) {}
 
-  /** Takes a peer's word; true when it was new. */
+  /** Applies a peer's announcement; returns false if it is outdated or this daemon's own. */
   take(work: news.Work): boolean {
     if (work.daemon === this.options.self || this.isStale(work)) return false;
     const { incarnation, version } = work;
@@ -37,7 +38,7 @@
     return true;
   }
 
-  /** Tells own work, if it is other than at the last time. */
+  /** Announces this daemon's work if it differs from the last announcement. */
   tell(): void {
     const { router: localRouter, demand, self, incarnation, post } = this.options;
     const content = { ...localRouter.ownWork(), organisations: demand() };
