--- a/packages/daemon/src/control/controlMachine.ts
+++ b/packages/daemon/src/control/controlMachine.ts
@@ -1,10 +1,10 @@
 /** The state machine of the settings log: applies commands and passes the resulting deltas to the view. */
 import * as domain from '@celerydrift/domain';
-import type * as machine from '../replicas/machine';
+import type * as stateMachine from '../replicas/machine';
 
 type Delta = domain.control.state.Delta;
 
-export class ControlMachine implements machine.Machine {
+export class ControlMachine implements stateMachine.Machine {
   state = new domain.control.state.State();
 
   constructor(
--- a/packages/daemon/src/control/controlPlane.ts
+++ b/packages/daemon/src/control/controlPlane.ts
@@ -8,7 +8,7 @@
 import type * as configuration from '../configuration/configuration';
 import type * as observer from '../observability/observer';
 import type * as logHost from '../replicas/logHost';
-import type * as machine from '../replicas/machine';
+import type * as stateMachine from '../replicas/machine';
 import * as repairer from '../replicas/repairer';
 import * as replicaSet from '../replicas/replicaSet';
 import * as ledgerClient from '../requests/ledgerClient';
@@ -217,7 +217,9 @@
 
   private async openReplicas(folder: string): Promise<Result<void, startErrors.StartError>> {
     const { configuration: settings, address, client, observer: observe, random } = this.options;
-    const machines = new Map<string, machine.Machine>([[logServer.SETTINGS_LOG, this.machine]]);
+    const machines = new Map<string, stateMachine.Machine>([
+      [logServer.SETTINGS_LOG, this.machine],
+    ]);
     for (let shard = 0; shard < settings.ledgerShards; shard++) {
       machines.set(ledgerClient.shardName(shard), new ledgerMachine.LedgerMachine());
     }
--- a/packages/daemon/src/control/ledgerMachine.ts
+++ b/packages/daemon/src/control/ledgerMachine.ts
@@ -1,8 +1,8 @@
 /** The state machine of one ledger shard. */
 import * as domain from '@celerydrift/domain';
-import type * as machine from '../replicas/machine';
+import type * as stateMachine from '../replicas/machine';
 
-export class LedgerMachine implements machine.Machine {
+export class LedgerMachine implements stateMachine.Machine {
   ledger = new domain.ledger.ledger.Ledger();
 
   apply(command: unknown): unknown {
--- a/packages/daemon/src/membership/members.ts
+++ b/packages/daemon/src/membership/members.ts
@@ -7,7 +7,7 @@
 import type * as observer from '../observability/observer';
 import type * as peerClient from '../rpc/peerClient';
 import type * as peerServer from '../rpc/peerServer';
-import * as news from './news';
+import * as gossipRecords from './news';
 
 type Daemon = domain.membership.daemon.Daemon;
 
@@ -20,7 +20,7 @@
   hash: domain.shared.hashing.Hash;
   now: () => number;
   /** Handles records other than daemons; returns whether the record was new. */
-  take: (record: news.News) => boolean;
+  take: (record: gossipRecords.News) => boolean;
   onDaemons: () => void;
 }
 
@@ -28,11 +28,11 @@
   from: Daemon;
   /** Checksum of the sender's persistent records; transient ones are left out. */
   checksum: number;
-  records: news.News[];
+  records: gossipRecords.News[];
 }
 
 interface PushRequest {
-  records: news.News[];
+  records: gossipRecords.News[];
   /** Whether the receiver forwards the records within its data centre. */
   passOn: boolean;
 }
@@ -48,7 +48,7 @@
 export class Members {
   readonly detector: domain.membership.detector.Detector;
 
-  private readonly board: domain.membership.gossip.Board<news.News>;
+  private readonly board: domain.membership.gossip.Board<gossipRecords.News>;
 
   private timer: NodeJS.Timeout | undefined;
 
@@ -97,19 +97,19 @@
   }
 
   /** Queues a record for the next exchanges. */
-  post(record: news.News): void {
+  post(record: gossipRecords.News): void {
     this.postFrom(record, '');
   }
 
-  private postFrom(record: news.News, from: string): void {
-    this.board.post(news.keyOf(record), record, from, record.kind === 'work');
+  private postFrom(record: gossipRecords.News, from: string): void {
+    this.board.post(gossipRecords.keyOf(record), record, from, record.kind === 'work');
   }
 
   /**
    * Sends a record immediately to every live daemon of this data centre and to two of each other data centre,
    * which forward it. Gossip carries it as well, so a single broken path doesn't keep it from anyone.
    */
-  async push(record: news.News): Promise<void> {
+  async push(record: gossipRecords.News): Promise<void> {
     this.post(record);
     const livePeers = this.detector.list().filter(domain.membership.daemon.isLive);
     const localPeers = livePeers.filter(({ dataCentre }) => dataCentre === this.self.dataCentre);
@@ -137,7 +137,7 @@
     await this.push({ kind: 'daemon', daemon });
   }
 
-  private async pushTo(peer: Daemon, record: news.News, passOn: boolean): Promise<void> {
+  private async pushTo(peer: Daemon, record: gossipRecords.News, passOn: boolean): Promise<void> {
     if (peer.id === this.self.id) return;
     const message: PushRequest = { records: [record], passOn };
     const { client } = this.options;
@@ -265,7 +265,7 @@
     records.forEach((record) => this.mergeRecord(record, from.id));
   }
 
-  private mergeRecord(record: news.News, from: string): boolean {
+  private mergeRecord(record: gossipRecords.News, from: string): boolean {
     if (record.kind === 'daemon') return this.mergeDaemon(record.daemon, from);
     const isNew = this.options.take(record);
     if (isNew) this.postFrom(record, from);
--- a/packages/daemon/src/membership/workTeller.ts
+++ b/packages/daemon/src/membership/workTeller.ts
@@ -3,7 +3,7 @@
  * announcement of a peer counts, whichever path it arrived by.
  */
 import type * as router from '../requests/router';
-import type * as news from './news';
+import type * as gossipRecords from './news';
 
 export interface Options {
   self: string;
@@ -11,7 +11,7 @@
   router: router.Router;
   /** This daemon's demand in tokens per second, by rate-limited organisation. */
   demand: () => Record<string, number>;
-  post: (record: news.News) => void;
+  post: (record: gossipRecords.News) => void;
 }
 
 /** Newest announcement received from a peer. */
@@ -30,7 +30,7 @@
   constructor(private readonly options: Options) {}
 
   /** Applies a peer's announcement; returns false if it is outdated or this daemon's own. */
-  take(work: news.Work): boolean {
+  take(work: gossipRecords.Work): boolean {
     if (work.daemon === this.options.self || this.isStale(work)) return false;
     const { incarnation, version } = work;
     this.versions.set(work.daemon, { incarnation, version });
@@ -50,7 +50,7 @@
     post({ kind: 'work', work });
   }
 
-  private isStale({ daemon, incarnation, version }: news.Work): boolean {
+  private isStale({ daemon, incarnation, version }: gossipRecords.Work): boolean {
     const known = this.versions.get(daemon);
     if (known === undefined || incarnation > known.incarnation) return false;
     return incarnation < known.incarnation || version <= known.version;
--- a/packages/daemon/src/replicas/logHost.ts
+++ b/packages/daemon/src/replicas/logHost.ts
@@ -10,7 +10,7 @@
 import type * as observer from '../observability/observer';
 import type * as journal from '../storage/journal';
 import type * as errors from './errors';
-import type * as machine from './machine';
+import type * as stateMachine from './machine';
 
 type Replica = domain.replication.replica.Replica;
 type Effects = domain.replication.messages.Effects;
@@ -26,7 +26,7 @@
   id: string;
   replica: Replica;
   journal: journal.Journal;
-  machine: machine.Machine;
+  machine: stateMachine.Machine;
   send: (address: string, message: Message) => void;
   now: () => number;
   observer: observer.Observer;
--- a/packages/daemon/src/replicas/replicaSet.ts
+++ b/packages/daemon/src/replicas/replicaSet.ts
@@ -13,7 +13,7 @@
 import * as identity from '../storage/identity';
 import * as journal from '../storage/journal';
 import * as logHost from './logHost';
-import type * as machine from './machine';
+import type * as stateMachine from './machine';
 import * as outbox from './outbox';
 import * as wire from './wire';
 
@@ -23,7 +23,7 @@
   folder: string;
   address: string;
   dataCentre: string;
-  machines: ReadonlyMap<string, machine.Machine>;
+  machines: ReadonlyMap<string, stateMachine.Machine>;
   timing: domain.replication.replica.Timing;
   random: domain.shared.random.Random;
   client: peerClient.PeerClient;
@@ -106,14 +106,14 @@
 
   private async openLog(
     log: string,
-    stateMachine: machine.Machine,
+    logMachine: stateMachine.Machine,
   ): Promise<Result<void, frames.CorruptFrame>> {
     const opened = await journal.Journal.open(path.join(this.options.folder, log));
     if (opened.err) return opened;
     const durable = opened.val.durable ?? domain.replication.messages.emptyDurable();
     if (opened.val.durable === undefined) await opened.val.journal.rewrite(durable);
     if (opened.val.wasTorn) this.options.observer.log('journalCut', { log });
-    if (durable.snapshot.index > 0) stateMachine.restore(durable.snapshot.state);
+    if (durable.snapshot.index > 0) logMachine.restore(durable.snapshot.state);
     const { timing, random, observer: observe } = this.options;
     const send = (to: string, message: domain.replication.messages.Message): void => {
       this.outgoing.add(to, { log, message: wire.pack(message) });
@@ -130,7 +130,7 @@
         replica: createReplica(durable),
         reopen: createReplica,
         journal: opened.val.journal,
-        machine: stateMachine,
+        machine: logMachine,
         send,
         now,
         observer: observe,
--- a/packages/daemon/src/rpc/__tests__/rpc.test.ts
+++ b/packages/daemon/src/rpc/__tests__/rpc.test.ts
@@ -76,10 +76,10 @@
    */
   it('replaces a connection that is not established in time', async () => {
     const listenerProcess = cp.spawn(process.execPath, ['-e', NON_ACCEPTING_LISTENER]);
-    const line = await new Promise<Buffer>((resolve) => {
+    const output = await new Promise<Buffer>((resolve) => {
       listenerProcess.stdout.once('data', resolve);
     });
-    const port = Number(line.toString());
+    const port = Number(output.toString());
     const fillers = [1, 2, 3, 4].map(() => net.connect(port, '127.0.0.1'));
     fillers.forEach((filler) => filler.on('error', () => undefined));
     await pause(50);
@@ -125,25 +125,25 @@
     const proxied: net.Socket[] = [];
     const proxy = net.createServer((socket) => {
       const [host, port] = address.split(':') as [string, string];
-      const through = net.connect(Number(port), host);
+      const upstreamSocket = net.connect(Number(port), host);
       socket.on('error', () => undefined);
-      through.on('error', () => undefined);
-      proxied.push(socket, through);
-      socket.pipe(through).pipe(socket);
+      upstreamSocket.on('error', () => undefined);
+      proxied.push(socket, upstreamSocket);
+      socket.pipe(upstreamSocket).pipe(socket);
     });
     await new Promise<void>((resolve) => {
       proxy.listen(0, '127.0.0.1', resolve);
     });
     const port = (proxy.address() as net.AddressInfo).port;
     const caller = client();
-    const through = `127.0.0.1:${port}`;
-    const first = await caller.call(through, 'echo', 1);
+    const proxyAddress = `127.0.0.1:${port}`;
+    const first = await caller.call(proxyAddress, 'echo', 1);
     proxied.forEach((socket) => {
       socket.unpipe();
       socket.pause();
     });
-    const silent = await caller.call(through, 'echo', 2, { timeoutMs: 150 });
-    const next = await caller.call(through, 'echo', 3, { timeoutMs: 2_000 });
+    const silent = await caller.call(proxyAddress, 'echo', 2, { timeoutMs: 150 });
+    const next = await caller.call(proxyAddress, 'echo', 3, { timeoutMs: 2_000 });
     expect([first.val, silent.err && silent.val.kind, next.val]).to.deep.equal([1, 'timeout', 3]);
     caller.close();
     proxied.forEach((socket) => socket.destroy());
