--- a/packages/daemon/src/rpc/__tests__/rpc.test.ts
+++ b/packages/daemon/src/rpc/__tests__/rpc.test.ts
@@ -178,8 +178,8 @@
   });
 
   it('rejects a frame over the limit before reading it', () => {
-    const splitter = new framing.FrameDecoder(() => undefined, 10);
-    expect(() => splitter.push(framing.encode('longer than ten bytes'))).to.throw(/over the limit/);
+    const decoder = new framing.FrameDecoder(() => undefined, 10);
+    expect(() => decoder.push(framing.encode('longer than ten bytes'))).to.throw(/over the limit/);
   });
 
   it('reassembles frames however the bytes are split', () => {
@@ -188,10 +188,10 @@
     fastCheck.assert(
       fastCheck.property(fastCheck.array(fastCheck.integer({ min: 1, max: 9 })), (sizes) => {
         const decoded: unknown[] = [];
-        const splitter = new framing.FrameDecoder((value) => decoded.push(value));
+        const decoder = new framing.FrameDecoder((value) => decoded.push(value));
         let at = 0;
         [...sizes, all.length].forEach((size) => {
-          splitter.push(all.subarray(at, at + size));
+          decoder.push(all.subarray(at, at + size));
           at = Math.min(all.length, at + size);
         });
         expect(decoded).to.deep.equal(values);
--- a/packages/daemon/src/rpc/peerClient.ts
+++ b/packages/daemon/src/rpc/peerClient.ts
@@ -76,10 +76,10 @@
         ? net.connect({ ...endpoint, noDelay: true })
         : tls.connect({ ...endpoint, ...tlsOptions });
     this.client = new jsonRpc.JSONRPCClient((request) => this.send(request));
-    const splitter = new framing.FrameDecoder((value, bytes) => this.handleFrame(value, bytes));
+    const decoder = new framing.FrameDecoder((value, bytes) => this.handleFrame(value, bytes));
     this.socket.on('data', (chunk: Buffer) => {
       try {
-        splitter.push(chunk);
+        decoder.push(chunk);
       } catch {
         this.close('malformed frame');
       }
