--- a/packages/daemon/src/control/followProtocol.ts
+++ b/packages/daemon/src/control/followProtocol.ts
@@ -12,7 +12,7 @@
   waitMs: number;
 }
 
-/** Age of the upstream's view, and the leader to turn to for a fresher one. */
+/** Age of the upstream's view, and the leader from which a fresher one is available. */
 export interface FreshnessInfo {
   /** Milliseconds before the answer at which the upstream's view was last known to match the leader's. */
   ageMs: number;
--- a/packages/daemon/src/membership/news.ts
+++ b/packages/daemon/src/membership/news.ts
@@ -1,7 +1,7 @@
-/** Records that daemons exchange by gossip: daemons, targets and each daemon's work. */
+/** Records that daemons exchange by gossip: daemons, targets and each daemon's workload. */
 import type * as domain from '@celerydrift/domain';
 
-/** One daemon's current work, used by the others for load prediction and fair shares. */
+/** One daemon's workload; the others predict load and compute their shares of capacity and limits from it. */
 export interface Work {
   daemon: string;
   incarnation: number;
--- a/packages/daemon/src/membership/workTeller.ts
+++ b/packages/daemon/src/membership/workTeller.ts
@@ -1,5 +1,5 @@
 /**
- * Announces this daemon's work to its peers when it changed, and receives theirs. Only the newest
+ * Announces this daemon's workload to its peers when it changed, and receives theirs. Only the newest
  * announcement of a peer counts, whichever path it arrived by.
  */
 import type * as router from '../requests/router';
@@ -38,7 +38,7 @@
     return true;
   }
 
-  /** Announces this daemon's work if it differs from the last announcement. */
+  /** Announces this daemon's workload if it differs from the last announcement. */
   tell(): void {
     const { router: localRouter, demand, self, incarnation, post } = this.options;
     const content = { ...localRouter.ownWork(), organisations: demand() };
--- a/packages/daemon/src/replicas/logHost.ts
+++ b/packages/daemon/src/replicas/logHost.ts
@@ -32,7 +32,7 @@
   observer: observer.Observer;
   /** Recreates the replica from its durable state. */
   reopen: (durable: domain.replication.messages.Durable) => Replica;
-  /** Log length in entries at which a snapshot replaces them; undefined for the default. */
+  /** Log length in entries at which the log is compacted into a snapshot; undefined for the default. */
   snapshotIntervalEntries: number | undefined;
   /** Called when the disk lost synced data; the process must exit. */
   onDiskFailure: (error: unknown) => void;
@@ -45,7 +45,7 @@
   term: number;
 }
 
-/** Log length in entries at which a snapshot replaces them. */
+/** Log length in entries at which the log is compacted into a snapshot. */
 const SNAPSHOT_INTERVAL_ENTRIES = 4_096;
 
 /** Pause between attempts to recover the journal after a failed write, milliseconds. */
--- a/packages/daemon/src/replicas/replicaSet.ts
+++ b/packages/daemon/src/replicas/replicaSet.ts
@@ -28,7 +28,7 @@
   random: domain.shared.random.Random;
   client: peerClient.PeerClient;
   observer: observer.Observer;
-  /** Log length in entries at which a snapshot replaces them. */
+  /** Log length in entries at which the log is compacted into a snapshot. */
   snapshotEvery?: number;
   onDiskFailure: (error: unknown) => void;
 }
