--- a/packages/daemon/src/control/contacts.ts
+++ b/packages/daemon/src/control/contacts.ts
@@ -1,61 +1,62 @@
 /**
- * Which daemons have been heard below this one, when, and which log index they hold. A relay keeps it
- * for its followers and passes on what is new; the leader keeps it for all and answers from it whether
- * a change is in force everywhere.
+ * Records when each downstream daemon was last in contact and which log index its view holds. A relay
+ * keeps this for its followers and forwards updates upstream; the leader keeps it for all daemons and uses
+ * it to decide whether a change is in force everywhere.
  */
 
 export interface Contact {
   id: string;
   index: number;
-  /** Milliseconds since it was heard, at the time of sending. */
+  /** Milliseconds since the last contact, at the time of sending. */
   ageMs: number;
 }
 
-interface Heard {
+interface ContactRecord {
   index: number;
   at: number;
-  passedOn: boolean;
+  /** Whether the record was sent upstream since it last changed. */
+  isForwarded: boolean;
 }
 
 export class Contacts {
-  private readonly heard = new Map<string, Heard>();
+  private readonly records = new Map<string, ContactRecord>();
 
-  at(id: string): number {
-    return this.heard.get(id)?.at ?? -Infinity;
+  lastContactAt(id: string): number {
+    return this.records.get(id)?.at ?? -Infinity;
   }
 
-  indexOf(id: string): number {
-    return this.heard.get(id)?.index ?? 0;
+  viewIndexOf(id: string): number {
+    return this.records.get(id)?.index ?? 0;
   }
 
-  take(contacts: readonly Contact[], now: number): void {
+  update(contacts: readonly Contact[], now: number): void {
     contacts.forEach(({ id, index, ageMs }) => {
-      const known = this.heard.get(id);
+      const known = this.records.get(id);
       const at = now - ageMs;
       if (known !== undefined && known.at >= at && known.index >= index) return;
       const newest = Math.max(index, known?.index ?? 0);
-      this.heard.set(id, { index: newest, at: Math.max(at, known?.at ?? 0), passedOn: false });
+      this.records.set(id, { index: newest, at: Math.max(at, known?.at ?? 0), isForwarded: false });
     });
   }
 
-  /** What has not been passed on yet. */
-  news(now: number): Contact[] {
-    const fresh = [...this.heard].filter(([, { passedOn }]) => !passedOn);
-    return fresh.map(([id, entry]) => {
-      entry.passedOn = true;
+  /** Contacts that have not been sent upstream yet; marks them as sent. */
+  takeUnsent(now: number): Contact[] {
+    const unsent = [...this.records].filter(([, { isForwarded }]) => !isForwarded);
+    return unsent.map(([id, entry]) => {
+      entry.isForwarded = true;
       return { id, index: entry.index, ageMs: now - entry.at };
     });
   }
 
-  /** The pass failed; pass these on again. */
-  restore(contacts: readonly Contact[]): void {
+  /** Marks contacts for another attempt after sending them failed. */
+  markUnsent(contacts: readonly Contact[]): void {
     contacts.forEach(({ id }) => {
-      const entry = this.heard.get(id);
-      if (entry !== undefined) entry.passedOn = false;
+      const entry = this.records.get(id);
+      if (entry !== undefined) entry.isForwarded = false;
     });
   }
 
   forget(id: string): void {
-    this.heard.delete(id);
+    this.records.delete(id);
   }
 }
--- a/packages/daemon/src/membership/members.ts
+++ b/packages/daemon/src/membership/members.ts
@@ -1,12 +1,13 @@
 /**
- * Membership of this daemon: probes one peer a second, exchanges news with it, and tells everybody at
- * once what can't wait. Own data centre first; a relay also exchanges with another data centre.
+ * Fleet membership as seen by this daemon: probes one peer per second by exchanging gossip records with it,
+ * and pushes urgent records to all daemons at once. Probes stay in the own data centre first; a relay also
+ * exchanges records with a daemon of another data centre.
  */
 import * as domain from '@celerydrift/domain';
 import type * as observer from '../observability/observer';
 import type * as peerClient from '../rpc/peerClient';
 import type * as peerServer from '../rpc/peerServer';
-import * as news from './news';
+import * as gossipRecords from './news';
 
 type Daemon = domain.membership.daemon.Daemon;
 
@@ -18,42 +19,43 @@
   random: domain.shared.random.Random;
   hash: domain.shared.hashing.Hash;
   now: () => number;
-  /** News other than of daemons; gives back whether it was new here. */
-  take: (record: news.News) => boolean;
+  /** Handles records other than daemons; returns whether the record was new. */
+  take: (record: gossipRecords.News) => boolean;
   onDaemons: () => void;
 }
 
-interface Exchange {
+interface GossipExchange {
   from: Daemon;
-  /** Checksum of the sender's lasting records. */
+  /** Checksum of the sender's persistent records; transient ones are left out. */
   checksum: number;
-  records: news.News[];
+  records: gossipRecords.News[];
 }
 
-interface Pushed {
-  records: news.News[];
-  /** The receiver passes it on within its data centre. */
+interface PushRequest {
+  records: gossipRecords.News[];
+  /** Whether the receiver forwards the records within its data centre. */
   passOn: boolean;
 }
 
 const PROBE_TIMEOUT_MS = 500;
 
-/** Records in one exchange; a newcomer gets the rest in the next. */
+/** Records in one exchange; a new peer receives the rest in later exchanges. */
 const BATCH_LIMIT = 200;
 
-const HELPERS = 2;
+/** Helpers of an indirect probe, and daemons per remote data centre that forward a push. */
+const REDUNDANT_PEERS = 2;
 
 export class Members {
   readonly detector: domain.membership.detector.Detector;
 
-  private readonly board: domain.membership.gossip.Board<news.News>;
+  private readonly board: domain.membership.gossip.Board<gossipRecords.News>;
 
   private timer: NodeJS.Timeout | undefined;
 
-  private seedTurn = 0;
+  private seedCursor = 0;
 
-  /** Peers with which an exchange succeeded in their present life. */
-  private readonly met = new Set<string>();
+  /** Peers with which an exchange succeeded since they last started. */
+  private readonly contacted = new Set<string>();
 
   constructor(private readonly options: Options) {
     const { self, random, hash } = options;
@@ -63,13 +65,13 @@
   }
 
   start(server: peerServer.PeerServer): void {
-    server.add('gossip', (parameters) => this.onExchange(parameters as Exchange));
-    server.add('push', (parameters) => this.onPush(parameters as Pushed));
+    server.add('gossip', (parameters) => this.handleExchange(parameters as GossipExchange));
+    server.add('push', (parameters) => this.handlePush(parameters as PushRequest));
     server.add('probeFor', (parameters) =>
       this.probeFor((parameters as { address: string }).address),
     );
     const round = (): void => {
-      void this.round();
+      void this.runRound();
     };
     this.timer = setInterval(round, domain.membership.detector.DEFAULT_TIMING.period);
     round();
@@ -94,38 +96,39 @@
     return domain.membership.relay.relaysOf(this.options.hash, dataCentre, live).includes(id);
   }
 
-  /** Tells the news in the next exchanges. */
-  post(record: news.News): void {
+  /** Queues a record for the next exchanges. */
+  post(record: gossipRecords.News): void {
     this.postFrom(record, '');
   }
 
-  private postFrom(record: news.News, from: string): void {
-    this.board.post(news.keyOf(record), record, from, record.kind === 'work');
+  private postFrom(record: gossipRecords.News, from: string): void {
+    this.board.post(gossipRecords.keyOf(record), record, from, record.kind === 'work');
   }
 
   /**
-   * Tells it at once to every live daemon of the data centre, and to two of each other one that pass
-   * it on. Gossip carries it as well, so one silent path keeps it from nobody.
+   * Sends a record immediately to every live daemon of this data centre and to two of each other data centre,
+   * which forward it. Gossip carries it as well, so a single broken path doesn't keep it from anyone.
    */
-  async push(record: news.News): Promise<void> {
+  async push(record: gossipRecords.News): Promise<void> {
     this.post(record);
-    const everyone = this.detector.list().filter(domain.membership.daemon.isLive);
-    const near = everyone.filter(({ dataCentre }) => dataCentre === this.self.dataCentre);
-    const far = everyone.filter(({ dataCentre }) => dataCentre !== this.self.dataCentre);
-    const ambassadors = [...new Set(far.map(({ dataCentre }) => dataCentre))].flatMap((name) =>
-      far.filter(({ dataCentre }) => dataCentre === name).slice(0, HELPERS),
+    const livePeers = this.detector.list().filter(domain.membership.daemon.isLive);
+    const localPeers = livePeers.filter(({ dataCentre }) => dataCentre === this.self.dataCentre);
+    const remotePeers = livePeers.filter(({ dataCentre }) => dataCentre !== this.self.dataCentre);
+    const forwarders = [...new Set(remotePeers.map(({ dataCentre }) => dataCentre))].flatMap(
+      (name) =>
+        remotePeers.filter(({ dataCentre }) => dataCentre === name).slice(0, REDUNDANT_PEERS),
     );
     await Promise.all([
-      ...near.map((peer) => this.pushTo(peer, record, false)),
-      ...ambassadors.map((peer) => this.pushTo(peer, record, true)),
+      ...localPeers.map((peer) => this.pushTo(peer, record, false)),
+      ...forwarders.map((peer) => this.pushTo(peer, record, true)),
     ]);
   }
 
-  /** Daemons that the control state names; those never heard are probed like the others. */
+  /** Adds registered daemons that are not known yet, so that they are probed like the others. */
   learn(daemons: Iterable<domain.control.state.Registered>): void {
     for (const { id, address, dataCentre } of daemons) {
       if (id === this.self.id || this.detector.get(id) !== undefined) continue;
-      this.merge({ id, address, dataCentre, incarnation: 0, status: 'alive' }, '');
+      this.mergeDaemon({ id, address, dataCentre, incarnation: 0, status: 'alive' }, '');
     }
   }
 
@@ -134,12 +137,12 @@
     await this.push({ kind: 'daemon', daemon });
   }
 
-  private async pushTo(peer: Daemon, record: news.News, passOn: boolean): Promise<void> {
+  private async pushTo(peer: Daemon, record: gossipRecords.News, passOn: boolean): Promise<void> {
     if (peer.id === this.self.id) return;
-    const message: Pushed = { records: [record], passOn };
+    const message: PushRequest = { records: [record], passOn };
     const { client } = this.options;
     const sent = await client.call(peer.address, 'push', message, { timeoutMs: PROBE_TIMEOUT_MS });
-    // The open connection may have gone silent; a new one may work.
+    // The open connection may have stalled; a new one may work.
     if (sent.err) {
       await client.call(peer.address, 'push', message, {
         timeoutMs: PROBE_TIMEOUT_MS,
@@ -148,15 +151,15 @@
     }
   }
 
-  private onPush({ records, passOn }: Pushed): { taken: true } {
-    const fresh = records.filter((record) => this.take(record, ''));
+  private handlePush({ records, passOn }: PushRequest): { taken: true } {
+    const newRecords = records.filter((record) => this.mergeRecord(record, ''));
     if (passOn) {
-      const near = this.liveIn(this.self.dataCentre);
-      near
+      const localPeers = this.liveIn(this.self.dataCentre);
+      localPeers
         .map((id) => this.detector.get(id))
         .forEach((peer) => {
           if (peer === undefined) return;
-          fresh.forEach((record) => {
+          newRecords.forEach((record) => {
             void this.pushTo(peer, record, false);
           });
         });
@@ -164,39 +167,39 @@
     return { taken: true };
   }
 
-  private async round(): Promise<void> {
+  private async runRound(): Promise<void> {
     const now = this.options.now();
-    this.detector.expire(now).forEach((changed) => this.changed(changed, ''));
+    this.detector.expire(now).forEach((changed) => this.handleChange(changed, ''));
     const peer = this.detector.nextProbe();
     if (peer !== undefined) void this.probe(peer);
-    if (this.detector.list().length === 1) void this.greetSeed();
-    if (this.isRelay()) void this.exchangeAbroad();
+    if (this.detector.list().length === 1) void this.contactSeed();
+    if (this.isRelay()) void this.exchangeWithRemoteDataCentre();
   }
 
-  /** Without any known peer, the configured addresses are asked in turn. */
-  private async greetSeed(): Promise<void> {
+  /** Contacts the configured seeds in turn while no peer is known. */
+  private async contactSeed(): Promise<void> {
     const seeds = this.options.seeds.filter((address) => address !== this.self.address);
     if (seeds.length === 0) return;
-    this.seedTurn += 1;
-    await this.exchange(seeds[this.seedTurn % seeds.length], '', false);
+    this.seedCursor += 1;
+    await this.exchange(seeds[this.seedCursor % seeds.length], '', false);
   }
 
-  private async exchangeAbroad(): Promise<void> {
-    const abroad = this.detector
+  private async exchangeWithRemoteDataCentre(): Promise<void> {
+    const remotePeers = this.detector
       .list()
       .filter(({ dataCentre }) => dataCentre !== this.self.dataCentre)
       .filter(domain.membership.daemon.isLive);
-    if (abroad.length === 0) return;
-    const peer = domain.shared.random.pick(this.options.random, abroad);
+    if (remotePeers.length === 0) return;
+    const peer = domain.shared.random.pick(this.options.random, remotePeers);
     const reached = await this.exchange(peer.address, peer.id, false);
     if (!reached) await this.exchange(peer.address, peer.id, true);
   }
 
   private async probe(peer: Daemon): Promise<void> {
     if (await this.exchange(peer.address, peer.id, false)) return;
-    // The open connection may be the only thing that is dead.
+    // Only the open connection may have failed; a new one may work.
     if (await this.exchange(peer.address, peer.id, true)) return;
-    const helpers = this.detector.helpers(peer.id, HELPERS);
+    const helpers = this.detector.helpers(peer.id, REDUNDANT_PEERS);
     const answers = await Promise.all(
       helpers.map(({ address }) =>
         this.options.client.call<boolean>(
@@ -208,7 +211,9 @@
       ),
     );
     if (answers.some((answer) => answer.ok && answer.val)) return;
-    this.detector.suspect(peer.id, this.options.now()).forEach((each) => this.changed(each, ''));
+    this.detector
+      .suspect(peer.id, this.options.now())
+      .forEach((each) => this.handleChange(each, ''));
   }
 
   private async probeFor(address: string): Promise<boolean> {
@@ -218,57 +223,62 @@
   }
 
   private async exchange(address: string, id: string, fresh: boolean): Promise<boolean> {
-    // At a first meeting only the checksum is sent: the answer shows whether anything is to be told.
-    const met = this.met.has(id);
-    const batch = this.board.batchFor(id, met ? BATCH_LIMIT : 0);
+    // The first exchange sends only the checksum: the answer shows whether the peer lacks any records.
+    const isKnown = this.contacted.has(id);
+    const batch = this.board.batchFor(id, isKnown ? BATCH_LIMIT : 0);
     const { checksum } = this.board;
-    const message: Exchange = { from: this.self, checksum, records: batch.records };
+    const message: GossipExchange = { from: this.self, checksum, records: batch.records };
     const options = { timeoutMs: PROBE_TIMEOUT_MS, fresh };
-    const answer = await this.options.client.call<Exchange>(address, 'gossip', message, options);
+    const answer = await this.options.client.call<GossipExchange>(
+      address,
+      'gossip',
+      message,
+      options,
+    );
     if (answer.err) return false;
-    this.met.add(id);
+    this.contacted.add(id);
     if (answer.val.checksum === checksum) this.board.agreed(id);
     else this.board.acknowledged(id, batch.upTo);
-    this.takeAll(answer.val);
+    this.mergeExchange(answer.val);
     return true;
   }
 
-  private onExchange(exchange: Exchange): Exchange {
-    this.takeAll(exchange);
+  private handleExchange(exchange: GossipExchange): GossipExchange {
+    this.mergeExchange(exchange);
     const { id } = exchange.from;
     const { checksum } = this.board;
     if (exchange.checksum === checksum) this.board.agreed(id);
     const batch = this.board.batchFor(id, BATCH_LIMIT);
-    // Lost answers are not sent again to this peer, but reach it from others and by its own probes.
+    // Records in a lost answer are not resent to this peer; it receives them from others and by its own probes.
     this.board.acknowledged(id, batch.upTo);
     return { from: this.self, checksum, records: batch.records };
   }
 
-  private takeAll({ from, records }: Exchange): void {
+  private mergeExchange({ from, records }: GossipExchange): void {
     const known = this.detector.get(from.id);
-    const restarted = known !== undefined && known.incarnation < from.incarnation;
-    if (restarted) {
+    const hasRestarted = known !== undefined && known.incarnation < from.incarnation;
+    if (hasRestarted) {
       this.board.forget(from.id);
-      this.met.delete(from.id);
+      this.contacted.delete(from.id);
     }
-    this.take({ kind: 'daemon', daemon: from }, from.id);
-    records.forEach((record) => this.take(record, from.id));
+    this.mergeRecord({ kind: 'daemon', daemon: from }, from.id);
+    records.forEach((record) => this.mergeRecord(record, from.id));
   }
 
-  private take(record: news.News, from: string): boolean {
-    if (record.kind === 'daemon') return this.merge(record.daemon, from);
-    const fresh = this.options.take(record);
-    if (fresh) this.postFrom(record, from);
-    return fresh;
+  private mergeRecord(record: gossipRecords.News, from: string): boolean {
+    if (record.kind === 'daemon') return this.mergeDaemon(record.daemon, from);
+    const isNew = this.options.take(record);
+    if (isNew) this.postFrom(record, from);
+    return isNew;
   }
 
-  private merge(daemon: Daemon, from: string): boolean {
+  private mergeDaemon(daemon: Daemon, from: string): boolean {
     const changes = this.detector.merge(daemon, this.options.now());
-    changes.forEach((changed) => this.changed(changed, from));
+    changes.forEach((changed) => this.handleChange(changed, from));
     return changes.length > 0;
   }
 
-  private changed(daemon: Daemon, from: string): void {
+  private handleChange(daemon: Daemon, from: string): void {
     this.board.post(`daemon/${daemon.id}`, { kind: 'daemon', daemon }, from);
     const { id, status } = daemon;
     if (status === 'suspect') this.options.observer.log('daemonSuspected', { id });
--- a/packages/daemon/src/membership/workTeller.ts
+++ b/packages/daemon/src/membership/workTeller.ts
@@ -1,56 +1,57 @@
 /**
- * Tells the peers of this daemon's own work when it changed, and takes theirs. Only the newest word of a
- * peer counts, whichever way it came.
+ * Announces this daemon's workload to its peers when it changed, and receives theirs. Only the newest
+ * announcement of a peer counts, whichever path it arrived by.
  */
 import type * as router from '../requests/router';
-import type * as news from './news';
+import type * as gossipRecords from './news';
 
 export interface Options {
   self: string;
   incarnation: number;
   router: router.Router;
-  /** Own demand in tokens per second by limited organisation. */
+  /** This daemon's demand in tokens per second, by rate-limited organisation. */
   demand: () => Record<string, number>;
-  post: (record: news.News) => void;
+  post: (record: gossipRecords.News) => void;
 }
 
-interface Seen {
+/** Newest announcement received from a peer. */
+interface AnnouncedVersion {
   incarnation: number;
   version: number;
 }
 
 export class WorkTeller {
-  private readonly seen = new Map<string, Seen>();
+  private readonly versions = new Map<string, AnnouncedVersion>();
 
   private version = 0;
 
-  private lastShape = '';
+  private lastContent = '';
 
   constructor(private readonly options: Options) {}
 
-  /** Takes a peer's word; true when it was new. */
-  take(work: news.Work): boolean {
-    if (work.daemon === this.options.self || this.isOld(work)) return false;
+  /** Applies a peer's announcement; returns false if it is outdated or this daemon's own. */
+  take(work: gossipRecords.Work): boolean {
+    if (work.daemon === this.options.self || this.isStale(work)) return false;
     const { incarnation, version } = work;
-    this.seen.set(work.daemon, { incarnation, version });
+    this.versions.set(work.daemon, { incarnation, version });
     this.options.router.peerWork(work);
     return true;
   }
 
-  /** Tells own work, if it is other than at the last time. */
+  /** Announces this daemon's workload if it differs from the last announcement. */
   tell(): void {
-    const { router: own, demand, self, incarnation, post } = this.options;
-    const content = { ...own.ownWork(), organisations: demand() };
-    const shape = JSON.stringify(content);
-    if (shape === this.lastShape) return;
-    this.lastShape = shape;
+    const { router: localRouter, demand, self, incarnation, post } = this.options;
+    const content = { ...localRouter.ownWork(), organisations: demand() };
+    const serialized = JSON.stringify(content);
+    if (serialized === this.lastContent) return;
+    this.lastContent = serialized;
     this.version += 1;
     const work = { daemon: self, incarnation, version: this.version, ...content };
     post({ kind: 'work', work });
   }
 
-  private isOld({ daemon, incarnation, version }: news.Work): boolean {
-    const known = this.seen.get(daemon);
+  private isStale({ daemon, incarnation, version }: gossipRecords.Work): boolean {
+    const known = this.versions.get(daemon);
     if (known === undefined || incarnation > known.incarnation) return false;
     return incarnation < known.incarnation || version <= known.version;
   }
--- a/packages/daemon/src/replicas/founding.ts
+++ b/packages/daemon/src/replicas/founding.ts
@@ -1,20 +1,20 @@
 /**
- * Founding of the replica set, once in the life of a fleet. All founders must be there with empty
- * data folders, and no daemon that answers may know of a set already: a VM that lost its disk, or all
- * founders after they were replaced, must never found a second set beside the first.
+ * Bootstraps the replica set, once per fleet. All founders must be reachable with empty data folders, and
+ * no daemon that answers may already know of a replica set: a VM that lost its disk, or a full set of
+ * replaced founders, must never create a second replica set beside the first.
  */
 import type * as domain from '@celerydrift/domain';
 import type * as peerClient from '../rpc/peerClient';
 import type * as replicaSet from './replicaSet';
 
-/** What a daemon says of itself. */
+/** A daemon's answer to `identify`. */
 export interface Identity {
   daemon: string;
   replica: string;
   address: string;
   dataCentre: string;
   founded: boolean;
-  /** Founding members, to be taken over by a founder that was interrupted. */
+  /** Founding members; a founder whose bootstrap was interrupted adopts them. */
   members: domain.replication.messages.Member[];
 }
 
@@ -26,42 +26,46 @@
   address: string;
 }
 
-async function ask(
+/** Identities of the daemons that answer, in the order of the addresses. */
+async function identifyAll(
   client: peerClient.PeerClient,
   addresses: readonly string[],
 ): Promise<Identity[]> {
-  const answers = await Promise.all(
+  const responses = await Promise.all(
     addresses.map((address) =>
       client.call<Identity>(address, 'identify', {}, { timeoutMs: 1_000 }),
     ),
   );
-  return answers.flatMap((answer) => (answer.ok ? [answer.val] : []));
+  return responses.flatMap((response) => (response.ok ? [response.val] : []));
 }
 
-/** One try at founding or at taking up an interrupted founding; true when this replica is founded. */
+/**
+ * Tries once to found the replica set or to resume an interrupted founding; true when this replica is
+ * founded. Only the founder whose address sorts first initiates, so that two founders don't start at once.
+ */
 export async function attempt({ set, client, ...options }: Options): Promise<boolean> {
   if (set.isFounded) return true;
-  const others = options.founders.filter((address) => address !== options.address);
-  const founders = await ask(client, others);
-  const interrupted = founders.find(({ members }) => members.some(({ id }) => id === set.id));
+  const otherAddresses = options.founders.filter((address) => address !== options.address);
+  const otherFounders = await identifyAll(client, otherAddresses);
+  const interrupted = otherFounders.find(({ members }) => members.some(({ id }) => id === set.id));
   if (interrupted !== undefined) {
     await set.found(interrupted.members);
     return true;
   }
-  const first = [...options.founders].sort()[0] === options.address;
-  if (!first || founders.length < others.length) return false;
-  const peers = await ask(client, options.seeds);
-  if ([...founders, ...peers].some(({ founded }) => founded)) return false;
+  const isInitiator = [...options.founders].sort()[0] === options.address;
+  if (!isInitiator || otherFounders.length < otherAddresses.length) return false;
+  const seedIdentities = await identifyAll(client, options.seeds);
+  if ([...otherFounders, ...seedIdentities].some(({ founded }) => founded)) return false;
   const members = [
     set.member('voter'),
-    ...founders.map(({ replica, address, dataCentre }) => {
+    ...otherFounders.map(({ replica, address, dataCentre }) => {
       return { id: replica, address, dataCentre, role: 'voter' } as const;
     }),
   ];
-  const taken = await Promise.all(
-    others.map((address) => client.call(address, 'found', { members })),
+  const acknowledgements = await Promise.all(
+    otherAddresses.map((address) => client.call(address, 'found', { members })),
   );
-  if (!taken.every(({ ok }) => ok)) return false;
+  if (!acknowledgements.every(({ ok }) => ok)) return false;
   await set.found(members);
   return true;
 }
--- a/packages/daemon/src/replicas/replicaSet.ts
+++ b/packages/daemon/src/replicas/replicaSet.ts
@@ -1,6 +1,6 @@
 /**
- * All logs of one data folder: the settings log and the ledger shards. Opens their journals, gives
- * each message to its log, and answers who this replica is.
+ * The replicas of all logs in one data folder: the settings log and the ledger shards. Opens their
+ * journals, routes incoming messages to their logs, and ticks them.
  */
 import * as path from 'node:path';
 import * as domain from '@celerydrift/domain';
@@ -13,7 +13,7 @@
 import * as identity from '../storage/identity';
 import * as journal from '../storage/journal';
 import * as logHost from './logHost';
-import type * as machine from './machine';
+import type * as stateMachine from './machine';
 import * as outbox from './outbox';
 import * as wire from './wire';
 
@@ -23,21 +23,21 @@
   folder: string;
   address: string;
   dataCentre: string;
-  machines: ReadonlyMap<string, machine.Machine>;
+  machines: ReadonlyMap<string, stateMachine.Machine>;
   timing: domain.replication.replica.Timing;
   random: domain.shared.random.Random;
   client: peerClient.PeerClient;
   observer: observer.Observer;
-  /** Entries of a log that are kept before a snapshot replaces them. */
+  /** Log length in entries at which the log is compacted into a snapshot. */
   snapshotEvery?: number;
   onDiskFailure: (error: unknown) => void;
 }
 
-/** Messages of any logs between two VMs, gathered for a moment into one frame. */
+/** Messages of any logs between two VMs, batched into one frame. */
 export interface Envelope {
   /** Peer address of the sender. */
   address: string;
-  messages: { log: string; message: wire.Packed }[];
+  messages: { log: string; message: wire.PackedMessage }[];
 }
 
 const TICK_MS = 50;
@@ -59,8 +59,8 @@
     });
   }
 
-  static async open(options: Options): Promise<Result<ReplicaSet, frames.Corrupt>> {
-    const id = await identity.readOrMake(options.folder);
+  static async open(options: Options): Promise<Result<ReplicaSet, frames.CorruptFrame>> {
+    const id = await identity.readOrCreate(options.folder);
     const set = new ReplicaSet(id, options);
     for (const [log, state] of options.machines) {
       const opened = await set.openLog(log, state);
@@ -73,7 +73,7 @@
     return [...this.hosts.values()].some(({ replica }) => replica.isFounded);
   }
 
-  /** This replica as a member of its sets. */
+  /** This replica's entry in the member lists of its logs. */
   member(role: domain.replication.messages.Role): Member {
     const { address, dataCentre } = this.options;
     return { id: this.id, address, dataCentre, role };
@@ -106,33 +106,35 @@
 
   private async openLog(
     log: string,
-    state: machine.Machine,
-  ): Promise<Result<void, frames.Corrupt>> {
+    logMachine: stateMachine.Machine,
+  ): Promise<Result<void, frames.CorruptFrame>> {
     const opened = await journal.Journal.open(path.join(this.options.folder, log));
     if (opened.err) return opened;
     const durable = opened.val.durable ?? domain.replication.messages.emptyDurable();
     if (opened.val.durable === undefined) await opened.val.journal.rewrite(durable);
-    if (opened.val.cut) this.options.observer.log('journalCut', { log });
-    if (durable.snapshot.index > 0) state.restore(durable.snapshot.state);
+    if (opened.val.wasTorn) this.options.observer.log('journalCut', { log });
+    if (durable.snapshot.index > 0) logMachine.restore(durable.snapshot.state);
     const { timing, random, observer: observe } = this.options;
     const send = (to: string, message: domain.replication.messages.Message): void => {
       this.outgoing.add(to, { log, message: wire.pack(message) });
     };
     const now = clock.steady;
-    const open = (held: domain.replication.messages.Durable): domain.replication.replica.Replica =>
-      new domain.replication.replica.Replica(this.id, held, timing, random, now());
+    const createReplica = (
+      durableState: domain.replication.messages.Durable,
+    ): domain.replication.replica.Replica =>
+      new domain.replication.replica.Replica(this.id, durableState, timing, random, now());
     this.hosts.set(
       log,
       new logHost.LogHost({
         id: log,
-        replica: open(durable),
-        reopen: open,
+        replica: createReplica(durable),
+        reopen: createReplica,
         journal: opened.val.journal,
-        machine: state,
+        machine: logMachine,
         send,
         now,
         observer: observe,
-        snapshotEvery: this.options.snapshotEvery,
+        snapshotIntervalEntries: this.options.snapshotEvery,
         onDiskFailure: this.options.onDiskFailure,
       }),
     );
--- a/packages/daemon/src/rpc/__tests__/rpc.test.ts
+++ b/packages/daemon/src/rpc/__tests__/rpc.test.ts
@@ -1,4 +1,4 @@
-/** Calls between daemons: proof, garbage, silence. */
+/** Calls between daemons: authentication, malformed input, connections that stall or are never established. */
 import * as cp from 'node:child_process';
 import * as net from 'node:net';
 import * as chai from 'chai';
@@ -10,8 +10,8 @@
 
 const { expect } = chai;
 
-/** Listens, says where, and then accepts nothing, so that its queue of new connections fills up. */
-const DEAF_LISTENER = `
+/** Program that listens, prints its port and then accepts nothing, so that its accept queue fills up. */
+const NON_ACCEPTING_LISTENER = `
   const server = require('node:net').createServer().listen(0, '127.0.0.1', 1, () => {
     require('node:fs').writeSync(1, String(server.address().port));
     Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0, 10_000);
@@ -51,7 +51,7 @@
     return new peerClient.PeerClient(secret, undefined, observe);
   }
 
-  it('answers a peer with the secret, and nobody else', async () => {
+  it('answers only peers that know the secret', async () => {
     const good = client();
     const bad = client('wrong-secret');
     const answered = await good.call(address, 'echo', { a: [1, 'x'] });
@@ -69,16 +69,17 @@
   });
 
   /*
-   * Callers were refused for 0.4 s more than needed after a power loss. A keeper was up before the others had power; its
-   * connections to them waited for TCP to repeat the opening packet, and with them its votes. One that isn't there after
-   * its time is begun anew with the next message. A listener whose queue is full drops opening packets just so.
+   * Guards against 0.4 s of needless refusals after a power loss. A keeper that started before the others had power
+   * kept its connections to them pending until TCP retransmitted the lost SYN, and its votes waited with them. A
+   * connection that isn't established in time must be replaced with the next message. A listener with a full accept
+   * queue drops SYNs in the same way.
    */
-  it('begins a connection anew that is not there after its time', async () => {
-    const deaf = cp.spawn(process.execPath, ['-e', DEAF_LISTENER]);
-    const line = await new Promise<Buffer>((resolve) => {
-      deaf.stdout.once('data', resolve);
+  it('replaces a connection that is not established in time', async () => {
+    const listenerProcess = cp.spawn(process.execPath, ['-e', NON_ACCEPTING_LISTENER]);
+    const output = await new Promise<Buffer>((resolve) => {
+      listenerProcess.stdout.once('data', resolve);
     });
-    const port = Number(line.toString());
+    const port = Number(output.toString());
     const fillers = [1, 2, 3, 4].map(() => net.connect(port, '127.0.0.1'));
     fillers.forEach((filler) => filler.on('error', () => undefined));
     await pause(50);
@@ -86,28 +87,28 @@
     caller.notify(`127.0.0.1:${port}`, 'echo', {});
     await pause(100);
     fillers.forEach((filler) => filler.destroy());
-    deaf.kill('SIGKILL');
+    listenerProcess.kill('SIGKILL');
     await new Promise((resolve) => {
-      deaf.once('exit', resolve);
+      listenerProcess.once('exit', resolve);
     });
-    const awake = new peerServer.PeerServer('right-secret', undefined, observe);
-    awake.add('echo', (parameters) => parameters);
-    await awake.listen({ host: '127.0.0.1', port });
+    const acceptingServer = new peerServer.PeerServer('right-secret', undefined, observe);
+    acceptingServer.add('echo', (parameters) => parameters);
+    await acceptingServer.listen({ host: '127.0.0.1', port });
     const answered = await caller.call(`127.0.0.1:${port}`, 'echo', { a: 1 }, { timeoutMs: 500 });
     caller.close();
-    await awake.close();
+    await acceptingServer.close();
     expect(answered.val).to.deep.equal({ a: 1 });
   });
 
   /*
-   * One late answer ended all calls of an entry to a busy leader: their connection was closed, and the entry
-   * took the leader for lost. A call whose callee may be slow leaves the connection to the others.
+   * Guards against one late answer failing all calls of an entry to a busy leader: its timeout closed the shared
+   * connection, and the entry considered the leader lost. A call that tolerates delay must leave the connection open.
    */
-  it('lets the other calls on a connection go on when a call that tolerates delay times out', async () => {
+  it('keeps the connection open for other calls when a call that tolerates delay times out', async () => {
     const caller = client();
-    const beside = caller.call(address, 'slow', {});
-    const late = caller.call(address, 'slow', {}, { timeoutMs: 50, toleratesDelay: true });
-    expect([(await late).ok, (await beside).val]).to.deep.equal([false, 'slow']);
+    const concurrent = caller.call(address, 'slow', {});
+    const tolerant = caller.call(address, 'slow', {}, { timeoutMs: 50, toleratesDelay: true });
+    expect([(await tolerant).ok, (await concurrent).val]).to.deep.equal([false, 'slow']);
     const strict = caller.call(address, 'slow', {}, { timeoutMs: 50 });
     expect([(await caller.call(address, 'slow', {})).ok, (await strict).ok]).to.deep.equal([
       false,
@@ -117,39 +118,39 @@
   });
 
   /*
-   * A connection goes silent for good because something between lost track of it, while new ones work.
-   * The call times out; the next must not wait on the same connection.
+   * A connection stalls permanently when a middlebox loses its state, while new connections work. The call times
+   * out, and the next one must not use the same connection.
    */
-  it('leaves a silent connection and reaches the peer over a new one', async () => {
+  it('drops a stalled connection and reaches the peer over a new one', async () => {
     const proxied: net.Socket[] = [];
     const proxy = net.createServer((socket) => {
       const [host, port] = address.split(':') as [string, string];
-      const through = net.connect(Number(port), host);
+      const upstreamSocket = net.connect(Number(port), host);
       socket.on('error', () => undefined);
-      through.on('error', () => undefined);
-      proxied.push(socket, through);
-      socket.pipe(through).pipe(socket);
+      upstreamSocket.on('error', () => undefined);
+      proxied.push(socket, upstreamSocket);
+      socket.pipe(upstreamSocket).pipe(socket);
     });
     await new Promise<void>((resolve) => {
       proxy.listen(0, '127.0.0.1', resolve);
     });
     const port = (proxy.address() as net.AddressInfo).port;
     const caller = client();
-    const through = `127.0.0.1:${port}`;
-    const first = await caller.call(through, 'echo', 1);
+    const proxyAddress = `127.0.0.1:${port}`;
+    const first = await caller.call(proxyAddress, 'echo', 1);
     proxied.forEach((socket) => {
       socket.unpipe();
       socket.pause();
     });
-    const silent = await caller.call(through, 'echo', 2, { timeoutMs: 150 });
-    const next = await caller.call(through, 'echo', 3, { timeoutMs: 2_000 });
+    const silent = await caller.call(proxyAddress, 'echo', 2, { timeoutMs: 150 });
+    const next = await caller.call(proxyAddress, 'echo', 3, { timeoutMs: 2_000 });
     expect([first.val, silent.err && silent.val.kind, next.val]).to.deep.equal([1, 'timeout', 3]);
     caller.close();
     proxied.forEach((socket) => socket.destroy());
     proxy.close();
   });
 
-  it('goes on serving after a thousand malformed frames', async () => {
+  it('keeps serving after a thousand malformed frames', async () => {
     const bytes = fastCheck.sample(fastCheck.uint8Array({ minLength: 1, maxLength: 60 }), {
       seed: 7,
       numRuns: 1_000,
@@ -176,24 +177,24 @@
     caller.close();
   });
 
-  it('refuses a frame over the limit before reading it', () => {
-    const splitter = new framing.Splitter(() => undefined, 10);
-    expect(() => splitter.push(framing.encode('longer than ten bytes'))).to.throw(/over the limit/);
+  it('rejects a frame over the limit before reading it', () => {
+    const decoder = new framing.FrameDecoder(() => undefined, 10);
+    expect(() => decoder.push(framing.encode('longer than ten bytes'))).to.throw(/over the limit/);
   });
 
-  it('puts frames together however the bytes are cut', () => {
+  it('reassembles frames however the bytes are split', () => {
     const values = [{ a: 1 }, 'x', [1, 2, 3], null];
     const all = Buffer.concat(values.map(framing.encode));
     fastCheck.assert(
       fastCheck.property(fastCheck.array(fastCheck.integer({ min: 1, max: 9 })), (sizes) => {
-        const taken: unknown[] = [];
-        const splitter = new framing.Splitter((value) => taken.push(value));
+        const decoded: unknown[] = [];
+        const decoder = new framing.FrameDecoder((value) => decoded.push(value));
         let at = 0;
         [...sizes, all.length].forEach((size) => {
-          splitter.push(all.subarray(at, at + size));
+          decoder.push(all.subarray(at, at + size));
           at = Math.min(all.length, at + size);
         });
-        expect(taken).to.deep.equal(values);
+        expect(decoded).to.deep.equal(values);
       }),
       { seed: 2 },
     );
--- a/packages/daemon/src/rpc/framing.ts
+++ b/packages/daemon/src/rpc/framing.ts
@@ -1,17 +1,17 @@
 /**
- * Frames between daemons: four bytes of length, then a msgpack value. Bytes are few and countable; the
- * values are JSON-RPC 2.0 objects.
+ * Framing between daemons: a four-byte length, then a MessagePack value that holds a JSON-RPC 2.0 object.
+ * The encoding is compact, and the bytes of each message can be counted.
  */
 import * as msgpackr from 'msgpackr';
 
-/** A longer frame is refused before it is read, so a stranger can't fill the memory. */
+/** A longer frame is rejected before it is buffered, so that an unknown peer can't exhaust memory. */
 export const MAX_FRAME_BYTES = 64 * 1024 * 1024;
 
 const LENGTH_BYTES = 4;
 
 const packr = new msgpackr.Packr({ useRecords: false });
 
-export type Take = (value: unknown, bytes: number) => void;
+export type FrameHandler = (value: unknown, bytes: number) => void;
 
 export function encode(value: unknown): Buffer {
   const body = packr.pack(value);
@@ -21,41 +21,42 @@
   return frame;
 }
 
-/** Cuts a byte stream into frames. `push` throws on a frame that is too long or no msgpack. */
-export class Splitter {
+/** Splits a byte stream into frames. `push` throws on a frame that is too long or isn't valid MessagePack. */
+export class FrameDecoder {
   private chunks: Buffer[] = [];
 
   private length = 0;
 
   constructor(
-    private readonly take: Take,
-    private readonly maximum: number = MAX_FRAME_BYTES,
+    private readonly onFrame: FrameHandler,
+    private readonly maxFrameBytes: number = MAX_FRAME_BYTES,
   ) {}
 
-  /** @throws Error when the bytes are no frame of this protocol */
+  /** @throws Error when the bytes aren't a valid frame */
   push(chunk: Buffer): void {
     this.chunks.push(chunk);
     this.length += chunk.length;
-    let wanted = this.frameLength();
-    while (wanted !== undefined && this.length >= wanted) {
-      const all = this.joined();
-      const body = all.subarray(LENGTH_BYTES, wanted);
-      this.chunks = [all.subarray(wanted)];
-      this.length = all.length - wanted;
-      this.take(packr.unpack(body), wanted);
-      wanted = this.frameLength();
+    let frameBytes = this.frameLength();
+    while (frameBytes !== undefined && this.length >= frameBytes) {
+      const buffered = this.joinChunks();
+      const body = buffered.subarray(LENGTH_BYTES, frameBytes);
+      this.chunks = [buffered.subarray(frameBytes)];
+      this.length = buffered.length - frameBytes;
+      this.onFrame(packr.unpack(body), frameBytes);
+      frameBytes = this.frameLength();
     }
   }
 
   private frameLength(): number | undefined {
     if (this.length < LENGTH_BYTES) return undefined;
-    if ((this.chunks[0]?.length ?? 0) < LENGTH_BYTES) this.chunks = [this.joined()];
-    const body = this.chunks[0].readUInt32BE(0);
-    if (body > this.maximum) throw new Error(`frame of ${body} bytes is over the limit`);
-    return LENGTH_BYTES + body;
+    if ((this.chunks[0]?.length ?? 0) < LENGTH_BYTES) this.chunks = [this.joinChunks()];
+    const bodyBytes = this.chunks[0].readUInt32BE(0);
+    if (bodyBytes > this.maxFrameBytes)
+      throw new Error(`frame of ${bodyBytes} bytes is over the limit`);
+    return LENGTH_BYTES + bodyBytes;
   }
 
-  private joined(): Buffer {
+  private joinChunks(): Buffer {
     return this.chunks.length === 1 ? this.chunks[0] : Buffer.concat(this.chunks);
   }
 }
--- a/packages/daemon/src/rpc/peerClient.ts
+++ b/packages/daemon/src/rpc/peerClient.ts
@@ -1,7 +1,7 @@
 /**
- * Calls to other daemons. One open connection per address, made on demand. A call that times out
- * closes its connection: a connection can go silent for good while new ones work, so silence is never
- * judged on the old connection, and none that was silent is used again.
+ * Client for calls to other daemons, with one connection per address, opened on demand. A call that times
+ * out closes its connection: a connection can stall permanently while new ones work, so a peer is never
+ * considered unresponsive on the evidence of an old connection, and a stalled one is never reused.
  */
 import * as net from 'node:net';
 import * as tls from 'node:tls';
@@ -11,34 +11,36 @@
 import type * as observer from '../observability/observer';
 import * as errors from './errors';
 import * as framing from './framing';
-import * as proof from './proof';
+import * as challengeResponse from './challengeResponse';
 
 export interface CallOptions {
   timeoutMs?: number;
-  /** Makes a new connection for this call. */
+  /** Replaces the open connection by a new one for this call. */
   fresh?: boolean;
   /**
-   * Leaves the connection open after a timeout: for calls whose callee may be slow for a reason of its own, so that
-   * one late answer doesn't end the calls beside it. Another call must watch the connection for silence.
+   * Leaves the connection open after a timeout, for calls that the callee may answer slowly for its own reasons, so
+   * that one late answer doesn't fail concurrent calls. Another call must detect that the connection has stalled.
    */
   toleratesDelay?: boolean;
 }
 
 const DEFAULT_TIMEOUT_MS = 2_000;
 
-/** A connection unused for so long is closed, in milliseconds. */
-const IDLE_MS = 60_000;
+/** A connection without traffic for this long is closed, milliseconds. */
+const IDLE_TIMEOUT_MS = 60_000;
 
 /**
- * A connection that isn't there after so long is given up when the next message comes, milliseconds. The opening packet to
- * a VM without power is lost, and TCP repeats it only after a second; a keeper that was up first couldn't
- * answer the others for 0.4 s after they were up, and nobody was elected meanwhile. Over a round trip between far
- * regions.
+ * A connection that isn't established by then is replaced when the next message is sent, milliseconds. A SYN to a
+ * VM without power is lost, and TCP retransmits it only after a second: a keeper that started first couldn't answer
+ * the others for 0.4 s after they were up, and no leader was elected meanwhile. Longer than a round trip between
+ * distant regions.
  */
-const CONNECT_MS = 400;
+const CONNECT_TIMEOUT_MS = 400;
 
-interface Hello {
+interface Handshake {
+  /** The sender's challenge. */
   nonce?: string;
+  /** Response to the receiver's challenge. */
   answer?: string;
 }
 
@@ -51,11 +53,12 @@
 
   private readonly openedAt = clock.steady();
 
-  private proven = false;
+  private isAuthenticated = false;
 
-  private readonly waiting: Buffer[] = [];
+  /** Frames held back until the connection is authenticated. */
+  private readonly unsentFrames: Buffer[] = [];
 
-  private readonly nonce = proof.challenge();
+  private readonly nonce = challengeResponse.createNonce();
 
   constructor(
     address: string,
@@ -67,28 +70,28 @@
     const colon = address.lastIndexOf(':');
     const host = address.slice(0, colon);
     const port = Number(address.slice(colon + 1));
-    const path: net.TcpNetConnectOpts = { host, port, localAddress };
+    const endpoint: net.TcpNetConnectOpts = { host, port, localAddress };
     this.socket =
       tlsOptions === undefined
-        ? net.connect({ ...path, noDelay: true })
-        : tls.connect({ ...path, ...tlsOptions });
+        ? net.connect({ ...endpoint, noDelay: true })
+        : tls.connect({ ...endpoint, ...tlsOptions });
     this.client = new jsonRpc.JSONRPCClient((request) => this.send(request));
-    const splitter = new framing.Splitter((value, bytes) => this.take(value, bytes));
+    const decoder = new framing.FrameDecoder((value, bytes) => this.handleFrame(value, bytes));
     this.socket.on('data', (chunk: Buffer) => {
       try {
-        splitter.push(chunk);
+        decoder.push(chunk);
       } catch {
-        this.close('bad frame');
+        this.close('malformed frame');
       }
     });
     this.socket.on('error', (error) => this.close(error.message));
     this.socket.on('close', () => this.close('connection closed'));
-    this.socket.setTimeout(IDLE_MS, () => this.close('idle'));
+    this.socket.setTimeout(IDLE_TIMEOUT_MS, () => this.close('idle'));
   }
 
-  /** Whether the other side's VM hasn't answered at all for `connectMs`. */
-  isStuck(connectMs: number): boolean {
-    return this.socket.connecting && clock.steady() - this.openedAt > connectMs;
+  /** Whether the socket is still connecting after `timeoutMs`. */
+  isConnectOverdue(timeoutMs: number): boolean {
+    return this.socket.connecting && clock.steady() - this.openedAt > timeoutMs;
   }
 
   close(reason: string): void {
@@ -101,46 +104,46 @@
   private send(request: jsonRpc.JSONRPCRequest): void {
     const frame = framing.encode(request);
     this.observer.count(`rpc.out.${request.method}.bytes`, frame.length);
-    if (this.proven) this.socket.write(frame);
-    else this.waiting.push(frame);
+    if (this.isAuthenticated) this.socket.write(frame);
+    else this.unsentFrames.push(frame);
   }
 
-  private take(value: unknown, bytes: number): void {
-    if (this.proven) {
+  private handleFrame(value: unknown, bytes: number): void {
+    if (this.isAuthenticated) {
       this.observer.count('rpc.in.answers.bytes', bytes);
       this.client.receive(value as jsonRpc.JSONRPCResponse);
       return;
     }
-    const hello = value as Hello;
-    if (hello.nonce !== undefined) {
-      const answer = proof.answer(this.secret, 'caller', hello.nonce);
-      this.socket.write(framing.encode({ nonce: this.nonce, answer } satisfies Hello));
+    const handshake = value as Handshake;
+    if (handshake.nonce !== undefined) {
+      const answer = challengeResponse.responseTo(this.secret, 'caller', handshake.nonce);
+      this.socket.write(framing.encode({ nonce: this.nonce, answer } satisfies Handshake));
       return;
     }
-    const expected = proof.answer(this.secret, 'callee', this.nonce);
-    if (!proof.isEqual(String(hello.answer), expected)) {
-      this.close('peer failed to prove itself');
+    const expected = challengeResponse.responseTo(this.secret, 'callee', this.nonce);
+    if (!challengeResponse.isEqualInConstantTime(String(handshake.answer), expected)) {
+      this.close('peer failed authentication');
       return;
     }
-    this.proven = true;
-    this.waiting.splice(0).forEach((frame) => this.socket.write(frame));
+    this.isAuthenticated = true;
+    this.unsentFrames.splice(0).forEach((frame) => this.socket.write(frame));
   }
 }
 
 export class PeerClient {
   private readonly connections = new Map<string, Connection>();
 
-  /** Addresses that may not be reached; tests cut paths with it. */
+  /** Addresses to which no connection is made; tests simulate network partitions with it. */
   readonly cut = new Set<string>();
 
   constructor(
     private readonly secret: string,
     private readonly tlsOptions: tls.ConnectionOptions | undefined,
     private readonly observer: observer.Observer,
-    /** IP address that connections come from; undefined where the operating system chooses. */
-    private readonly source?: string,
-    /** How long a connection may take, milliseconds; for a fleet whose VMs are near each other. */
-    private readonly connectMs = CONNECT_MS,
+    /** Local IP address of the connections; undefined to let the operating system choose. */
+    private readonly localAddress?: string,
+    /** Connect timeout in milliseconds; a shorter one suits a fleet whose VMs are near each other. */
+    private readonly connectTimeoutMs = CONNECT_TIMEOUT_MS,
   ) {}
 
   async call<T>(
@@ -167,12 +170,13 @@
     return result;
   }
 
-  /** Gives a connection up that isn't there in time, with all that waits for it. */
+  /** Closes the connection to the address, and fails its pending calls, if it isn't established in time. */
   dropStuck(address: string): void {
-    if (this.connections.get(address)?.isStuck(this.connectMs)) this.drop(address, 'no connection');
+    if (this.connections.get(address)?.isConnectOverdue(this.connectTimeoutMs))
+      this.drop(address, 'no connection');
   }
 
-  /** Sends without waiting for an answer; what is lost is sent again by the protocol above. */
+  /** Sends a notification without an answer; the protocol above must resend what is lost. */
   notify(address: string, method: string, parameters: unknown): void {
     this.connection(address)?.client.notify(method, parameters as jsonRpc.JSONRPCParams);
   }
@@ -206,12 +210,18 @@
       this.drop(address, 'path cut');
       return undefined;
     }
-    const open = this.connections.get(address);
-    if (open?.isStuck(this.connectMs) === true) open.close('no connection');
-    if (open !== undefined && !open.closed) return open;
-    const made = new Connection(address, this.secret, this.tlsOptions, this.observer, this.source);
-    this.connections.set(address, made);
-    return made;
+    const existing = this.connections.get(address);
+    if (existing?.isConnectOverdue(this.connectTimeoutMs) === true) existing.close('no connection');
+    if (existing !== undefined && !existing.closed) return existing;
+    const created = new Connection(
+      address,
+      this.secret,
+      this.tlsOptions,
+      this.observer,
+      this.localAddress,
+    );
+    this.connections.set(address, created);
+    return created;
   }
 
   private drop(address: string, reason: string): void {
--- a/packages/daemon/src/storage/frames.ts
+++ b/packages/daemon/src/storage/frames.ts
@@ -1,25 +1,25 @@
 /**
- * Frames of the journal: a header with length and checksums, then a msgpack payload. One frame is one
- * write and one sync, so a crash can tear only the last frame.
+ * Frame format of the journal: a header with length and checksums, then a MessagePack payload. Each frame
+ * is one write and one sync, so a crash can tear only the last frame.
  */
 import * as zlib from 'node:zlib';
 import * as msgpackr from 'msgpackr';
 import { Err, Ok, Result } from 'ts-results';
 
-/** Length, checksum of the length, checksum of the payload; four bytes each. */
+/** Payload length, checksum of the length, checksum of the payload; four bytes each. */
 const HEADER_BYTES = 12;
 
 const packr = new msgpackr.Packr({ useRecords: false, structuredClone: false });
 
-/** A frame in the middle fails its checksum although whole frames follow: the disk lost data. */
-export interface Corrupt {
+/** A frame is damaged although intact frames follow it: the disk lost synced data. */
+export interface CorruptFrame {
   kind: 'corrupt';
   offset: number;
 }
 
 export interface Replay {
   payloads: unknown[];
-  /** Bytes that hold whole frames; what follows is torn. */
+  /** Length in bytes of the intact frames; anything after it is a torn frame. */
   length: number;
   torn: boolean;
 }
@@ -34,7 +34,7 @@
   return frame;
 }
 
-/** End of the whole frame at `offset`, or undefined if there is none. */
+/** End of the intact frame that starts at `offset`, or undefined if there is none. */
 function frameEnd(file: Buffer, offset: number): number | undefined {
   if (offset + HEADER_BYTES > file.length) return undefined;
   const lengthField = file.subarray(offset, offset + 4);
@@ -42,8 +42,8 @@
   const start = offset + HEADER_BYTES;
   const end = start + file.readUInt32LE(offset);
   if (end > file.length) return undefined;
-  const intact = zlib.crc32(file.subarray(start, end)) === file.readUInt32LE(offset + 8);
-  return intact ? end : undefined;
+  const isIntact = zlib.crc32(file.subarray(start, end)) === file.readUInt32LE(offset + 8);
+  return isIntact ? end : undefined;
 }
 
 function hasFrameAfter(file: Buffer, offset: number): boolean {
@@ -54,11 +54,11 @@
 }
 
 /**
- * Reads a whole journal. A torn last frame was never acknowledged and is cut. A bad frame before good
- * ones was acknowledged and is lost: to go on as if it had never been would let this replica vote
- * against what it accepted, so that is an error.
+ * Decodes a whole journal. A torn last frame was never acknowledged and is dropped. A damaged frame before
+ * intact ones was acknowledged and is lost; ignoring it would let this replica vote against entries that it
+ * accepted, so that is an error.
  */
-export function replay(file: Buffer): Result<Replay, Corrupt> {
+export function replay(file: Buffer): Result<Replay, CorruptFrame> {
   const payloads: unknown[] = [];
   let offset = 0;
   while (offset < file.length) {
