--- a/packages/daemon/src/keeper/__tests__/__fixtures__/crowd.ts
+++ b/packages/daemon/src/keeper/__tests__/__fixtures__/leaderFixture.ts
@@ -17,37 +17,37 @@
   news: messages.News;
 }
 
-export interface Crowd {
-  led: leadership.Leadership;
-  held: holding.Holding;
+export interface LeaderFixture {
+  leader: leadership.Leadership;
+  fleet: holding.Holding;
   pushes: Push[];
   /** For each confirmation by the quorum whether it was asked for at once, not with the next heartbeat. */
   confirmations: boolean[];
 }
 
-export interface Size {
+export interface Setup {
   followers: number;
   /** What a follower takes for each push, milliseconds. */
   answerMs: number;
   /** Whether followers say that they lack what the pushes build on. */
-  lacksState?: boolean;
+  reportsNoState?: boolean;
   /** The leader's clock; by default followers stay in touch however long a test takes. */
   now?: () => number;
 }
 
 /** A leader that all its followers have found. */
-export async function crowd({
+export async function leaderWithFollowers({
   followers,
   answerMs,
-  lacksState = false,
+  reportsNoState = false,
   now = () => 0,
-}: Size): Promise<Crowd> {
+}: Setup): Promise<LeaderFixture> {
   const pushes: Push[] = [];
   const client = {
     call: async (address: string, _method: string, news: messages.News) => {
       pushes.push({ address, news });
       await clock.pause(answerMs);
-      return Ok(lacksState ? { mark: messages.NO_MARK } : {});
+      return Ok(reportsNoState ? { mark: messages.NO_MARK } : {});
     },
   };
   const confirmations: boolean[] = [];
@@ -56,29 +56,29 @@
     return true;
   };
   const host = { isLeader: true, confirm, replica: { members: [] } };
-  const held = new holding.Holding({
+  const fleet = new holding.Holding({
     protocol: {} as holding.Options['protocol'],
     observer: observe,
     now: clock.steady,
     onCatalogue: () => undefined,
     onRecord: () => undefined,
   });
-  const led = new leadership.Leadership({
+  const leader = new leadership.Leadership({
     name: 'leader',
     host: host as unknown as logHost.LogHost,
-    holding: held,
+    fleetState: fleet,
     client: client as unknown as peerClient.PeerClient,
     observer: observe,
     now,
     random: random.seeded(1),
     linkMbps: 170,
-    newest: () => undefined,
+    newestCatalogue: () => undefined,
     onSuspects: () => undefined,
     onLimits: () => undefined,
   });
-  led.tick();
-  for (let i = 0; i < followers; i++) await led.follow(question(i));
-  return { led, held, pushes, confirmations };
+  leader.tick();
+  for (let i = 0; i < followers; i++) await leader.follow(followRequest(i));
+  return { leader, fleet, pushes, confirmations };
 }
 
 /** Peer address of a follower. */
@@ -86,7 +86,7 @@
   return `10.0.${Math.floor(i / 250)}.${i % 250}:1`;
 }
 
-export function question(i: number): messages.Follow {
+export function followRequest(i: number): messages.Follow {
   return {
     name: `e${i}`,
     role: 'entry',
--- a/packages/daemon/src/keeper/__tests__/announcementRelay.test.ts
+++ b/packages/daemon/src/keeper/__tests__/announcementRelay.test.ts
@@ -3,7 +3,7 @@
 import type * as domain from '@celerydrift/domain';
 import * as clock from '../../clock';
 import * as announcementRelay from '../announcementRelay';
-import * as fixture from './__fixtures__/crowd';
+import * as fixture from './__fixtures__/leaderFixture';
 
 const { expect } = chai;
 
@@ -23,10 +23,10 @@
       await clock.pause(5);
       return records.every(({ id }) => id !== 't0');
     });
-    const told = Array.from({ length: TARGETS }, (_each, i) => {
-      return relay.tell(fixture.announcement(i));
+    const relayed = Array.from({ length: TARGETS }, (_each, i) => {
+      return relay.relay(fixture.announcement(i));
     });
-    const answers = await Promise.all(told);
+    const answers = await Promise.all(relayed);
     expect(passed.length).to.be.below(TARGETS / 100);
     const ids = passed.flat().map(({ id }) => id);
     expect(new Set(ids).size).to.equal(ids.length);
@@ -41,8 +41,8 @@
       passed.push(records);
       return true;
     });
-    void relay.tell(fixture.announcement(1));
+    void relay.relay(fixture.announcement(1));
     expect(passed.map(({ length }) => length)).to.deep.equal([1]);
-    expect(await relay.tell(fixture.announcement(2))).to.equal(true);
+    expect(await relay.relay(fixture.announcement(2))).to.equal(true);
   });
 });
--- a/packages/daemon/src/keeper/__tests__/keeper.test.ts
+++ b/packages/daemon/src/keeper/__tests__/keeper.test.ts
@@ -18,7 +18,7 @@
 import * as peerServer from '../../rpc/peerServer';
 import * as frames from '../../storage/frames';
 import * as keeper from '../keeper';
-import * as targetMemory from '../targetMemory';
+import * as targetStore from '../targetStore';
 
 const { expect } = chai;
 
@@ -56,15 +56,15 @@
   },
 };
 
-interface Place {
+interface KeeperPlace {
   folder: string;
   settings: roleSettings.Settings;
 }
 
 async function until(what: string, check: () => boolean | Promise<boolean>): Promise<void> {
-  const end = clock.steady() + 15_000;
+  const deadline = clock.steady() + 15_000;
   while (!(await check())) {
-    if (clock.steady() > end) throw new Error(`waited in vain for ${what}`);
+    if (clock.steady() > deadline) throw new Error(`waited in vain for ${what}`);
     await new Promise((resolve) => {
       setTimeout(resolve, 20);
     });
@@ -85,7 +85,7 @@
   private readonly closing: (() => Promise<void> | void)[] = [];
 
   private constructor(
-    readonly places: Place[],
+    readonly places: KeeperPlace[],
     readonly followerPort: number,
   ) {}
 
@@ -95,7 +95,7 @@
     const folder = await fs.mkdtemp(path.join(os.tmpdir(), 'keeper-'));
     const seeds = ports.slice(0, 3).map((port) => `127.0.0.1:${port}`);
     const places = Array.from({ length: size }, (_, i) => {
-      const home = path.join(folder, String(i));
+      const dataFolder = path.join(folder, String(i));
       const settings = settingsOf(`
 [daemon]
 role = keeper
@@ -108,11 +108,11 @@
 seeds = ${seeds.join(',')}
 secret = ${SECRET}
 [data]
-folder = ${home}
+folder = ${dataFolder}
 may-found = true
 tolerated-losses = 1
 `);
-      return { folder: home, settings };
+      return { folder: dataFolder, settings };
     });
     return new Fleet(places, ports[2 * size]);
   }
@@ -174,11 +174,11 @@
   }
 
   /** Something that follows the leader as an entry does. */
-  async follow(): Promise<{ held: holding.Holding; link: leaderLink.LeaderLink }> {
+  async follow(): Promise<{ state: holding.Holding; link: leaderLink.LeaderLink }> {
     const address = `127.0.0.1:${this.followerPort}`;
     const client = new peerClient.PeerClient(SECRET, undefined, this.observer);
     const server = new peerServer.PeerServer(SECRET, undefined, this.observer);
-    const held = new holding.Holding({
+    const state = new holding.Holding({
       protocol: PROTOCOL,
       observer: this.observer,
       now: clock.steady,
@@ -186,7 +186,7 @@
       onRecord: () => undefined,
     });
     server.add('learn', (news) => {
-      held.takeNews(news as messages.News);
+      state.takeNews(news as messages.News);
       return {};
     });
     await server.listen({ host: '127.0.0.1', port: this.followerPort });
@@ -198,7 +198,7 @@
       replica: () => undefined,
       seeds: this.places[0].settings.seeds,
       client,
-      holding: held,
+      holding: state,
       observer: this.observer,
       moment: clock.moment,
       dispatches: () => [],
@@ -210,7 +210,7 @@
       () => server.close(),
       () => client.close(),
     );
-    return { held, link };
+    return { state, link };
   }
 }
 
@@ -249,12 +249,12 @@
    * another one takes over and must show that version to operators and push the next to entries.
    */
   it('keep what was accepted when the leader dies, and go on', async () => {
-    const { held, link } = await fleet.follow();
+    const { state, link } = await fleet.follow();
     await fleet.submit(3);
     await fleet.stop(fleet.leader);
     expect(await fleet.version().catch(() => 0)).to.be.oneOf([0, 3]);
     await fleet.submit(4);
-    await until('the follower has it', () => held.version === 4);
+    await until('the follower has it', () => state.version === 4);
     await until('a confirmation', () => link.age < 700);
     expect(await fleet.version()).to.equal(4);
   });
@@ -284,17 +284,17 @@
    * acknowledged, whoever follows the leader must know.
    */
   it('acknowledge that a target leaves once followers know', async () => {
-    const { held, link } = await fleet.follow();
+    const { state, link } = await fleet.follow();
     await until('a confirmation', () => link.age < 700);
     const other = (fleet.leader + 1) % 3;
     await until('announced', async () => {
       return (await fleet.call(other, 'PUT', '/i1', target('ready', 1)))[0] === 200;
     });
-    expect(held.registry.get('i1')?.state).to.equal('ready');
+    expect(state.registry.get('i1')?.state).to.equal('ready');
     expect((await fleet.call(other, 'PUT', '/i1', target('draining', 2)))[0]).to.equal(200);
-    expect(held.registry.get('i1')?.state).to.equal('draining');
+    expect(state.registry.get('i1')?.state).to.equal('draining');
     expect((await fleet.call(fleet.leader, 'DELETE', '/i1'))[0]).to.equal(200);
-    expect(held.registry.get('i1')?.state).to.equal('gone');
+    expect(state.registry.get('i1')?.state).to.equal('gone');
   });
 
   /*
@@ -303,13 +303,13 @@
    * old one says that it is gone.
    */
   it('know a target that started at the address of one that crashed', async () => {
-    const { held, link } = await fleet.follow();
+    const { state, link } = await fleet.follow();
     await until('a confirmation', () => link.age < 700);
     await until('the first', async () => {
       return (await fleet.call(fleet.leader, 'PUT', '/i1', target('ready', 1)))[0] === 200;
     });
     expect((await fleet.call(fleet.leader, 'PUT', '/i2', target('ready', 1)))[0]).to.equal(200);
-    const states = ['i1', 'i2'].map((id) => held.registry.get(id)?.state);
+    const states = ['i1', 'i2'].map((id) => state.registry.get(id)?.state);
     expect(states).to.deep.equal(['gone', 'ready']);
   });
 
@@ -318,18 +318,18 @@
    * that isn't there, at the same address, and one whose slots are a word.
    */
   it('take nothing of announcements by other programs', async () => {
-    const { held, link } = await fleet.follow();
+    const { state, link } = await fleet.follow();
     await until('a confirmation', () => link.age < 700);
     await fleet.submit(1);
-    await until('settings', () => held.version === 1);
+    await until('settings', () => state.version === 1);
     await until('the target', async () => {
       return (await fleet.call(fleet.leader, 'PUT', '/i1', target('ready', 1)))[0] === 200;
     });
-    const foreign = { ...target('ready', 1), service: 'unknown' };
-    expect((await fleet.call(fleet.leader, 'PUT', '/i2', foreign))[0]).to.equal(200);
+    const malformed = { ...target('ready', 1), service: 'unknown' };
+    expect((await fleet.call(fleet.leader, 'PUT', '/i2', malformed))[0]).to.equal(200);
     const broken = { ...target('ready', 1), slots: 'many' };
     expect((await fleet.call(fleet.leader, 'PUT', '/i3', broken))[0]).to.equal(400);
-    const states = ['i1', 'i2', 'i3'].map((id) => held.registry.get(id)?.state);
+    const states = ['i1', 'i2', 'i3'].map((id) => state.registry.get(id)?.state);
     expect(states).to.deep.equal(['ready', undefined, undefined]);
   });
 
@@ -347,15 +347,15 @@
     );
     for (const i of [0, 1, 2]) await fleet.stop(i);
     for (const i of [0, 1, 2]) await fleet.start(i, false);
-    const { held } = await fleet.follow();
-    await until('the target from the disk', () => held.registry.get('i1') !== undefined);
-    expect(held.registry.get('i1')).to.include({ state: 'ready', isRemembered: true });
+    const { state } = await fleet.follow();
+    await until('the target from the disk', () => state.registry.get('i1') !== undefined);
+    expect(state.registry.get('i1')).to.include({ state: 'ready', isRemembered: true });
     await until('its word', async () => {
       return (await fleet.call(fleet.leader, 'PUT', '/i1', target('ready', 2)))[0] === 200;
     });
     // The follower uses it already; that it lives comes with the answer to its next question.
-    await until('the follower to know', () => held.registry.get('i1')?.isRemembered !== true);
-    expect(held.registry.get('i1')?.state).to.equal('ready');
+    await until('the follower to know', () => state.registry.get('i1')?.isRemembered !== true);
+    expect(state.registry.get('i1')?.state).to.equal('ready');
   });
 
   /*
@@ -366,18 +366,18 @@
     const { folder } = fleet.places[0];
     await fleet.stop(0);
     const whole = frames.encode([{ ...target('ready', 1), id: 'i1' }]);
-    const foreign = frames.encode([{ id: 5 }]);
+    const malformed = frames.encode([{ id: 5 }]);
     const unusable = { ...target('ready', 1), id: 'i1', address: 'nowhere' };
-    const contents = [whole.subarray(0, -3), Buffer.from('{"targets":[]}'), foreign];
+    const contents = [whole.subarray(0, -3), Buffer.from('{"targets":[]}'), malformed];
     for (const content of contents) {
       await fs.writeFile(path.join(folder, 'targets'), content);
-      expect((await targetMemory.read(folder)).err).to.equal(true);
+      expect((await targetStore.read(folder)).err).to.equal(true);
     }
     await fleet.start(0, false);
     await fs.writeFile(path.join(folder, 'targets'), frames.encode([unusable]));
-    expect((await targetMemory.read(folder)).unwrap()).to.deep.equal([]);
+    expect((await targetStore.read(folder)).unwrap()).to.deep.equal([]);
     await fs.writeFile(path.join(folder, 'targets'), whole);
-    expect((await targetMemory.read(folder)).unwrap().map(({ id }) => id)).to.deep.equal(['i1']);
+    expect((await targetStore.read(folder)).unwrap().map(({ id }) => id)).to.deep.equal(['i1']);
   });
 });
 
--- a/packages/daemon/src/keeper/__tests__/largeFleet.test.ts
+++ b/packages/daemon/src/keeper/__tests__/largeFleet.test.ts
@@ -11,7 +11,7 @@
 import * as registryCopies from '../../fleet/registryCopies';
 import type * as observer from '../../observability/observer';
 import * as framing from '../../rpc/framing';
-import * as fixture from './__fixtures__/crowd';
+import * as fixture from './__fixtures__/leaderFixture';
 
 const { expect } = chai;
 
@@ -36,7 +36,7 @@
 }
 
 /** Notes of a follower that takes what it is told. */
-function follower(): holding.Holding {
+function makeFollower(): holding.Holding {
   return new holding.Holding({
     protocol: {} as holding.Options['protocol'],
     observer: { log: () => undefined } as unknown as observer.Observer,
@@ -48,19 +48,19 @@
 
 /** All targets announce themselves; `between` runs after each group. */
 async function announceAll(
-  { led }: fixture.Crowd,
+  { leader }: fixture.LeaderFixture,
   between: () => Promise<void> = async () => undefined,
 ): Promise<void> {
-  const told: Promise<void>[] = [];
+  const announced: Promise<void>[] = [];
   const perGroup = TARGETS / GROUPS;
   for (let group = 0; group < GROUPS; group++) {
     for (let i = 0; i < perGroup; i++) {
-      told.push(led.announce(announcement(group * perGroup + i)));
+      announced.push(leader.announce(announcement(group * perGroup + i)));
     }
     await between();
     await clock.pause(ANNOUNCING_MS / GROUPS);
   }
-  await Promise.all(told);
+  await Promise.all(announced);
 }
 
 function bytesOf(news: messages.News): number {
@@ -73,12 +73,12 @@
    * leader's link ten seconds; pushes and questions timed out, their connections were closed and all was sent again.
    */
   it('tells its followers of all targets within two seconds of its link', async () => {
-    const crowd = await fixture.crowd({ followers: FOLLOWERS, answerMs: 20 });
-    await announceAll(crowd);
-    const sent = crowd.pushes.reduce((sum, { news }) => sum + bytesOf(news), 0);
+    const setup = await fixture.leaderWithFollowers({ followers: FOLLOWERS, answerMs: 20 });
+    await announceAll(setup);
+    const sent = setup.pushes.reduce((sum, { news }) => sum + bytesOf(news), 0);
     expect(sent).to.be.below(2 * LINK_BYTES_PER_S);
-    const one = follower();
-    const first = crowd.pushes.filter(({ address }) => address === fixture.addressOf(0));
+    const one = makeFollower();
+    const first = setup.pushes.filter(({ address }) => address === fixture.addressOf(0));
     first.forEach(({ news }) => one.takeNews(news));
     expect(one.registry.ready('s').length).to.equal(TARGETS);
   });
@@ -88,17 +88,17 @@
    * registry again.
    */
   it('sends a follower that asks meanwhile only what it lacks', async () => {
-    const crowd = await fixture.crowd({ followers: 1, answerMs: 1 });
-    const one = follower();
-    const begin = await crowd.led.follow(fixture.question(0));
+    const setup = await fixture.leaderWithFollowers({ followers: 1, answerMs: 1 });
+    const one = makeFollower();
+    const begin = await setup.leader.follow(fixture.followRequest(0));
     if (begin !== undefined) one.takeNews(begin.news);
-    const told = Array.from({ length: TARGETS }, (_each, i) => {
-      return crowd.led.announce(announcement(i));
+    const announced = Array.from({ length: TARGETS }, (_each, i) => {
+      return setup.leader.announce(announcement(i));
     });
-    const answer = await crowd.led.follow({ ...fixture.question(0), mark: one.mark });
-    await Promise.all(told);
+    const answer = await setup.leader.follow({ ...fixture.followRequest(0), mark: one.mark });
+    await Promise.all(announced);
     expect(answer?.news.packedRegistry).to.equal(undefined);
-    const last = await crowd.led.follow({ ...fixture.question(0), mark: one.mark });
+    const last = await setup.leader.follow({ ...fixture.followRequest(0), mark: one.mark });
     if (last !== undefined) one.takeNews(last.news);
     expect(one.registry.ready('s').length).to.equal(TARGETS);
   });
@@ -110,9 +110,9 @@
    */
   it('answers all who find it at once, and hands out the registry by turns', async () => {
     let now = 0;
-    const crowd = await fixture.crowd({ followers: 0, answerMs: 1, now: () => now });
-    crowd.held.recall(Array.from({ length: TARGETS }, (_each, i) => announcement(i)));
-    const entries = Array.from({ length: FOLLOWERS }, () => follower());
+    const setup = await fixture.leaderWithFollowers({ followers: 0, answerMs: 1, now: () => now });
+    setup.fleet.recall(Array.from({ length: TARGETS }, (_each, i) => announcement(i)));
+    const entries = Array.from({ length: FOLLOWERS }, () => makeFollower());
     let firstBytes = 0;
     let rounds = 0;
     const lacking = (): holding.Holding[] => {
@@ -121,7 +121,10 @@
     while (lacking().length > 0 && rounds < 100) {
       let sent = 0;
       for (let i = 0; i < FOLLOWERS; i++) {
-        const answer = await crowd.led.follow({ ...fixture.question(i), mark: entries[i].mark });
+        const answer = await setup.leader.follow({
+          ...fixture.followRequest(i),
+          mark: entries[i].mark,
+        });
         expect(answer?.kind).to.equal('confirmed');
         if (answer === undefined) return;
         sent += bytesOf(answer.news);
@@ -141,16 +144,16 @@
    * got a copy that was packed anew, or packed changes of its own beside it.
    */
   it('packs few copies for all who ask while its targets speak for themselves', async () => {
-    const crowd = await fixture.crowd({ followers: 0, answerMs: 1 });
-    crowd.held.recall(Array.from({ length: TARGETS }, (_each, i) => announcement(i)));
+    const setup = await fixture.leaderWithFollowers({ followers: 0, answerMs: 1 });
+    setup.fleet.recall(Array.from({ length: TARGETS }, (_each, i) => announcement(i)));
     const packed = new Set<Uint8Array>();
     const perFollower = TARGETS / FOLLOWERS;
     for (let i = 0; i < FOLLOWERS; i++) {
-      const answer = await crowd.led.follow(fixture.question(i));
+      const answer = await setup.leader.follow(fixture.followRequest(i));
       const { packedRegistry, packedRecords } = answer?.news ?? {};
       [packedRegistry, packedRecords].forEach((each) => each !== undefined && packed.add(each));
       for (let j = 0; j < perFollower; j++) {
-        await crowd.led.announce({ ...announcement(i * perFollower + j), sequence: 2 });
+        await setup.leader.announce({ ...announcement(i * perFollower + j), sequence: 2 });
       }
     }
     expect(packed.size).to.be.at.most(12);
@@ -161,14 +164,15 @@
    * their questions; the next push brought all of that again to each.
    */
   it('pushes to each follower only what it lacks', async () => {
-    const crowd = await fixture.crowd({ followers: 1, answerMs: 1 });
-    crowd.held.recall(Array.from({ length: TARGETS }, (_each, i) => announcement(i)));
-    for (let i = 0; i < TARGETS; i++) await crowd.led.announce({ ...announcement(i), sequence: 2 });
-    const known = await crowd.led.follow(fixture.question(0));
+    const setup = await fixture.leaderWithFollowers({ followers: 1, answerMs: 1 });
+    setup.fleet.recall(Array.from({ length: TARGETS }, (_each, i) => announcement(i)));
+    for (let i = 0; i < TARGETS; i++)
+      await setup.leader.announce({ ...announcement(i), sequence: 2 });
+    const known = await setup.leader.follow(fixture.followRequest(0));
     const mark = known?.news.mark ?? messages.NO_MARK;
-    await crowd.led.follow({ ...fixture.question(0), mark });
-    await crowd.led.announce({ ...announcement(7), state: 'draining', sequence: 3 });
-    expect(crowd.pushes.map(({ news }) => registryCopies.unbundle(news).length)).to.deep.equal([1]);
+    await setup.leader.follow({ ...fixture.followRequest(0), mark });
+    await setup.leader.announce({ ...announcement(7), state: 'draining', sequence: 3 });
+    expect(setup.pushes.map(({ news }) => registryCopies.unbundle(news).length)).to.deep.equal([1]);
   });
 
   /*
@@ -176,10 +180,16 @@
    * was under way to it when the target spoke; what waited for that push was dropped, as it built on a state that the entry lacked.
    */
   it('tells a follower that waits for its copy which targets leave', async () => {
-    const crowd = await fixture.crowd({ followers: 1, answerMs: 50, lacksState: true });
-    const told = [1, 2].map((i) => crowd.led.announce({ ...announcement(i), state: 'draining' }));
-    await Promise.all(told);
-    const records = crowd.pushes.flatMap(({ news }) => registryCopies.unbundle(news));
+    const setup = await fixture.leaderWithFollowers({
+      followers: 1,
+      answerMs: 50,
+      reportsNoState: true,
+    });
+    const announced = [1, 2].map((i) =>
+      setup.leader.announce({ ...announcement(i), state: 'draining' }),
+    );
+    await Promise.all(announced);
+    const records = setup.pushes.flatMap(({ news }) => registryCopies.unbundle(news));
     expect(records.map(({ id }) => id)).to.deep.equal([announcement(1).id, announcement(2).id]);
   });
 });
--- a/packages/daemon/src/keeper/__tests__/crowd.test.ts
+++ b/packages/daemon/src/keeper/__tests__/leaderLoad.test.ts
@@ -8,12 +8,12 @@
 import * as messages from '../../fleet/messages';
 import * as registryCopies from '../../fleet/registryCopies';
 import type * as observer from '../../observability/observer';
-import * as turns from '../turns';
-import * as fixture from './__fixtures__/crowd';
+import * as batchQueue from '../batchQueue';
+import * as fixture from './__fixtures__/leaderFixture';
 
 const { expect } = chai;
 
-const { announcement, question } = fixture;
+const { announcement, followRequest } = fixture;
 
 const FOLLOWERS = 200;
 
@@ -22,8 +22,8 @@
 /** Pause between two announcements of different targets where each announces itself every 1.2 s, milliseconds. */
 const BETWEEN_MS = 8;
 
-function crowd(answerMs: number): Promise<fixture.Crowd> {
-  return fixture.crowd({ followers: FOLLOWERS, answerMs });
+function setUp(answerMs: number): Promise<fixture.LeaderFixture> {
+  return fixture.leaderWithFollowers({ followers: FOLLOWERS, answerMs });
 }
 
 describe('a new leader of many followers', () => {
@@ -33,16 +33,16 @@
    * keepers took it for dead and began anew, time after time.
    */
   it('pushes the announcements of many targets together', async () => {
-    const { led, pushes } = await crowd(1);
-    const begun = clock.steady();
-    const told: Promise<void>[] = [];
+    const { leader, pushes } = await setUp(1);
+    const startedAt = clock.steady();
+    const announced: Promise<void>[] = [];
     for (let i = 0; i < TARGETS; i++) {
-      told.push(led.announce(announcement(i)));
+      announced.push(leader.announce(announcement(i)));
       await clock.pause(BETWEEN_MS);
     }
-    await Promise.all(told);
+    await Promise.all(announced);
     // One push in 150 ms to each, and one more for the rest; on a busy machine it takes longer than 1.2 s.
-    const windows = (clock.steady() - begun) / 150;
+    const windows = (clock.steady() - startedAt) / 150;
     expect(pushes.length).to.be.at.most(FOLLOWERS * (windows + 1));
     const first = pushes.filter(({ address }) => address === '10.0.0.0:1');
     expect(first.flatMap(({ news }) => news.records).length).to.equal(TARGETS);
@@ -53,9 +53,9 @@
    * gathered goes with it, in order.
    */
   it('pushes at once that a target leaves', async () => {
-    const { led, pushes } = await crowd(1);
-    const ready = led.announce(announcement(1));
-    await led.announce(announcement(1, 'draining'));
+    const { leader, pushes } = await setUp(1);
+    const ready = leader.announce(announcement(1));
+    await leader.announce(announcement(1, 'draining'));
     await ready;
     expect(pushes.length).to.equal(FOLLOWERS);
     expect(pushes[0].news.records.map(({ state }) => state)).to.deep.equal(['ready', 'draining']);
@@ -66,9 +66,9 @@
    * goes in one push when the one before is answered, and in the order in which it came.
    */
   it('has one push under way to each follower, and loses nothing of what waits', async () => {
-    const { led, pushes } = await crowd(200);
-    const told = [1, 2, 3, 4, 5].map((i) => led.announce(announcement(i, 'draining')));
-    await Promise.all(told);
+    const { leader, pushes } = await setUp(200);
+    const announced = [1, 2, 3, 4, 5].map((i) => leader.announce(announcement(i, 'draining')));
+    await Promise.all(announced);
     const first = pushes.filter(({ address }) => address === '10.0.0.0:1');
     expect(first.length).to.equal(2);
     const ids = first.flatMap(({ news }) => news.records).map(({ id }) => id);
@@ -81,10 +81,10 @@
    * they know; an entry is asked only where nobody else knows targets.
    */
   it('asks entries for their targets only where it knows none', async () => {
-    const { led } = await crowd(1);
-    const empty = await led.follow(question(0));
-    await led.announce(announcement(1));
-    const known = await led.follow(question(1));
+    const { leader } = await setUp(1);
+    const empty = await leader.follow(followRequest(0));
+    await leader.announce(announcement(1));
+    const known = await leader.follow(followRequest(1));
     expect([empty?.lacksTargets, known?.lacksTargets]).to.deep.equal([true, false]);
   });
 
@@ -93,17 +93,17 @@
    * within 1.2 s, and each time the leader told 195 entries, which knew and used them already.
    */
   it('tells followers with their next question that remembered targets live', async () => {
-    const { led, pushes, held } = await crowd(1);
-    held.recall(Array.from({ length: TARGETS }, (_each, i) => announcement(i)));
-    const before = await led.follow(question(0));
-    for (let i = 0; i < TARGETS; i++) await led.announce({ ...announcement(i), sequence: 2 });
+    const { leader, pushes, fleet } = await setUp(1);
+    fleet.recall(Array.from({ length: TARGETS }, (_each, i) => announcement(i)));
+    const before = await leader.follow(followRequest(0));
+    for (let i = 0; i < TARGETS; i++) await leader.announce({ ...announcement(i), sequence: 2 });
     expect(pushes.length).to.equal(0);
     const mark = before?.news.mark ?? messages.NO_MARK;
-    const after = await led.follow({ ...question(0), mark });
-    const told = after === undefined ? [] : registryCopies.unbundle(after.news);
-    expect(told.length).to.equal(TARGETS);
-    expect(told.some(({ isRemembered }) => isRemembered === true)).to.equal(false);
-    await led.announce({ ...announcement(1), state: 'draining', sequence: 3 });
+    const after = await leader.follow({ ...followRequest(0), mark });
+    const announced = after === undefined ? [] : registryCopies.unbundle(after.news);
+    expect(announced.length).to.equal(TARGETS);
+    expect(announced.some(({ isRemembered }) => isRemembered === true)).to.equal(false);
+    await leader.announce({ ...announcement(1), state: 'draining', sequence: 3 });
     expect(pushes.length).to.equal(FOLLOWERS);
   });
 
@@ -112,7 +112,7 @@
    * milliseconds, and its next heartbeat must not wait for all of them.
    */
   it('places a crowd of prompts a few in each turn', async () => {
-    const queue = new turns.Turns();
+    const queue = new batchQueue.BatchQueue();
     const order: string[] = [];
     const placed = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10].map((i) =>
       queue.run(() => {
@@ -139,20 +139,22 @@
    * line for each of them came before the first request; one line says as much, as the leader logs each target.
    */
   it('gives an entry its targets in one copy and one line of the log', async () => {
-    const { led } = await crowd(1);
-    const told = Array.from({ length: TARGETS }, (_each, i) => led.announce(announcement(i)));
-    await Promise.all(told);
-    const answer = await led.follow(question(1));
+    const { leader } = await setUp(1);
+    const announced = Array.from({ length: TARGETS }, (_each, i) =>
+      leader.announce(announcement(i)),
+    );
+    await Promise.all(announced);
+    const answer = await leader.follow(followRequest(1));
     const lines: string[] = [];
-    const held = new holding.Holding({
+    const fleet = new holding.Holding({
       protocol: {} as holding.Options['protocol'],
       observer: { log: (event: string) => lines.push(event) } as unknown as observer.Observer,
       now: clock.steady,
       onCatalogue: () => undefined,
       onRecord: () => undefined,
     });
-    expect(answer === undefined ? false : held.takeNews(answer.news)).to.equal(true);
-    expect(held.registry.ready('s').length).to.equal(TARGETS);
+    expect(answer === undefined ? false : fleet.takeNews(answer.news)).to.equal(true);
+    expect(fleet.registry.ready('s').length).to.equal(TARGETS);
     expect(lines).to.deep.equal(['registryTaken']);
     expect(answer?.news.packedRegistry?.length).to.be.lessThan(TARGETS * 40);
   });
@@ -162,17 +164,17 @@
    * and was back within a second under its name, so the leader never missed it and kept the trial of a process that was gone.
    */
   it('ends the trials of an entry that started again', async () => {
-    const { led } = await crowd(1);
+    const { leader } = await setUp(1);
     const lifetime = { id: 't0', bornAt: 1 };
     const run = { isTrial: false, agoMs: 0, sentAgoMs: 10 };
-    led.suspicions.blame({ ended: [{ content: '4-content', lifetime, ...run }] });
+    leader.suspects.blame({ ended: [{ content: '4-content', lifetime, ...run }] });
     const ask = (entry: string): string => {
-      const wish = { content: '4-content', id: entry, entry, service: 's', excluded: [] };
-      return led.suspicions.permit(wish).kind;
+      const request = { content: '4-content', id: entry, entry, service: 's', excluded: [] };
+      return leader.suspects.permit(request).kind;
     };
-    const told = [ask('e0'), ask('e1')];
-    await led.follow(question(0));
-    expect([...told, ask('e1')]).to.deep.equal(['granted', 'busy', 'granted']);
+    const replies = [ask('e0'), ask('e1')];
+    await leader.follow(followRequest(0));
+    expect([...replies, ask('e1')]).to.deep.equal(['granted', 'busy', 'granted']);
   });
 
   /*
@@ -180,8 +182,8 @@
    * it has confirmed them, and it did so with its next heartbeat.
    */
   it('confirms followers at once that are new to it', async () => {
-    const made = await fixture.crowd({ followers: 2, answerMs: 1 });
-    await made.led.follow(question(0));
+    const made = await fixture.leaderWithFollowers({ followers: 2, answerMs: 1 });
+    await made.leader.follow(followRequest(0));
     expect(made.confirmations).to.deep.equal([true, true, false]);
   });
 });
--- a/packages/daemon/src/keeper/__tests__/placing.test.ts
+++ b/packages/daemon/src/keeper/__tests__/placing.test.ts
@@ -27,7 +27,7 @@
 };
 
 /** Counts attempts, all in vain. */
-class Full extends domain.allocation.allocator.Allocator {
+class FullAllocator extends domain.allocation.allocator.Allocator {
   attempts = 0;
 
   override choose(): domain.allocation.allocator.Choice {
@@ -36,11 +36,11 @@
   }
 }
 
-function fullFleet(): Full {
-  const made = new Full();
-  made.setServices([{ name: 's', healthPath: '/', maxConnections: 200, engine: ENGINE }]);
+function fullFleet(): FullAllocator {
+  const allocator = new FullAllocator();
+  allocator.setServices([{ name: 's', healthPath: '/', maxConnections: 200, engine: ENGINE }]);
   for (let i = 0; i < ENGINES; i++) {
-    made.observe({
+    allocator.observe({
       id: `t${i}`,
       bornAt: 1,
       service: 's',
@@ -51,7 +51,7 @@
       sequence: 1,
     });
   }
-  return made;
+  return allocator;
 }
 
 describe('placing in a burst', () => {
@@ -63,13 +63,13 @@
     const allocator = fullFleet();
     const timers: { at: number; action: () => void }[] = [];
     let now = 0;
-    const tested = new placing.Placing({
+    const placer = new placing.Placing({
       allocator,
       clock: { now: () => now, after: (ms, action) => timers.push({ at: now + ms, action }) },
       random: random.seeded(1),
       onRefused: () => undefined,
     });
-    tested.open();
+    placer.open();
     for (let i = 0; i < 200; i++) {
       const request = {
         id: `r${i}`,
@@ -85,7 +85,7 @@
         excluded: [],
         patienceMs: 2_000,
       };
-      tested.ask(request, () => undefined);
+      placer.ask(request, () => undefined);
     }
     allocator.attempts = 0;
     while (timers.length > 0 && now < 1_000) {
@@ -112,13 +112,13 @@
     });
     limits.set({ service: 's', address: '10.0.0.5:80', perSecond: 1 }, now);
     const timers: { at: number; action: () => void }[] = [];
-    const tested = new placing.Placing({
+    const placer = new placing.Placing({
       allocator,
       clock: { now: () => now, after: (ms, action) => timers.push({ at: now + ms, action }) },
       random: random.seeded(1),
       onRefused: () => undefined,
     });
-    tested.open();
+    placer.open();
     const prompt = {
       entry: 'e',
       service: 's',
@@ -133,7 +133,7 @@
     };
     const placed: [string, number][] = [];
     const ask = (id: string, writers?: string[]): void => {
-      tested.ask({ ...prompt, id, writers }, ({ kind }) => placed.push([`${id} ${kind}`, now]));
+      placer.ask({ ...prompt, id, writers }, ({ kind }) => placed.push([`${id} ${kind}`, now]));
     };
     ask('returning', ['bound']);
     ask('new');
--- a/packages/daemon/src/keeper/__tests__/suspicions.test.ts
+++ b/packages/daemon/src/keeper/__tests__/suspectTracker.test.ts
@@ -2,7 +2,7 @@
 import * as chai from 'chai';
 import * as domain from '@celerydrift/domain';
 import * as observer from '../../observability/observer';
-import * as suspicions from '../suspicions';
+import * as suspectTracker from '../suspectTracker';
 
 const { expect } = chai;
 
@@ -16,7 +16,7 @@
   it('believes nobody about a target that has spoken since', () => {
     const quarantine = new domain.quarantine.quarantine.Quarantine();
     const published: domain.quarantine.suspect.Report[] = [];
-    const made = new suspicions.Suspicions({
+    const tracker = new suspectTracker.SuspectTracker({
       quarantine,
       registry: { spokeAt: ({ id }) => (id === 'silent' ? 0 : 9_500), ready: () => [] },
       isAllocated: () => false,
@@ -24,17 +24,17 @@
       now: () => 10_000,
       publish: (reports) => published.push(...reports),
     });
-    const tell = (id: string, agoMs: number): void => {
-      made.blame({
+    const report = (id: string, agoMs: number): void => {
+      tracker.blame({
         ended: [
           { content: CONTENT, lifetime: { id, bornAt: 1 }, isTrial: true, agoMs, sentAgoMs: agoMs },
         ],
       });
     };
-    ['a', 'b', 'c'].forEach((id) => tell(id, 5_000));
+    ['a', 'b', 'c'].forEach((id) => report(id, 5_000));
     expect([quarantine.size, published.length]).to.deep.equal([0, 0]);
-    tell('a', 10);
-    tell('silent', 5_000);
+    report('a', 10);
+    report('silent', 5_000);
     expect(published.map(({ endings }) => endings.length)).to.deep.equal([1, 2]);
   });
 
@@ -46,7 +46,7 @@
     const place = { service: 'plain', address: '10.0.0.2:1', dataCentre: 'east', slots: 4 };
     registry.announce({ ...target, ...place }, 1_000);
     registry.merge([{ ...target, ...place, sequence: 8 }], 9_900);
-    const made = new suspicions.Suspicions({
+    const tracker = new suspectTracker.SuspectTracker({
       quarantine,
       registry,
       isAllocated: () => false,
@@ -55,7 +55,7 @@
       publish: () => undefined,
     });
     const run = { isTrial: true, agoMs: 5_000, sentAgoMs: 5_100 };
-    made.blame({ ended: [{ content: CONTENT, lifetime: target, ...run }] });
+    tracker.blame({ ended: [{ content: CONTENT, lifetime: target, ...run }] });
     expect(quarantine.standing(CONTENT)).to.equal('suspected');
   });
 });
--- a/packages/daemon/src/keeper/announcementRelay.ts
+++ b/packages/daemon/src/keeper/announcementRelay.ts
@@ -8,44 +8,44 @@
 type Announcement = domain.registry.registry.Announcement;
 
 /** Passes words on; true once the leader has them. */
-export type Pass = (records: Announcement[]) => Promise<boolean>;
+export type Forward = (records: Announcement[]) => Promise<boolean>;
 
-interface Word {
+interface PendingAnnouncement {
   record: Announcement;
   settle: (isTaken: boolean) => void;
 }
 
 /** Most words of one message; some 50 KB. */
-const MOST_TOGETHER = 200;
+const MAX_BATCH_SIZE = 200;
 
 /**
  * Messages under way at once. One that says something new is answered when followers know it, after half a second at most, and a
  * target waits a second for its answer.
  */
-const MOST_UNDER_WAY = 4;
+const MAX_IN_FLIGHT = 4;
 
 export class AnnouncementRelay {
-  private waiting: Word[] = [];
+  private waiting: PendingAnnouncement[] = [];
 
-  private underWay = 0;
+  private inFlight = 0;
 
-  constructor(private readonly pass: Pass) {}
+  constructor(private readonly forward: Forward) {}
 
   /** Resolves with whether the leader has it. */
-  tell(record: Announcement): Promise<boolean> {
+  relay(record: Announcement): Promise<boolean> {
     return new Promise((settle) => {
       this.waiting.push({ record, settle });
-      void this.passNext();
+      void this.forwardNext();
     });
   }
 
-  private async passNext(): Promise<void> {
-    if (this.waiting.length === 0 || this.underWay >= MOST_UNDER_WAY) return;
-    this.underWay += 1;
-    const words = this.waiting.splice(0, MOST_TOGETHER);
-    const isTaken = await this.pass(words.map(({ record }) => record));
-    words.forEach(({ settle }) => settle(isTaken));
-    this.underWay -= 1;
-    void this.passNext();
+  private async forwardNext(): Promise<void> {
+    if (this.waiting.length === 0 || this.inFlight >= MAX_IN_FLIGHT) return;
+    this.inFlight += 1;
+    const batch = this.waiting.splice(0, MAX_BATCH_SIZE);
+    const isTaken = await this.forward(batch.map(({ record }) => record));
+    batch.forEach(({ settle }) => settle(isTaken));
+    this.inFlight -= 1;
+    void this.forwardNext();
   }
 }
--- a/packages/daemon/src/keeper/turns.ts
+++ b/packages/daemon/src/keeper/batchQueue.ts
@@ -5,28 +5,28 @@
  */
 
 /** Pieces of work in one turn; with the costliest some 10 ms. */
-const PER_TURN = 4;
+const BATCH_SIZE = 4;
 
-export class Turns {
-  private readonly waiting: (() => void)[] = [];
+export class BatchQueue {
+  private readonly queue: (() => void)[] = [];
 
   private isRunning = false;
 
   /** Runs `work` in its turn, first come, first served. */
   run<T>(work: () => T | Promise<T>): Promise<T> {
     return new Promise((resolve, reject) => {
-      this.waiting.push(() => {
+      this.queue.push(() => {
         Promise.resolve().then(work).then(resolve, reject);
       });
       if (this.isRunning) return;
       this.isRunning = true;
-      setImmediate(() => this.turn());
+      setImmediate(() => this.runBatch());
     });
   }
 
-  private turn(): void {
-    this.waiting.splice(0, PER_TURN).forEach((work) => work());
-    if (this.waiting.length > 0) setImmediate(() => this.turn());
+  private runBatch(): void {
+    this.queue.splice(0, BATCH_SIZE).forEach((work) => work());
+    if (this.queue.length > 0) setImmediate(() => this.runBatch());
     else this.isRunning = false;
   }
 }
--- a/packages/daemon/src/keeper/catalogueMachine.ts
+++ b/packages/daemon/src/keeper/catalogueMachine.ts
@@ -7,14 +7,14 @@
 export class CatalogueMachine implements machine.Machine {
   readonly versions = new domain.catalogue.versions.Versions();
 
-  private isTelling = false;
+  private isNotificationQueued = false;
 
   /** `onChange` is told the newest edition once all that were committed together are applied. */
   constructor(private readonly onChange: (edition: Edition) => void) {}
 
   apply(command: unknown): domain.catalogue.versions.Acceptance {
     const acceptance = this.versions.apply(command as Edition);
-    if (acceptance.changed) this.tellSoon();
+    if (acceptance.changed) this.queueNotification();
     return acceptance;
   }
 
@@ -33,11 +33,11 @@
    * A new leader applies all editions since the snapshot at once. To read each of them took one 80 ms after a loss of
    * all, while every entry waited for the last.
    */
-  private tellSoon(): void {
-    if (this.isTelling) return;
-    this.isTelling = true;
+  private queueNotification(): void {
+    if (this.isNotificationQueued) return;
+    this.isNotificationQueued = true;
     queueMicrotask(() => {
-      this.isTelling = false;
+      this.isNotificationQueued = false;
       const { newest } = this.versions;
       if (newest !== undefined) this.onChange(newest);
     });
--- a/packages/daemon/src/keeper/controlServer.ts
+++ b/packages/daemon/src/keeper/controlServer.ts
@@ -13,7 +13,7 @@
 
 type Announcement = domain.registry.registry.Announcement;
 
-export interface Parts {
+export interface Dependencies {
   protocol: protocols.ControlProtocol;
   observer: observer.Observer;
   /** Passes an announcement on; true once the leader has it. */
@@ -39,7 +39,7 @@
 export class ControlServer {
   private readonly server: http.Server;
 
-  constructor(private readonly parts: Parts) {
+  constructor(private readonly dependencies: Dependencies) {
     this.server = http.createServer({ keepAliveTimeout: KEEP_ALIVE_MS }, (request, response) => {
       void this.serve(request, response);
     });
@@ -67,7 +67,7 @@
 
   private async reply(request: http.IncomingMessage, body: Buffer): Promise<Reply> {
     const path = (request.url ?? '').split('?')[0];
-    const call = this.parts.protocol.call(request.method ?? '', path);
+    const call = this.dependencies.protocol.call(request.method ?? '', path);
     if (call === undefined) return { status: 404, body: '' };
     if (call.kind === 'announce') return this.announce(call.id, body);
     if (call.kind === 'depart') return this.depart(call.id, body);
@@ -75,44 +75,48 @@
   }
 
   private async announce(id: string, body: Buffer): Promise<Reply> {
-    const decoded = this.parts.protocol.announcement(id, body);
+    const decoded = this.dependencies.protocol.announcement(id, body);
     const problem = decoded.err
       ? decoded.val.detail
       : domain.registry.validity.problemOf(decoded.val);
     if (decoded.err || problem !== undefined) {
-      this.parts.observer.log('announcementIgnored', { target: id, reason: problem });
+      this.dependencies.observer.log('announcementIgnored', { target: id, reason: problem });
       return { status: 400, body: JSON.stringify({ error: problem }) };
     }
-    return (await this.parts.announce(decoded.val)) ? { status: 200, body: '{}' } : UNAVAILABLE;
+    return (await this.dependencies.announce(decoded.val))
+      ? { status: 200, body: '{}' }
+      : UNAVAILABLE;
   }
 
   private async depart(id: string, body: Buffer): Promise<Reply> {
-    const bornAt = this.parts.protocol.departedLifetime(body);
-    return (await this.parts.depart({ id, bornAt })) ? { status: 200, body: '{}' } : UNAVAILABLE;
+    const bornAt = this.dependencies.protocol.departedLifetime(body);
+    return (await this.dependencies.depart({ id, bornAt }))
+      ? { status: 200, body: '{}' }
+      : UNAVAILABLE;
   }
 
   private async submit(body: Buffer): Promise<Reply> {
-    const decoded = this.parts.protocol.catalogue(body);
+    const decoded = this.dependencies.protocol.catalogue(body);
     if (decoded.err) return this.refuse(0, decoded.val.detail);
     const { version } = decoded.val;
     const [problem] = domain.catalogue.catalogue.problemsOf(decoded.val);
     if (problem !== undefined) return this.refuse(version, `${problem.fault}: ${problem.subject}`);
-    const answer = await this.parts.submit(editions.pack(version, body));
+    const answer = await this.dependencies.submit(editions.pack(version, body));
     if (answer.kind === 'unavailable') {
-      this.parts.observer.log('catalogueUnsettled', { version, reason: answer.detail });
+      this.dependencies.observer.log('catalogueUnsettled', { version, reason: answer.detail });
       return UNAVAILABLE;
     }
-    this.parts.observer.log('catalogueAccepted', { version, inForce: answer.version });
+    this.dependencies.observer.log('catalogueAccepted', { version, inForce: answer.version });
     return { status: 200, body: JSON.stringify({ version: answer.version }) };
   }
 
   private refuse(version: number, reason: string): Reply {
-    this.parts.observer.log('catalogueRefused', { version, reason });
+    this.dependencies.observer.log('catalogueRefused', { version, reason });
     return { status: 400, body: JSON.stringify({ error: reason }) };
   }
 
   private async read(): Promise<Reply> {
-    const answer = await this.parts.newest();
+    const answer = await this.dependencies.newest();
     if (answer.kind === 'unavailable' || answer.edition === undefined) return UNAVAILABLE;
     return { status: 200, body: editions.unpack(answer.edition) };
   }
--- a/packages/daemon/src/keeper/followers.ts
+++ b/packages/daemon/src/keeper/followers.ts
@@ -15,27 +15,27 @@
   replica: string | undefined;
   /** The state of the registry that it has, as far as it said. */
   mark: messages.RegistryMark;
-  heardAt: number;
+  polledAt: number;
 }
 
 /** A follower that hasn't asked for so long isn't waited for; more than two of its questions. */
-const IN_TOUCH_MS = 1_300;
+const RECENT_POLL_MS = 1_300;
 
 /** A follower that is silent for so long is forgotten: it ended, or follows another leader. */
-const FORGET_MS = 4_000;
+const FOLLOWER_TIMEOUT_MS = 4_000;
 
 /** Longest wait for a follower's acknowledgement, milliseconds; a fifth of the shortest drain bound. */
-const ACKNOWLEDGED_MS = 400;
+const MAX_ACK_WAIT_MS = 400;
 
 /**
  * A push that isn't answered for so long ends its connection, milliseconds. Sooner, a busy link or follower would cost the
  * connections of a whole fleet, and making them anew keeps it busy; the follower asks over its own connection meanwhile.
  */
-const SILENT_MS = 1_500;
+const PUSH_TIMEOUT_MS = 1_500;
 
 /** What is on its way to one follower, and what waits until that has arrived. */
-interface Lane {
-  isWaiting: boolean;
+interface InFlightPush {
+  hasQueued: boolean;
   /** The newest catalogue among what waits. */
   edition: domain.catalogue.versions.Edition | undefined;
   /** Resolves when what waits now has arrived, or was given up. */
@@ -43,7 +43,7 @@
 }
 
 /** What a follower with a state lacks at this moment; undefined where only a whole copy would do, which isn't pushed. */
-export type MissedSince = (
+export type UpdateSince = (
   mark: messages.RegistryMark,
 ) => Omit<messages.News, 'edition'> | undefined;
 
@@ -51,17 +51,17 @@
   private readonly byName = new Map<string, Follower>();
 
   /** Pushes under way, by address. */
-  private readonly lanes = new Map<string, Lane>();
+  private readonly inFlight = new Map<string, InFlightPush>();
 
   constructor(
     private readonly client: peerClient.PeerClient,
     private readonly now: () => number,
-    private readonly missedSince: MissedSince,
+    private readonly updateSince: UpdateSince,
   ) {}
 
-  heard({ name, role, address, dataCentre, replica, mark }: messages.Follow): void {
-    const heardAt = this.now();
-    this.byName.set(name, { name, role, address, dataCentre, replica, mark, heardAt });
+  polled({ name, role, address, dataCentre, replica, mark }: messages.Follow): void {
+    const polledAt = this.now();
+    this.byName.set(name, { name, role, address, dataCentre, replica, mark, polledAt });
   }
 
   has(name: string): boolean {
@@ -81,8 +81,8 @@
   }
 
   /** Forgets the silent ones and names them. */
-  forgetSilent(): Follower[] {
-    const silent = this.all().filter(({ heardAt }) => this.now() - heardAt > FORGET_MS);
+  removeSilent(): Follower[] {
+    const silent = this.all().filter(({ polledAt }) => this.now() - polledAt > FOLLOWER_TIMEOUT_MS);
     silent.forEach(({ name }) => this.byName.delete(name));
     return silent;
   }
@@ -93,8 +93,8 @@
 
   /** Pushes to everyone what it lacks, and `news` to those of whom that isn't known; resolves when those in touch have it or after a bound. */
   async push(news: messages.News): Promise<void> {
-    const inTouch = this.all().filter(({ heardAt }) => this.now() - heardAt < IN_TOUCH_MS);
-    await Promise.all(inTouch.map((follower) => this.pushTo(follower, news)));
+    const reachable = this.all().filter(({ polledAt }) => this.now() - polledAt < RECENT_POLL_MS);
+    await Promise.all(reachable.map((follower) => this.pushTo(follower, news)));
   }
 
   /**
@@ -102,16 +102,19 @@
    * keep up sends fewer and larger pushes, where it would otherwise fall further behind with each.
    */
   private async pushTo(follower: Follower, news: messages.News): Promise<void> {
-    const lane = this.lanes.get(follower.address);
-    if (lane === undefined) {
-      const missed = this.missedSince(follower.mark);
-      const sent = this.send(follower, missed === undefined ? news : newsOf(news.edition, missed));
-      await Promise.race([sent, clock.pause(ACKNOWLEDGED_MS)]);
+    const push = this.inFlight.get(follower.address);
+    if (push === undefined) {
+      const update = this.updateSince(follower.mark);
+      const sent = this.send(
+        follower,
+        update === undefined ? news : updateOf(news.edition, update),
+      );
+      await Promise.race([sent, clock.pause(MAX_ACK_WAIT_MS)]);
       return;
     }
-    lane.isWaiting = true;
-    lane.edition = news.edition ?? lane.edition;
-    await Promise.race([lane.next, clock.pause(ACKNOWLEDGED_MS)]);
+    push.hasQueued = true;
+    push.edition = news.edition ?? push.edition;
+    await Promise.race([push.next, clock.pause(MAX_ACK_WAIT_MS)]);
   }
 
   private async send(follower: Follower, news: messages.News): Promise<void> {
@@ -120,42 +123,42 @@
     const next = new Promise<void>((resolve) => {
       finish = resolve;
     });
-    const lane: Lane = { isWaiting: false, edition: undefined, next };
-    this.lanes.set(address, lane);
+    const push: InFlightPush = { hasQueued: false, edition: undefined, next };
+    this.inFlight.set(address, push);
     const answer = await this.client.call<Partial<messages.Learned>>(address, 'learn', news, {
-      timeoutMs: SILENT_MS,
+      timeoutMs: PUSH_TIMEOUT_MS,
     });
-    this.lanes.delete(address);
+    this.inFlight.delete(address);
     if (answer.ok) follower.mark = answer.val.mark ?? news.mark;
-    if (!lane.isWaiting) {
+    if (!push.hasQueued) {
       finish();
       return;
     }
     // One that waits for its copy of the registry must hear of targets that leave all the same.
-    const missed = this.missedSince(follower.mark) ?? this.missedSince(news.mark);
-    void this.send(follower, newsOf(lane.edition, missed)).then(finish);
+    const update = this.updateSince(follower.mark) ?? this.updateSince(news.mark);
+    void this.send(follower, updateOf(push.edition, update)).then(finish);
   }
 
   /** Keepers with a replica that asked lately, as spares for the replica set. */
   spares(): domain.replication.repair.Spare[] {
-    return this.all().flatMap(({ replica, address, dataCentre, heardAt }) => {
-      const fresh = replica !== undefined && this.now() - heardAt < IN_TOUCH_MS;
+    return this.all().flatMap(({ replica, address, dataCentre, polledAt }) => {
+      const fresh = replica !== undefined && this.now() - polledAt < RECENT_POLL_MS;
       return fresh ? [{ id: replica, address, dataCentre }] : [];
     });
   }
 }
 
 /** A push of what is known; an edition alone builds on no state. */
-function newsOf(
+function updateOf(
   edition: domain.catalogue.versions.Edition | undefined,
-  missed: Omit<messages.News, 'edition'> | undefined,
+  update: Omit<messages.News, 'edition'> | undefined,
 ): messages.News {
-  const nothing = {
+  const empty = {
     mark: messages.NO_MARK,
     since: messages.NO_MARK,
     records: [],
     suspects: [],
     limits: [],
   };
-  return { edition, ...(missed ?? nothing) };
+  return { edition, ...(update ?? empty) };
 }
--- a/packages/daemon/src/keeper/keeper.ts
+++ b/packages/daemon/src/keeper/keeper.ts
@@ -21,13 +21,13 @@
 import * as announcementRelay from './announcementRelay';
 import * as catalogueMachine from './catalogueMachine';
 import * as controlServer from './controlServer';
-import * as keptMemory from './keptMemory';
+import * as softStateStore from './softStateStore';
 import * as leaderCalls from './leaderCalls';
 import * as leadership from './leadership';
 
 type Edition = domain.catalogue.versions.Edition;
 
-export interface Parts {
+export interface Dependencies {
   settings: roleSettings.Settings;
   protocol: protocols.ControlProtocol;
   observer: observer.Observer;
@@ -37,7 +37,7 @@
 
 const LOG = 'catalogue';
 
-const DUTY_EVERY_MS = 100;
+const DUTY_INTERVAL_MS = 100;
 
 /**
  * Milliseconds. Keepers are few and one way between them takes a millisecond or two, so a leader is missed
@@ -69,7 +69,7 @@
 
   private readonly control: controlServer.ControlServer;
 
-  private readonly holding: holding.Holding;
+  private readonly fleetState: holding.Holding;
 
   private readonly link: leaderLink.LeaderLink;
 
@@ -79,7 +79,7 @@
     return this.calls.announce(records);
   });
 
-  private readonly memory: keptMemory.KeptMemory;
+  private readonly softState: softStateStore.SoftStateStore;
 
   private readonly timers: NodeJS.Timeout[] = [];
 
@@ -91,35 +91,35 @@
 
   private calls!: leaderCalls.LeaderCalls;
 
-  private founding = false;
+  private isFounding = false;
 
-  constructor(private readonly parts: Parts) {
-    const { settings, observer: observe, protocol } = parts;
+  constructor(private readonly dependencies: Dependencies) {
+    const { settings, observer: observe, protocol } = dependencies;
     this.client = peers.clientOf(settings, observe);
     this.server = new peerServer.PeerServer(settings.secret, undefined, observe);
-    this.machine = new catalogueMachine.CatalogueMachine((edition) => this.take(edition));
-    this.holding = new holding.Holding({
+    this.machine = new catalogueMachine.CatalogueMachine((edition) => this.applyEdition(edition));
+    this.fleetState = new holding.Holding({
       protocol,
       observer: observe,
       now: clock.steady,
       onCatalogue: ({ catalogue }) => this.leadership?.allocator.setServices(catalogue.services),
       onRecord: (record) => {
         this.leadership?.allocator.observe(record);
-        this.memory.targetsChanged();
+        this.softState.targetsChanged();
       },
-      onSuspects: () => this.memory.suspectsChanged(),
-      onLimits: () => this.memory.limitsChanged(),
+      onSuspects: () => this.softState.suspectsChanged(),
+      onLimits: () => this.softState.limitsChanged(),
     });
-    this.memory = new keptMemory.KeptMemory({
+    this.softState = new softStateStore.SoftStateStore({
       folder: settings.dataFolder,
-      holding: this.holding,
+      fleetState: this.fleetState,
       observer: observe,
     });
     this.link = this.makeLink();
     this.control = new controlServer.ControlServer({
       protocol,
       observer: observe,
-      announce: (record) => this.relay.tell(record),
+      announce: (record) => this.relay.relay(record),
       depart: (departed) => this.calls.depart(departed),
       submit: (edition) => this.calls.submit(edition),
       newest: () => this.calls.newest(),
@@ -128,7 +128,7 @@
 
   /** Opens the replica and starts; false when the disk lost what it had synced. */
   async start(): Promise<boolean> {
-    const { settings, observer: observe, random, onDiskFailure } = this.parts;
+    const { settings, observer: observe, random, onDiskFailure } = this.dependencies;
     const opened = await replicaSet.ReplicaSet.open({
       folder: settings.dataFolder,
       address: codecs.format(settings.advertised),
@@ -145,11 +145,11 @@
     this.replicas = opened.val;
     this.host = this.replicas.hosts.get(LOG) as logHost.LogHost;
     this.leadership = this.makeLeadership();
-    const { host, leadership: led, machine, link, client } = this;
-    this.calls = new leaderCalls.LeaderCalls({ host, leadership: led, machine, link, client });
-    await this.memory.recall();
+    const { host, leadership: leader, machine, link, client } = this;
+    this.calls = new leaderCalls.LeaderCalls({ host, leadership: leader, machine, link, client });
+    await this.softState.load();
     this.serveMethods();
-    this.serveSuspicions();
+    this.serveLeaderMethods();
     this.replicas.start(this.server);
     await this.server.listen(settings.peers);
     await this.control.listen(settings.control as codecs.Address);
@@ -170,12 +170,12 @@
       term: replica.term,
       committed: replica.commit,
       members: replica.members.length,
-      catalogueVersion: this.holding.version,
-      targets: this.holding.registry.records().length,
+      catalogueVersion: this.fleetState.version,
+      targets: this.fleetState.registry.records().length,
       dispatches: this.leadership.allocator.size,
-      limits: this.holding.limits.size,
-      suspects: this.holding.quarantine.size,
-      quarantined: this.holding.quarantine.quarantined,
+      limits: this.fleetState.limits.size,
+      suspects: this.fleetState.quarantine.size,
+      quarantined: this.fleetState.quarantine.quarantined,
     };
   }
 
@@ -183,14 +183,14 @@
     this.timers.forEach((timer) => clearInterval(timer));
     this.link.stop();
     this.control.close();
-    await this.memory.close();
+    await this.softState.close();
     await this.replicas.stop();
     await this.server.close();
     this.client.close();
   }
 
   private makeLink(): leaderLink.LeaderLink {
-    const { settings, observer: observe } = this.parts;
+    const { settings, observer: observe } = this.dependencies;
     return new leaderLink.LeaderLink({
       name: settings.name,
       role: 'keeper',
@@ -199,7 +199,7 @@
       replica: () => this.replicas.id,
       seeds: settings.seeds,
       client: this.client,
-      holding: this.holding,
+      holding: this.fleetState,
       observer: observe,
       moment: clock.moment,
       dispatches: () => [],
@@ -208,36 +208,36 @@
   }
 
   private makeLeadership(): leadership.Leadership {
-    const made = new leadership.Leadership({
-      name: this.parts.settings.name,
+    const leader = new leadership.Leadership({
+      name: this.dependencies.settings.name,
       host: this.host,
-      holding: this.holding,
+      fleetState: this.fleetState,
       client: this.client,
-      observer: this.parts.observer,
+      observer: this.dependencies.observer,
       now: clock.steady,
-      random: this.parts.random,
-      newest: () => this.machine.versions.newest,
-      onSuspects: () => this.memory.suspectsChanged(),
-      onLimits: () => this.memory.limitsChanged(),
-      linkMbps: this.parts.settings.linkMbps,
+      random: this.dependencies.random,
+      newestCatalogue: () => this.machine.versions.newest,
+      onSuspects: () => this.softState.suspectsChanged(),
+      onLimits: () => this.softState.limitsChanged(),
+      linkMbps: this.dependencies.settings.linkMbps,
     });
-    const { directory } = this.holding;
-    if (directory !== undefined) made.allocator.setServices(directory.catalogue.services);
-    return made;
+    const { directory } = this.fleetState;
+    if (directory !== undefined) leader.allocator.setServices(directory.catalogue.services);
+    return leader;
   }
 
   /** A catalogue was committed: it comes into force here, and the leader tells its followers. */
-  private take(edition: Edition): void {
-    this.holding.takeEdition(edition);
+  private applyEdition(edition: Edition): void {
+    this.fleetState.takeEdition(edition);
   }
 
   private serveMethods(): void {
     const { server, calls } = this;
     server.add('identify', () => this.identity());
-    server.add('follow', (question) => this.follow(question as messages.Follow));
+    server.add('follow', (request) => this.follow(request as messages.Follow));
     server.add('learn', (news) => {
-      this.holding.takeNews(news as messages.News);
-      return { mark: this.holding.mark } satisfies messages.Learned;
+      this.fleetState.takeNews(news as messages.News);
+      return { mark: this.fleetState.mark } satisfies messages.Learned;
     });
     server.add('announced', (content) => calls.announceHere(content as messages.Announced));
     server.add('departed', (content) => calls.departHere(content as messages.Departed));
@@ -256,39 +256,37 @@
   }
 
   /** What only a leader does for entries about requests under which targets end. */
-  private serveSuspicions(): void {
+  private serveLeaderMethods(): void {
     const { server } = this;
-    const { suspicions } = this.leadership;
+    const { suspects } = this.leadership;
     server.add('blame', (content): messages.BlameAnswer => {
       if (!this.host.isLeader) return this.redirect();
-      return { kind: 'taken', reports: suspicions.blame(content as messages.Blame) };
+      return { kind: 'taken', reports: suspects.blame(content as messages.Blame) };
     });
-    server.add('permit', (question): messages.PermitAnswer => {
+    server.add('permit', (request): messages.PermitAnswer => {
       return this.host.isLeader
-        ? suspicions.permit(question as messages.PermitQuestion)
+        ? suspects.permit(request as messages.PermitQuestion)
         : this.redirect();
     });
-    const { limiting } = this.leadership;
+    const { limits } = this.leadership;
     server.add('limited', (content): messages.TakenAnswer => {
-      return this.host.isLeader ? limiting.told(content as messages.Limited) : this.redirect();
+      return this.host.isLeader ? limits.report(content as messages.Limited) : this.redirect();
     });
-    server.add('grant', (question): messages.GrantAnswer => {
-      return this.host.isLeader
-        ? limiting.grant(question as messages.GrantQuestion)
-        : this.redirect();
+    server.add('grant', (request): messages.GrantAnswer => {
+      return this.host.isLeader ? limits.grant(request as messages.GrantQuestion) : this.redirect();
     });
     server.add('trialEnded', (content): messages.TakenAnswer => {
       if (!this.host.isLeader) return this.redirect();
-      suspicions.trialEnded(content as messages.TrialEnded);
+      suspects.trialEnded(content as messages.TrialEnded);
       return { kind: 'taken' };
     });
   }
 
   private startDuties(): void {
     const repair = new repairer.Repairer({
-      size: this.parts.settings.replicas,
+      size: this.dependencies.settings.replicas,
       deadAfterMs: DEAD_AFTER_MS,
-      observer: this.parts.observer,
+      observer: this.dependencies.observer,
       now: clock.steady,
       spares: () => this.leadership.followers.spares(),
       note: () => undefined,
@@ -298,15 +296,15 @@
       repair.step(this.host);
       void this.found();
     };
-    this.timers.push(setInterval(duties, DUTY_EVERY_MS));
+    this.timers.push(setInterval(duties, DUTY_INTERVAL_MS));
   }
 
   private async found(): Promise<void> {
-    const { settings } = this.parts;
+    const { settings } = this.dependencies;
     const address = codecs.format(settings.advertised);
-    const founder = settings.mayFound && settings.seeds.includes(address);
-    if (!founder || this.founding || this.replicas.isFounded) return;
-    this.founding = true;
+    const isFounder = settings.mayFound && settings.seeds.includes(address);
+    if (!isFounder || this.isFounding || this.replicas.isFounded) return;
+    this.isFounding = true;
     await founding.attempt({
       set: this.replicas,
       client: this.client,
@@ -314,11 +312,11 @@
       seeds: settings.seeds,
       address,
     });
-    this.founding = false;
+    this.isFounding = false;
   }
 
   private identity(): founding.Identity {
-    const { settings } = this.parts;
+    const { settings } = this.dependencies;
     return {
       daemon: settings.name,
       replica: this.replicas.id,
@@ -330,7 +328,7 @@
   }
 
   private get leader(): string {
-    if (this.host.isLeader) return codecs.format(this.parts.settings.advertised);
+    if (this.host.isLeader) return codecs.format(this.dependencies.settings.advertised);
     return this.host.leaderAddress || this.link.leader;
   }
 
@@ -338,9 +336,9 @@
     return { kind: 'redirect', leader: this.host.isLeader ? '' : this.leader };
   }
 
-  private async follow(question: messages.Follow): Promise<messages.FollowAnswer> {
+  private async follow(request: messages.Follow): Promise<messages.FollowAnswer> {
     if (!this.host.isLeader) return this.redirect();
-    return (await this.leadership.follow(question)) ?? this.redirect();
+    return (await this.leadership.follow(request)) ?? this.redirect();
   }
 
   private async place(request: messages.Place): Promise<messages.PlaceAnswer> {
--- a/packages/daemon/src/keeper/leaderCalls.ts
+++ b/packages/daemon/src/keeper/leaderCalls.ts
@@ -13,7 +13,7 @@
 type Announcement = domain.registry.registry.Announcement;
 type Edition = domain.catalogue.versions.Edition;
 
-export interface Parts {
+export interface Dependencies {
   host: logHost.LogHost;
   leadership: leadership.Leadership;
   machine: catalogueMachine.CatalogueMachine;
@@ -22,19 +22,19 @@
 }
 
 /** Longest wait for the leader's answer to what another keeper passes on, milliseconds. */
-const PASS_ON_TIMEOUT_MS = 900;
+const FORWARD_TIMEOUT_MS = 900;
 
 /** A catalogue waits longer: for a sync on a slow disk, and for a push to the entries. */
 const SUBMIT_TIMEOUT_MS = 3_000;
 
 export class LeaderCalls {
-  constructor(private readonly parts: Parts) {}
+  constructor(private readonly dependencies: Dependencies) {}
 
   /** Passes on what targets said; false where nobody leads. */
   announce(records: Announcement[]): Promise<boolean> {
     const content = { records } satisfies messages.Announced;
     return this.atLeader(
-      { method: 'announced', content, timeoutMs: PASS_ON_TIMEOUT_MS },
+      { method: 'announced', content, timeoutMs: FORWARD_TIMEOUT_MS },
       {
         here: () => this.announceHere(content),
         unavailable: () => false,
@@ -44,14 +44,14 @@
 
   /** Resolves once followers know what is new. */
   async announceHere({ records }: messages.Announced): Promise<boolean> {
-    if (!this.parts.host.isLeader) return false;
-    await Promise.all(records.map((record) => this.parts.leadership.announce(record)));
+    if (!this.dependencies.host.isLeader) return false;
+    await Promise.all(records.map((record) => this.dependencies.leadership.announce(record)));
     return true;
   }
 
   depart(content: messages.Departed): Promise<boolean> {
     return this.atLeader(
-      { method: 'departed', content, timeoutMs: PASS_ON_TIMEOUT_MS },
+      { method: 'departed', content, timeoutMs: FORWARD_TIMEOUT_MS },
       {
         here: () => this.departHere(content),
         unavailable: () => false,
@@ -60,8 +60,8 @@
   }
 
   async departHere(departed: messages.Departed): Promise<boolean> {
-    if (!this.parts.host.isLeader) return false;
-    await this.parts.leadership.depart(departed);
+    if (!this.dependencies.host.isLeader) return false;
+    await this.dependencies.leadership.depart(departed);
     return true;
   }
 
@@ -74,24 +74,24 @@
   }
 
   async submitHere(edition: Edition): Promise<messages.SubmitAnswer> {
-    const applied = await this.parts.host.propose(edition);
+    const applied = await this.dependencies.host.propose(edition);
     if (applied.err) return unavailable(applied.val.kind);
     const { version, changed } = applied.val.answer as domain.catalogue.versions.Acceptance;
-    if (changed) await this.parts.leadership.publishEdition(edition);
+    if (changed) await this.dependencies.leadership.publishEdition(edition);
     return { kind: 'accepted', version };
   }
 
   newest(): Promise<messages.NewestAnswer> {
     return this.atLeader<messages.NewestAnswer>(
-      { method: 'newest', content: {}, timeoutMs: PASS_ON_TIMEOUT_MS },
+      { method: 'newest', content: {}, timeoutMs: FORWARD_TIMEOUT_MS },
       { here: () => this.newestHere(), unavailable },
     );
   }
 
   async newestHere(): Promise<messages.NewestAnswer> {
-    const confirmed = await this.parts.host.confirm(true);
+    const confirmed = await this.dependencies.host.confirm(true);
     if (!confirmed) return unavailable('not confirmed by a quorum');
-    return { kind: 'newest', edition: this.parts.machine.versions.newest };
+    return { kind: 'newest', edition: this.dependencies.machine.versions.newest };
   }
 
   /** Has a call settled by the leader: here, or by passing it on. */
@@ -99,7 +99,7 @@
     { method, content, timeoutMs }: LeaderCall,
     settle: { here: () => Promise<T>; unavailable: (detail: string) => T },
   ): Promise<T> {
-    const { host, link, client } = this.parts;
+    const { host, link, client } = this.dependencies;
     if (host.isLeader) return settle.here();
     const leader = host.leaderAddress || link.leader;
     if (leader === '') return settle.unavailable('no leader known');
--- a/packages/daemon/src/keeper/leadership.ts
+++ b/packages/daemon/src/keeper/leadership.ts
@@ -10,13 +10,13 @@
 import type * as observer from '../observability/observer';
 import type * as logHost from '../replicas/logHost';
 import type * as peerClient from '../rpc/peerClient';
-import * as copyTurns from './copyTurns';
+import * as snapshotThrottle from './snapshotThrottle';
 import * as followers from './followers';
-import * as limiting from './limiting';
+import * as limitCoordinator from './limitCoordinator';
 import * as placing from './placing';
-import * as registryNews from './registryNews';
-import * as suspicions from './suspicions';
-import * as turns from './turns';
+import * as registryUpdates from './registryUpdates';
+import * as suspectTracker from './suspectTracker';
+import * as batchQueue from './batchQueue';
 
 type Announcement = domain.registry.registry.Announcement;
 
@@ -24,12 +24,12 @@
   /** Name of this keeper. */
   name: string;
   host: logHost.LogHost;
-  holding: holding.Holding;
+  fleetState: holding.Holding;
   client: peerClient.PeerClient;
   observer: observer.Observer;
   now: () => number;
   random: domain.shared.random.Random;
-  newest: () => domain.catalogue.versions.Edition | undefined;
+  newestCatalogue: () => domain.catalogue.versions.Edition | undefined;
   /** What is known of suspects changed. */
   onSuspects: () => void;
   /** Limits of targets changed. */
@@ -39,81 +39,83 @@
 }
 
 /** A new leader has heard of all entries after so long, milliseconds: three of their questions. */
-const KNOWS_ALL_MS = 1_500;
+const ENTRY_DISCOVERY_MS = 1_500;
 
 /** Followers that a leader without targets asks for what they know; one may have just started too. */
-const MOST_ASKED = 3;
+const MAX_RECORD_SOURCES = 3;
 
 /** How long averages over the engines are given out before they are worked out anew, milliseconds; a fifth of a follower's pause. */
-const AVERAGES_MS = 100;
+const AVERAGES_TTL_MS = 100;
 
 export class Leadership {
   readonly followers: followers.Followers;
 
   readonly allocator: domain.allocation.allocator.Allocator;
 
-  private readonly placing: placing.Placing;
+  private readonly placer: placing.Placing;
 
-  private readonly turns = new turns.Turns();
+  private readonly placementQueue = new batchQueue.BatchQueue();
 
-  private readonly copies: copyTurns.CopyTurns;
+  private readonly snapshotThrottle: snapshotThrottle.SnapshotThrottle;
 
   /** Followers that were confirmed without the registry, as its copies were under way to others. */
-  private readonly waitsForCopy = new Set<string>();
+  private readonly awaitingSnapshot = new Set<string>();
 
   /** Followers that were asked for their copy of the registry. */
-  private readonly askedForRecords = new Set<string>();
+  private readonly recordSources = new Set<string>();
 
-  private readonly news: registryNews.RegistryNews;
+  private readonly updates: registryUpdates.RegistryUpdates;
 
-  readonly suspicions: suspicions.Suspicions;
+  readonly suspects: suspectTracker.SuspectTracker;
 
-  readonly limiting: limiting.Limiting;
+  readonly limits: limitCoordinator.LimitCoordinator;
 
   /** Remembered targets that spoke since the last tick. */
-  private confirmed = 0;
+  private confirmedTargets = 0;
 
   private averages: { at: number; of: domain.allocation.unseen.Crowding[] } | undefined;
 
-  private leads = false;
+  private isLeading = false;
 
-  private leadsSince = 0;
+  private leadingSince = 0;
 
   constructor(private readonly options: Options) {
-    const { client, now, random, observer: observe, holding: held } = options;
-    this.allocator = new domain.allocation.allocator.Allocator(undefined, undefined, held.limits);
-    this.followers = new followers.Followers(client, now, (mark) => this.news.allSince(mark));
-    this.copies = new copyTurns.CopyTurns(options.linkMbps, now);
-    this.news = new registryNews.RegistryNews({
-      copy: () => this.copy(),
+    const { client, now, random, observer: observe, fleetState: fleet } = options;
+    this.allocator = new domain.allocation.allocator.Allocator(undefined, undefined, fleet.limits);
+    this.followers = new followers.Followers(client, now, (mark) =>
+      this.updates.fullUpdateSince(mark),
+    );
+    this.snapshotThrottle = new snapshotThrottle.SnapshotThrottle(options.linkMbps, now);
+    this.updates = new registryUpdates.RegistryUpdates({
+      snapshot: () => this.snapshot(),
       now,
       followers: () => this.followers.size,
       push: (news) => this.followers.push(news),
     });
-    this.suspicions = new suspicions.Suspicions({
-      quarantine: held.quarantine,
-      registry: held.registry,
+    this.suspects = new suspectTracker.SuspectTracker({
+      quarantine: fleet.quarantine,
+      registry: fleet.registry,
       isAllocated: (service) => {
-        return held.directory?.service(service)?.engine !== undefined;
+        return fleet.directory?.service(service)?.engine !== undefined;
       },
       observer: observe,
       now,
       publish: (reports) => {
         options.onSuspects();
-        this.news.publishSuspects(reports);
+        this.updates.publishSuspects(reports);
       },
     });
-    this.limiting = new limiting.Limiting({
-      limits: held.limits,
-      registry: held.registry,
+    this.limits = new limitCoordinator.LimitCoordinator({
+      limits: fleet.limits,
+      registry: fleet.registry,
       observer: observe,
       now,
       publish: (limits) => {
         options.onLimits();
-        this.news.publishLimits(limits);
+        this.updates.publishLimits(limits);
       },
     });
-    this.placing = new placing.Placing({
+    this.placer = new placing.Placing({
       allocator: this.allocator,
       clock: { now, after: (ms, action) => setTimeout(action, ms) },
       random,
@@ -133,109 +135,110 @@
 
   /** Lets time pass; to be called some times a second. */
   tick(): void {
-    const { host, holding: held, now } = this.options;
-    if (host.isLeader !== this.leads) this.turn(host.isLeader);
-    if (!this.leads) return;
+    const { host, fleetState: fleet, now } = this.options;
+    if (host.isLeader !== this.isLeading) this.setLeading(host.isLeader);
+    if (!this.isLeading) return;
     this.followers
-      .forgetSilent()
+      .removeSilent()
       .filter(({ role }) => role === 'entry')
       .forEach(({ name }) => {
         this.allocator.forgetEntry(name, now());
-        this.suspicions.forgetEntry(name);
+        this.suspects.forgetEntry(name);
       });
-    held.registry.forget(now());
-    const silent = held.endRemembered(this.leadsSince);
-    if (silent.length > 0) void this.news.publish(silent);
+    fleet.registry.forget(now());
+    const expired = fleet.endRemembered(this.leadingSince);
+    if (expired.length > 0) void this.updates.publish(expired);
     this.logConfirmed();
-    this.suspicions.tick();
-    this.limiting.tick();
-    this.placing.serveSoon();
+    this.suspects.tick();
+    this.limits.tick();
+    this.placer.serveSoon();
   }
 
   private logConfirmed(): void {
-    if (this.confirmed > 0)
-      this.options.observer.log('targetsConfirmed', { count: this.confirmed });
-    this.confirmed = 0;
+    if (this.confirmedTargets > 0)
+      this.options.observer.log('targetsConfirmed', { count: this.confirmedTargets });
+    this.confirmedTargets = 0;
   }
 
   /** Answers a follower, or undefined when this keeper doesn't lead. */
-  async follow(question: messages.Follow): Promise<messages.Confirmed | undefined> {
+  async follow(follower: messages.Follow): Promise<messages.Confirmed | undefined> {
     const { now } = this.options;
     // A follower without a catalogue can't serve, and one that is new asks for places only once it is confirmed.
-    const isNew = !this.isOwn(question.name) && !this.followers.has(question.name);
-    const isUrgent = question.version === 0 || isNew;
+    const isNew = !this.isSelf(follower.name) && !this.followers.has(follower.name);
+    const isUrgent = follower.version === 0 || isNew;
     if (!(await this.options.host.confirm(isUrgent))) return undefined;
-    if (!this.leads) this.turn(true);
-    this.forgetFormerLife(question);
-    if (!this.isOwn(question.name)) this.followers.heard(question);
-    void this.take(registryCopies.unbundle(question));
-    this.suspicions.merge(question.suspects);
+    if (!this.isLeading) this.setLeading(true);
+    this.endCanariesOfPreviousProcess(follower);
+    if (!this.isSelf(follower.name)) this.followers.polled(follower);
+    void this.mergeRecords(registryCopies.unbundle(follower));
+    this.suspects.merge(follower.suspects);
     // One that has this leader's news has missed the end of no limit but those on their way.
-    if (!this.news.isOwn(question.mark)) this.limiting.merge(question.limits);
-    question.dispatches.forEach(({ request, target }) => {
+    if (!this.updates.isCurrentEpoch(follower.mark)) this.limits.merge(follower.limits);
+    follower.dispatches.forEach(({ request, target }) => {
       this.allocator.restore(request, target, now());
     });
     return {
       kind: 'confirmed',
       keepers: this.options.host.replica.members.map(({ address }) => address),
-      entries: now() - this.leadsSince < KNOWS_ALL_MS ? 0 : this.followers.entries(),
-      lacksTargets: this.asksForRecords(question.name),
-      crowding: question.role === 'entry' ? this.averagesNow() : [],
-      news: this.newsFor(question),
+      entries: now() - this.leadingSince < ENTRY_DISCOVERY_MS ? 0 : this.followers.entries(),
+      lacksTargets: this.shouldSendRecords(follower.name),
+      crowding: follower.role === 'entry' ? this.currentAverages() : [],
+      news: this.updateFor(follower),
     };
   }
 
   /** A process that has taken no news yet has just started: what its predecessor ran under the name ended with it. */
-  private forgetFormerLife({ name, mark, version }: messages.Follow): void {
-    const hasNothing = messages.isSameMark(mark, messages.NO_MARK);
+  private endCanariesOfPreviousProcess({ name, mark, version }: messages.Follow): void {
+    const isNew = messages.isSameMark(mark, messages.NO_MARK);
     // One with a catalogue waits for its copy of the registry.
-    const isWaiting = version > 0 && this.waitsForCopy.has(name);
-    if (hasNothing && !isWaiting) this.suspicions.forgetEntry(name);
+    const isAwaitingSnapshot = version > 0 && this.awaitingSnapshot.has(name);
+    if (isNew && !isAwaitingSnapshot) this.suspects.forgetEntry(name);
   }
 
   /** Whether a follower is this leader itself, which has what it would send. */
-  private isOwn(name: string): boolean {
+  private isSelf(name: string): boolean {
     return name === this.options.name;
   }
 
   /** A leader without targets asks some followers for theirs; all of them would fill its link with the same. */
-  private asksForRecords(name: string): boolean {
-    if (this.options.holding.registry.size > 0) return false;
-    if (this.askedForRecords.size < MOST_ASKED) this.askedForRecords.add(name);
-    return this.askedForRecords.has(name);
+  private shouldSendRecords(name: string): boolean {
+    if (this.options.fleetState.registry.size > 0) return false;
+    if (this.recordSources.size < MAX_RECORD_SOURCES) this.recordSources.add(name);
+    return this.recordSources.has(name);
   }
 
   /** Takes a target's own word; resolves when the followers in touch know what changed. */
   async announce(announcement: Announcement): Promise<void> {
-    const { holding: held, observer } = this.options;
+    const { fleetState: fleet, observer } = this.options;
     const { id, service } = announcement;
-    const isUsable = held.directory === undefined || held.directory.service(service) !== undefined;
-    if (!isUsable && held.registry.get(id) === undefined) {
+    const isUsable =
+      fleet.directory === undefined || fleet.directory.service(service) !== undefined;
+    if (!isUsable && fleet.registry.get(id) === undefined) {
       // Taken, it would end whoever is known at its address. It announces itself again once there is such a service.
       observer.log('announcementIgnored', { target: id, reason: `no service ${service}` });
       return;
     }
-    this.suspicions.spoke(announcement);
-    const isConfirmed = isConfirmation(held.registry.get(id), announcement);
+    this.suspects.announced(announcement);
+    const isConfirmed = isConfirmation(fleet.registry.get(id), announcement);
     if (isConfirmed) {
       // Followers use a remembered target already; that it lives comes with the answer to their next question.
-      this.news.note(held.takeConfirmation(announcement));
-      this.confirmed += 1;
+      this.updates.record(fleet.takeConfirmation(announcement));
+      this.confirmedTargets += 1;
       return;
     }
-    const changed = held.takeAnnouncement(announcement);
-    if (changed.length > 0) await this.news.publish(changed);
+    const changed = fleet.takeAnnouncement(announcement);
+    if (changed.length > 0) await this.updates.publish(changed);
   }
 
   /** Takes what a follower knows of targets. */
-  private async take(records: readonly Announcement[]): Promise<void> {
-    const changed = this.options.holding.takeRecords(records);
-    if (changed.length > 0) await this.news.publish(changed);
+  private async mergeRecords(records: readonly Announcement[]): Promise<void> {
+    const changed = this.options.fleetState.takeRecords(records);
+    if (changed.length > 0) await this.updates.publish(changed);
   }
 
   async depart({ id, bornAt }: messages.Departed): Promise<void> {
-    const known = this.options.holding.registry.get(id);
-    const changed = this.options.holding.registry.depart(id, this.options.now(), bornAt);
+    const known = this.options.fleetState.registry.get(id);
+    const changed = this.options.fleetState.registry.depart(id, this.options.now(), bornAt);
     if (changed.length === 0) return;
     this.options.observer.log('targetAnnounced', {
       target: id,
@@ -243,23 +246,23 @@
       before: known?.state,
     });
     changed.forEach((record) => this.allocator.observe(record));
-    await this.news.publish(changed);
+    await this.updates.publish(changed);
   }
 
   /** Takes what answers to entries said, sooner than others of them hear it. */
   leaving({ lifetimes }: messages.Leaving): messages.TakenAnswer {
-    const changed = lifetimes.flatMap((each) => this.options.holding.takeLeaving(each));
-    if (changed.length > 0) void this.news.publish(changed);
+    const changed = lifetimes.flatMap((each) => this.options.fleetState.takeLeaving(each));
+    if (changed.length > 0) void this.updates.publish(changed);
     return { kind: 'taken' };
   }
 
   /** Pushes a catalogue that was accepted. */
   publishEdition(edition: domain.catalogue.versions.Edition): Promise<void> {
-    return this.news.publishEdition(edition);
+    return this.updates.publishEdition(edition);
   }
 
   async place(request: messages.Place): Promise<messages.PlaceAnswer> {
-    const answer = await this.turns.run(() => this.placing.place(request));
+    const answer = await this.placementQueue.run(() => this.placer.place(request));
     return answer.kind === 'closed' ? { kind: 'redirect', leader: '' } : answer;
   }
 
@@ -267,76 +270,79 @@
     const now = this.options.now();
     dispatches.forEach(({ id, ending, faulty, gapMs, target }) => {
       this.allocator.ended(id, ending, now, { faulty, gapMs });
-      if (ending === 'replaced') this.presumeEnded(faulty ?? target);
+      if (ending === 'replaced') this.presumeGone(faulty ?? target);
     });
-    this.placing.serveSoon();
+    this.placer.serveSoon();
   }
 
   /** Without it every request would find out by itself that another lifetime has the address. */
-  private presumeEnded(id: string): void {
-    const changed = this.options.holding.registry.presumeEnded(id, this.options.now());
+  private presumeGone(id: string): void {
+    const changed = this.options.fleetState.registry.presumeEnded(id, this.options.now());
     if (changed.length === 0) return;
     this.options.observer.log('targetAnnounced', { target: id, state: 'gone', presumed: true });
     changed.forEach((record) => this.allocator.observe(record));
-    void this.news.publish(changed);
+    void this.updates.publish(changed);
   }
 
-  private turn(leads: boolean): void {
-    this.leads = leads;
+  private setLeading(isLeading: boolean): void {
+    this.isLeading = isLeading;
     this.followers.clear();
-    this.waitsForCopy.clear();
-    this.askedForRecords.clear();
-    this.suspicions.turn();
-    this.limiting.turn(leads);
-    if (leads) this.placing.open();
-    else this.placing.close();
-    this.leadsSince = this.options.now();
-    if (leads) this.news.begin();
+    this.awaitingSnapshot.clear();
+    this.recordSources.clear();
+    this.suspects.reset();
+    this.limits.setLeading(isLeading);
+    if (isLeading) this.placer.open();
+    else this.placer.close();
+    this.leadingSince = this.options.now();
+    if (isLeading) this.updates.beginEpoch();
   }
 
-  private copy(): registryCopies.Copy {
-    const { holding: held, now } = this.options;
+  private snapshot(): registryCopies.Copy {
+    const { fleetState: fleet, now } = this.options;
     return {
-      records: held.registry.records(),
-      suspects: held.quarantine.reports(now()),
-      limits: held.limits.all(),
+      records: fleet.registry.records(),
+      suspects: fleet.quarantine.reports(now()),
+      limits: fleet.limits.all(),
     };
   }
 
-  private averagesNow(): domain.allocation.unseen.Crowding[] {
+  private currentAverages(): domain.allocation.unseen.Crowding[] {
     const now = this.options.now();
-    if (this.averages === undefined || now - this.averages.at >= AVERAGES_MS) {
+    if (this.averages === undefined || now - this.averages.at >= AVERAGES_TTL_MS) {
       this.averages = { at: now, of: this.allocator.averages() };
     }
     return this.averages.of;
   }
 
-  private newsFor({ name, version, mark }: messages.Follow): messages.News {
-    const newest = this.options.newest();
+  private updateFor({ name, version, mark }: messages.Follow): messages.News {
+    const newest = this.options.newestCatalogue();
     const edition = newest !== undefined && newest.version > version ? newest : undefined;
-    return { edition, ...this.missedBy(name, mark) };
+    return { edition, ...this.registryUpdateFor(name, mark) };
   }
 
-  private missedBy(name: string, mark: messages.RegistryMark): registryNews.Missed {
-    if (this.isOwn(name)) return this.news.nothing();
-    this.waitsForCopy.delete(name);
-    const missed = this.news.since(mark);
-    if (missed !== undefined) return missed;
-    const whole = this.news.whole();
-    if (this.copies.take(whole.packedRegistry.length)) return whole;
-    this.waitsForCopy.add(name);
+  private registryUpdateFor(
+    name: string,
+    mark: messages.RegistryMark,
+  ): registryUpdates.RegistryUpdate {
+    if (this.isSelf(name)) return this.updates.emptyUpdate();
+    this.awaitingSnapshot.delete(name);
+    const update = this.updates.updateSince(mark);
+    if (update !== undefined) return update;
+    const snapshot = this.updates.snapshotUpdate();
+    if (this.snapshotThrottle.take(snapshot.packedRegistry.length)) return snapshot;
+    this.awaitingSnapshot.add(name);
     return {
       mark,
       since: mark,
       records: this.plainTargets(),
       suspects: [],
-      limits: this.options.holding.limits.all(),
+      limits: this.options.fleetState.limits.all(),
     };
   }
 
   /** Targets of services without engines, also those that leave or left: entries choose among these by themselves. */
   private plainTargets(): Announcement[] {
-    const { directory, registry } = this.options.holding;
+    const { directory, registry } = this.options.fleetState;
     const services = directory?.catalogue.services ?? [];
     const plain = new Set(
       services.filter(({ engine }) => engine === undefined).map(({ name }) => name),
--- a/packages/daemon/src/keeper/limiting.ts
+++ b/packages/daemon/src/keeper/limitCoordinator.ts
@@ -10,7 +10,7 @@
 
 type RateLimit = domain.rateLimits.rateLimits.RateLimit;
 
-export interface Parts {
+export interface Dependencies {
   limits: domain.rateLimits.rateLimits.RateLimits;
   registry: Pick<domain.registry.registry.Registry, 'isServed'>;
   observer: observer.Observer;
@@ -19,69 +19,71 @@
   publish: (limits: RateLimit[]) => void;
 }
 
-export class Limiting {
+export class LimitCoordinator {
   /** Places whose limit ended under this leadership, against followers that haven't heard of it. */
-  private readonly ended = new Set<string>();
+  private readonly endedLimits = new Set<string>();
 
-  constructor(private readonly parts: Parts) {}
+  constructor(private readonly dependencies: Dependencies) {}
 
   /** A leadership begins or ends. */
-  turn(leads: boolean): void {
-    const { limits, now } = this.parts;
-    limits.giveOut(leads ? 1 : 0, now());
-    this.ended.clear();
+  setLeading(isLeading: boolean): void {
+    const { limits, now } = this.dependencies;
+    limits.giveOut(isLeading ? 1 : 0, now());
+    this.endedLimits.clear();
   }
 
   tick(): void {
-    const { limits, registry, now } = this.parts;
-    this.changed(limits.forget((place) => registry.isServed(place), now()));
+    const { limits, registry, now } = this.dependencies;
+    this.publishChanges(limits.forget((place) => registry.isServed(place), now()));
   }
 
   /** Takes limits that a follower of another leader knows and this one doesn't. */
   merge(reports: readonly RateLimit[]): void {
-    const { limits } = this.parts;
-    this.take(reports.filter((place) => !limits.isLimited(place) && !this.ended.has(keyOf(place))));
+    const { limits } = this.dependencies;
+    this.apply(
+      reports.filter((place) => !limits.isLimited(place) && !this.endedLimits.has(keyOf(place))),
+    );
   }
 
   /** Takes what an entry was told by its targets, and what it sent them. */
-  told({ limits, spent }: messages.Limited): messages.TakenAnswer {
-    this.take(limits);
-    const { now } = this.parts;
-    spent.forEach(({ count, ...place }) => this.parts.limits.take(place, count, now()));
+  report({ limits, spent }: messages.Limited): messages.TakenAnswer {
+    this.apply(limits);
+    const { now } = this.dependencies;
+    spent.forEach(({ count, ...place }) => this.dependencies.limits.take(place, count, now()));
     return { kind: 'taken' };
   }
 
   /** Gives out one message to the place with most room. */
   grant({ places, purpose }: messages.GrantQuestion): messages.GrantAnswer {
-    const { limits, now } = this.parts;
-    const able = places.filter((place) => {
+    const { limits, now } = this.dependencies;
+    const available = places.filter((place) => {
       return purpose === 'check' ? limits.mayCheck(place, now()) : limits.mayTake(place, now());
     });
-    this.parts.observer.count(`limits.${able.length === 0 ? 'waits' : 'grants'}`);
-    if (able.length === 0) {
+    this.dependencies.observer.count(`limits.${available.length === 0 ? 'waits' : 'grants'}`);
+    if (available.length === 0) {
       return { kind: 'wait', waitMs: Math.ceil(limits.waitMs(places, 0, now())) };
     }
-    const place = able.reduce((best, each) => {
+    const place = available.reduce((best, each) => {
       return limits.room(each, now()) > limits.room(best, now()) ? each : best;
     });
     limits.take(place, 1, now());
     return { kind: 'granted', place };
   }
 
-  private take(reports: readonly RateLimit[]): void {
-    const { limits, now } = this.parts;
-    this.changed(reports.filter((limit) => limits.set(limit, now())));
+  private apply(reports: readonly RateLimit[]): void {
+    const { limits, now } = this.dependencies;
+    this.publishChanges(reports.filter((limit) => limits.set(limit, now())));
   }
 
-  private changed(changes: RateLimit[]): void {
+  private publishChanges(changes: RateLimit[]): void {
     if (changes.length === 0) return;
-    const { observer: observe } = this.parts;
+    const { observer: observe } = this.dependencies;
     changes.forEach(({ service, address, perSecond }) => {
-      if (perSecond === undefined) this.ended.add(keyOf({ service, address }));
-      else this.ended.delete(keyOf({ service, address }));
+      if (perSecond === undefined) this.endedLimits.add(keyOf({ service, address }));
+      else this.endedLimits.delete(keyOf({ service, address }));
       if (perSecond === undefined) observe.log('limitEnded', { service, address });
       else observe.log('limitInForce', { service, address, perSecond });
     });
-    this.parts.publish(changes);
+    this.dependencies.publish(changes);
   }
 }
--- a/packages/daemon/src/keeper/limitMemory.ts
+++ b/packages/daemon/src/keeper/limitStore.ts
@@ -6,7 +6,7 @@
 import * as Either from 'fp-ts/Either';
 import * as t from 'io-ts';
 import { Err, Ok, Result } from 'ts-results';
-import * as memoryFile from './memoryFile';
+import * as softStateFile from './softStateFile';
 
 type RateLimit = domain.rateLimits.rateLimits.RateLimit;
 
@@ -15,8 +15,8 @@
 const LIMITS = t.array(t.type({ service: t.string, address: t.string, perSecond: t.number }));
 
 /** What the file holds; nothing where there is no file yet. */
-export async function read(folder: string): Promise<Result<RateLimit[], memoryFile.Unusable>> {
-  const content = await memoryFile.read(folder, FILE);
+export async function read(folder: string): Promise<Result<RateLimit[], softStateFile.Unusable>> {
+  const content = await softStateFile.read(folder, FILE);
   if (content.err) return content;
   const decoded = LIMITS.decode(content.val ?? []);
   return Either.isLeft(decoded)
--- a/packages/daemon/src/keeper/copyTurns.ts
+++ b/packages/daemon/src/keeper/snapshotThrottle.ts
@@ -12,14 +12,14 @@
 
 const BITS_PER_BYTE = 8;
 
-export class CopyTurns {
+export class SnapshotThrottle {
   private readonly bytesPerMs: number;
 
-  private readonly most: number;
+  private readonly capacityBytes: number;
 
-  private left: number;
+  private availableBytes: number;
 
-  private countedAt: number | undefined;
+  private refilledAt: number | undefined;
 
   /** @param linkMbps what the leader's link carries, megabits a second */
   constructor(
@@ -27,19 +27,19 @@
     private readonly now: () => number,
   ) {
     this.bytesPerMs = (LINK_SHARE * linkMbps * 1_000) / BITS_PER_BYTE;
-    this.most = this.bytesPerMs * BURST_MS;
-    this.left = this.most;
+    this.capacityBytes = this.bytesPerMs * BURST_MS;
+    this.availableBytes = this.capacityBytes;
   }
 
   /** Whether a copy of so many bytes may be sent now; it then counts as sent. */
   take(bytes: number): boolean {
     const now = this.now();
-    const gained = this.bytesPerMs * (now - (this.countedAt ?? now));
-    this.left = Math.min(this.most, this.left + gained);
-    this.countedAt = now;
+    const refilledBytes = this.bytesPerMs * (now - (this.refilledAt ?? now));
+    this.availableBytes = Math.min(this.capacityBytes, this.availableBytes + refilledBytes);
+    this.refilledAt = now;
     // A copy larger than the whole burst waits until nothing was sent for that long.
-    if (this.left < Math.min(bytes, this.most)) return false;
-    this.left -= bytes;
+    if (this.availableBytes < Math.min(bytes, this.capacityBytes)) return false;
+    this.availableBytes -= bytes;
     return true;
   }
 }
--- a/packages/daemon/src/keeper/memoryFile.ts
+++ b/packages/daemon/src/keeper/softStateFile.ts
@@ -16,7 +16,7 @@
   detail: string;
 }
 
-export interface Parts {
+export interface Dependencies {
   folder: string;
   name: string;
   observer: observer.Observer;
@@ -28,7 +28,7 @@
  * Pause after a writing, milliseconds. Targets come and go one by one in a release and all at once after a start; two
  * writings a second of some 60 KB with a sync leave a slow disk to the log.
  */
-const PAUSE_MS = 500;
+const WRITE_INTERVAL_MS = 500;
 
 /** What a file holds; undefined where there is none yet. */
 export async function read(folder: string, name: string): Promise<Result<unknown, Unusable>> {
@@ -44,7 +44,7 @@
   return Ok(replayed.val.payloads[0]);
 }
 
-export class MemoryFile {
+export class SoftStateFile {
   private isChanged = false;
 
   private writing: Promise<void> | undefined;
@@ -53,10 +53,10 @@
 
   private isFailing = false;
 
-  constructor(private readonly parts: Parts) {}
+  constructor(private readonly dependencies: Dependencies) {}
 
   /** Something changed that a restart should know. */
-  changed(): void {
+  markChanged(): void {
     this.isChanged = true;
     this.writing ??= this.write();
   }
@@ -71,14 +71,14 @@
     while (this.isChanged && !this.isClosed) {
       this.isChanged = false;
       await this.replace();
-      await clock.pause(PAUSE_MS);
+      await clock.pause(WRITE_INTERVAL_MS);
     }
     this.writing = undefined;
   }
 
   /** The next change tries again what fails. */
   private async replace(): Promise<void> {
-    const { folder, name, content, observer: observe } = this.parts;
+    const { folder, name, content, observer: observe } = this.dependencies;
     try {
       await replaceFile.replaceFile(folder, name, frames.encode(content()));
       this.isFailing = false;
--- /dev/null
+++ b/packages/daemon/src/keeper/softStateStore.ts
@@ -0,0 +1,112 @@
+/**
+ * Soft state on a keeper's disk, a file each for targets, requests in quarantine and limits of targets. A loss of all VMs takes it from
+ * everybody else; what a file lacks or names too much shows with the targets' next words and answers.
+ */
+import * as clock from '../clock';
+import type * as holding from '../fleet/holding';
+import type * as observer from '../observability/observer';
+import * as limitStore from './limitStore';
+import * as softStateFile from './softStateFile';
+import * as suspectStore from './suspectStore';
+import * as targetStore from './targetStore';
+
+export interface Dependencies {
+  folder: string;
+  fleetState: holding.Holding;
+  observer: observer.Observer;
+}
+
+export class SoftStateStore {
+  private readonly targets: softStateFile.SoftStateFile;
+
+  private readonly quarantine: softStateFile.SoftStateFile;
+
+  private readonly limits: softStateFile.SoftStateFile;
+
+  /** Contents that the file of the quarantine holds or will hold. */
+  private storedQuarantine = '';
+
+  constructor(private readonly dependencies: Dependencies) {
+    const { fleetState: fleet } = dependencies;
+    this.targets = this.file(targetStore.FILE, () => fleet.registry.durable());
+    this.quarantine = this.file(suspectStore.FILE, () => this.quarantineReports());
+    this.limits = this.file(limitStore.FILE, () => fleet.limits.all());
+  }
+
+  /** Takes what the files hold; one that can't be read tells nothing. */
+  async load(): Promise<void> {
+    await this.loadTargets();
+    await this.loadQuarantine();
+    await this.loadLimits();
+  }
+
+  targetsChanged(): void {
+    this.targets.markChanged();
+  }
+
+  /** Most suspects are never in quarantine, and cost the disk nothing. */
+  suspectsChanged(): void {
+    const contents = this.quarantineReports()
+      .map(({ content }) => content)
+      .join(' ');
+    if (contents === this.storedQuarantine) return;
+    this.storedQuarantine = contents;
+    this.quarantine.markChanged();
+  }
+
+  limitsChanged(): void {
+    this.limits.markChanged();
+  }
+
+  async close(): Promise<void> {
+    const files = [this.targets, this.quarantine, this.limits];
+    await Promise.all(files.map((each) => each.close()));
+  }
+
+  private file(name: string, content: () => unknown): softStateFile.SoftStateFile {
+    const { folder, observer: observe } = this.dependencies;
+    return new softStateFile.SoftStateFile({ folder, name, observer: observe, content });
+  }
+
+  private quarantineReports(): ReturnType<typeof suspectStore.contentOf> {
+    return suspectStore.contentOf(this.dependencies.fleetState.quarantine, clock.steady());
+  }
+
+  private async loadTargets(): Promise<void> {
+    const { folder, fleetState: fleet, observer: observe } = this.dependencies;
+    const loaded = await targetStore.read(folder);
+    if (loaded.err) {
+      this.logUnreadable(targetStore.FILE, loaded.val);
+      return;
+    }
+    const records = fleet.recall(loaded.val);
+    const ready = records.filter(({ state }) => state === 'ready');
+    observe.log('targetsRemembered', { known: records.length, ready: ready.length });
+  }
+
+  private async loadQuarantine(): Promise<void> {
+    const { folder, fleetState: fleet, observer: observe } = this.dependencies;
+    const loaded = await suspectStore.read(folder);
+    if (loaded.err) {
+      this.logUnreadable(suspectStore.FILE, loaded.val);
+      return;
+    }
+    fleet.quarantine.merge(loaded.val, clock.steady());
+    observe.log('quarantineRecalled', { contents: loaded.val.length });
+  }
+
+  private async loadLimits(): Promise<void> {
+    const { folder, fleetState: fleet, observer: observe } = this.dependencies;
+    const loaded = await limitStore.read(folder);
+    if (loaded.err) {
+      this.logUnreadable(limitStore.FILE, loaded.val);
+      return;
+    }
+    fleet.limits.setAll(loaded.val, clock.steady());
+    observe.log('limitsRecalled', { limits: loaded.val.length });
+  }
+
+  private logUnreadable(file: string, { detail }: softStateFile.Unusable): void {
+    this.dependencies.observer.log('memoryNotRead', { file, reason: detail });
+  }
+}
--- a/packages/daemon/src/keeper/suspectMemory.ts
+++ b/packages/daemon/src/keeper/suspectStore.ts
@@ -6,7 +6,7 @@
 import * as Either from 'fp-ts/Either';
 import * as t from 'io-ts';
 import { Err, Ok, Result } from 'ts-results';
-import * as memoryFile from './memoryFile';
+import * as softStateFile from './softStateFile';
 
 type Report = domain.quarantine.suspect.Report;
 
@@ -22,8 +22,8 @@
 );
 
 /** What the file holds; nothing where there is no file yet. */
-export async function read(folder: string): Promise<Result<Report[], memoryFile.Unusable>> {
-  const content = await memoryFile.read(folder, FILE);
+export async function read(folder: string): Promise<Result<Report[], softStateFile.Unusable>> {
+  const content = await softStateFile.read(folder, FILE);
   if (content.err) return content;
   const decoded = REPORTS.decode(content.val ?? []);
   return Either.isLeft(decoded)
--- a/packages/daemon/src/keeper/suspicions.ts
+++ b/packages/daemon/src/keeper/suspectTracker.ts
@@ -10,12 +10,12 @@
 type Report = domain.quarantine.suspect.Report;
 
 /** An announcement from before an end may come this much after it, milliseconds: a usual pause between two. */
-const HELD_UP_MS = 1_200;
+const MAX_ANNOUNCEMENT_DELAY_MS = 1_200;
 
 /** Ends that count against a content before its last trial. */
-const LAST_TRIAL = domain.quarantine.quarantine.MOST_ENDINGS - 1;
+const CRASHES_BEFORE_LAST_CANARY = domain.quarantine.quarantine.MOST_ENDINGS - 1;
 
-export interface Parts {
+export interface Dependencies {
   quarantine: domain.quarantine.quarantine.Quarantine;
   registry: Pick<domain.registry.registry.Registry, 'spokeAt' | 'ready'>;
   /** Whether the allocator chooses targets of a service; it keeps suspects apart by itself. */
@@ -26,81 +26,81 @@
   publish: (reports: Report[]) => void;
 }
 
-export class Suspicions {
-  private readonly trials = new domain.quarantine.trials.Trials();
+export class SuspectTracker {
+  private readonly canaries = new domain.quarantine.trials.Trials();
 
-  constructor(private readonly parts: Parts) {}
+  constructor(private readonly dependencies: Dependencies) {}
 
   /** Another leadership begins or ends; runs that another leader allowed aren't known. */
-  turn(): void {
-    this.trials.clear();
+  reset(): void {
+    this.canaries.clear();
   }
 
   tick(): void {
-    const { quarantine, now } = this.parts;
-    if (quarantine.size > 0) this.changed(quarantine.tick(now()));
+    const { quarantine, now } = this.dependencies;
+    if (quarantine.size > 0) this.publishChanges(quarantine.tick(now()));
   }
 
   /** Takes what a follower knows that this leader may not. */
   merge(reports: readonly Report[]): void {
-    this.changed(this.parts.quarantine.merge(reports, this.parts.now()));
+    this.publishChanges(this.dependencies.quarantine.merge(reports, this.dependencies.now()));
   }
 
   /** The reports of all contents that were blamed come back, also where nothing changed. */
   blame({ ended }: messages.Blame): Report[] {
-    const { quarantine, now } = this.parts;
+    const { quarantine, now } = this.dependencies;
     const changes = ended
-      .filter((each) => !this.hasSpokenSince(each))
+      .filter((each) => !this.hasAnnouncedSince(each))
       .map(({ content, lifetime, isTrial, sentAgoMs }) => {
         const key = domain.quarantine.endedLifetimes.lifetimeOf(lifetime);
         const run = { sentAt: now() - sentAgoMs, isTrial };
         return quarantine.blame(content, key, run, now());
       });
-    this.changed(changes.filter((change) => change !== undefined));
+    this.publishChanges(changes.filter((change) => change !== undefined));
     return ended.map(({ content }) => quarantine.report(content, now()));
   }
 
   /** A target announced itself. */
-  spoke({ id, bornAt, sequence, state }: domain.registry.registry.Announcement): void {
-    const { quarantine } = this.parts;
+  announced({ id, bornAt, sequence, state }: domain.registry.registry.Announcement): void {
+    const { quarantine } = this.dependencies;
     if (state === 'gone') return;
-    this.changed(quarantine.spoke({ id, bornAt }, sequence));
+    this.publishChanges(quarantine.spoke({ id, bornAt }, sequence));
   }
 
-  permit(question: messages.PermitQuestion): messages.PermitAnswer {
-    const { quarantine, now } = this.parts;
-    const { content, id, entry } = question;
-    const standing = quarantine.standing(content);
-    if (standing === 'quarantined') return { kind: 'quarantined' };
-    if (standing === 'free') return { kind: 'granted', endings: 0, target: undefined };
-    if (!this.trials.mayBegin(content, { id, entry }, now())) return { kind: 'busy' };
+  permit(request: messages.PermitQuestion): messages.PermitAnswer {
+    const { quarantine, now } = this.dependencies;
+    const { content, id, entry } = request;
+    const status = quarantine.standing(content);
+    if (status === 'quarantined') return { kind: 'quarantined' };
+    if (status === 'free') return { kind: 'granted', endings: 0, target: undefined };
+    if (!this.canaries.mayBegin(content, { id, entry }, now())) return { kind: 'busy' };
     const endings = quarantine.count(content);
-    const choice = this.choose(question);
+    const choice = this.chooseTarget(request);
     // The end that would count as the last must not be another suspect's.
-    if (choice === 'none' && endings >= LAST_TRIAL) return { kind: 'busy' };
+    if (choice === 'none' && endings >= CRASHES_BEFORE_LAST_CANARY) return { kind: 'busy' };
     const target = choice === 'any' || choice === 'none' ? undefined : choice.id;
-    this.trials.begin(content, { id, entry, target }, now());
+    this.canaries.begin(content, { id, entry, target }, now());
     return { kind: 'granted', endings, target };
   }
 
   trialEnded({ content, id, ranWhole }: messages.TrialEnded): void {
-    this.trials.end(content, id);
-    const change = ranWhole ? this.parts.quarantine.ranWhole(content) : undefined;
-    if (change !== undefined) this.changed([change]);
+    this.canaries.end(content, id);
+    const change = ranWhole ? this.dependencies.quarantine.ranWhole(content) : undefined;
+    if (change !== undefined) this.publishChanges([change]);
   }
 
   forgetEntry(entry: string): void {
-    this.trials.forgetEntry(entry);
+    this.canaries.forgetEntry(entry);
   }
 
   /** A target of a plain service that runs no other suspect; engines are chosen by the allocator. */
-  private choose({
+  private chooseTarget({
     service,
     excluded,
   }: messages.PermitQuestion): 'any' | 'none' | domain.registry.registry.Announcement {
-    const { quarantine, registry, isAllocated } = this.parts;
+    const { quarantine, registry, isAllocated } = this.dependencies;
     if (isAllocated(service)) return 'any';
-    const taken = new Set([...this.trials.targets, ...excluded]);
+    const taken = new Set([...this.canaries.targets, ...excluded]);
     const free = registry.ready(service).filter(({ id }) => !taken.has(id));
     return free.find((record) => !quarantine.hasEnded(record)) ?? free.at(0) ?? 'none';
   }
@@ -109,15 +109,15 @@
    * An entry that was cut off took all targets for ended, and tells so once it is back: for a content that many callers send, that
    * would be a quarantine at every entry until the targets have spoken twice more.
    */
-  private hasSpokenSince({ lifetime, agoMs }: messages.EndedTarget): boolean {
-    const { registry, now } = this.parts;
+  private hasAnnouncedSince({ lifetime, agoMs }: messages.EndedTarget): boolean {
+    const { registry, now } = this.dependencies;
     const endedAt = now() - agoMs;
-    return registry.spokeAt(lifetime) > endedAt + HELD_UP_MS;
+    return registry.spokeAt(lifetime) > endedAt + MAX_ANNOUNCEMENT_DELAY_MS;
   }
 
-  private changed(changes: readonly Change[]): void {
+  private publishChanges(changes: readonly Change[]): void {
     if (changes.length === 0) return;
-    const { quarantine, observer: observe, now } = this.parts;
+    const { quarantine, observer: observe, now } = this.dependencies;
     changes.forEach(({ content, standing, endings, reason }) => {
       if (standing === 'quarantined') {
         observe.count('quarantine.begun');
@@ -127,6 +127,6 @@
       else observe.log('suspicionEnded', { content, endings, reason });
     });
     const contents = new Set(changes.map(({ content }) => content));
-    this.parts.publish([...contents].map((content) => quarantine.report(content, now())));
+    this.dependencies.publish([...contents].map((content) => quarantine.report(content, now())));
   }
 }
--- a/packages/daemon/src/keeper/targetMemory.ts
+++ b/packages/daemon/src/keeper/targetStore.ts
@@ -7,7 +7,7 @@
 import * as Either from 'fp-ts/Either';
 import * as t from 'io-ts';
 import { Err, Ok, Result } from 'ts-results';
-import * as memoryFile from './memoryFile';
+import * as softStateFile from './softStateFile';
 
 type Announcement = domain.registry.registry.Announcement;
 
@@ -27,8 +27,10 @@
 );
 
 /** What the file holds; no targets where there is no file yet. */
-export async function read(folder: string): Promise<Result<Announcement[], memoryFile.Unusable>> {
-  const content = await memoryFile.read(folder, FILE);
+export async function read(
+  folder: string,
+): Promise<Result<Announcement[], softStateFile.Unusable>> {
+  const content = await softStateFile.read(folder, FILE);
   if (content.err) return content;
   const decoded = RECORDS.decode(content.val ?? []);
   if (Either.isLeft(decoded)) return Err({ kind: 'unusable', detail: 'no list of targets' });
--- a/packages/daemon/src/keeper/waitingLine.ts
+++ b/packages/daemon/src/keeper/waitQueue.ts
@@ -7,7 +7,7 @@
  * engines by themselves. So a serving skips what can't succeed where a smaller request has just failed.
  */
 
-export interface Waiting<T> {
+export interface QueuedRequest<T> {
   /** Prompt tokens; where a request finds no place, a larger one of the service with the same `pauseMs` finds none either. */
   tokens: number;
   pauseMs: number;
@@ -24,22 +24,22 @@
 }
 
 /** Attempts without success in one serving; some for each class of requests. */
-const MOST_FAILED = 8;
+const MAX_FAILED_ATTEMPTS = 8;
 
-export class WaitingLine<T> {
-  private line: Waiting<T>[] = [];
+export class WaitQueue<T> {
+  private requests: QueuedRequest<T>[] = [];
 
   get length(): number {
-    return this.line.length;
+    return this.requests.length;
   }
 
   /** Whether one waits that can still be in time; others must not overtake it. */
   hasInTime(now: number): boolean {
-    return this.line.some(({ inTimeUntil }) => inTimeUntil > now);
+    return this.requests.some(({ inTimeUntil }) => inTimeUntil > now);
   }
 
-  add(waiting: Waiting<T>): void {
-    this.line.push(waiting);
+  add(waiting: QueuedRequest<T>): void {
+    this.requests.push(waiting);
   }
 
   /**
@@ -47,31 +47,34 @@
    * without success cost as much as others.
    */
   serve(now: number): number {
-    const expired = this.line.filter(({ until }) => until <= now);
-    const isLate = (waiting: Waiting<T>): number => (waiting.inTimeUntil <= now ? 1 : 0);
-    const current = this.line
+    const expired = this.requests.filter(({ until }) => until <= now);
+    const isLate = (waiting: QueuedRequest<T>): number => (waiting.inTimeUntil <= now ? 1 : 0);
+    const current = this.requests
       .filter(({ until }) => until > now)
       .sort((a, b) => isLate(a) - isLate(b) || a.since - b.since);
-    this.line = current;
+    this.requests = current;
     expired.forEach(({ resolve }) => resolve(undefined));
-    const { left, attempts } = serveEach(current);
-    this.line = left;
+    const { left, attempts } = attemptEach(current);
+    this.requests = left;
     return attempts;
   }
 
   /** Ends all waits. */
   clear(): void {
-    this.line.splice(0).forEach(({ resolve }) => resolve(undefined));
+    this.requests.splice(0).forEach(({ resolve }) => resolve(undefined));
   }
 }
 
 /** Serves what it can; the others come back. */
-function serveEach<T>(line: readonly Waiting<T>[]): { left: Waiting<T>[]; attempts: number } {
-  const failed: Waiting<T>[] = [];
+function attemptEach<T>(line: readonly QueuedRequest<T>[]): {
+  left: QueuedRequest<T>[];
+  attempts: number;
+} {
+  const failed: QueuedRequest<T>[] = [];
   let served = 0;
   const left = line.filter((waiting) => {
-    const isHopeless = failed.some((each) => tellsOf(each, waiting));
-    if (isHopeless || failed.length >= MOST_FAILED) return true;
+    const isHopeless = failed.some((each) => impliesFailure(each, waiting));
+    if (isHopeless || failed.length >= MAX_FAILED_ATTEMPTS) return true;
     const found = waiting.attempt();
     if (found === undefined) {
       failed.push(waiting);
@@ -85,7 +88,7 @@
 }
 
 /** Whether a request that found no place shows that another one finds none. */
-function tellsOf<T>(failed: Waiting<T>, other: Waiting<T>): boolean {
+function impliesFailure<T>(failed: QueuedRequest<T>, other: QueuedRequest<T>): boolean {
   const isAlike = failed.service === other.service && failed.pauseMs === other.pauseMs;
   return isAlike && !failed.isRestricted && failed.tokens <= other.tokens;
 }
