--- a/packages/daemon/src/keeper/announcementRelay.ts
+++ b/packages/daemon/src/keeper/announcementRelay.ts
@@ -1,26 +1,27 @@
 /**
- * Passes on to the leader what targets say to this keeper, many words in one message. Each target says twice in some seconds that
- * it lives; with thousands of them and a call for each, the leader answered nobody else. A few messages are under way at a time,
- * and the next one takes along what came meanwhile: a calm fleet's words wait for nothing, and messages grow with the load.
+ * Forwards targets' announcements from this keeper to the leader in batches. Each target announces every second or
+ * two that it lives; with thousands of targets and a call for each, the leader answered nobody else. Only a few
+ * messages are in flight at a time, and the next one carries everything that arrived meanwhile: in a calm fleet
+ * announcements don't wait, and under load the batches grow.
  */
 import type * as domain from '@celerydrift/domain';
 
 type Announcement = domain.registry.registry.Announcement;
 
-/** Passes words on; true once the leader has them. */
+/** Forwards announcements; resolves with true once the leader has them. */
 export type Forward = (records: Announcement[]) => Promise<boolean>;
 
 interface PendingAnnouncement {
   record: Announcement;
-  settle: (isTaken: boolean) => void;
+  settle: (isAccepted: boolean) => void;
 }
 
-/** Most words of one message; some 50 KB. */
+/** Maximum number of announcements in one message; some 50 KB. */
 const MAX_BATCH_SIZE = 200;
 
 /**
- * Messages under way at once. One that says something new is answered when followers know it, after half a second at most, and a
- * target waits a second for its answer.
+ * Maximum number of messages in flight. One with changes is answered once followers know them, after half a second at
+ * most, and a target waits a second for its answer.
  */
 const MAX_IN_FLIGHT = 4;
 
@@ -31,7 +32,7 @@
 
   constructor(private readonly forward: Forward) {}
 
-  /** Resolves with whether the leader has it. */
+  /** Resolves with whether the leader has the announcement. */
   relay(record: Announcement): Promise<boolean> {
     return new Promise((settle) => {
       this.waiting.push({ record, settle });
@@ -43,8 +44,8 @@
     if (this.waiting.length === 0 || this.inFlight >= MAX_IN_FLIGHT) return;
     this.inFlight += 1;
     const batch = this.waiting.splice(0, MAX_BATCH_SIZE);
-    const isTaken = await this.forward(batch.map(({ record }) => record));
-    batch.forEach(({ settle }) => settle(isTaken));
+    const isAccepted = await this.forward(batch.map(({ record }) => record));
+    batch.forEach(({ settle }) => settle(isAccepted));
     this.inFlight -= 1;
     void this.forwardNext();
   }
--- a/packages/daemon/src/keeper/batchQueue.ts
+++ b/packages/daemon/src/keeper/batchQueue.ts
@@ -1,10 +1,10 @@
 /**
- * Work that many ask for at once, a little in each turn of the loop. A burst of hundreds of prompts arrives in one turn; done
- * at once, they keep a leader's heartbeats, the quorum's answers and its followers' questions waiting for half a
- * second, and it is taken for dead.
+ * Queue that runs a small batch of work in each turn of the event loop. A burst of hundreds of prompts arrives in one
+ * turn; handled at once, it delayed a leader's heartbeats, the quorum's answers and its followers' polls by half a
+ * second, so that the leader was taken for dead.
  */
 
-/** Pieces of work in one turn; with the costliest some 10 ms. */
+/** Number of work items per turn; the most expensive batch takes some 10 ms. */
 const BATCH_SIZE = 4;
 
 export class BatchQueue {
@@ -12,7 +12,7 @@
 
   private isRunning = false;
 
-  /** Runs `work` in its turn, first come, first served. */
+  /** Queues `work`; items run in the order in which they were queued. */
   run<T>(work: () => T | Promise<T>): Promise<T> {
     return new Promise((resolve, reject) => {
       this.queue.push(() => {
--- a/packages/daemon/src/keeper/catalogueMachine.ts
+++ b/packages/daemon/src/keeper/catalogueMachine.ts
@@ -1,4 +1,4 @@
-/** The replicated catalogue as a machine of the log. */
+/** The replicated catalogue as a state machine of the log. */
 import * as domain from '@celerydrift/domain';
 import type * as machine from '../replicas/machine';
 
@@ -9,7 +9,9 @@
 
   private isNotificationQueued = false;
 
-  /** `onChange` is told the newest edition once all that were committed together are applied. */
+  /**
+   * `onChange` receives the newest catalogue version once all versions committed together are applied.
+   */
   constructor(private readonly onChange: (edition: Edition) => void) {}
 
   apply(command: unknown): domain.catalogue.versions.Acceptance {
@@ -30,8 +32,8 @@
   }
 
   /**
-   * A new leader applies all editions since the snapshot at once. To read each of them took one 80 ms after a loss of
-   * all, while every entry waited for the last.
+   * A new leader applies all versions since the snapshot at once. Decoding each of them took 80 ms after an outage of
+   * all keepers, while every entry waited for the last one.
    */
   private queueNotification(): void {
     if (this.isNotificationQueued) return;
--- a/packages/daemon/src/keeper/controlServer.ts
+++ b/packages/daemon/src/keeper/controlServer.ts
@@ -1,6 +1,6 @@
 /**
- * A keeper's listener for targets and operators. Any keeper takes any call and passes it to the leader;
- * what it can't settle it answers 503, so that the caller turns to another keeper.
+ * A keeper's HTTP server for targets and operators. Any keeper accepts any call and forwards it to the leader; it
+ * answers 503 to what it can't settle, so that the caller turns to another keeper.
  */
 import * as http from 'node:http';
 import * as domain from '@celerydrift/domain';
@@ -16,7 +16,7 @@
 export interface Dependencies {
   protocol: protocols.ControlProtocol;
   observer: observer.Observer;
-  /** Passes an announcement on; true once the leader has it. */
+  /** Forwards an announcement; resolves with true once the leader has it. */
   announce: (record: Announcement) => Promise<boolean>;
   depart: (departed: messages.Departed) => Promise<boolean>;
   submit: (edition: domain.catalogue.versions.Edition) => Promise<messages.SubmitAnswer>;
@@ -28,10 +28,10 @@
   body: Buffer | string;
 }
 
-/** Longest document or announcement; 350 routes take some 100 KB. */
+/** Maximum size of a document or announcement; 350 routes take some 100 KB. */
 const MAX_BODY_BYTES = 16 * 1024 * 1024;
 
-/** How long a target or operator may keep an idle connection, milliseconds. */
+/** How long a target or operator may keep an idle connection, in milliseconds. */
 const KEEP_ALIVE_MS = 15_000;
 
 const UNAVAILABLE: Reply = { status: 503, body: '{"error":"no leader in touch"}' };
@@ -132,7 +132,7 @@
       chunks.push(chunk as Buffer);
     }
   } catch {
-    // The sender broke off, so nobody waits for an answer.
+    // The sender aborted the request, so nobody waits for an answer.
     return 'broken';
   }
   return Buffer.concat(chunks);
--- a/packages/daemon/src/keeper/followers.ts
+++ b/packages/daemon/src/keeper/followers.ts
@@ -1,6 +1,6 @@
 /**
- * The leader's view of who follows it, and the pushing of news to them. A push is acknowledged when the
- * follower has it in force, so an acknowledgement to a target or an operator can wait for those in touch.
+ * The leader's list of its followers, and the pushing of updates to them. A follower acknowledges a push once it is
+ * in force there, so the reply to a target or an operator can wait for all reachable followers.
  */
 import type * as domain from '@celerydrift/domain';
 import * as clock from '../clock';
@@ -13,36 +13,45 @@
   address: string;
   dataCentre: string;
   replica: string | undefined;
-  /** The state of the registry that it has, as far as it said. */
+  /** The registry version that it last reported. */
   mark: messages.RegistryMark;
   polledAt: number;
 }
 
-/** A follower that hasn't asked for so long isn't waited for; more than two of its questions. */
+/**
+ * A follower is reachable if it polled within this time, in milliseconds; more than two poll intervals.
+ */
 const RECENT_POLL_MS = 1_300;
 
-/** A follower that is silent for so long is forgotten: it ended, or follows another leader. */
+/**
+ * A follower that didn't poll for this long is removed, in milliseconds: it ended, or follows another leader.
+ */
 const FOLLOWER_TIMEOUT_MS = 4_000;
 
-/** Longest wait for a follower's acknowledgement, milliseconds; a fifth of the shortest drain bound. */
+/**
+ * Maximum wait for a follower's acknowledgement, in milliseconds; a fifth of the shortest drain time.
+ */
 const MAX_ACK_WAIT_MS = 400;
 
 /**
- * A push that isn't answered for so long ends its connection, milliseconds. Sooner, a busy link or follower would cost the
- * connections of a whole fleet, and making them anew keeps it busy; the follower asks over its own connection meanwhile.
+ * Time after which an unanswered push closes its connection, in milliseconds. With a shorter one, a busy link or
+ * follower would close the connections of a whole fleet, and reopening them keeps it busy; the follower polls over
+ * its own connection meanwhile.
  */
 const PUSH_TIMEOUT_MS = 1_500;
 
-/** What is on its way to one follower, and what waits until that has arrived. */
+/** A push to one follower that isn't acknowledged yet, and what is queued behind it. */
 interface InFlightPush {
   hasQueued: boolean;
-  /** The newest catalogue among what waits. */
+  /** The newest catalogue that is queued. */
   edition: domain.catalogue.versions.Edition | undefined;
-  /** Resolves when what waits now has arrived, or was given up. */
+  /** Resolves when everything queued now has arrived or was given up. */
   next: Promise<void>;
 }
 
-/** What a follower with a state lacks at this moment; undefined where only a whole copy would do, which isn't pushed. */
+/**
+ * What a follower at a version lacks now; undefined if only a snapshot would do, which isn't pushed.
+ */
 export type UpdateSince = (
   mark: messages.RegistryMark,
 ) => Omit<messages.News, 'edition'> | undefined;
@@ -50,7 +59,7 @@
 export class Followers {
   private readonly byName = new Map<string, Follower>();
 
-  /** Pushes under way, by address. */
+  /** Unacknowledged pushes, by address. */
   private readonly inFlight = new Map<string, InFlightPush>();
 
   constructor(
@@ -80,7 +89,7 @@
     return this.byName.size;
   }
 
-  /** Forgets the silent ones and names them. */
+  /** Removes the followers that stopped polling and returns them. */
   removeSilent(): Follower[] {
     const silent = this.all().filter(({ polledAt }) => this.now() - polledAt > FOLLOWER_TIMEOUT_MS);
     silent.forEach(({ name }) => this.byName.delete(name));
@@ -91,15 +100,18 @@
     this.byName.clear();
   }
 
-  /** Pushes to everyone what it lacks, and `news` to those of whom that isn't known; resolves when those in touch have it or after a bound. */
+  /**
+   * Pushes to each reachable follower what it lacks, or `news` if that isn't known; resolves when they have it or
+   * after a time limit.
+   */
   async push(news: messages.News): Promise<void> {
     const reachable = this.all().filter(({ polledAt }) => this.now() - polledAt < RECENT_POLL_MS);
     await Promise.all(reachable.map((follower) => this.pushTo(follower, news)));
   }
 
   /**
-   * One push at a time to each follower; what it lacks by the time that this one is answered goes together. So a leader that can't
-   * keep up sends fewer and larger pushes, where it would otherwise fall further behind with each.
+   * At most one push at a time goes to each follower; the changes that collect until it is acknowledged go together.
+   * A leader that can't keep up thus sends fewer and larger pushes and doesn't fall further behind with each.
    */
   private async pushTo(follower: Follower, news: messages.News): Promise<void> {
     const push = this.inFlight.get(follower.address);
@@ -134,12 +146,12 @@
       finish();
       return;
     }
-    // One that waits for its copy of the registry must hear of targets that leave all the same.
+    // A follower that waits for its registry snapshot must still learn of draining targets.
     const update = this.updateSince(follower.mark) ?? this.updateSince(news.mark);
     void this.send(follower, updateOf(push.edition, update)).then(finish);
   }
 
-  /** Keepers with a replica that asked lately, as spares for the replica set. */
+  /** Keepers with a replica that polled recently, as spares for the replica set. */
   spares(): domain.replication.repair.Spare[] {
     return this.all().flatMap(({ replica, address, dataCentre, polledAt }) => {
       const fresh = replica !== undefined && this.now() - polledAt < RECENT_POLL_MS;
@@ -148,7 +160,9 @@
   }
 }
 
-/** A push of what is known; an edition alone builds on no state. */
+/**
+ * Makes a push of a catalogue and known changes; a catalogue alone builds on no registry version.
+ */
 function updateOf(
   edition: domain.catalogue.versions.Edition | undefined,
   update: Omit<messages.News, 'edition'> | undefined,
--- a/packages/daemon/src/keeper/keeper.ts
+++ b/packages/daemon/src/keeper/keeper.ts
@@ -1,6 +1,6 @@
 /**
- * A keeper: a process with a disk that holds a replica of the log, and talks to targets and operators.
- * One of them leads; the others pass on to it what they are told, and keep a copy of the registry.
+ * A keeper: a process with a disk that holds a replica of the log and serves targets and operators. One keeper leads;
+ * the others forward to it what they receive and hold a copy of the registry.
  */
 import * as domain from '@celerydrift/domain';
 import * as clock from '../clock';
@@ -40,25 +40,29 @@
 const DUTY_INTERVAL_MS = 100;
 
 /**
- * Milliseconds. Keepers are few and one way between them takes a millisecond or two, so a leader is missed
- * sooner than among the daemons of a wide fleet: callers are refused for as long as nobody leads after all
- * keepers were down. A keeper that is five times slower than usual still answers in time.
+ * Replication timing, in milliseconds. Keepers are few and a message between them takes a millisecond or two, so a
+ * lost leader is noticed earlier than among the daemons of a wide fleet: callers are refused for as long as no keeper
+ * leads after all were down. A keeper that is five times slower than usual still answers in time.
  */
 const TIMING: domain.replication.replica.Timing = {
   heartbeat: 120,
   electionMin: 450,
   electionMax: 750,
-  // Reads ask a quorum and no lease is relied on. A heartbeat and some ways of a millisecond pass before the first try, and
-  // a further one comes with each tick, so that after a loss of all somebody leads 0.1 s after a quorum is up.
+  // Reads ask a quorum and don't rely on a lease. A heartbeat and some message delays of a millisecond pass before
+  // the first attempt, and another attempt follows with each tick, so that after an outage of all keepers one leads
+  // 0.1 s after a quorum is up.
   restart: { min: 150, max: 200, again: { min: 40, max: 60 } },
 };
 
-/** Editions in the log before a snapshot replaces them; at 10 KB each, the journal stays under 1 MB. */
+/**
+ * Number of catalogue versions in the log before a snapshot replaces them; at 10 KB each, the journal stays under 1
+ * MB.
+ */
 const SNAPSHOT_EVERY = 64;
 
 /**
- * Silence after which a voter is replaced by a spare, if there is one. A successor must hold everything
- * within 4 s of its start; the rest is for catching up and two changes of the replica set.
+ * Time without contact after which a voter is replaced by a spare, if there is one, in milliseconds. A successor must
+ * hold everything within 4 s of its start; the rest is for catching up and two changes of the replica set.
  */
 const DEAD_AFTER_MS = 2_000;
 
@@ -126,7 +130,9 @@
     });
   }
 
-  /** Opens the replica and starts; false when the disk lost what it had synced. */
+  /**
+   * Opens the replica and starts the keeper; returns false if the disk lost data that it had synced.
+   */
   async start(): Promise<boolean> {
     const { settings, observer: observe, random, onDiskFailure } = this.dependencies;
     const opened = await replicaSet.ReplicaSet.open({
@@ -226,7 +232,7 @@
     return leader;
   }
 
-  /** A catalogue was committed: it comes into force here, and the leader tells its followers. */
+  /** Puts a committed catalogue into force here; the leader pushes it to its followers. */
   private applyEdition(edition: Edition): void {
     this.fleetState.takeEdition(edition);
   }
@@ -255,7 +261,7 @@
     });
   }
 
-  /** What only a leader does for entries about requests under which targets end. */
+  /** Registers what only a leader does for entries about suspect requests and rate limits. */
   private serveLeaderMethods(): void {
     const { server } = this;
     const { suspects } = this.leadership;
--- a/packages/daemon/src/keeper/leaderCalls.ts
+++ b/packages/daemon/src/keeper/leaderCalls.ts
@@ -1,6 +1,7 @@
 /**
- * What targets and operators ask of a keeper and only the leader can settle: here, or by passing it on. What comes from another keeper
- * is settled here or refused, so that it isn't passed round between two that take each other for the leader.
+ * Calls of targets and operators that only the leader can settle, either here or by forwarding them to it. A call
+ * from another keeper is settled here or refused; otherwise two keepers that take each other for the leader would
+ * forward it back and forth.
  */
 import type * as domain from '@celerydrift/domain';
 import type * as leaderLink from '../fleet/leaderLink';
@@ -21,16 +22,18 @@
   client: peerClient.PeerClient;
 }
 
-/** Longest wait for the leader's answer to what another keeper passes on, milliseconds. */
+/** Maximum wait for the leader's answer to a forwarded call, in milliseconds. */
 const FORWARD_TIMEOUT_MS = 900;
 
-/** A catalogue waits longer: for a sync on a slow disk, and for a push to the entries. */
+/**
+ * A catalogue takes longer, in milliseconds: it waits for a sync on a slow disk and a push to the entries.
+ */
 const SUBMIT_TIMEOUT_MS = 3_000;
 
 export class LeaderCalls {
   constructor(private readonly dependencies: Dependencies) {}
 
-  /** Passes on what targets said; false where nobody leads. */
+  /** Forwards targets' announcements; resolves with false if no leader takes them. */
   announce(records: Announcement[]): Promise<boolean> {
     const content = { records } satisfies messages.Announced;
     return this.atLeader(
@@ -42,7 +45,7 @@
     );
   }
 
-  /** Resolves once followers know what is new. */
+  /** Resolves once the followers know the changes. */
   async announceHere({ records }: messages.Announced): Promise<boolean> {
     if (!this.dependencies.host.isLeader) return false;
     await Promise.all(records.map((record) => this.dependencies.leadership.announce(record)));
@@ -94,7 +97,7 @@
     return { kind: 'newest', edition: this.dependencies.machine.versions.newest };
   }
 
-  /** Has a call settled by the leader: here, or by passing it on. */
+  /** Settles a call here if this keeper leads, or else at the leader. */
   private async atLeader<T>(
     { method, content, timeoutMs }: LeaderCall,
     settle: { here: () => Promise<T>; unavailable: (detail: string) => T },
--- a/packages/daemon/src/keeper/leadership.ts
+++ b/packages/daemon/src/keeper/leadership.ts
@@ -1,7 +1,7 @@
 /**
- * What the leader of the keepers does beside leading the log: confirms followers, keeps the registry and
- * pushes its changes, places requests on engines, and repairs the replica set. All of it is soft state that a
- * new leader gets back from the followers within a second.
+ * Duties of the leader of the keepers besides replicating the log: it confirms followers, maintains the target
+ * registry and pushes its changes, places requests on engines and repairs the replica set. All of this is soft state,
+ * which a new leader rebuilds from its followers within a second.
  */
 import * as domain from '@celerydrift/domain';
 import type * as holding from '../fleet/holding';
@@ -30,21 +30,29 @@
   now: () => number;
   random: domain.shared.random.Random;
   newestCatalogue: () => domain.catalogue.versions.Edition | undefined;
-  /** What is known of suspects changed. */
+  /** Called when the known suspect requests change. */
   onSuspects: () => void;
-  /** Limits of targets changed. */
+  /** Called when the rate limits of targets change. */
   onLimits: () => void;
-  /** What this VM's link carries, megabits a second. */
+  /** Bandwidth of this VM's link, in megabits per second. */
   linkMbps: number;
 }
 
-/** A new leader has heard of all entries after so long, milliseconds: three of their questions. */
+/**
+ * Time after which a new leader has heard from all entries, in milliseconds: three of their poll intervals.
+ */
 const ENTRY_DISCOVERY_MS = 1_500;
 
-/** Followers that a leader without targets asks for what they know; one may have just started too. */
+/**
+ * Maximum number of followers that a leader without targets asks for their records; more than one, as any of them may
+ * have just started too.
+ */
 const MAX_RECORD_SOURCES = 3;
 
-/** How long averages over the engines are given out before they are worked out anew, milliseconds; a fifth of a follower's pause. */
+/**
+ * How long engine load averages are reused before they are recomputed, in milliseconds; a fifth of a follower's poll
+ * interval.
+ */
 const AVERAGES_TTL_MS = 100;
 
 export class Leadership {
@@ -58,10 +66,12 @@
 
   private readonly snapshotThrottle: snapshotThrottle.SnapshotThrottle;
 
-  /** Followers that were confirmed without the registry, as its copies were under way to others. */
+  /**
+   * Followers that were confirmed without a registry snapshot because other snapshots were using the link.
+   */
   private readonly awaitingSnapshot = new Set<string>();
 
-  /** Followers that were asked for their copy of the registry. */
+  /** Followers that were asked for their registry records. */
   private readonly recordSources = new Set<string>();
 
   private readonly updates: registryUpdates.RegistryUpdates;
@@ -70,7 +80,7 @@
 
   readonly limits: limitCoordinator.LimitCoordinator;
 
-  /** Remembered targets that spoke since the last tick. */
+  /** Number of targets loaded from disk that announced themselves since the last tick. */
   private confirmedTargets = 0;
 
   private averages: { at: number; of: domain.allocation.unseen.Crowding[] } | undefined;
@@ -133,7 +143,7 @@
     });
   }
 
-  /** Lets time pass; to be called some times a second. */
+  /** Advances the leader's timers; called several times a second. */
   tick(): void {
     const { host, fleetState: fleet, now } = this.options;
     if (host.isLeader !== this.isLeading) this.setLeading(host.isLeader);
@@ -160,10 +170,11 @@
     this.confirmedTargets = 0;
   }
 
-  /** Answers a follower, or undefined when this keeper doesn't lead. */
+  /** Answers a follower's poll, or returns undefined if this keeper doesn't lead. */
   async follow(follower: messages.Follow): Promise<messages.Confirmed | undefined> {
     const { now } = this.options;
-    // A follower without a catalogue can't serve, and one that is new asks for places only once it is confirmed.
+    // A follower without a catalogue can't serve, and a new follower requests placements only once it is confirmed,
+    // so neither waits for the next heartbeat.
     const isNew = !this.isSelf(follower.name) && !this.followers.has(follower.name);
     const isUrgent = follower.version === 0 || isNew;
     if (!(await this.options.host.confirm(isUrgent))) return undefined;
@@ -172,7 +183,8 @@
     if (!this.isSelf(follower.name)) this.followers.polled(follower);
     void this.mergeRecords(registryCopies.unbundle(follower));
     this.suspects.merge(follower.suspects);
-    // One that has this leader's news has missed the end of no limit but those on their way.
+    // A follower on this leader's epoch can lack only limit changes that are still being pushed, so its report adds
+    // nothing.
     if (!this.updates.isCurrentEpoch(follower.mark)) this.limits.merge(follower.limits);
     follower.dispatches.forEach(({ request, target }) => {
       this.allocator.restore(request, target, now());
@@ -187,41 +199,51 @@
     };
   }
 
-  /** A process that has taken no news yet has just started: what its predecessor ran under the name ended with it. */
+  /**
+   * Ends the canary runs of a follower that restarted: one that has received no registry version has just started,
+   * and whatever its previous process ran under the same name ended with it.
+   */
   private endCanariesOfPreviousProcess({ name, mark, version }: messages.Follow): void {
     const isNew = messages.isSameMark(mark, messages.NO_MARK);
-    // One with a catalogue waits for its copy of the registry.
+    // A follower that has a catalogue but no registry version may simply be waiting for its registry snapshot.
     const isAwaitingSnapshot = version > 0 && this.awaitingSnapshot.has(name);
     if (isNew && !isAwaitingSnapshot) this.suspects.forgetEntry(name);
   }
 
-  /** Whether a follower is this leader itself, which has what it would send. */
+  /** Whether a follower is this leader itself, which already has everything it would receive. */
   private isSelf(name: string): boolean {
     return name === this.options.name;
   }
 
-  /** A leader without targets asks some followers for theirs; all of them would fill its link with the same. */
+  /**
+   * Whether a follower should send its registry records. A leader without targets asks only a few; the same records
+   * from all followers would fill its link.
+   */
   private shouldSendRecords(name: string): boolean {
     if (this.options.fleetState.registry.size > 0) return false;
     if (this.recordSources.size < MAX_RECORD_SOURCES) this.recordSources.add(name);
     return this.recordSources.has(name);
   }
 
-  /** Takes a target's own word; resolves when the followers in touch know what changed. */
+  /**
+   * Applies a target's own announcement; resolves once the reachable followers know what changed.
+   */
   async announce(announcement: Announcement): Promise<void> {
     const { fleetState: fleet, observer } = this.options;
     const { id, service } = announcement;
     const isUsable =
       fleet.directory === undefined || fleet.directory.service(service) !== undefined;
     if (!isUsable && fleet.registry.get(id) === undefined) {
-      // Taken, it would end whoever is known at its address. It announces itself again once there is such a service.
-      observer.log('announcementIgnored', { target: id, reason: `no service ${service}` });
+      // Accepting it would replace the target known at its address. The target announces itself again once the
+      // service exists.
+      observer.log('announcementIgnored', { target: id, reason: `unknown service "${service}"` });
       return;
     }
     this.suspects.announced(announcement);
     const isConfirmed = isConfirmation(fleet.registry.get(id), announcement);
     if (isConfirmed) {
-      // Followers use a remembered target already; that it lives comes with the answer to their next question.
+      // Followers already use a target that was loaded from disk; its confirmation comes with the answer to their
+      // next poll.
       this.updates.record(fleet.takeConfirmation(announcement));
       this.confirmedTargets += 1;
       return;
@@ -230,7 +252,7 @@
     if (changed.length > 0) await this.updates.publish(changed);
   }
 
-  /** Takes what a follower knows of targets. */
+  /** Merges registry records received from a follower. */
   private async mergeRecords(records: readonly Announcement[]): Promise<void> {
     const changed = this.options.fleetState.takeRecords(records);
     if (changed.length > 0) await this.updates.publish(changed);
@@ -249,14 +271,16 @@
     await this.updates.publish(changed);
   }
 
-  /** Takes what answers to entries said, sooner than others of them hear it. */
+  /**
+   * Applies announcements, received in targets' answers to entries, that those targets are draining.
+   */
   leaving({ lifetimes }: messages.Leaving): messages.TakenAnswer {
     const changed = lifetimes.flatMap((each) => this.options.fleetState.takeLeaving(each));
     if (changed.length > 0) void this.updates.publish(changed);
     return { kind: 'taken' };
   }
 
-  /** Pushes a catalogue that was accepted. */
+  /** Pushes an accepted catalogue to the followers. */
   publishEdition(edition: domain.catalogue.versions.Edition): Promise<void> {
     return this.updates.publishEdition(edition);
   }
@@ -275,7 +299,10 @@
     this.placer.serveSoon();
   }
 
-  /** Without it every request would find out by itself that another lifetime has the address. */
+  /**
+   * Marks a target as gone whose address now belongs to another lifetime; otherwise each request would find that out
+   * by itself.
+   */
   private presumeGone(id: string): void {
     const changed = this.options.fleetState.registry.presumeEnded(id, this.options.now());
     if (changed.length === 0) return;
@@ -340,7 +367,9 @@
     };
   }
 
-  /** Targets of services without engines, also those that leave or left: entries choose among these by themselves. */
+  /**
+   * Targets of services without engines, including draining and gone ones; entries choose among these themselves.
+   */
   private plainTargets(): Announcement[] {
     const { directory, registry } = this.options.fleetState;
     const services = directory?.catalogue.services ?? [];
@@ -351,7 +380,7 @@
   }
 }
 
-/** Whether a target that was only remembered says what was remembered of it. */
+/** Whether an announcement confirms what was loaded from disk about a target. */
 function isConfirmation(
   known: Announcement | undefined,
   { state, address }: Announcement,
--- a/packages/daemon/src/keeper/limitCoordinator.ts
+++ b/packages/daemon/src/keeper/limitCoordinator.ts
@@ -1,6 +1,7 @@
 /**
- * What a leader does about targets that name a limit: takes what entries were told, tells all followers, and gives out messages one
- * by one where the allocator doesn't place them, so that all entries together stay within a limit.
+ * Coordinates, on the leader, targets that name a rate limit: it collects the limits that entries receive, publishes
+ * them to all followers, and grants messages one by one where the allocator doesn't place them, so that all entries
+ * together stay within a limit.
  */
 import * as domain from '@celerydrift/domain';
 import type * as messages from '../fleet/messages';
@@ -15,17 +16,19 @@
   registry: Pick<domain.registry.registry.Registry, 'isServed'>;
   observer: observer.Observer;
   now: () => number;
-  /** Tells all followers. */
+  /** Publishes limits to all followers. */
   publish: (limits: RateLimit[]) => void;
 }
 
 export class LimitCoordinator {
-  /** Places whose limit ended under this leadership, against followers that haven't heard of it. */
+  /**
+   * Addresses whose limit ended under this leadership, so that followers that missed the end don't bring it back.
+   */
   private readonly endedLimits = new Set<string>();
 
   constructor(private readonly dependencies: Dependencies) {}
 
-  /** A leadership begins or ends. */
+  /** Starts or stops granting when a leadership begins or ends. */
   setLeading(isLeading: boolean): void {
     const { limits, now } = this.dependencies;
     limits.giveOut(isLeading ? 1 : 0, now());
@@ -37,7 +40,7 @@
     this.publishChanges(limits.forget((place) => registry.isServed(place), now()));
   }
 
-  /** Takes limits that a follower of another leader knows and this one doesn't. */
+  /** Merges limits that a follower of another leader knows and this leader doesn't. */
   merge(reports: readonly RateLimit[]): void {
     const { limits } = this.dependencies;
     this.apply(
@@ -45,7 +48,9 @@
     );
   }
 
-  /** Takes what an entry was told by its targets, and what it sent them. */
+  /**
+   * Applies what an entry's targets reported, and counts the messages that it sent without a grant.
+   */
   report({ limits, spent }: messages.Limited): messages.TakenAnswer {
     this.apply(limits);
     const { now } = this.dependencies;
@@ -53,7 +58,7 @@
     return { kind: 'taken' };
   }
 
-  /** Gives out one message to the place with most room. */
+  /** Grants one message to the address with the most capacity left. */
   grant({ places, purpose }: messages.GrantQuestion): messages.GrantAnswer {
     const { limits, now } = this.dependencies;
     const available = places.filter((place) => {
--- a/packages/daemon/src/keeper/limitStore.ts
+++ b/packages/daemon/src/keeper/limitStore.ts
@@ -1,6 +1,7 @@
 /**
- * Limits of targets on a keeper's disk. After a loss of all VMs nobody else knows them, and all callers come back at once: each target in
- * need would get its part of them before its first answer. What the file names ends with the first answer that names none.
+ * Rate limits of targets, stored on a keeper's disk. After an outage of all VMs no other process knows them, and all
+ * callers return at once: each overloaded target would get its share of them before its first answer. A limit loaded
+ * from the file ends with the target's first answer that names none.
  */
 import type * as domain from '@celerydrift/domain';
 import * as Either from 'fp-ts/Either';
@@ -14,12 +15,12 @@
 
 const LIMITS = t.array(t.type({ service: t.string, address: t.string, perSecond: t.number }));
 
-/** What the file holds; nothing where there is no file yet. */
+/** Reads the file; empty if there is none yet. */
 export async function read(folder: string): Promise<Result<RateLimit[], softStateFile.Unusable>> {
   const content = await softStateFile.read(folder, FILE);
   if (content.err) return content;
   const decoded = LIMITS.decode(content.val ?? []);
   return Either.isLeft(decoded)
-    ? Err({ kind: 'unusable', detail: 'no list of limits' })
+    ? Err({ kind: 'unusable', detail: 'not a list of limits' })
     : Ok(decoded.right);
 }
--- a/packages/daemon/src/keeper/placing.ts
+++ b/packages/daemon/src/keeper/placing.ts
@@ -1,19 +1,20 @@
 /**
- * Gives prompts their engines: at once, when it is better begun later, or when a place is free again; and refuses, as
- * soon as waiting longer would win nothing or the limits of the engines leave no place in time, with the time at which to come back.
+ * Places prompts on engines: immediately, later if a deferred start is better, or as soon as a slot becomes free.
+ * Requests are refused, with a time to retry after, once waiting longer has no benefit or the engines' rate limits
+ * leave no slot in time.
  */
 import type * as domain from '@celerydrift/domain';
 import * as waitQueue from './waitQueue';
 
 type Placement = domain.allocation.allocator.Placement;
 
-/** A prompt and how long its caller's entry waits for a place, milliseconds. */
+/** A prompt, and how long its caller's entry waits for a placement, in milliseconds. */
 export type Request = domain.allocation.allocator.Request & { patienceMs: number };
 
 export type Answer =
   | { kind: 'placed'; placement: Placement }
   | { kind: 'noPlace'; retryAfterMs: number }
-  /** Places aren't given here any more. */
+  /** This placer was closed: it no longer leads. */
   | { kind: 'closed' };
 
 export interface Clock {
@@ -25,7 +26,9 @@
   request: Request;
   waitedMs: number;
   waiting: number;
-  /** How long the limits of the engines let no request more pass, milliseconds; 0 where some engine has none. */
+  /**
+   * Time until the engines' rate limits admit one more request, in milliseconds; 0 if some engine has no limit.
+   */
   limitedForMs: number;
   retryAfterMs: number;
 }
@@ -38,51 +41,56 @@
 }
 
 /**
- * Bounds of the time that callers are told to stay away when no place is free, milliseconds: a few passes of an
- * engine, so that those who were refused together don't return together to the same few places; and what a
- * caller bears.
+ * Bounds of the time after which refused callers may retry, in milliseconds. The lower bound is a few engine steps,
+ * so that callers refused together don't return together for the same few slots; the upper bound is what a caller
+ * tolerates.
  */
 const RETRY_AFTER_MS = { min: 200, max: 2_000 } as const;
 
 /**
- * A request can be in time only if it has its place within this part of its objective; reading and the first pass
- * take the rest. In a burst that no engine has places for, those that are late already must not keep the others
- * waiting until they are late too.
+ * Share of its objective within which a request must be placed to still be on time; prefill and the first step take
+ * the rest. In a burst that exceeds all engines, requests that are already late must not delay the others until those
+ * are late too.
  */
 const START_BY_SHARE = 0.5;
 
 /**
- * Bounds of the time after which a prompt that is better begun later is considered again, milliseconds: engines may be
- * free sooner than predictedMs, and a consideration costs the leader up to a millisecond.
+ * Bounds of the delay before a deferred prompt is tried again, in milliseconds: engines may become free earlier than
+ * predicted, and each try costs the leader up to a millisecond.
  */
 const DEFERRAL_MS = { min: 20, max: 200 } as const;
 
 /**
- * What considering a prompt that several engines read costs, in attempts for a short one, and the part of a leader's time that
- * each postponed prompt may take. Bursts postpone some twenty of them at once.
+ * Cost of trying to place a prompt that several engines prefill, in attempts for a short one, and the share of a
+ * leader's time that each deferred prompt may take. Bursts defer some twenty prompts at once.
  */
 const ATTEMPTS_PER_DEFERRAL = 3;
 const DEFERRAL_SHARE = 0.04;
 
-/** Pause between two servings of those who wait, milliseconds; a fifth of a pass. */
+/**
+ * Interval between two rounds that serve the wait queue, in milliseconds; a fifth of an engine step.
+ */
 const SERVE_INTERVAL_MS = 10;
 
 /**
- * What an attempt to place a prompt costs a leader for each engine, milliseconds: the first hundred after a start, when the
- * code is cold, at 150 engines; later ones a third.
+ * Cost of one placement attempt per engine, in milliseconds, as in the first hundred attempts after a start with 150
+ * engines, when the code is cold; later attempts cost a third.
  */
 const ATTEMPT_MS_PER_ENGINE = 0.01;
 
 /**
- * Part of its time that a leader spends on those who wait. With 150 engines eight attempts take 12 ms; every 10 ms, they
- * kept a leader from its heartbeats and its followers for a second, and another one was elected.
+ * Share of its time that a leader spends on the wait queue. With 150 engines eight attempts take 12 ms; repeated
+ * every 10 ms, they delayed a leader's heartbeats and its answers to followers by a second, and another leader was
+ * elected.
  */
 const SERVE_SHARE = 0.25;
 
-/** Callers that waited in vain are told to come back after so many times their wait. */
+/**
+ * Range of the factor by which a caller's wait is multiplied to get its retry time after it waited in vain.
+ */
 const RETRY_SPREAD = { min: 1, max: 2 } as const;
 
-/** A request that has no place yet. */
+/** A request without a placement. */
 interface PendingRequest {
   request: Request;
   since: number;
@@ -104,7 +112,7 @@
     this.isOpen = true;
   }
 
-  /** Ends all waits: whoever leads now, or the entry itself, may have a place. */
+  /** Ends all waits with `closed`: the new leader, or the entry itself, may find a placement. */
   close(): void {
     this.isOpen = false;
     this.queue.clear();
@@ -116,7 +124,7 @@
     });
   }
 
-  /** The same with a callback, for a clock of which promises know nothing. */
+  /** Callback variant of `place`, for virtual clocks that can't drive promises. */
   ask(request: Request, answer: (answer: Answer) => void): void {
     const since = this.now;
     const settle = (placement: Placement | undefined): void => {
@@ -127,11 +135,11 @@
     this.tryPlace({ request, since, settle });
   }
 
-  /** Places may have become free. */
+  /** Schedules a round that serves the wait queue, as slots may have become free. */
   serveSoon(): void {
     if (this.isServeScheduled || this.queue.length === 0) return;
     this.isServeScheduled = true;
-    // Once more while requests wait: places become free with time too, as what an engine has to read becomes less.
+    // Reschedules itself while requests wait: slots also become free over time as engines work off their prefill.
     this.dependencies.clock.after(this.serveIntervalMs, () => {
       this.isServeScheduled = false;
       const attempts = this.queue.serve(this.now);
@@ -141,7 +149,7 @@
     });
   }
 
-  /** What placing a prompt takes, milliseconds; a short one. */
+  /** Cost of one attempt to place a short prompt, in milliseconds. */
   private get attemptMs(): number {
     return ATTEMPT_MS_PER_ENGINE * this.dependencies.allocator.mostAsked;
   }
@@ -150,7 +158,7 @@
     return this.dependencies.clock.now();
   }
 
-  /** Places a request, waits until it is better begun, or lets it stand in line for a place. */
+  /** Places a request, defers it, or adds it to the wait queue. */
   private tryPlace(pending: PendingRequest): void {
     const { request, since, settle } = pending;
     if (!this.isOpen) {
@@ -158,7 +166,7 @@
       return;
     }
     const { now } = this;
-    // Those that are late already don't hold up one that can still be in time.
+    // A new request queues behind those that can still be on time; late ones in the queue don't hold it up.
     if (this.queue.hasInTime(now)) {
       this.enqueue(pending);
       return;
@@ -197,7 +205,9 @@
     this.serveSoon();
   }
 
-  /** Until the limits of the engines let one request more pass than those who wait, milliseconds. */
+  /**
+   * Time until the engines' rate limits admit one request more than those in the queue, in milliseconds.
+   */
   private limitedForMs(service: string): number {
     return this.dependencies.allocator.limitedForMs(service, this.queue.length, this.now);
   }
@@ -207,7 +217,8 @@
     const limitedForMs = this.limitedForMs(request.service);
     const nextPlaceMs = this.dependencies.allocator.nextPlaceMs(request.service, this.now);
     const predictedMs = Math.max(nextPlaceMs, limitedForMs);
-    // One that waited in vain finds others in its place if all come back at once.
+    // Callers that waited in vain retry at different times; if all came back at once, most would find the slots taken
+    // again.
     const spread =
       RETRY_SPREAD.min + (RETRY_SPREAD.max - RETRY_SPREAD.min) * this.dependencies.random.uniform();
     const delayMs = Math.max(min, predictedMs, spread * waitedMs);
--- a/packages/daemon/src/keeper/registryUpdates.ts
+++ b/packages/daemon/src/keeper/registryUpdates.ts
@@ -1,7 +1,7 @@
 /**
- * The changes of the registry, of suspects and of limits under one leader: numbered, kept for followers that update some, and pushed to those in touch.
- * What a follower lacks follows from the last number that it has; one that is too far behind, or comes from another
- * leader, gets a whole copy.
+ * Numbered changes of the registry, of suspects and of rate limits under one leader. Changes are retained for
+ * followers that missed some and pushed to reachable followers. A follower receives the changes after its own
+ * registry version; one that is too far behind, or comes from another leader, gets a whole snapshot.
  */
 import * as crypto from 'node:crypto';
 import type * as domain from '@celerydrift/domain';
@@ -12,58 +12,61 @@
 type SuspectReport = domain.quarantine.suspect.Report;
 type RateLimit = domain.rateLimits.rateLimits.RateLimit;
 
-/** What a follower lacks, without an edition. */
+/** What a follower lacks, apart from the catalogue. */
 export type RegistryUpdate = Omit<messages.News, 'edition'>;
 
-/** What a follower lacks whose state doesn't lead to the present one by the changes that are kept. */
+/** What a follower lacks whose version isn't covered by the retained changes. */
 export type SnapshotUpdate = RegistryUpdate & { packedRegistry: Uint8Array };
 
 export interface Dependencies {
   snapshot: () => registryCopies.Copy;
   now: () => number;
   followers: () => number;
-  /** Resolves when the followers in touch have it, or after a bound. */
+  /** Resolves when the reachable followers have applied the update, or after a time limit. */
   push: (news: messages.News) => Promise<void>;
 }
 
 /**
- * Changes of targets that may be used are gathered for so long before they are pushed, milliseconds. After a loss of all 150
- * targets announce themselves within 1.2 s; with a push for each, a new leader of 200 followers sent 30,000 and answered
- * nobody for four seconds. Targets that leave are pushed at once, with all that was gathered.
+ * How long changes of usable targets are collected before they are pushed, in milliseconds. After an outage of all
+ * VMs, 150 targets announce themselves within 1.2 s; with a push for each, a new leader of 200 followers sent 30,000
+ * pushes and answered nobody for four seconds. Draining targets are pushed at once, with everything collected so far.
  */
 const BATCH_WINDOW_MS = 150;
 
 /**
- * The same for requests under which targets end, milliseconds. Entries that had requests on the same target tell of its end
- * within a few; a copy of the request that comes later must find it known everywhere.
+ * The same for crash reports, in milliseconds. Entries with requests on the same target report its crash within a few
+ * milliseconds; a copy of the request that comes later must find the crash known everywhere.
  */
 const SUSPECTS_BATCH_WINDOW_MS = 5;
 
 /**
- * Pushing to one follower may take this much of the pause between two pushes, milliseconds, so that pushes take a leader of many
- * followers no more than a third of its time.
+ * Minimum batch window per follower, in milliseconds, so that pushes take a leader of many followers no more than a
+ * third of its time.
  */
 const BATCH_WINDOW_MS_PER_FOLLOWER = 1;
 
 /**
- * Changes that are kept for followers that update a push. When a fleet of 3,000 targets starts, all announce themselves between
- * two questions of a follower; with fewer kept, it would get the whole registry again with each.
+ * Number of changes retained for followers that missed a push. When a fleet of 3,000 targets starts, all announce
+ * themselves between two polls of a follower; with fewer changes retained, it would get the whole registry again with
+ * each poll.
  */
 const MAX_RETAINED_CHANGES = 12_000;
 
 /**
- * Most changes that a follower gets to the very last one. More go up to a state that all who ask within `OFFERED_MS` share, so
- * that they are packed once and not for each.
+ * Maximum number of changes that a follower receives up to the very latest. Longer ranges end at a version shared by
+ * all who poll within `SHARED_VERSION_MS`, so that they are packed once and not for each follower.
  */
 const MAX_UNSHARED_CHANGES = 256;
 
-/** How long such a state is handed out, milliseconds. */
+/** How long a shared version is handed out, in milliseconds. */
 const SHARED_VERSION_MS = 150;
 
-/** Packed changes that are kept: as many as there are states that followers may have during some pushes. */
+/**
+ * Number of packed batches that are cached: the versions that followers may have during a few pushes.
+ */
 const MAX_CACHED_BATCHES = 16;
 
-/** Part of the registry's size by which it may change before it is packed anew. */
+/** Share of the registry that may change before its snapshot is packed anew. */
 const STALE_SNAPSHOT_SHARE = 0.1;
 
 interface VersionRange {
@@ -71,13 +74,13 @@
   to: messages.RegistryMark;
 }
 
-/** A push that takes further changes until it begins. */
+/** A scheduled push; it includes further changes until it starts. */
 interface PendingPush {
   done: Promise<void>;
   push: () => void;
 }
 
-/** A change of the registry, of what is known of a suspect, or of a limit. */
+/** A change of a registry record, a suspect report or a rate limit. */
 interface Change {
   version: messages.RegistryMark;
   record?: Announcement;
@@ -88,26 +91,28 @@
 export class RegistryUpdates {
   private version: messages.RegistryMark = messages.NO_MARK;
 
-  /** The mark that followers have once all that was pushed has arrived. */
+  /** The version that followers have once everything pushed has arrived. */
   private pushedVersion: messages.RegistryMark = messages.NO_MARK;
 
   private changes: Change[] = [];
 
   private pendingPush: PendingPush | undefined;
 
-  /** The whole registry at a mark. */
+  /** The whole registry, packed, as of a version. */
   private cachedSnapshot:
     { mark: messages.RegistryMark; packed: Uint8Array; size: number } | undefined;
 
-  /** The state that followers who lack much are brought to. */
+  /** The version up to which followers that lack many changes are updated. */
   private shared: { mark: messages.RegistryMark; at: number } | undefined;
 
-  /** Packed records of some spans, the latest last. */
+  /** Packed records by version range, the latest last. */
   private batches = new Map<string, registryCopies.Bundle>();
 
   constructor(private readonly dependencies: Dependencies) {}
 
-  /** A leadership begins: numbers of another one don't compare. */
+  /**
+   * Starts numbering changes anew for a new leadership; versions of different leaderships aren't comparable.
+   */
   beginEpoch(): void {
     this.version = { epoch: crypto.randomBytes(6).toString('hex'), change: 0 };
     this.pushedVersion = this.version;
@@ -118,26 +123,29 @@
   }
 
   /**
-   * Notes changes that followers get with the answer to their next question, or with the next push. After a loss of all
-   * every target confirms within 1.2 s what the disks said; pushed, that kept a new leader of 195 entries busy for a second.
+   * Records changes that followers receive with the answer to their next poll or with the next push. After an outage
+   * of all VMs every target confirms its record from disk within 1.2 s; pushing each confirmation kept a new leader
+   * of 195 entries busy for a second.
    */
   record(records: readonly Announcement[]): void {
     this.append(records.map((record) => ({ record })));
   }
 
-  /** Notes what became of suspects, and pushes it soon. */
+  /** Records changed suspect reports and pushes them soon. */
   publishSuspects(suspects: readonly SuspectReport[]): void {
     this.append(suspects.map((suspect) => ({ suspect })));
     setTimeout(this.schedulePush().push, SUSPECTS_BATCH_WINDOW_MS);
   }
 
-  /** Notes limits that changed or ended, and pushes them with what is gathered. */
+  /**
+   * Records rate limits that changed or ended; they are pushed with the other collected changes.
+   */
   publishLimits(limits: readonly RateLimit[]): void {
     this.append(limits.map((limit) => ({ limit })));
     this.schedulePush();
   }
 
-  /** Notes changes and pushes them; resolves when the followers in touch have them. */
+  /** Records changes and pushes them; resolves when the reachable followers have them. */
   publish(records: readonly Announcement[]): Promise<void> {
     this.record(records);
     const pending = this.schedulePush();
@@ -145,7 +153,7 @@
     return pending.done;
   }
 
-  /** Pushes an edition; it changes nothing of the registry. */
+  /** Pushes a catalogue, which leaves the registry version unchanged. */
   async publishEdition(edition: domain.catalogue.versions.Edition): Promise<void> {
     const { pushedVersion } = this;
     await this.dependencies.push({
@@ -158,17 +166,20 @@
     });
   }
 
-  /** Whether a state came from this leadership. */
+  /** Whether a version belongs to this leadership. */
   isCurrentEpoch(mark: messages.RegistryMark): boolean {
     return mark.epoch === this.version.epoch;
   }
 
-  /** For whoever has the present state. */
+  /** The update for a follower that has the current version. */
   emptyUpdate(): RegistryUpdate {
     return { mark: this.version, since: this.version, records: [], suspects: [], limits: [] };
   }
 
-  /** What a follower at `mark` lacks, up to a state that it shares with others; undefined where only a whole copy would do. */
+  /**
+   * The changes after version `mark`, up to a version that may be shared with other followers; undefined if only a
+   * snapshot would do.
+   */
   updateSince(mark: messages.RegistryMark): RegistryUpdate | undefined {
     if (!this.covers(mark)) return undefined;
     const isFew = this.version.change - mark.change <= MAX_UNSHARED_CHANGES;
@@ -176,21 +187,22 @@
     return this.changesBetween({ from: mark, to: messages.holds(to, mark) ? to : mark });
   }
 
-  /** All that a follower at `mark` lacks at this moment; undefined where only a whole copy would do. */
+  /** All changes after version `mark`; undefined if only a snapshot would do. */
   fullUpdateSince(mark: messages.RegistryMark): RegistryUpdate | undefined {
     return this.covers(mark) ? this.changesBetween({ from: mark, to: this.version }) : undefined;
   }
 
-  /** The whole registry, for a follower that knows nothing of it. */
+  /** A snapshot of the whole registry, for a follower without any of it. */
   snapshotUpdate(): SnapshotUpdate {
     const { mark, packed } = this.currentSnapshot();
-    // Many changes since come with the next question: packed for each who asks, they would cost as much as new copies.
+    // Many changes since the snapshot come with the next poll; packed for each follower, they would cost as much as
+    // new snapshots.
     const isFew = this.version.change - mark.change < registryCopies.PACKED_FROM;
     const changes = this.changesBetween({ from: mark, to: isFew ? this.version : mark });
     return { ...changes, since: undefined, packedRegistry: packed };
   }
 
-  /** Whether a state leads to the present one by the changes that are kept. */
+  /** Whether the retained changes lead from a version to the current one. */
   private covers(mark: messages.RegistryMark): boolean {
     const oldest = this.changes[0] ?? {
       version: { ...this.version, change: this.version.change + 1 },
--- a/packages/daemon/src/keeper/snapshotThrottle.ts
+++ b/packages/daemon/src/keeper/snapshotThrottle.ts
@@ -1,13 +1,16 @@
 /**
- * When a follower gets a whole copy of the registry. All followers of a new leader lack it at once; handed out in the answers to
- * their first questions, the copies fill the leader's link for longer than a follower waits, and each asks another keeper
- * for the same again. A follower is confirmed and serves without its copy, as the leader places prompts.
+ * Limits how fast registry snapshots are sent to followers. All followers of a new leader lack one at once; sent with
+ * the answers to their first polls, the snapshots would fill the leader's link for longer than a follower waits, and
+ * each follower would ask another keeper for the same again. A follower is confirmed and serves without its snapshot,
+ * as the leader places prompts.
  */
 
-/** Part of the leader's link that copies may fill; confirmations, settings and places share the rest. */
+/**
+ * Share of the leader's link that snapshots may use; confirmations, settings and placements share the rest.
+ */
 const LINK_SHARE = 0.25;
 
-/** How long copies may use their share at once after a pause, milliseconds. */
+/** How much of their share snapshots may use at once after a pause, in milliseconds of it. */
 const BURST_MS = 500;
 
 const BITS_PER_BYTE = 8;
@@ -21,7 +24,7 @@
 
   private refilledAt: number | undefined;
 
-  /** @param linkMbps what the leader's link carries, megabits a second */
+  /** @param linkMbps bandwidth of the leader's link, in megabits per second */
   constructor(
     linkMbps: number,
     private readonly now: () => number,
@@ -31,13 +34,13 @@
     this.availableBytes = this.capacityBytes;
   }
 
-  /** Whether a copy of so many bytes may be sent now; it then counts as sent. */
+  /** Whether a snapshot of this size may be sent now; if so, it counts as sent. */
   take(bytes: number): boolean {
     const now = this.now();
     const refilledBytes = this.bytesPerMs * (now - (this.refilledAt ?? now));
     this.availableBytes = Math.min(this.capacityBytes, this.availableBytes + refilledBytes);
     this.refilledAt = now;
-    // A copy larger than the whole burst waits until nothing was sent for that long.
+    // A snapshot larger than the capacity is sent once the full capacity is available.
     if (this.availableBytes < Math.min(bytes, this.capacityBytes)) return false;
     this.availableBytes -= bytes;
     return true;
--- a/packages/daemon/src/keeper/softStateFile.ts
+++ b/packages/daemon/src/keeper/softStateFile.ts
@@ -1,6 +1,6 @@
 /**
- * A file on a keeper's disk that holds soft state as a hint for a restart. It is written beside the requests, some time after
- * each change, and may be lost; a full or broken disk costs nothing but the memory.
+ * A file on a keeper's disk that stores soft state as a hint for a restart. It is written in the background, some
+ * time after each change, and may be lost; with a full or broken disk only this hint is missing.
  */
 import * as fs from 'node:fs/promises';
 import * as path from 'node:path';
@@ -10,7 +10,7 @@
 import * as frames from '../storage/frames';
 import * as replaceFile from '../storage/replaceFile';
 
-/** Why a file tells nothing. */
+/** Why a file can't be used. */
 export interface Unusable {
   kind: 'unusable';
   detail: string;
@@ -20,17 +20,17 @@
   folder: string;
   name: string;
   observer: observer.Observer;
-  /** What to keep, as of the writing. */
+  /** Returns what to store, at the time of writing. */
   content: () => unknown;
 }
 
 /**
- * Pause after a writing, milliseconds. Targets come and go one by one in a release and all at once after a start; two
- * writings a second of some 60 KB with a sync leave a slow disk to the log.
+ * Pause after a write, in milliseconds. Targets come and go one by one in a release and all at once after a start;
+ * two writes of some 60 KB with a sync per second leave a slow disk to the log.
  */
 const WRITE_INTERVAL_MS = 500;
 
-/** What a file holds; undefined where there is none yet. */
+/** Reads a file; undefined if there is none yet. */
 export async function read(folder: string, name: string): Promise<Result<unknown, Unusable>> {
   let file: Buffer;
   try {
@@ -40,7 +40,8 @@
     return isMissing ? Ok(undefined) : Err({ kind: 'unusable', detail: String(error) });
   }
   const replayed = frames.replay(file);
-  if (replayed.err || replayed.val.torn) return Err({ kind: 'unusable', detail: 'not whole' });
+  if (replayed.err || replayed.val.torn)
+    return Err({ kind: 'unusable', detail: 'corrupt or truncated' });
   return Ok(replayed.val.payloads[0]);
 }
 
@@ -55,13 +56,13 @@
 
   constructor(private readonly dependencies: Dependencies) {}
 
-  /** Something changed that a restart should know. */
+  /** Schedules a write of the changed state. */
   markChanged(): void {
     this.isChanged = true;
     this.writing ??= this.write();
   }
 
-  /** Writes nothing more; resolves when nothing is under way. */
+  /** Stops writing; resolves when no write is in progress. */
   async close(): Promise<void> {
     this.isClosed = true;
     await this.writing;
@@ -76,7 +77,7 @@
     this.writing = undefined;
   }
 
-  /** The next change tries again what fails. */
+  /** Replaces the file; after a failure the next change tries again. */
   private async replace(): Promise<void> {
     const { folder, name, content, observer: observe } = this.dependencies;
     try {
--- a/packages/daemon/src/keeper/softStateStore.ts
+++ b/packages/daemon/src/keeper/softStateStore.ts
@@ -1,6 +1,6 @@
 /**
- * Soft state on a keeper's disk, a file each for targets, requests in quarantine and limits of targets. A loss of all VMs takes it from
- * everybody else; what a file lacks or names too much shows with the targets' next words and answers.
+ * Soft state on a keeper's disk, with a file each for targets, quarantined requests and rate limits. An outage of all
+ * VMs removes it everywhere else; where a file is outdated, the targets' next announcements and answers correct it.
  */
 import * as clock from '../clock';
 import type * as holding from '../fleet/holding';
@@ -23,7 +23,7 @@
 
   private readonly limits: softStateFile.SoftStateFile;
 
-  /** Contents that the file of the quarantine holds or will hold. */
+  /** Fingerprints of the quarantined requests that are stored or about to be. */
   private storedQuarantine = '';
 
   constructor(private readonly dependencies: Dependencies) {
@@ -33,7 +33,7 @@
     this.limits = this.file(limitStore.FILE, () => fleet.limits.all());
   }
 
-  /** Takes what the files hold; one that can't be read tells nothing. */
+  /** Loads the files; an unreadable one is logged and skipped. */
   async load(): Promise<void> {
     await this.loadTargets();
     await this.loadQuarantine();
@@ -44,7 +44,9 @@
     this.targets.markChanged();
   }
 
-  /** Most suspects are never in quarantine, and cost the disk nothing. */
+  /**
+   * Schedules a write only if the quarantine changed: most suspects never get there and cost the disk nothing.
+   */
   suspectsChanged(): void {
     const contents = this.quarantineReports()
       .map(({ content }) => content)
--- a/packages/daemon/src/keeper/suspectStore.ts
+++ b/packages/daemon/src/keeper/suspectStore.ts
@@ -1,6 +1,6 @@
 /**
- * Requests in quarantine on a keeper's disk. After a loss of all VMs nobody else knows them, and each would end three more
- * targets before it is known again.
+ * Quarantined requests, stored on a keeper's disk. After an outage of all VMs no other process knows them, and each
+ * would crash three more targets before it is quarantined again.
  */
 import type * as domain from '@celerydrift/domain';
 import * as Either from 'fp-ts/Either';
@@ -21,17 +21,17 @@
   }),
 );
 
-/** What the file holds; nothing where there is no file yet. */
+/** Reads the file; empty if there is none yet. */
 export async function read(folder: string): Promise<Result<Report[], softStateFile.Unusable>> {
   const content = await softStateFile.read(folder, FILE);
   if (content.err) return content;
   const decoded = REPORTS.decode(content.val ?? []);
   return Either.isLeft(decoded)
-    ? Err({ kind: 'unusable', detail: 'no list of requests' })
+    ? Err({ kind: 'unusable', detail: 'not a list of requests' })
     : Ok(decoded.right);
 }
 
-/** What the file should hold: times are ages, as no clock goes on over a loss of power. */
+/** The content to store. Times are stored as ages, as no clock continues over a power loss. */
 export function contentOf(
   quarantine: domain.quarantine.quarantine.Quarantine,
   now: number,
--- a/packages/daemon/src/keeper/suspectTracker.ts
+++ b/packages/daemon/src/keeper/suspectTracker.ts
@@ -1,6 +1,7 @@
 /**
- * What a leader does about requests under which targets end: counts what entries tell, lets suspects run one at a time, and
- * tells all followers what became of each. Entries refuse what is in quarantine by themselves; the leader alone ends it.
+ * Tracks, on the leader, requests that crash targets: it counts the crashes that entries report, allows suspect
+ * requests to run one at a time as canaries, and publishes the status of each to all followers. Entries enforce a
+ * quarantine by themselves; only the leader ends it.
  */
 import * as domain from '@celerydrift/domain';
 import type * as messages from '../fleet/messages';
@@ -9,10 +10,13 @@
 type Change = domain.quarantine.quarantine.Change;
 type Report = domain.quarantine.suspect.Report;
 
-/** An announcement from before an end may come this much after it, milliseconds: a usual pause between two. */
+/**
+ * How long after a crash an announcement sent before it may still arrive, in milliseconds: a usual announcement
+ * interval.
+ */
 const MAX_ANNOUNCEMENT_DELAY_MS = 1_200;
 
-/** Ends that count against a content before its last trial. */
+/** Number of crashes counted against a request before its last canary run. */
 const CRASHES_BEFORE_LAST_CANARY = domain.quarantine.quarantine.MOST_ENDINGS - 1;
 
 export interface Dependencies {
@@ -22,7 +26,7 @@
   isAllocated: (service: string) => boolean;
   observer: observer.Observer;
   now: () => number;
-  /** Tells all followers. */
+  /** Publishes reports to all followers. */
   publish: (reports: Report[]) => void;
 }
 
@@ -31,7 +35,9 @@
 
   constructor(private readonly dependencies: Dependencies) {}
 
-  /** Another leadership begins or ends; runs that another leader allowed aren't known. */
+  /**
+   * Forgets the canary runs when a leadership begins or ends; runs allowed by another leader aren't known here.
+   */
   reset(): void {
     this.canaries.clear();
   }
@@ -41,12 +47,14 @@
     if (quarantine.size > 0) this.publishChanges(quarantine.tick(now()));
   }
 
-  /** Takes what a follower knows that this leader may not. */
+  /** Merges reports of suspects that a follower knows and this leader may not. */
   merge(reports: readonly Report[]): void {
     this.publishChanges(this.dependencies.quarantine.merge(reports, this.dependencies.now()));
   }
 
-  /** The reports of all contents that were blamed come back, also where nothing changed. */
+  /**
+   * Applies crash reports; returns the current report of each named request, also where nothing changed.
+   */
   blame({ ended }: messages.Blame): Report[] {
     const { quarantine, now } = this.dependencies;
     const changes = ended
@@ -60,7 +68,7 @@
     return ended.map(({ content }) => quarantine.report(content, now()));
   }
 
-  /** A target announced itself. */
+  /** Applies a target's announcement, which may clear suspicions. */
   announced({ id, bornAt, sequence, state }: domain.registry.registry.Announcement): void {
     const { quarantine } = this.dependencies;
     if (state === 'gone') return;
@@ -76,7 +84,7 @@
     if (!this.canaries.mayBegin(content, { id, entry }, now())) return { kind: 'busy' };
     const endings = quarantine.count(content);
     const choice = this.chooseTarget(request);
-    // The end that would count as the last must not be another suspect's.
+    // The crash that would be the last one counted must not be caused by another suspect on the same target.
     if (choice === 'none' && endings >= CRASHES_BEFORE_LAST_CANARY) return { kind: 'busy' };
     const target = choice === 'any' || choice === 'none' ? undefined : choice.id;
     this.canaries.begin(content, { id, entry, target }, now());
@@ -93,7 +101,9 @@
     this.canaries.forgetEntry(entry);
   }
 
-  /** A target of a plain service that runs no other suspect; engines are chosen by the allocator. */
+  /**
+   * Chooses a target of a plain service that runs no other suspect; the allocator chooses engines itself.
+   */
   private chooseTarget({
     service,
     excluded,
@@ -106,8 +116,9 @@
   }
 
   /**
-   * An entry that was cut off took all targets for ended, and tells so once it is back: for a content that many callers send, that
-   * would be a quarantine at every entry until the targets have spoken twice more.
+   * Whether a target announced itself after its reported crash. An entry that was cut off takes all targets for
+   * crashed and reports so once it is back; for a request that many callers send, that would mean a quarantine at
+   * every entry until the targets have announced themselves twice more.
    */
   private hasAnnouncedSince({ lifetime, agoMs }: messages.EndedTarget): boolean {
     const { registry, now } = this.dependencies;
--- a/packages/daemon/src/keeper/targetStore.ts
+++ b/packages/daemon/src/keeper/targetStore.ts
@@ -1,7 +1,7 @@
 /**
- * Targets on a keeper's disk. After a loss of all keepers a new leader would know no targets until each announces
- * itself, over a second later, and every prompt would be refused with engines idle. What the file names is used with care
- * until it speaks.
+ * Targets, stored on a keeper's disk. After an outage of all keepers a new leader would know no targets until each
+ * announces itself, over a second later, and would refuse every prompt while engines are idle. Targets loaded from
+ * the file are used with care until they announce themselves.
  */
 import * as domain from '@celerydrift/domain';
 import * as Either from 'fp-ts/Either';
@@ -26,15 +26,15 @@
   }),
 );
 
-/** What the file holds; no targets where there is no file yet. */
+/** Reads the file; no targets if there is none yet. */
 export async function read(
   folder: string,
 ): Promise<Result<Announcement[], softStateFile.Unusable>> {
   const content = await softStateFile.read(folder, FILE);
   if (content.err) return content;
   const decoded = RECORDS.decode(content.val ?? []);
-  if (Either.isLeft(decoded)) return Err({ kind: 'unusable', detail: 'no list of targets' });
-  // A lifetime that ended before its first announcement is known by its id alone.
+  if (Either.isLeft(decoded)) return Err({ kind: 'unusable', detail: 'not a list of targets' });
+  // A lifetime that ended before its first announcement is known only by its id, so its other fields aren't checked.
   return Ok(
     decoded.right.filter((record) => {
       return record.state === 'gone' || domain.registry.validity.problemOf(record) === undefined;
--- a/packages/daemon/src/keeper/waitQueue.ts
+++ b/packages/daemon/src/keeper/waitQueue.ts
@@ -1,29 +1,32 @@
 /**
- * Requests that wait for a place on an engine. Those that can still be in time go before those that are late
- * already, and among equals the oldest is first. Each waits for a bounded time.
- *
- * An attempt costs the leader up to a millisecond. In a burst hundreds wait while hundreds of places become free
- * each second; to try all of them each time kept a leader busy for seconds, entries lost it, and all chose
- * engines by themselves. So a serving skips what can't succeed where a smaller request has just failed.
+ * Queue of requests that wait for an engine slot, each for a bounded time. Requests that can still be on time go
+ * before late ones, and older ones before newer ones. An attempt costs the leader up to a millisecond. In a burst
+ * hundreds of requests wait while hundreds of slots become free each second; trying all of them each time kept a
+ * leader busy for seconds, so that entries lost it and all chose engines by themselves. A round therefore skips
+ * requests that can't succeed because a smaller one has just failed.
  */
 
 export interface QueuedRequest<T> {
-  /** Prompt tokens; where a request finds no place, a larger one of the service with the same `pauseMs` finds none either. */
+  /**
+   * Prompt tokens. If a request finds no slot, a larger one of the same service and `pauseMs` finds none either.
+   */
   tokens: number;
   pauseMs: number;
   service: string;
-  /** Whether only some targets of the service may take it: that it finds no place says nothing of others. */
+  /**
+   * Whether only some targets of the service may take it; its failure then implies nothing for other requests.
+   */
   isRestricted: boolean;
   since: number;
-  /** Before this a place may still lead to an answer in time. */
+  /** Time until which a placement can still lead to an answer on time. */
   inTimeUntil: number;
   until: number;
-  /** Tries to find a place; undefined where there still is none. */
+  /** Tries to place the request; returns undefined if there is still no slot. */
   attempt: () => T | undefined;
   resolve: (found: T | undefined) => void;
 }
 
-/** Attempts without success in one serving; some for each class of requests. */
+/** Maximum number of failed attempts in one round; enough to try a few requests of each class. */
 const MAX_FAILED_ATTEMPTS = 8;
 
 export class WaitQueue<T> {
@@ -33,7 +36,7 @@
     return this.requests.length;
   }
 
-  /** Whether one waits that can still be in time; others must not overtake it. */
+  /** Whether a queued request can still be on time; new requests must not overtake it. */
   hasInTime(now: number): boolean {
     return this.requests.some(({ inTimeUntil }) => inTimeUntil > now);
   }
@@ -43,8 +46,8 @@
   }
 
   /**
-   * Serves those that can be served now, and ends the waits that are over; the number of attempts comes back. Those
-   * without success cost as much as others.
+   * Places the requests that can be placed now and ends the waits that expired. Returns the number of attempts;
+   * failed ones cost as much as successful ones.
    */
   serve(now: number): number {
     const expired = this.requests.filter(({ until }) => until <= now);
@@ -59,22 +62,22 @@
     return attempts;
   }
 
-  /** Ends all waits. */
+  /** Ends all waits without a placement. */
   clear(): void {
     this.requests.splice(0).forEach(({ resolve }) => resolve(undefined));
   }
 }
 
-/** Serves what it can; the others come back. */
-function attemptEach<T>(line: readonly QueuedRequest<T>[]): {
+/** Tries the requests in order; returns those that are still waiting. */
+function attemptEach<T>(requests: readonly QueuedRequest<T>[]): {
   left: QueuedRequest<T>[];
   attempts: number;
 } {
   const failed: QueuedRequest<T>[] = [];
   let served = 0;
-  const left = line.filter((waiting) => {
-    const isHopeless = failed.some((each) => impliesFailure(each, waiting));
-    if (isHopeless || failed.length >= MAX_FAILED_ATTEMPTS) return true;
+  const left = requests.filter((waiting) => {
+    const willFail = failed.some((each) => impliesFailure(each, waiting));
+    if (willFail || failed.length >= MAX_FAILED_ATTEMPTS) return true;
     const found = waiting.attempt();
     if (found === undefined) {
       failed.push(waiting);
@@ -87,7 +90,7 @@
   return { left, attempts: served + failed.length };
 }
 
-/** Whether a request that found no place shows that another one finds none. */
+/** Whether the failure of one request implies that another one fails too. */
 function impliesFailure<T>(failed: QueuedRequest<T>, other: QueuedRequest<T>): boolean {
   const isAlike = failed.service === other.service && failed.pauseMs === other.pauseMs;
   return isAlike && !failed.isRestricted && failed.tokens <= other.tokens;
