--- a/packages/daemon/src/keeper/__tests__/__fixtures__/leaderFixture.ts
+++ b/packages/daemon/src/keeper/__tests__/__fixtures__/leaderFixture.ts
@@ -21,21 +21,23 @@
   leader: leadership.Leadership;
   fleet: holding.Holding;
   pushes: Push[];
-  /** For each confirmation by the quorum whether it was asked for at once, not with the next heartbeat. */
+  /**
+   * For each confirmation by the quorum, whether it was requested immediately rather than with the next heartbeat.
+   */
   confirmations: boolean[];
 }
 
 export interface Setup {
   followers: number;
-  /** What a follower takes for each push, milliseconds. */
+  /** Time that a follower takes to answer a push, in milliseconds. */
   answerMs: number;
-  /** Whether followers say that they lack what the pushes build on. */
+  /** Whether followers acknowledge each push without having the version that it builds on. */
   reportsNoState?: boolean;
-  /** The leader's clock; by default followers stay in touch however long a test takes. */
+  /** The leader's clock; with the default, followers stay reachable however long a test takes. */
   now?: () => number;
 }
 
-/** A leader that all its followers have found. */
+/** A leader that all its followers have polled. */
 export async function leaderWithFollowers({
   followers,
   answerMs,
--- a/packages/daemon/src/keeper/__tests__/keeper.test.ts
+++ b/packages/daemon/src/keeper/__tests__/keeper.test.ts
@@ -1,4 +1,6 @@
-/** Keepers over real sockets and disks: founding, catalogues, announcements, a takeover, a lost disk. */
+/**
+ * Keepers with real sockets and disks: founding, catalogues, announcements, a leader change, a lost disk.
+ */
 import * as fs from 'node:fs/promises';
 import * as os from 'node:os';
 import * as path from 'node:path';
@@ -28,7 +30,7 @@
 
 const SERVICE = { name: 's', healthPath: '/', maxConnections: 10, engine: undefined };
 
-/** Documents are `{version, valid}`; announcements are the product's own records. */
+/** Documents are `{version, valid}`; announcements are the internal records as JSON. */
 const PROTOCOL: protocols.ControlProtocol = {
   call: (method, url) => {
     if (url === '/catalogue') return { kind: method === 'PUT' ? 'submit' : 'read' };
@@ -64,7 +66,7 @@
 async function until(what: string, check: () => boolean | Promise<boolean>): Promise<void> {
   const deadline = clock.steady() + 15_000;
   while (!(await check())) {
-    if (clock.steady() > deadline) throw new Error(`waited in vain for ${what}`);
+    if (clock.steady() > deadline) throw new Error(`timed out waiting for ${what}`);
     await new Promise((resolve) => {
       setTimeout(resolve, 20);
     });
@@ -154,7 +156,7 @@
     return [answer.status, await answer.text()];
   }
 
-  /** Submits until a keeper takes it, as operators do. */
+  /** Submits until a keeper accepts, as operators do. */
   async submit(version: number): Promise<void> {
     await until(`version ${version} accepted`, async () => {
       for (const i of this.running.keys()) {
@@ -173,7 +175,7 @@
     return 0;
   }
 
-  /** Something that follows the leader as an entry does. */
+  /** Follows the leader as an entry does. */
   async follow(): Promise<{ state: holding.Holding; link: leaderLink.LeaderLink }> {
     const address = `127.0.0.1:${this.followerPort}`;
     const client = new peerClient.PeerClient(SECRET, undefined, this.observer);
@@ -237,7 +239,7 @@
 
   afterEach(async () => fleet.stopAll());
 
-  it('found one replica set and refuse what is not valid', async () => {
+  it('found one replica set and refuse invalid catalogues', async () => {
     await fleet.submit(3);
     const [status] = await fleet.call(0, 'PUT', '/catalogue', { version: 9, valid: false });
     const [older] = await fleet.call(1, 'PUT', '/catalogue', { version: 2, valid: true });
@@ -245,23 +247,23 @@
   });
 
   /*
-   * Accepted settings would be gone, or a key come back. The leader dies right after it accepted a version;
-   * another one takes over and must show that version to operators and push the next to entries.
+   * Guards against accepted settings that are lost, or a revoked key that returns: the leader stops right after it
+   * accepted a version, and its successor must show that version to operators and push the next one to entries.
    */
-  it('keep what was accepted when the leader dies, and go on', async () => {
+  it('keep accepted settings when the leader stops, and accept new ones', async () => {
     const { state, link } = await fleet.follow();
     await fleet.submit(3);
     await fleet.stop(fleet.leader);
     expect(await fleet.version().catch(() => 0)).to.be.oneOf([0, 3]);
     await fleet.submit(4);
-    await until('the follower has it', () => state.version === 4);
+    await until('the follower to have it', () => state.version === 4);
     await until('a confirmation', () => link.age < 700);
     expect(await fleet.version()).to.equal(4);
   });
 
   /*
-   * Two leaders, or settings lost. A VM comes back with an empty disk, is told that it may not found, and must
-   * neither vote as its old self nor hold the others up; with it back, the next death must lose nothing.
+   * Guards against two leaders and lost settings: a VM returns with an empty disk and may not found. It must neither
+   * vote as its old replica nor delay the others, and once it is back the next failure must lose nothing.
    */
   it('take a keeper with an empty disk back as a new voter', async () => {
     await fleet.submit(3);
@@ -280,14 +282,14 @@
   });
 
   /*
-   * Requests would reach a target that is gone. It says through any keeper that it leaves; when that is
-   * acknowledged, whoever follows the leader must know.
+   * Guards against requests to a target that is gone: a target announces through any keeper that it drains, and
+   * followers of the leader must know by the time this is acknowledged.
    */
-  it('acknowledge that a target leaves once followers know', async () => {
+  it('acknowledge a draining target once followers know', async () => {
     const { state, link } = await fleet.follow();
     await until('a confirmation', () => link.age < 700);
     const other = (fleet.leader + 1) % 3;
-    await until('announced', async () => {
+    await until('the announcement', async () => {
       return (await fleet.call(other, 'PUT', '/i1', target('ready', 1)))[0] === 200;
     });
     expect(state.registry.get('i1')?.state).to.equal('ready');
@@ -298,14 +300,13 @@
   });
 
   /*
-   * Callers would be refused while an engine stands idle for the rest of the day. It crashed without a word, and another
-   * one started at its address; the keepers must take the new one's word for it, and not wait until the
-   * old one says that it is gone.
+   * Guards against an engine that stays unused: it crashed without departing, and another one started at its address.
+   * The keepers must accept the new one without waiting for the old one to depart.
    */
-  it('know a target that started at the address of one that crashed', async () => {
+  it('accept a target at the address of one that crashed', async () => {
     const { state, link } = await fleet.follow();
     await until('a confirmation', () => link.age < 700);
-    await until('the first', async () => {
+    await until('the first target', async () => {
       return (await fleet.call(fleet.leader, 'PUT', '/i1', target('ready', 1)))[0] === 200;
     });
     expect((await fleet.call(fleet.leader, 'PUT', '/i2', target('ready', 1)))[0]).to.equal(200);
@@ -314,14 +315,14 @@
   });
 
   /*
-   * A sound target would lose its place to one that nobody can use. Another program announces a target of a service
-   * that isn't there, at the same address, and one whose slots are a word.
+   * Guards against a healthy target that is replaced by an unusable one: another program announces a target of an
+   * unknown service at the same address, and one with slots that aren't a number.
    */
-  it('take nothing of announcements by other programs', async () => {
+  it('ignore unusable announcements by other programs', async () => {
     const { state, link } = await fleet.follow();
     await until('a confirmation', () => link.age < 700);
     await fleet.submit(1);
-    await until('settings', () => state.version === 1);
+    await until('the catalogue', () => state.version === 1);
     await until('the target', async () => {
       return (await fleet.call(fleet.leader, 'PUT', '/i1', target('ready', 1)))[0] === 200;
     });
@@ -334,15 +335,15 @@
   });
 
   /*
-   * Every prompt would be refused for over a second with engines idle. All keepers lose power together; the new
-   * leader knows no target until each announces itself again, unless the disks tell.
+   * Guards against prompts that are refused for over a second with engines idle: after a power loss of all keepers
+   * the new leader would know no targets until each announces itself, so it loads them from disk.
    */
-  it('remember targets over a loss of all until they speak', async () => {
+  it('load targets from disk after an outage of all keepers until they announce themselves', async () => {
     await until('the target', async () => {
       return (await fleet.call(fleet.leader, 'PUT', '/i1', target('ready', 1)))[0] === 200;
     });
     const files = [0, 1, 2].map((i) => path.join(fleet.places[i].folder, 'targets'));
-    await until('it on a disk', async () =>
+    await until('the target on a disk', async () =>
       (await Promise.all(files.map(sizeOf))).some((n) => n > 60),
     );
     for (const i of [0, 1, 2]) await fleet.stop(i);
@@ -350,19 +351,19 @@
     const { state } = await fleet.follow();
     await until('the target from the disk', () => state.registry.get('i1') !== undefined);
     expect(state.registry.get('i1')).to.include({ state: 'ready', isRemembered: true });
-    await until('its word', async () => {
+    await until('its announcement', async () => {
       return (await fleet.call(fleet.leader, 'PUT', '/i1', target('ready', 2)))[0] === 200;
     });
-    // The follower uses it already; that it lives comes with the answer to its next question.
+    // The follower already uses the target; its confirmation comes with the answer to the next poll.
     await until('the follower to know', () => state.registry.get('i1')?.isRemembered !== true);
     expect(state.registry.get('i1')?.state).to.equal('ready');
   });
 
   /*
-   * A keeper that doesn't start would be one loss more. The file of targets is torn by a power loss, or some other
-   * program's; the keeper says so in its log and starts without it.
+   * Guards against a keeper that doesn't start because its file of targets was truncated by a power loss or written
+   * by another program; it logs this and starts without the file.
    */
-  it('start without targets from a file that is torn or foreign', async () => {
+  it('start without a file of targets that is truncated or malformed', async () => {
     const { folder } = fleet.places[0];
     await fleet.stop(0);
     const whole = frames.encode([{ ...target('ready', 1), id: 'i1' }]);
--- a/packages/daemon/src/keeper/__tests__/largeFleet.test.ts
+++ b/packages/daemon/src/keeper/__tests__/largeFleet.test.ts
@@ -1,6 +1,6 @@
 /**
- * The load of a fleet of 300 entries and 3,000 targets on its leader: all targets announce themselves when the fleet
- * starts, and all entries ask a new leader for the registry at once. Bounds follow from the leader's link.
+ * Load of a fleet of 300 entries and 3,000 targets on its leader: all targets announce themselves when the fleet
+ * starts, and all entries ask a new leader for the registry at once. The bounds follow from the leader's link.
  */
 import * as crypto from 'node:crypto';
 import * as chai from 'chai';
@@ -19,23 +19,23 @@
 
 const TARGETS = 3_000;
 
-/** What the leader's link carries in a second, bytes: 170 Mbit/s. */
+/** Bandwidth of the leader's link, in bytes per second: 170 Mbit/s. */
 const LINK_BYTES_PER_S = 21_000_000;
 
-/** Targets announce themselves within so long, milliseconds. */
+/** Time within which all targets announce themselves, in milliseconds. */
 const ANNOUNCING_MS = 1_200;
 
-/** Announcements come in so many groups, each within one turn of the loop. */
+/** Number of groups of announcements, each of which arrives within one turn of the event loop. */
 const GROUPS = 60;
 
-/** Ids and births as unlike as real ones, which don't compress. */
+/** Announcement with an id and a start time as different as real ones, which hardly compress. */
 function announcement(i: number): domain.registry.registry.Announcement {
   const digest = crypto.createHash('sha256').update(String(i)).digest();
   const bornAt = 1_700_000_000_000 + digest.readUInt32BE(8);
   return { ...fixture.announcement(i), id: `i-${digest.toString('hex', 0, 5)}`, bornAt };
 }
 
-/** Notes of a follower that takes what it is told. */
+/** The replicated state of a follower. */
 function makeFollower(): holding.Holding {
   return new holding.Holding({
     protocol: {} as holding.Options['protocol'],
@@ -46,7 +46,7 @@
   });
 }
 
-/** All targets announce themselves; `between` runs after each group. */
+/** Announces all targets; `between` runs after each group. */
 async function announceAll(
   { leader }: fixture.LeaderFixture,
   between: () => Promise<void> = async () => undefined,
@@ -69,10 +69,11 @@
 
 describe('a leader of 300 entries and 3,000 targets', () => {
   /*
-   * Nothing was served for the whole day. Each announcement went to each entry in full, 230 bytes 900,000 times, which takes the
-   * leader's link ten seconds; pushes and questions timed out, their connections were closed and all was sent again.
+   * Guards against a fleet that never starts to serve. Each announcement went to each entry in full, 230 bytes
+   * 900,000 times, which takes the leader's link ten seconds; pushes and polls timed out, their connections were
+   * closed and everything was sent again.
    */
-  it('tells its followers of all targets within two seconds of its link', async () => {
+  it('reports all targets to its followers within two seconds of link capacity', async () => {
     const setup = await fixture.leaderWithFollowers({ followers: FOLLOWERS, answerMs: 20 });
     await announceAll(setup);
     const sent = setup.pushes.reduce((sum, { news }) => sum + bytesOf(news), 0);
@@ -84,10 +85,10 @@
   });
 
   /*
-   * While all targets announced themselves, an entry that asked twice a second was too far behind each time and got the whole
-   * registry again.
+   * Guards against polls that are answered with the whole registry: while all targets announced themselves, an entry
+   * that polled twice a second was too far behind each time.
    */
-  it('sends a follower that asks meanwhile only what it lacks', async () => {
+  it('sends a follower that polls meanwhile only the changes it lacks', async () => {
     const setup = await fixture.leaderWithFollowers({ followers: 1, answerMs: 1 });
     const one = makeFollower();
     const begin = await setup.leader.follow(fixture.followRequest(0));
@@ -104,11 +105,12 @@
   });
 
   /*
-   * All entries came back to a new leader at once, and each got the whole registry in the answer to its first question: together
-   * two seconds of the leader's link. Every answer came after its timeout, so each entry looked for another leader, and asked
-   * for the same again; 30 s after a kill of all processes nothing was served yet.
+   * Guards against snapshots that fill the leader's link. All entries returned to a new leader at once, and each got
+   * the whole registry in the answer to its first poll: two seconds of the link. Every answer came after its timeout,
+   * so each entry searched for another leader and asked again; 30 s after all processes were killed nothing was
+   * served yet.
    */
-  it('answers all who find it at once, and hands out the registry by turns', async () => {
+  it('answers the first polls of all followers, and throttles the snapshots of the registry', async () => {
     let now = 0;
     const setup = await fixture.leaderWithFollowers({ followers: 0, answerMs: 1, now: () => now });
     setup.fleet.recall(Array.from({ length: TARGETS }, (_each, i) => announcement(i)));
@@ -134,16 +136,17 @@
       rounds += 1;
       now += 500;
     }
-    // Half of what the link carries within the pause between two questions.
+    // Half of what the link carries within a poll interval.
     expect(firstBytes).to.be.below(LINK_BYTES_PER_S / 4);
     expect(rounds).to.be.below(20);
   });
 
   /*
-   * A new leader stood still for half a second. While the targets that its disk had named spoke for themselves, each entry that asked
-   * got a copy that was packed anew, or packed changes of its own beside it.
+   * Guards against a leader that is busy packing. While the targets loaded from disk announced themselves, each entry
+   * that polled got a newly packed snapshot, or changes packed for it alone; that blocked a new leader for half a
+   * second.
    */
-  it('packs few copies for all who ask while its targets speak for themselves', async () => {
+  it('shares a few packed snapshots among all followers while its targets confirm their records', async () => {
     const setup = await fixture.leaderWithFollowers({ followers: 0, answerMs: 1 });
     setup.fleet.recall(Array.from({ length: TARGETS }, (_each, i) => announcement(i)));
     const packed = new Set<Uint8Array>();
@@ -160,10 +163,11 @@
   });
 
   /*
-   * One target that left cost the link what all 3,000 do. They had spoken for themselves after a loss of all, which followers hear with
-   * their questions; the next push brought all of that again to each.
+   * Guards against a push that costs the link as much as the whole registry. After an outage all targets had
+   * confirmed their records, which followers receive with their polls; the push of one draining target brought all
+   * confirmations again to each follower.
    */
-  it('pushes to each follower only what it lacks', async () => {
+  it('pushes to each follower only the changes it lacks', async () => {
     const setup = await fixture.leaderWithFollowers({ followers: 1, answerMs: 1 });
     setup.fleet.recall(Array.from({ length: TARGETS }, (_each, i) => announcement(i)));
     for (let i = 0; i < TARGETS; i++)
@@ -176,10 +180,11 @@
   });
 
   /*
-   * Calls went on to a target that had said it leaves. Its entry was waiting for its copy of the registry under a new leader, and a push
-   * was under way to it when the target spoke; what waited for that push was dropped, as it built on a state that the entry lacked.
+   * Guards against requests to a draining target. An entry was waiting for its registry snapshot under a new leader
+   * with a push in flight when the target announced itself; what was queued behind that push was dropped, as it built
+   * on a version that the entry lacked.
    */
-  it('tells a follower that waits for its copy which targets leave', async () => {
+  it('reports draining targets to a follower that waits for its snapshot', async () => {
     const setup = await fixture.leaderWithFollowers({
       followers: 1,
       answerMs: 50,
--- a/packages/daemon/src/keeper/__tests__/leaderLoad.test.ts
+++ b/packages/daemon/src/keeper/__tests__/leaderLoad.test.ts
@@ -1,6 +1,6 @@
 /**
- * The load of a large fleet on a new leader: some 200 followers that all ask at once and some 150 targets that all announce
- * themselves, as after a loss of all. The numbers are those of the largest fleet served today.
+ * Load of a large fleet on a new leader, as after an outage of all VMs: some 200 followers that all poll at once and
+ * some 150 targets that all announce themselves.
  */
 import * as chai from 'chai';
 import * as clock from '../../clock';
@@ -19,8 +19,10 @@
 
 const TARGETS = 150;
 
-/** Pause between two announcements of different targets where each announces itself every 1.2 s, milliseconds. */
-const BETWEEN_MS = 8;
+/**
+ * Interval between announcements of different targets if each announces itself every 1.2 s, in milliseconds.
+ */
+const ANNOUNCEMENT_INTERVAL_MS = 8;
 
 function setUp(answerMs: number): Promise<fixture.LeaderFixture> {
   return fixture.leaderWithFollowers({ followers: FOLLOWERS, answerMs });
@@ -28,20 +30,21 @@
 
 describe('a new leader of many followers', () => {
   /*
-   * Callers of 200 entries were refused for four seconds after a power loss. Each of 150 targets announced itself to the
-   * new leader, which pushed each to each entry: 30,000 calls, behind which it answered nobody, so that entries and
-   * keepers took it for dead and began anew, time after time.
+   * Guards against a push per announcement. After a power loss 150 targets announced themselves to the new leader,
+   * which pushed each to each of 200 entries: 30,000 calls, behind which it answered nobody, so that entries and
+   * keepers took it for dead again and again, and callers were refused for four seconds.
    */
-  it('pushes the announcements of many targets together', async () => {
+  it('batches the announcements of many targets into few pushes', async () => {
     const { leader, pushes } = await setUp(1);
     const startedAt = clock.steady();
     const announced: Promise<void>[] = [];
     for (let i = 0; i < TARGETS; i++) {
       announced.push(leader.announce(announcement(i)));
-      await clock.pause(BETWEEN_MS);
+      await clock.pause(ANNOUNCEMENT_INTERVAL_MS);
     }
     await Promise.all(announced);
-    // One push in 150 ms to each, and one more for the rest; on a busy machine it takes longer than 1.2 s.
+    // One push to each follower every 150 ms and one more for the rest; on a busy machine the announcements take
+    // longer than 1.2 s.
     const windows = (clock.steady() - startedAt) / 150;
     expect(pushes.length).to.be.at.most(FOLLOWERS * (windows + 1));
     const first = pushes.filter(({ address }) => address === '10.0.0.0:1');
@@ -49,10 +52,10 @@
   });
 
   /*
-   * Requests would go on to a target that leaves. Its word must not wait behind those that are gathered, and what was
-   * gathered goes with it, in order.
+   * Guards against requests to a draining target: its announcement must not wait for the batch window, and changes
+   * collected before go with it, in order.
    */
-  it('pushes at once that a target leaves', async () => {
+  it('pushes a draining target immediately', async () => {
     const { leader, pushes } = await setUp(1);
     const ready = leader.announce(announcement(1));
     await leader.announce(announcement(1, 'draining'));
@@ -62,10 +65,10 @@
   });
 
   /*
-   * A leader that falls behind would fall further behind with each push. Followers answer late; what is to be told meanwhile
-   * goes in one push when the one before is answered, and in the order in which it came.
+   * Guards against a leader that falls further behind with each push: followers answer late, and the changes made
+   * meanwhile must go in one push, in order, once the previous one is acknowledged.
    */
-  it('has one push under way to each follower, and loses nothing of what waits', async () => {
+  it('has at most one push in flight to each follower, and loses no queued change', async () => {
     const { leader, pushes } = await setUp(200);
     const announced = [1, 2, 3, 4, 5].map((i) => leader.announce(announcement(i, 'draining')));
     await Promise.all(announced);
@@ -77,10 +80,10 @@
   });
 
   /*
-   * A new leader would read the same records two hundred times while entries wait for their settings. Keepers bring what
-   * they know; an entry is asked only where nobody else knows targets.
+   * Guards against a new leader that decodes the same records two hundred times while entries wait for their
+   * settings: keepers send what they know, and entries are asked only if nobody else knows targets.
    */
-  it('asks entries for their targets only where it knows none', async () => {
+  it('asks entries for their targets only if it knows none', async () => {
     const { leader } = await setUp(1);
     const empty = await leader.follow(followRequest(0));
     await leader.announce(announcement(1));
@@ -89,10 +92,11 @@
   });
 
   /*
-   * Entries lost a new leader a second after they had found it. All 150 targets that the disks had named spoke for themselves
-   * within 1.2 s, and each time the leader told 195 entries, which knew and used them already.
+   * Guards against a new leader that is too busy to answer: all 150 targets loaded from disk announced themselves
+   * within 1.2 s, and each time the leader pushed that to 195 entries, which used the targets already and lost the
+   * leader a second after they had found it.
    */
-  it('tells followers with their next question that remembered targets live', async () => {
+  it('reports confirmations of targets loaded from disk with the next poll', async () => {
     const { leader, pushes, fleet } = await setUp(1);
     fleet.recall(Array.from({ length: TARGETS }, (_each, i) => announcement(i)));
     const before = await leader.follow(followRequest(0));
@@ -108,10 +112,10 @@
   });
 
   /*
-   * A living leader would be replaced. Five hundred prompts come back within a turn of its loop, each costs it two
-   * milliseconds, and its next heartbeat must not wait for all of them.
+   * Guards against the replacement of a live leader: five hundred prompts return within a turn of the event loop,
+   * each costs it two milliseconds, and its next heartbeat must not wait for all of them.
    */
-  it('places a crowd of prompts a few in each turn', async () => {
+  it('places a burst of prompts in small batches per turn', async () => {
     const queue = new batchQueue.BatchQueue();
     const order: string[] = [];
     const placed = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10].map((i) =>
@@ -135,10 +139,10 @@
   });
 
   /*
-   * Callers waited at entries that wrote their logs. An entry that has just started gets 155 targets at once, and the
-   * line for each of them came before the first request; one line says as much, as the leader logs each target.
+   * Guards against callers that wait while an entry writes its log: an entry that has just started receives 155
+   * targets at once, and logged a line for each before it served the first request.
    */
-  it('gives an entry its targets in one copy and one line of the log', async () => {
+  it('sends an entry its targets in one snapshot, logged in one line', async () => {
     const { leader } = await setUp(1);
     const announced = Array.from({ length: TARGETS }, (_each, i) =>
       leader.announce(announcement(i)),
@@ -160,10 +164,11 @@
   });
 
   /*
-   * One caller's summaries were refused as "a copy of it runs" for a minute. Their entry was killed while it ran one as a trial
-   * and was back within a second under its name, so the leader never missed it and kept the trial of a process that was gone.
+   * Guards against a suspect request that is refused as "a copy of it runs" for a minute: an entry was killed during
+   * a canary run and was back within a second under the same name, so the leader never missed it and kept the run of
+   * a process that was gone.
    */
-  it('ends the trials of an entry that started again', async () => {
+  it('ends the canary runs of an entry that restarted', async () => {
     const { leader } = await setUp(1);
     const lifetime = { id: 't0', bornAt: 1 };
     const run = { isTrial: false, agoMs: 0, sentAgoMs: 10 };
@@ -178,12 +183,12 @@
   });
 
   /*
-   * Prompts were placed without a view of the others for a tenth of a second longer than needed: entries ask a new leader only once
-   * it has confirmed them, and it did so with its next heartbeat.
+   * Guards against a delay of a tenth of a second before placements: entries send placement requests to a new leader
+   * only once it has confirmed them, and it did so only with its next heartbeat.
    */
-  it('confirms followers at once that are new to it', async () => {
-    const made = await fixture.leaderWithFollowers({ followers: 2, answerMs: 1 });
-    await made.leader.follow(followRequest(0));
-    expect(made.confirmations).to.deep.equal([true, true, false]);
+  it('confirms new followers immediately', async () => {
+    const setup = await fixture.leaderWithFollowers({ followers: 2, answerMs: 1 });
+    await setup.leader.follow(followRequest(0));
+    expect(setup.confirmations).to.deep.equal([true, true, false]);
   });
 });
--- a/packages/daemon/src/keeper/__tests__/limitCoordinator.test.ts
+++ b/packages/daemon/src/keeper/__tests__/limitCoordinator.test.ts
@@ -1,4 +1,4 @@
-/** What a leader does about targets that name a limit. */
+/** How a leader coordinates targets that name a rate limit. */
 import * as chai from 'chai';
 import * as domain from '@celerydrift/domain';
 import * as observer from '../../observability/observer';
@@ -13,7 +13,7 @@
 const LIMITED: RateLimit = { ...PLACES[0], perSecond: 1 };
 const ENDED: RateLimit = { ...PLACES[0], perSecond: undefined };
 
-describe('a leader that knows limits', () => {
+describe('limit coordinator', () => {
   let now: number;
   let limits: domain.rateLimits.rateLimits.RateLimits;
   let published: RateLimit[];
@@ -33,13 +33,13 @@
     coordinator.setLeading(true);
   });
 
-  it('tells its followers what changed, once', () => {
+  it('publishes a changed limit once', () => {
     coordinator.report({ limits: [LIMITED], spent: [] });
     coordinator.report({ limits: [LIMITED], spent: [] });
     expect(published).to.deep.equal([LIMITED]);
   });
 
-  it('gives out one request after the other, to the target with most room', () => {
+  it('grants requests one by one, to the target with the most capacity left', () => {
     coordinator.report({ limits: [LIMITED, { ...PLACES[1], perSecond: 2 }], spent: [] });
     now = 500;
     const request = { places: PLACES, purpose: 'request' } as const;
@@ -47,15 +47,18 @@
     expect(coordinator.grant(request)).to.deep.equal({ kind: 'wait', waitMs: 500 });
   });
 
-  it('counts what entries sent without asking', () => {
+  it('counts messages that entries sent without a grant', () => {
     coordinator.report({ limits: [LIMITED], spent: [{ ...PLACES[0], count: 2 }] });
     now = 2_000;
     const request = { places: [PLACES[0]], purpose: 'request' } as const;
     expect(coordinator.grant(request)).to.deep.equal({ kind: 'wait', waitMs: 1_000 });
   });
 
-  /** Guards against limits that come back after their end with a follower that was cut off, and refuse callers for nothing. */
-  it('takes limits from followers of another leader, but none that it has seen end', () => {
+  /**
+   * Guards against limits that a follower brings back after they ended, because it was cut off meanwhile: callers
+   * would be refused for no reason.
+   */
+  it('merges limits from followers of another leader, except those that ended here', () => {
     coordinator.merge([LIMITED]);
     coordinator.report({ limits: [ENDED], spent: [] });
     coordinator.merge([LIMITED]);
@@ -64,7 +67,7 @@
     expect(limits.all()).to.deep.equal([LIMITED]);
   });
 
-  it('gives out nothing once it leads no more', () => {
+  it('grants nothing after its leadership ended', () => {
     coordinator.report({ limits: [LIMITED], spent: [] });
     coordinator.setLeading(false);
     now = 60_000;
--- a/packages/daemon/src/keeper/__tests__/placing.test.ts
+++ b/packages/daemon/src/keeper/__tests__/placing.test.ts
@@ -1,4 +1,4 @@
-/** What those who wait for a place cost a leader of 150 engines, in virtual time. */
+/** Cost of the wait queue for a leader of 150 engines, in virtual time. */
 import * as chai from 'chai';
 import * as domain from '@celerydrift/domain';
 import * as random from '@celerydrift/domain/dist/shared/random';
@@ -8,10 +8,10 @@
 
 const ENGINES = 150;
 
-/** Cost of an attempt at so many engines with cold code, as measured; milliseconds. */
+/** Cost of an attempt with this many engines and cold code, in milliseconds. */
 const ATTEMPT_MS = 1.5;
 
-/** The engines of the users' largest fleet. */
+/** An engine with seven slots and a large cache. */
 const ENGINE: domain.catalogue.catalogue.Engine = {
   memoryTokens: 315_000,
   slots: 7,
@@ -26,7 +26,7 @@
   hopMs: 0.05,
 };
 
-/** Counts attempts, all in vain. */
+/** Counts attempts, all of which fail. */
 class FullAllocator extends domain.allocation.allocator.Allocator {
   attempts = 0;
 
@@ -54,12 +54,12 @@
   return allocator;
 }
 
-describe('placing in a burst', () => {
+describe('placement in a burst', () => {
   /*
-   * Entries and keepers lost a leader that was only busy. Hundreds of prompts of several kinds waited while all engines
-   * were full, and every 10 ms it tried eight of them at 150 engines: more than it could do in 10 ms.
+   * Guards against the loss of a leader that is only busy: hundreds of prompts of several kinds waited while all
+   * engines were full, and every 10 ms the leader tried eight of them at 150 engines, which took longer than 10 ms.
    */
-  it('spends a quarter of the leader on those who wait', () => {
+  it('spends about a quarter of its time on the wait queue', () => {
     const allocator = fullFleet();
     const timers: { at: number; action: () => void }[] = [];
     let now = 0;
@@ -77,7 +77,7 @@
         service: 's',
         tokens: 10_000 - i,
         answerTokens: 1_600,
-        // Ten kinds of callers, so that a failure says little of the others.
+        // Ten classes of requests, so that a failure implies little about the others.
         objectiveMs: 4_000,
         pauseMs: 200 + (i % 10),
         waitedMs: 0,
@@ -98,9 +98,11 @@
   });
 });
 
-describe('placing beside a target with a limit', () => {
-  /** Guards against prompts that wait beside free engines while one that is bound to a limited target waits for that. */
-  it('holds up no prompt for one that only a limited target may take', () => {
+describe('placement beside a target with a rate limit', () => {
+  /**
+   * Guards against prompts that wait beside free engines behind one that is bound to a limited target.
+   */
+  it('delays no prompt because of one that only a limited target may take', () => {
     let now = 0;
     const limits = new domain.rateLimits.rateLimits.RateLimits();
     limits.giveOut(1, now);
--- a/packages/daemon/src/keeper/__tests__/suspectTracker.test.ts
+++ b/packages/daemon/src/keeper/__tests__/suspectTracker.test.ts
@@ -1,4 +1,4 @@
-/** What a leader makes of ends that entries tell it of. */
+/** How a leader handles crash reports from entries. */
 import * as chai from 'chai';
 import * as domain from '@celerydrift/domain';
 import * as observer from '../../observability/observer';
@@ -8,12 +8,13 @@
 
 const CONTENT = '4-content';
 
-describe('a leader that is told of ends', () => {
+describe('suspect tracker', () => {
   /*
-   * A lookup that many callers send was refused at every entry for seconds. One entry had been cut off from all targets, took each
-   * for ended, and told so when it was back; meanwhile all of them had gone on announcing themselves.
+   * Guards against a request that is refused at every entry for seconds although no target crashed: an entry was cut
+   * off from all targets, took each for crashed and reported so once it was back, while all targets had gone on
+   * announcing themselves.
    */
-  it('believes nobody about a target that has spoken since', () => {
+  it('ignores crash reports of targets that announced themselves since', () => {
     const quarantine = new domain.quarantine.quarantine.Quarantine();
     const published: domain.quarantine.suspect.Report[] = [];
     const tracker = new suspectTracker.SuspectTracker({
@@ -38,8 +39,11 @@
     expect(published.map(({ endings }) => endings.length)).to.deep.equal([1, 2]);
   });
 
-  /** Guards against a new leader that takes followers' copies of the registry for the targets' own words: a culprit's ends didn't count. */
-  it('believes an end although a copy of the registry came since that has the target', () => {
+  /**
+   * Guards against a new leader that mistakes followers' registry records for announcements of the targets
+   * themselves, so that crashes of the request that causes them don't count.
+   */
+  it('accepts a crash report although registry records with the target were merged since', () => {
     const quarantine = new domain.quarantine.quarantine.Quarantine();
     const registry = new domain.registry.registry.Registry();
     const target = { id: 'a', bornAt: 1, state: 'ready', sequence: 7 } as const;
--- a/packages/daemon/src/keeper/__tests__/waitQueue.test.ts
+++ b/packages/daemon/src/keeper/__tests__/waitQueue.test.ts
@@ -1,4 +1,4 @@
-/** Who gets a free place, who waits, and how much work that is. */
+/** Order of the wait queue and the work per round. */
 import * as chai from 'chai';
 import * as waitQueue from '../waitQueue';
 
@@ -33,8 +33,8 @@
   }
 }
 
-describe('waiting line', () => {
-  it('gives a place to the oldest that can still be in time, then to those that are late', () => {
+describe('wait queue', () => {
+  it('places the oldest request that can still be on time first, and late ones last', () => {
     const fixture = new Fixture();
     fixture.wait('late', 0);
     fixture.wait('older', 400);
@@ -46,7 +46,7 @@
     expect(fixture.outcomes).to.deep.equal(['older', 'newer', 'late']);
   });
 
-  it('ends a wait when its time is over', () => {
+  it('ends a wait when it expires', () => {
     const fixture = new Fixture();
     fixture.wait('one', 0);
     fixture.queue.serve(999);
@@ -55,11 +55,11 @@
   });
 
   /*
-   * In a burst callers were refused by the hundred while engines were free. 300 requests waited; each
-   * end of an answer tried them all again, a third of a millisecond each; the leader was busy for seconds, was
-   * voted out, and entries chose engines by themselves.
+   * Guards against a leader that is voted out in a burst: 300 requests waited, each completed answer tried them all
+   * again at a third of a millisecond each, and entries without a leader chose engines by themselves, so that callers
+   * were refused while engines were free.
    */
-  it('makes a few attempts at a time, however many wait, and reaches everyone', () => {
+  it('limits the attempts per round, and still reaches every request', () => {
     const fixture = new Fixture();
     for (let i = 0; i < 300; i++) fixture.wait(`large ${i}`, 0, 5_000, 9 + (i % 7));
     fixture.wait('small', 1, 5_000);
@@ -70,7 +70,7 @@
     expect(fixture.outcomes).to.deep.equal(['small']);
   });
 
-  it("doesn't let one that comes now overtake one that can still be in time", () => {
+  it('reports whether a queued request can still be on time', () => {
     const fixture = new Fixture();
     fixture.wait('one', 0);
     expect([fixture.queue.hasInTime(299), fixture.queue.hasInTime(300)]).to.deep.equal([
