--- a/packages/daemon/src/fleet/__tests__/leaderLink.test.ts
+++ b/packages/daemon/src/fleet/__tests__/leaderLink.test.ts
@@ -21,15 +21,15 @@
    * a second; the leader answered each question, the last ones after their timeout, and the entries began anew.
    */
   it('asks each keeper one question at a time while it looks for a leader', async () => {
-    const underWay = new Map<string, number>();
-    let most = 0;
+    const inFlight = new Map<string, number>();
+    let maxInFlight = 0;
     const client = {
       dropStuck: () => undefined,
       call: async (address: string) => {
-        underWay.set(address, (underWay.get(address) ?? 0) + 1);
-        most = Math.max(most, ...underWay.values());
+        inFlight.set(address, (inFlight.get(address) ?? 0) + 1);
+        maxInFlight = Math.max(maxInFlight, ...inFlight.values());
         await clock.pause(TIMEOUT_MS);
-        underWay.set(address, (underWay.get(address) ?? 1) - 1);
+        inFlight.set(address, (inFlight.get(address) ?? 1) - 1);
         const detail = `${TIMEOUT_MS} ms`;
         return address === KEEPERS[4]
           ? Ok({
@@ -43,7 +43,7 @@
           : Err({ kind: 'timeout', address, method: 'follow', detail });
       },
     };
-    const held = {
+    const state = {
       version: 0,
       mark: messages.NO_MARK,
       suspectsToTell: () => [],
@@ -58,7 +58,7 @@
       replica: () => undefined,
       seeds: KEEPERS,
       client: client as unknown as peerClient.PeerClient,
-      holding: held as unknown as holding.Holding,
+      holding: state as unknown as holding.Holding,
       observer: new observer.Observer('test', 'fatal', undefined),
       moment: clock.moment,
       dispatches: () => [],
@@ -67,6 +67,6 @@
     link.start();
     await clock.pause(2 * TIMEOUT_MS);
     link.stop();
-    expect([most, link.leader]).to.deep.equal([1, KEEPERS[4]]);
+    expect([maxInFlight, link.leader]).to.deep.equal([1, KEEPERS[4]]);
   });
 });
--- a/packages/daemon/src/fleet/holding.ts
+++ b/packages/daemon/src/fleet/holding.ts
@@ -5,7 +5,7 @@
 import * as domain from '@celerydrift/domain';
 import type * as protocols from '../edges/protocols';
 import type * as observer from '../observability/observer';
-import * as editions from './editions';
+import * as packedCatalogue from './packedCatalogue';
 import * as messages from './messages';
 import * as registryCopies from './registryCopies';
 
@@ -26,13 +26,13 @@
 }
 
 /** Endings from which on a suspect is worth telling to a new leader; most with fewer are innocent, and they are many. */
-const TOLD_ENDINGS = 2;
+const MIN_REPORTED_CRASHES = 2;
 
 /** Changes of targets that are taken together and still get a line of the log each. */
-const MOST_LINES = 20;
+const MAX_LOGGED_RECORDS = 20;
 
 /** Takes records into the registry; those that changed with them come back. */
-type TakeRecords = (records: readonly Announcement[]) => Announcement[];
+type ApplyRecords = (records: readonly Announcement[]) => Announcement[];
 
 export class Holding {
   readonly registry = new domain.registry.registry.Registry();
@@ -43,7 +43,7 @@
   /** Limits that targets name. */
   readonly limits = new domain.rateLimits.rateLimits.RateLimits();
 
-  mark: messages.RegistryMark = messages.NO_MARK;
+  mark: messages.RegistryVersion = messages.NO_MARK;
 
   private current: Directory | undefined;
 
@@ -57,9 +57,9 @@
     return this.current?.version ?? 0;
   }
 
-  takeEdition(edition: domain.catalogue.versions.Edition): void {
+  applyCatalogue(edition: domain.catalogue.versions.Edition): void {
     if (edition.version <= this.version) return;
-    const decoded = this.options.protocol.catalogue(editions.unpack(edition));
+    const decoded = this.options.protocol.catalogue(packedCatalogue.unpack(edition));
     if (decoded.err) {
       // Only what a keeper could read is accepted, so this one is an older program.
       this.options.observer.log('catalogueRefused', {
@@ -74,24 +74,24 @@
   }
 
   /** Takes what this process's disk held at its start. */
-  recall(records: readonly Announcement[]): Announcement[] {
-    const recalled = this.registry.remember(records, this.options.now());
-    recalled.forEach((record) => this.options.onRecord(record));
-    return recalled;
+  loadRecords(records: readonly Announcement[]): Announcement[] {
+    const loaded = this.registry.remember(records, this.options.now());
+    loaded.forEach((record) => this.options.onRecord(record));
+    return loaded;
   }
 
   /** Gives up remembered targets that were silent for too long since `since`. */
-  endRemembered(since: number): Announcement[] {
-    return this.changed(this.registry.endRemembered(this.options.now(), since));
+  expireUnconfirmed(since: number): Announcement[] {
+    return this.notifyChanged(this.registry.endRemembered(this.options.now(), since));
   }
 
   /** Takes what copies of the registry say; the records that changed with it come back. */
-  takeRecords(records: readonly Announcement[]): Announcement[] {
-    return this.changed(this.registry.merge(records, this.options.now()));
+  mergeRecords(records: readonly Announcement[]): Announcement[] {
+    return this.notifyChanged(this.registry.merge(records, this.options.now()));
   }
 
-  private takeCopy({ records, suspects, limits }: registryCopies.Copy): void {
-    this.takeRegistry(records, (each) => this.registry.follow(each, this.options.now()));
+  private applySnapshot({ records, suspects, limits }: registryCopies.RegistrySnapshot): void {
+    this.applyManyRecords(records, (each) => this.registry.follow(each, this.options.now()));
     if (this.limits.setAll(limits, this.options.now())) this.options.onLimits?.();
     this.quarantine.takeAll(suspects, this.options.now());
     this.options.onSuspects?.();
@@ -101,8 +101,8 @@
    * Takes a whole copy of the registry, in one line of the log: an entry that has just started has callers waiting, and a
    * line for each of 155 targets took it 40 KB of log before it could serve the first of them.
    */
-  private takeRegistry(records: readonly Announcement[], take: TakeRecords): void {
-    const changed = take(records);
+  private applyManyRecords(records: readonly Announcement[], apply: ApplyRecords): void {
+    const changed = apply(records);
     changed.forEach((record) => this.options.onRecord(record));
     const ready = records.filter(({ state }) => state === 'ready');
     this.options.observer.log('registryTaken', {
@@ -116,27 +116,27 @@
   /** What a new leader should know of suspects. */
   suspectsToTell(): domain.quarantine.suspect.Report[] {
     const reports = this.quarantine.reports(this.options.now());
-    return reports.filter(({ endings }) => endings.length >= TOLD_ENDINGS);
+    return reports.filter(({ endings }) => endings.length >= MIN_REPORTED_CRASHES);
   }
 
   /** Takes a target's own word. */
-  takeAnnouncement(announcement: Announcement): Announcement[] {
-    return this.changed(this.registry.announce(announcement, this.options.now()));
+  applyAnnouncement(announcement: Announcement): Announcement[] {
+    return this.notifyChanged(this.registry.announce(announcement, this.options.now()));
   }
 
   /** Takes a lifetime's word, from an answer, that it leaves. */
   takeLeaving({ id, bornAt }: domain.quarantine.endedLifetimes.Lifetime): Announcement[] {
-    return this.changed(this.registry.leave(id, bornAt));
+    return this.notifyChanged(this.registry.leave(id, bornAt));
   }
 
   /** The same for a target that was only remembered, and says what was remembered; thousands may come within a second. */
-  takeConfirmation(announcement: Announcement): Announcement[] {
+  applyConfirmation(announcement: Announcement): Announcement[] {
     const changed = this.registry.announce(announcement, this.options.now());
     changed.forEach((record) => this.options.onRecord(record));
     return changed;
   }
 
-  private changed(changed: Announcement[]): Announcement[] {
+  private notifyChanged(changed: Announcement[]): Announcement[] {
     changed.forEach((record) => {
       const { id, service, address, state, sequence, bornAt, isRemembered } = record;
       this.options.observer.log('targetAnnounced', {
@@ -154,44 +154,47 @@
   }
 
   /** Takes news; false where they build on a state that isn't held here, so that a full copy is needed. */
-  takeNews(news: messages.News): boolean {
-    const { edition, mark, since, packedRegistry } = news;
-    if (edition !== undefined) this.takeEdition(edition);
-    if (packedRegistry !== undefined) this.takeCopy(registryCopies.unpack(packedRegistry));
-    const isNext = since === undefined || messages.holds(this.mark, since);
+  takeNews(update: messages.News): boolean {
+    const { edition, mark, since, packedRegistry } = update;
+    if (edition !== undefined) this.applyCatalogue(edition);
+    if (packedRegistry !== undefined) this.applySnapshot(registryCopies.unpack(packedRegistry));
+    const isConsecutive = since === undefined || messages.includes(this.mark, since);
     // News of a leader that isn't followed any more, or that was held up, says nothing of what came later.
-    this.takeMany(registryCopies.unbundle(news), isNext && !isLater(this.mark, mark));
+    this.applyRecords(
+      registryCopies.unpackRecords(update),
+      isConsecutive && !isNewer(this.mark, mark),
+    );
     // A push that was held up comes after the answer to a question: what it says of suspects and limits is no longer so.
-    if (!isLater(this.mark, mark)) {
-      this.takeSuspects(news.suspects);
-      this.takeLimits(news.limits);
+    if (!isNewer(this.mark, mark)) {
+      this.applySuspects(update.suspects);
+      this.applyLimits(update.limits);
     }
-    if (!isNext) return false;
-    if (!isLater(this.mark, mark)) this.mark = mark;
+    if (!isConsecutive) return false;
+    if (!isNewer(this.mark, mark)) this.mark = mark;
     return true;
   }
 
-  private takeSuspects(suspects: messages.News['suspects']): void {
+  private applySuspects(suspects: messages.News['suspects']): void {
     suspects.forEach((report) => this.quarantine.take(report, this.options.now()));
     if (suspects.length > 0) this.options.onSuspects?.();
   }
 
   /** Takes limits that changed or ended. */
-  takeLimits(limits: readonly RateLimit[]): void {
+  applyLimits(limits: readonly RateLimit[]): void {
     const changed = limits.filter((limit) => this.limits.set(limit, this.options.now()));
     if (changed.length > 0) this.options.onLimits?.();
   }
 
   /** Takes changes; many in one line of the log, like a whole copy. */
-  private takeMany(records: readonly Announcement[], isNext: boolean): void {
+  private applyRecords(records: readonly Announcement[], isConsecutive: boolean): void {
     const now = this.options.now();
-    const take: TakeRecords = (each) =>
-      isNext ? this.registry.follow(each, now) : this.registry.merge(each, now);
-    if (records.length > MOST_LINES) this.takeRegistry(records, take);
-    else this.changed(take(records));
+    const apply: ApplyRecords = (each) =>
+      isConsecutive ? this.registry.follow(each, now) : this.registry.merge(each, now);
+    if (records.length > MAX_LOGGED_RECORDS) this.applyManyRecords(records, apply);
+    else this.notifyChanged(apply(records));
   }
 }
 
-function isLater(a: messages.RegistryMark, b: messages.RegistryMark): boolean {
+function isNewer(a: messages.RegistryVersion, b: messages.RegistryVersion): boolean {
   return a.epoch === b.epoch && a.change > b.change;
 }
--- a/packages/daemon/src/fleet/leaderLink.ts
+++ b/packages/daemon/src/fleet/leaderLink.ts
@@ -26,10 +26,10 @@
   onConfirmed: (answer: messages.Confirmed) => void;
 }
 
-type Outcome = 'confirmed' | 'failed';
+type PollOutcome = 'confirmed' | 'failed';
 
 /** Pause before the next question, by what came of the last, milliseconds. */
-const PAUSE_MS: Record<Outcome, number> = {
+const POLL_INTERVAL_MS: Record<PollOutcome, number> = {
   // Eight fit into the shortest lease of 4 s.
   confirmed: 500,
   // No leader is known; a new one is elected within 0.8 to 1.2 s.
@@ -40,23 +40,23 @@
  * How long a connection among entries and keepers may take, milliseconds: some thirty ways there and back. One to a VM that
  * had no power when it was begun is begun anew with the next message after that.
  */
-export const CONNECT_MS = 100;
+export const CONNECT_TIMEOUT_MS = 100;
 
 /**
  * A leader that was asked for a sign of life must give one within so long, milliseconds: a hundred ways there and
  * back, and what a busy leader takes for the plans of a burst.
  */
-const SIGN_OF_LIFE_MS = 300;
+const PROBE_TIMEOUT_MS = 300;
 
 /**
  * A leader that gave a sign of life so lately isn't asked for another, milliseconds; a frozen one is
  * found that much later at most. While a crowd came back to a new leader, two hundred entries asked it a
  * thousand times a second, each time one of their prompts had waited a little.
  */
-const SIGN_FRESH_MS = 300;
+const PROBE_VALID_MS = 300;
 
 /** A leader that is silent for longer is looked for elsewhere, milliseconds; covers its wait for the next heartbeat. */
-const FOLLOW_TIMEOUT_MS = 700;
+const POLL_TIMEOUT_MS = 700;
 
 /**
  * The same for a keeper that may lead and hasn't confirmed this follower yet; others are asked meanwhile. A new leader has the
@@ -68,17 +68,17 @@
  * Keepers that are asked at once while no leader is known. With one, entries found a new leader 80 to 250 ms after its
  * election; any of the others knows it within a heartbeat.
  */
-const ASKED_AT_ONCE = 3;
+const PARALLEL_SEARCHES = 3;
 
 export class LeaderLink {
   /** Peer address of the leader; empty while none is known. */
   leader = '';
 
-  private readonly known: Set<string>;
+  private readonly knownKeepers: Set<string>;
 
   private confirmedAt = clock.NEVER;
 
-  private next = 0;
+  private nextIndex = 0;
 
   private timer: NodeJS.Timeout | undefined;
 
@@ -86,27 +86,27 @@
    * Keepers with a question under way. A new leader of hundreds of entries answers the first ones late; asked again by each
    * meanwhile, it would answer several times as many, and all of them too late.
    */
-  private readonly asked = new Set<string>();
+  private readonly polling = new Set<string>();
 
   private stopped = false;
 
   /** When the present leader last answered that it lives. */
-  private signOfLifeAt = clock.NEVER;
+  private probedAt = clock.NEVER;
 
   /** When it was asked for a sign of life that hasn't come yet. */
-  private verifyingSince: clock.Moment | undefined;
+  private probingSince: clock.Moment | undefined;
 
   /** Called when the present leader is lost. */
-  private readonly losses = new Set<() => void>();
+  private readonly lossListeners = new Set<() => void>();
 
   /** The last leader that got this daemon's dispatches, and a keeper's whole registry. */
-  private told = '';
+  private introducedTo = '';
 
   /** Whether the leader asked for this daemon's registry. */
-  private isAskedForRecords = false;
+  private isSendingRecords = false;
 
   constructor(private readonly options: Options) {
-    this.known = new Set(options.seeds);
+    this.knownKeepers = new Set(options.seeds);
   }
 
   start(): void {
@@ -120,11 +120,11 @@
 
   /** Keepers from a settings file that was read again. */
   addSeeds(seeds: readonly string[]): void {
-    seeds.forEach((seed) => this.known.add(seed));
+    seeds.forEach((seed) => this.knownKeepers.add(seed));
   }
 
   get keepers(): string[] {
-    return [...this.known];
+    return [...this.knownKeepers];
   }
 
   /** Milliseconds since a confirmation was asked for that came; infinite if none ever did. */
@@ -134,19 +134,19 @@
 
   /** How long the leader owes a sign of life, milliseconds; 0 where none was asked for. */
   get silentMs(): number {
-    const { verifyingSince } = this;
-    return verifyingSince === undefined ? 0 : clock.elapsed(verifyingSince, this.options.moment());
+    const { probingSince } = this;
+    return probingSince === undefined ? 0 : clock.elapsed(probingSince, this.options.moment());
   }
 
   /** The leader didn't answer another call: the next question goes elsewhere. */
   doubt(address: string): void {
-    if (address === this.leader) this.lose('a call to it failed');
+    if (address === this.leader) this.loseLeader('a call to it failed');
   }
 
   /** Calls `onLost` once when the present leader is lost; the result takes that back. */
   onLost(onLost: () => void): () => void {
-    this.losses.add(onLost);
-    return () => this.losses.delete(onLost);
+    this.lossListeners.add(onLost);
+    return () => this.lossListeners.delete(onLost);
   }
 
   /**
@@ -154,19 +154,19 @@
    * waiting until the next `follow` times out; a busy one answers this at once.
    */
   async verify(): Promise<void> {
-    const { leader, verifyingSince } = this;
-    const sinceSignMs = clock.elapsed(this.signOfLifeAt, this.options.moment());
-    if (verifyingSince !== undefined || leader === '' || sinceSignMs < SIGN_FRESH_MS) return;
-    this.verifyingSince = this.options.moment();
-    const options = { timeoutMs: SIGN_OF_LIFE_MS };
+    const { leader, probingSince } = this;
+    const sinceProbeMs = clock.elapsed(this.probedAt, this.options.moment());
+    if (probingSince !== undefined || leader === '' || sinceProbeMs < PROBE_VALID_MS) return;
+    this.probingSince = this.options.moment();
+    const options = { timeoutMs: PROBE_TIMEOUT_MS };
     const answer = await this.options.client.call(leader, 'identify', {}, options);
-    this.verifyingSince = undefined;
+    this.probingSince = undefined;
     if (this.leader !== leader) return;
     if (answer.ok) {
-      this.signOfLifeAt = this.options.moment();
+      this.probedAt = this.options.moment();
       return;
     }
-    this.lose('no sign of life');
+    this.loseLeader('no sign of life');
     this.schedule(0);
   }
 
@@ -174,49 +174,49 @@
     if (this.stopped) return;
     clearTimeout(this.timer);
     this.timer = setTimeout(() => {
-      void this.round();
+      void this.pollNext();
     }, delayMs);
   }
 
-  private async round(): Promise<void> {
+  private async pollNext(): Promise<void> {
     if (this.leader === '') {
       // One that had no power when its connection was begun would be waited for until the question's timeout.
-      this.asked.forEach((address) => this.options.client.dropStuck(address));
+      this.polling.forEach((address) => this.options.client.dropStuck(address));
       // One that is down or cut off doesn't answer, and one that has just started knows no leader.
-      for (let i = 0; i < ASKED_AT_ONCE; i++) void this.search();
-      this.schedule(PAUSE_MS.failed);
+      for (let i = 0; i < PARALLEL_SEARCHES; i++) void this.search();
+      this.schedule(POLL_INTERVAL_MS.failed);
       return;
     }
-    const outcome = await this.ask(this.leader);
-    this.schedule(PAUSE_MS[outcome]);
+    const outcome = await this.poll(this.leader);
+    this.schedule(POLL_INTERVAL_MS[outcome]);
   }
 
   private async search(): Promise<void> {
     const address = this.nextCandidate();
-    if (address !== '') await this.ask(address);
+    if (address !== '') await this.poll(address);
   }
 
   private nextCandidate(): string {
     const candidates = this.keepers.filter((address) => {
-      return address !== this.options.address && !this.asked.has(address);
+      return address !== this.options.address && !this.polling.has(address);
     });
     if (candidates.length === 0) return '';
-    this.next = (this.next + 1) % candidates.length;
-    return candidates[this.next];
+    this.nextIndex = (this.nextIndex + 1) % candidates.length;
+    return candidates[this.nextIndex];
   }
 
-  private async ask(address: string): Promise<Outcome> {
-    const askedAt = this.options.moment();
-    this.asked.add(address);
+  private async poll(address: string): Promise<PollOutcome> {
+    const polledAt = this.options.moment();
+    this.polling.add(address);
     const answer = await this.options.client.call<messages.FollowAnswer>(
       address,
       'follow',
-      this.question(address),
-      { timeoutMs: address === this.leader ? FOLLOW_TIMEOUT_MS : SEARCH_TIMEOUT_MS },
+      this.followRequest(address),
+      { timeoutMs: address === this.leader ? POLL_TIMEOUT_MS : SEARCH_TIMEOUT_MS },
     );
-    this.asked.delete(address);
+    this.polling.delete(address);
     if (answer.err) {
-      if (address === this.leader) this.lose(`${answer.val.kind}: ${answer.val.detail}`);
+      if (address === this.leader) this.loseLeader(`${answer.val.kind}: ${answer.val.detail}`);
       return 'failed';
     }
     if (answer.val.kind === 'redirect') {
@@ -225,25 +225,25 @@
     }
     // Another keeper may have been found while this one took its time.
     if (this.leader !== '' && this.leader !== address) return 'failed';
-    this.confirm(address, askedAt, answer.val);
+    this.confirm(address, polledAt, answer.val);
     return 'confirmed';
   }
 
-  private question(address: string): messages.Follow {
-    const { name, role, dataCentre, replica, holding } = this.options;
-    const isNew = this.told !== address;
+  private followRequest(address: string): messages.FollowRequest {
+    const { name, role, dataCentre, replica, holding: state } = this.options;
+    const isNew = this.introducedTo !== address;
     // Hundreds of entries know no more than the few keepers; a new leader would read the same records for half a second.
-    const sendsRecords = this.isAskedForRecords || (isNew && role === 'keeper');
+    const sendsRecords = this.isSendingRecords || (isNew && role === 'keeper');
     return {
       name,
       role,
       address: this.options.address,
-      version: holding.version,
-      mark: holding.mark,
-      ...registryCopies.bundle(sendsRecords ? holding.registry.records() : []),
+      version: state.version,
+      mark: state.mark,
+      ...registryCopies.packRecords(sendsRecords ? state.registry.records() : []),
       dispatches: isNew ? this.options.dispatches() : [],
-      suspects: isNew ? holding.suspectsToTell() : [],
-      limits: isNew ? holding.limits.all() : [],
+      suspects: isNew ? state.suspectsToTell() : [],
+      limits: isNew ? state.limits.all() : [],
       replica: replica(),
       dataCentre,
     };
@@ -251,36 +251,36 @@
 
   /** Asks the keeper that another one takes for the leader, at once. */
   private redirect(from: string, leader: string): void {
-    if (this.leader === from) this.lose('no longer the leader');
+    if (this.leader === from) this.loseLeader('no longer the leader');
     if (leader === '' || leader === from || this.leader !== '') return;
-    this.known.add(leader);
-    if (!this.asked.has(leader)) void this.ask(leader);
+    this.knownKeepers.add(leader);
+    if (!this.polling.has(leader)) void this.poll(leader);
   }
 
-  private confirm(address: string, askedAt: clock.Moment, answer: messages.Confirmed): void {
-    if (this.told !== address) {
+  private confirm(address: string, polledAt: clock.Moment, answer: messages.Confirmed): void {
+    if (this.introducedTo !== address) {
       this.options.observer.log('leaderFound', { leader: address });
-      this.told = address;
+      this.introducedTo = address;
     }
     const isFound = this.leader === '';
     this.leader = address;
-    if (isFound) this.schedule(PAUSE_MS.confirmed);
-    this.isAskedForRecords = answer.lacksTargets;
-    answer.keepers.forEach((keeper) => this.known.add(keeper));
+    if (isFound) this.schedule(POLL_INTERVAL_MS.confirmed);
+    this.isSendingRecords = answer.lacksTargets;
+    answer.keepers.forEach((keeper) => this.knownKeepers.add(keeper));
     this.options.holding.takeNews(answer.news);
-    this.confirmedAt = askedAt;
+    this.confirmedAt = polledAt;
     this.options.onConfirmed(answer);
   }
 
-  private lose(reason: string): void {
+  private loseLeader(reason: string): void {
     if (this.leader !== '') {
       const { leader, age } = this;
       this.options.observer.log('leaderLost', { leader, reason, confirmedMsAgo: Math.round(age) });
     }
     this.leader = '';
-    this.told = '';
-    this.signOfLifeAt = clock.NEVER;
-    [...this.losses].forEach((onLost) => onLost());
-    this.losses.clear();
+    this.introducedTo = '';
+    this.probedAt = clock.NEVER;
+    [...this.lossListeners].forEach((onLost) => onLost());
+    this.lossListeners.clear();
   }
 }
--- a/packages/daemon/src/fleet/messages.ts
+++ b/packages/daemon/src/fleet/messages.ts
@@ -8,7 +8,7 @@
 type LimitedPlace = domain.rateLimits.rateLimits.Place;
 
 /** A state of the registry at one leader; numbers of different leaderships don't compare. */
-export interface RegistryMark {
+export interface RegistryVersion {
   /** Drawn by each leader at the beginning of its leadership. */
   epoch: string;
   change: number;
@@ -18,14 +18,14 @@
  * `follow`: sent by each entry and keeper again and again; answered once a quorum confirmed the leader. The records are what a
  * keeper knows of targets, for a leader that it meets for the first time; an entry's where the leader asked.
  */
-export interface Follow extends registryCopies.Bundle {
+export interface FollowRequest extends registryCopies.RecordBatch {
   name: string;
   role: 'entry' | 'keeper';
   /** Peer address of the follower, for pushes. */
   address: string;
   /** Version of the catalogue that the follower has in force. */
   version: number;
-  mark: RegistryMark;
+  mark: RegistryVersion;
   /** Dispatches of an entry that run, for a leader that it meets for the first time. */
   dispatches: Dispatched[];
   /** Requests under which targets ended, for a leader that it meets for the first time. */
@@ -65,13 +65,13 @@
 export type FollowAnswer = Confirmed | Redirect;
 
 /** Changes that a follower lacks; the records come after those of `packedRegistry`. */
-export interface News extends registryCopies.Bundle {
+export interface News extends registryCopies.RecordBatch {
   /** A newer catalogue. */
   edition: domain.catalogue.versions.Edition | undefined;
   /** The mark after the records. */
-  mark: RegistryMark;
+  mark: RegistryVersion;
   /** The mark that the records build on; undefined where a whole registry comes, in `packedRegistry`. */
-  since: RegistryMark | undefined;
+  since: RegistryVersion | undefined;
   /** Requests under which targets ended, as they are known after the change. */
   suspects: SuspectReport[];
   /** Limits of targets that changed or ended. */
@@ -82,7 +82,7 @@
 
 /** What a follower has in force once it took a push. */
 export interface Learned {
-  mark: RegistryMark;
+  mark: RegistryVersion;
 }
 
 /** A lifetime that ended while it ran a content. */
@@ -189,11 +189,11 @@
   | Redirect;
 
 /** `announced`: what targets said to the keeper that sends it. */
-export interface Announced {
+export interface AnnouncementBatch {
   records: Announcement[];
 }
 
-export interface Departed {
+export interface Departure {
   id: string;
   /** When the lifetime that ended began, Unix milliseconds; undefined where the target didn't say. */
   bornAt: number | undefined;
@@ -205,7 +205,7 @@
 }
 
 /** `submit`: a catalogue from the keeper that an operator talked to. */
-export interface Submit {
+export interface SubmitRequest {
   edition: domain.catalogue.versions.Edition;
 }
 
@@ -217,13 +217,13 @@
   | { kind: 'newest'; edition: domain.catalogue.versions.Edition | undefined }
   | { kind: 'unavailable'; detail: string };
 
-export const NO_MARK: RegistryMark = { epoch: '', change: 0 };
+export const NO_MARK: RegistryVersion = { epoch: '', change: 0 };
 
 /** Whether a state holds all that another one of the same leadership does. */
-export function holds(a: RegistryMark, b: RegistryMark): boolean {
+export function includes(a: RegistryVersion, b: RegistryVersion): boolean {
   return a.epoch === b.epoch && a.change >= b.change;
 }
 
-export function isSameMark(a: RegistryMark, b: RegistryMark): boolean {
+export function isSameVersion(a: RegistryVersion, b: RegistryVersion): boolean {
   return a.epoch === b.epoch && a.change === b.change;
 }
--- a/packages/daemon/src/fleet/peers.ts
+++ b/packages/daemon/src/fleet/peers.ts
@@ -9,5 +9,11 @@
   { secret, source }: roleSettings.Settings,
   observe: observer.Observer,
 ): peerClient.PeerClient {
-  return new peerClient.PeerClient(secret, undefined, observe, source, leaderLink.CONNECT_MS);
+  return new peerClient.PeerClient(
+    secret,
+    undefined,
+    observe,
+    source,
+    leaderLink.CONNECT_TIMEOUT_MS,
+  );
 }
--- a/packages/daemon/src/fleet/registryCopies.ts
+++ b/packages/daemon/src/fleet/registryCopies.ts
@@ -10,7 +10,7 @@
 type Announcement = domain.registry.registry.Announcement;
 
 /** What a follower takes whole. */
-export interface Copy {
+export interface RegistrySnapshot {
   records: readonly Announcement[];
   /** Requests under which targets ended. */
   suspects: readonly domain.quarantine.suspect.Report[];
@@ -18,29 +18,29 @@
 }
 
 /** Records as they travel: many of them packed, some 20 bytes each in place of 230. */
-export interface Bundle {
+export interface RecordBatch {
   records: Announcement[];
   packedRecords?: Uint8Array;
 }
 
 /** Fewer records aren't worth the time to pack and unpack them. */
-export const PACKED_FROM = 64;
+export const MIN_PACKED_RECORDS = 64;
 
 const packr = new msgpackr.Packr({ useRecords: true, structuredClone: false });
 
-export function pack(copy: Copy): Uint8Array {
-  return zlib.deflateRawSync(packr.pack(copy));
+export function pack(snapshot: RegistrySnapshot): Uint8Array {
+  return zlib.deflateRawSync(packr.pack(snapshot));
 }
 
-export function unpack(packed: Uint8Array): Copy {
-  return packr.unpack(zlib.inflateRawSync(packed)) as Copy;
+export function unpack(packed: Uint8Array): RegistrySnapshot {
+  return packr.unpack(zlib.inflateRawSync(packed)) as RegistrySnapshot;
 }
 
-export function bundle(records: Announcement[]): Bundle {
-  if (records.length < PACKED_FROM) return { records };
+export function packRecords(records: Announcement[]): RecordBatch {
+  if (records.length < MIN_PACKED_RECORDS) return { records };
   return { records: [], packedRecords: pack({ records, suspects: [], limits: [] }) };
 }
 
-export function unbundle({ records, packedRecords }: Bundle): readonly Announcement[] {
+export function unpackRecords({ records, packedRecords }: RecordBatch): readonly Announcement[] {
   return packedRecords === undefined ? records : [...unpack(packedRecords).records, ...records];
 }
--- a/packages/daemon/src/keeper/__tests__/__fixtures__/leaderFixture.ts
+++ b/packages/daemon/src/keeper/__tests__/__fixtures__/leaderFixture.ts
@@ -88,7 +88,7 @@
   return `10.0.${Math.floor(i / 250)}.${i % 250}:1`;
 }
 
-export function followRequest(i: number): messages.Follow {
+export function followRequest(i: number): messages.FollowRequest {
   return {
     name: `e${i}`,
     role: 'entry',
--- a/packages/daemon/src/keeper/__tests__/keeper.test.ts
+++ b/packages/daemon/src/keeper/__tests__/keeper.test.ts
@@ -187,8 +187,8 @@
       onCatalogue: () => undefined,
       onRecord: () => undefined,
     });
-    server.add('learn', (news) => {
-      state.takeNews(news as messages.News);
+    server.add('learn', (update) => {
+      state.takeNews(update as messages.News);
       return {};
     });
     await server.listen({ host: '127.0.0.1', port: this.followerPort });
--- a/packages/daemon/src/keeper/__tests__/largeFleet.test.ts
+++ b/packages/daemon/src/keeper/__tests__/largeFleet.test.ts
@@ -113,7 +113,7 @@
   it('answers the first polls of all followers, and throttles the snapshots of the registry', async () => {
     let now = 0;
     const setup = await fixture.leaderWithFollowers({ followers: 0, answerMs: 1, now: () => now });
-    setup.fleet.recall(Array.from({ length: TARGETS }, (_each, i) => announcement(i)));
+    setup.fleet.loadRecords(Array.from({ length: TARGETS }, (_each, i) => announcement(i)));
     const entries = Array.from({ length: FOLLOWERS }, () => makeFollower());
     let firstBytes = 0;
     let rounds = 0;
@@ -148,7 +148,7 @@
    */
   it('shares a few packed snapshots among all followers while its targets confirm their records', async () => {
     const setup = await fixture.leaderWithFollowers({ followers: 0, answerMs: 1 });
-    setup.fleet.recall(Array.from({ length: TARGETS }, (_each, i) => announcement(i)));
+    setup.fleet.loadRecords(Array.from({ length: TARGETS }, (_each, i) => announcement(i)));
     const packed = new Set<Uint8Array>();
     const perFollower = TARGETS / FOLLOWERS;
     for (let i = 0; i < FOLLOWERS; i++) {
@@ -169,14 +169,16 @@
    */
   it('pushes to each follower only the changes it lacks', async () => {
     const setup = await fixture.leaderWithFollowers({ followers: 1, answerMs: 1 });
-    setup.fleet.recall(Array.from({ length: TARGETS }, (_each, i) => announcement(i)));
+    setup.fleet.loadRecords(Array.from({ length: TARGETS }, (_each, i) => announcement(i)));
     for (let i = 0; i < TARGETS; i++)
       await setup.leader.announce({ ...announcement(i), sequence: 2 });
     const known = await setup.leader.follow(fixture.followRequest(0));
     const mark = known?.news.mark ?? messages.NO_MARK;
     await setup.leader.follow({ ...fixture.followRequest(0), mark });
     await setup.leader.announce({ ...announcement(7), state: 'draining', sequence: 3 });
-    expect(setup.pushes.map(({ news }) => registryCopies.unbundle(news).length)).to.deep.equal([1]);
+    expect(setup.pushes.map(({ news }) => registryCopies.unpackRecords(news).length)).to.deep.equal(
+      [1],
+    );
   });
 
   /*
@@ -194,7 +196,7 @@
       setup.leader.announce({ ...announcement(i), state: 'draining' }),
     );
     await Promise.all(announced);
-    const records = setup.pushes.flatMap(({ news }) => registryCopies.unbundle(news));
+    const records = setup.pushes.flatMap(({ news }) => registryCopies.unpackRecords(news));
     expect(records.map(({ id }) => id)).to.deep.equal([announcement(1).id, announcement(2).id]);
   });
 });
--- a/packages/daemon/src/keeper/__tests__/leaderLoad.test.ts
+++ b/packages/daemon/src/keeper/__tests__/leaderLoad.test.ts
@@ -98,13 +98,13 @@
    */
   it('reports confirmations of targets loaded from disk with the next poll', async () => {
     const { leader, pushes, fleet } = await setUp(1);
-    fleet.recall(Array.from({ length: TARGETS }, (_each, i) => announcement(i)));
+    fleet.loadRecords(Array.from({ length: TARGETS }, (_each, i) => announcement(i)));
     const before = await leader.follow(followRequest(0));
     for (let i = 0; i < TARGETS; i++) await leader.announce({ ...announcement(i), sequence: 2 });
     expect(pushes.length).to.equal(0);
     const mark = before?.news.mark ?? messages.NO_MARK;
     const after = await leader.follow({ ...followRequest(0), mark });
-    const announced = after === undefined ? [] : registryCopies.unbundle(after.news);
+    const announced = after === undefined ? [] : registryCopies.unpackRecords(after.news);
     expect(announced.length).to.equal(TARGETS);
     expect(announced.some(({ isRemembered }) => isRemembered === true)).to.equal(false);
     await leader.announce({ ...announcement(1), state: 'draining', sequence: 3 });
--- a/packages/daemon/src/keeper/controlServer.ts
+++ b/packages/daemon/src/keeper/controlServer.ts
@@ -6,7 +6,7 @@
 import * as domain from '@celerydrift/domain';
 import type * as codecs from '../configuration/codecs';
 import type * as protocols from '../edges/protocols';
-import * as editions from '../fleet/editions';
+import * as packedCatalogue from '../fleet/packedCatalogue';
 import type * as messages from '../fleet/messages';
 import * as listening from '../http/listening';
 import type * as observer from '../observability/observer';
@@ -18,7 +18,7 @@
   observer: observer.Observer;
   /** Forwards an announcement; resolves with true once the leader has it. */
   announce: (record: Announcement) => Promise<boolean>;
-  depart: (departed: messages.Departed) => Promise<boolean>;
+  depart: (departed: messages.Departure) => Promise<boolean>;
   submit: (edition: domain.catalogue.versions.Edition) => Promise<messages.SubmitAnswer>;
   newest: () => Promise<messages.NewestAnswer>;
 }
@@ -101,7 +101,7 @@
     const { version } = decoded.val;
     const [problem] = domain.catalogue.catalogue.problemsOf(decoded.val);
     if (problem !== undefined) return this.refuse(version, `${problem.fault}: ${problem.subject}`);
-    const answer = await this.dependencies.submit(editions.pack(version, body));
+    const answer = await this.dependencies.submit(packedCatalogue.pack(version, body));
     if (answer.kind === 'unavailable') {
       this.dependencies.observer.log('catalogueUnsettled', { version, reason: answer.detail });
       return UNAVAILABLE;
@@ -118,7 +118,7 @@
   private async read(): Promise<Reply> {
     const answer = await this.dependencies.newest();
     if (answer.kind === 'unavailable' || answer.edition === undefined) return UNAVAILABLE;
-    return { status: 200, body: editions.unpack(answer.edition) };
+    return { status: 200, body: packedCatalogue.unpack(answer.edition) };
   }
 }
 
--- a/packages/daemon/src/keeper/followers.ts
+++ b/packages/daemon/src/keeper/followers.ts
@@ -14,7 +14,7 @@
   dataCentre: string;
   replica: string | undefined;
   /** The registry version that it last reported. */
-  mark: messages.RegistryMark;
+  mark: messages.RegistryVersion;
   polledAt: number;
 }
 
@@ -53,7 +53,7 @@
  * What a follower at a version lacks now; undefined if only a snapshot would do, which isn't pushed.
  */
 export type UpdateSince = (
-  mark: messages.RegistryMark,
+  mark: messages.RegistryVersion,
 ) => Omit<messages.News, 'edition'> | undefined;
 
 export class Followers {
@@ -68,7 +68,7 @@
     private readonly updateSince: UpdateSince,
   ) {}
 
-  polled({ name, role, address, dataCentre, replica, mark }: messages.Follow): void {
+  polled({ name, role, address, dataCentre, replica, mark }: messages.FollowRequest): void {
     const polledAt = this.now();
     this.byName.set(name, { name, role, address, dataCentre, replica, mark, polledAt });
   }
@@ -101,35 +101,35 @@
   }
 
   /**
-   * Pushes to each reachable follower what it lacks, or `news` if that isn't known; resolves when they have it or
+   * Pushes to each reachable follower what it lacks, or `update` if that isn't known; resolves when they have it or
    * after a time limit.
    */
-  async push(news: messages.News): Promise<void> {
+  async push(update: messages.News): Promise<void> {
     const reachable = this.all().filter(({ polledAt }) => this.now() - polledAt < RECENT_POLL_MS);
-    await Promise.all(reachable.map((follower) => this.pushTo(follower, news)));
+    await Promise.all(reachable.map((follower) => this.pushTo(follower, update)));
   }
 
   /**
    * At most one push at a time goes to each follower; the changes that collect until it is acknowledged go together.
    * A leader that can't keep up thus sends fewer and larger pushes and doesn't fall further behind with each.
    */
-  private async pushTo(follower: Follower, news: messages.News): Promise<void> {
+  private async pushTo(follower: Follower, update: messages.News): Promise<void> {
     const push = this.inFlight.get(follower.address);
     if (push === undefined) {
-      const update = this.updateSince(follower.mark);
+      const missing = this.updateSince(follower.mark);
       const sent = this.send(
         follower,
-        update === undefined ? news : updateOf(news.edition, update),
+        missing === undefined ? update : updateOf(update.edition, missing),
       );
       await Promise.race([sent, clock.pause(MAX_ACK_WAIT_MS)]);
       return;
     }
     push.hasQueued = true;
-    push.edition = news.edition ?? push.edition;
+    push.edition = update.edition ?? push.edition;
     await Promise.race([push.next, clock.pause(MAX_ACK_WAIT_MS)]);
   }
 
-  private async send(follower: Follower, news: messages.News): Promise<void> {
+  private async send(follower: Follower, update: messages.News): Promise<void> {
     const { address } = follower;
     let finish = (): void => undefined;
     const next = new Promise<void>((resolve) => {
@@ -137,18 +137,18 @@
     });
     const push: InFlightPush = { hasQueued: false, edition: undefined, next };
     this.inFlight.set(address, push);
-    const answer = await this.client.call<Partial<messages.Learned>>(address, 'learn', news, {
+    const answer = await this.client.call<Partial<messages.Learned>>(address, 'learn', update, {
       timeoutMs: PUSH_TIMEOUT_MS,
     });
     this.inFlight.delete(address);
-    if (answer.ok) follower.mark = answer.val.mark ?? news.mark;
+    if (answer.ok) follower.mark = answer.val.mark ?? update.mark;
     if (!push.hasQueued) {
       finish();
       return;
     }
     // A follower that waits for its registry snapshot must still learn of draining targets.
-    const update = this.updateSince(follower.mark) ?? this.updateSince(news.mark);
-    void this.send(follower, updateOf(push.edition, update)).then(finish);
+    const missing = this.updateSince(follower.mark) ?? this.updateSince(update.mark);
+    void this.send(follower, updateOf(push.edition, missing)).then(finish);
   }
 
   /** Keepers with a replica that polled recently, as spares for the replica set. */
@@ -165,7 +165,7 @@
  */
 function updateOf(
   edition: domain.catalogue.versions.Edition | undefined,
-  update: Omit<messages.News, 'edition'> | undefined,
+  missing: Omit<messages.News, 'edition'> | undefined,
 ): messages.News {
   const empty = {
     mark: messages.NO_MARK,
@@ -174,5 +174,5 @@
     suspects: [],
     limits: [],
   };
-  return { edition, ...(update ?? empty) };
+  return { edition, ...(missing ?? empty) };
 }
--- a/packages/daemon/src/keeper/keeper.ts
+++ b/packages/daemon/src/keeper/keeper.ts
@@ -234,25 +234,27 @@
 
   /** Puts a committed catalogue into force here; the leader pushes it to its followers. */
   private applyEdition(edition: Edition): void {
-    this.fleetState.takeEdition(edition);
+    this.fleetState.applyCatalogue(edition);
   }
 
   private serveMethods(): void {
     const { server, calls } = this;
     server.add('identify', () => this.identity());
-    server.add('follow', (request) => this.follow(request as messages.Follow));
-    server.add('learn', (news) => {
-      this.fleetState.takeNews(news as messages.News);
+    server.add('follow', (request) => this.follow(request as messages.FollowRequest));
+    server.add('learn', (update) => {
+      this.fleetState.takeNews(update as messages.News);
       return { mark: this.fleetState.mark } satisfies messages.Learned;
     });
-    server.add('announced', (content) => calls.announceHere(content as messages.Announced));
-    server.add('departed', (content) => calls.departHere(content as messages.Departed));
+    server.add('announced', (content) => calls.announceHere(content as messages.AnnouncementBatch));
+    server.add('departed', (content) => calls.departHere(content as messages.Departure));
     server.add('leaving', (content): messages.TakenAnswer => {
       return this.host.isLeader
         ? this.leadership.leaving(content as messages.Leaving)
         : this.redirect();
     });
-    server.add('submit', (content) => calls.submitHere((content as messages.Submit).edition));
+    server.add('submit', (content) =>
+      calls.submitHere((content as messages.SubmitRequest).edition),
+    );
     server.add('newest', () => calls.newestHere());
     server.add('place', (request) => this.place(request as messages.Place));
     server.add('ended', (content) => {
@@ -342,7 +344,7 @@
     return { kind: 'redirect', leader: this.host.isLeader ? '' : this.leader };
   }
 
-  private async follow(request: messages.Follow): Promise<messages.FollowAnswer> {
+  private async follow(request: messages.FollowRequest): Promise<messages.FollowAnswer> {
     if (!this.host.isLeader) return this.redirect();
     return (await this.leadership.follow(request)) ?? this.redirect();
   }
--- a/packages/daemon/src/keeper/leaderCalls.ts
+++ b/packages/daemon/src/keeper/leaderCalls.ts
@@ -35,7 +35,7 @@
 
   /** Forwards targets' announcements; resolves with false if no leader takes them. */
   announce(records: Announcement[]): Promise<boolean> {
-    const content = { records } satisfies messages.Announced;
+    const content = { records } satisfies messages.AnnouncementBatch;
     return this.atLeader(
       { method: 'announced', content, timeoutMs: FORWARD_TIMEOUT_MS },
       {
@@ -46,13 +46,13 @@
   }
 
   /** Resolves once the followers know the changes. */
-  async announceHere({ records }: messages.Announced): Promise<boolean> {
+  async announceHere({ records }: messages.AnnouncementBatch): Promise<boolean> {
     if (!this.dependencies.host.isLeader) return false;
     await Promise.all(records.map((record) => this.dependencies.leadership.announce(record)));
     return true;
   }
 
-  depart(content: messages.Departed): Promise<boolean> {
+  depart(content: messages.Departure): Promise<boolean> {
     return this.atLeader(
       { method: 'departed', content, timeoutMs: FORWARD_TIMEOUT_MS },
       {
@@ -62,14 +62,14 @@
     );
   }
 
-  async departHere(departed: messages.Departed): Promise<boolean> {
+  async departHere(departed: messages.Departure): Promise<boolean> {
     if (!this.dependencies.host.isLeader) return false;
     await this.dependencies.leadership.depart(departed);
     return true;
   }
 
   submit(edition: Edition): Promise<messages.SubmitAnswer> {
-    const content = { edition } satisfies messages.Submit;
+    const content = { edition } satisfies messages.SubmitRequest;
     return this.atLeader<messages.SubmitAnswer>(
       { method: 'submit', content, timeoutMs: SUBMIT_TIMEOUT_MS },
       { here: () => this.submitHere(edition), unavailable },
--- a/packages/daemon/src/keeper/leadership.ts
+++ b/packages/daemon/src/keeper/leadership.ts
@@ -100,7 +100,7 @@
       snapshot: () => this.snapshot(),
       now,
       followers: () => this.followers.size,
-      push: (news) => this.followers.push(news),
+      push: (update) => this.followers.push(update),
     });
     this.suspects = new suspectTracker.SuspectTracker({
       quarantine: fleet.quarantine,
@@ -156,7 +156,7 @@
         this.suspects.forgetEntry(name);
       });
     fleet.registry.forget(now());
-    const expired = fleet.endRemembered(this.leadingSince);
+    const expired = fleet.expireUnconfirmed(this.leadingSince);
     if (expired.length > 0) void this.updates.publish(expired);
     this.logConfirmed();
     this.suspects.tick();
@@ -171,7 +171,7 @@
   }
 
   /** Answers a follower's poll, or returns undefined if this keeper doesn't lead. */
-  async follow(follower: messages.Follow): Promise<messages.Confirmed | undefined> {
+  async follow(follower: messages.FollowRequest): Promise<messages.Confirmed | undefined> {
     const { now } = this.options;
     // A follower without a catalogue can't serve, and a new follower requests placements only once it is confirmed,
     // so neither waits for the next heartbeat.
@@ -181,7 +181,7 @@
     if (!this.isLeading) this.setLeading(true);
     this.endCanariesOfPreviousProcess(follower);
     if (!this.isSelf(follower.name)) this.followers.polled(follower);
-    void this.mergeRecords(registryCopies.unbundle(follower));
+    void this.mergeRecords(registryCopies.unpackRecords(follower));
     this.suspects.merge(follower.suspects);
     // A follower on this leader's epoch can lack only limit changes that are still being pushed, so its report adds
     // nothing.
@@ -203,8 +203,8 @@
    * Ends the canary runs of a follower that restarted: one that has received no registry version has just started,
    * and whatever its previous process ran under the same name ended with it.
    */
-  private endCanariesOfPreviousProcess({ name, mark, version }: messages.Follow): void {
-    const isNew = messages.isSameMark(mark, messages.NO_MARK);
+  private endCanariesOfPreviousProcess({ name, mark, version }: messages.FollowRequest): void {
+    const isNew = messages.isSameVersion(mark, messages.NO_MARK);
     // A follower that has a catalogue but no registry version may simply be waiting for its registry snapshot.
     const isAwaitingSnapshot = version > 0 && this.awaitingSnapshot.has(name);
     if (isNew && !isAwaitingSnapshot) this.suspects.forgetEntry(name);
@@ -244,21 +244,21 @@
     if (isConfirmed) {
       // Followers already use a target that was loaded from disk; its confirmation comes with the answer to their
       // next poll.
-      this.updates.record(fleet.takeConfirmation(announcement));
+      this.updates.record(fleet.applyConfirmation(announcement));
       this.confirmedTargets += 1;
       return;
     }
-    const changed = fleet.takeAnnouncement(announcement);
+    const changed = fleet.applyAnnouncement(announcement);
     if (changed.length > 0) await this.updates.publish(changed);
   }
 
   /** Merges registry records received from a follower. */
   private async mergeRecords(records: readonly Announcement[]): Promise<void> {
-    const changed = this.options.fleetState.takeRecords(records);
+    const changed = this.options.fleetState.mergeRecords(records);
     if (changed.length > 0) await this.updates.publish(changed);
   }
 
-  async depart({ id, bornAt }: messages.Departed): Promise<void> {
+  async depart({ id, bornAt }: messages.Departure): Promise<void> {
     const known = this.options.fleetState.registry.get(id);
     const changed = this.options.fleetState.registry.depart(id, this.options.now(), bornAt);
     if (changed.length === 0) return;
@@ -324,7 +324,7 @@
     if (isLeading) this.updates.beginEpoch();
   }
 
-  private snapshot(): registryCopies.Copy {
+  private snapshot(): registryCopies.RegistrySnapshot {
     const { fleetState: fleet, now } = this.options;
     return {
       records: fleet.registry.records(),
@@ -341,7 +341,7 @@
     return this.averages.of;
   }
 
-  private updateFor({ name, version, mark }: messages.Follow): messages.News {
+  private updateFor({ name, version, mark }: messages.FollowRequest): messages.News {
     const newest = this.options.newestCatalogue();
     const edition = newest !== undefined && newest.version > version ? newest : undefined;
     return { edition, ...this.registryUpdateFor(name, mark) };
@@ -349,7 +349,7 @@
 
   private registryUpdateFor(
     name: string,
-    mark: messages.RegistryMark,
+    mark: messages.RegistryVersion,
   ): registryUpdates.RegistryUpdate {
     if (this.isSelf(name)) return this.updates.emptyUpdate();
     this.awaitingSnapshot.delete(name);
--- a/packages/daemon/src/keeper/registryUpdates.ts
+++ b/packages/daemon/src/keeper/registryUpdates.ts
@@ -19,11 +19,11 @@
 export type SnapshotUpdate = RegistryUpdate & { packedRegistry: Uint8Array };
 
 export interface Dependencies {
-  snapshot: () => registryCopies.Copy;
+  snapshot: () => registryCopies.RegistrySnapshot;
   now: () => number;
   followers: () => number;
   /** Resolves when the reachable followers have applied the update, or after a time limit. */
-  push: (news: messages.News) => Promise<void>;
+  push: (update: messages.News) => Promise<void>;
 }
 
 /**
@@ -70,8 +70,8 @@
 const STALE_SNAPSHOT_SHARE = 0.1;
 
 interface VersionRange {
-  from: messages.RegistryMark;
-  to: messages.RegistryMark;
+  from: messages.RegistryVersion;
+  to: messages.RegistryVersion;
 }
 
 /** A scheduled push; it includes further changes until it starts. */
@@ -82,17 +82,17 @@
 
 /** A change of a registry record, a suspect report or a rate limit. */
 interface Change {
-  version: messages.RegistryMark;
+  version: messages.RegistryVersion;
   record?: Announcement;
   suspect?: SuspectReport;
   limit?: RateLimit;
 }
 
 export class RegistryUpdates {
-  private version: messages.RegistryMark = messages.NO_MARK;
+  private version: messages.RegistryVersion = messages.NO_MARK;
 
   /** The version that followers have once everything pushed has arrived. */
-  private pushedVersion: messages.RegistryMark = messages.NO_MARK;
+  private pushedVersion: messages.RegistryVersion = messages.NO_MARK;
 
   private changes: Change[] = [];
 
@@ -100,13 +100,13 @@
 
   /** The whole registry, packed, as of a version. */
   private cachedSnapshot:
-    { mark: messages.RegistryMark; packed: Uint8Array; size: number } | undefined;
+    { mark: messages.RegistryVersion; packed: Uint8Array; size: number } | undefined;
 
   /** The version up to which followers that lack many changes are updated. */
-  private shared: { mark: messages.RegistryMark; at: number } | undefined;
+  private shared: { mark: messages.RegistryVersion; at: number } | undefined;
 
   /** Packed records by version range, the latest last. */
-  private batches = new Map<string, registryCopies.Bundle>();
+  private batches = new Map<string, registryCopies.RecordBatch>();
 
   constructor(private readonly dependencies: Dependencies) {}
 
@@ -167,7 +167,7 @@
   }
 
   /** Whether a version belongs to this leadership. */
-  isCurrentEpoch(mark: messages.RegistryMark): boolean {
+  isCurrentEpoch(mark: messages.RegistryVersion): boolean {
     return mark.epoch === this.version.epoch;
   }
 
@@ -180,15 +180,15 @@
    * The changes after version `mark`, up to a version that may be shared with other followers; undefined if only a
    * snapshot would do.
    */
-  updateSince(mark: messages.RegistryMark): RegistryUpdate | undefined {
+  updateSince(mark: messages.RegistryVersion): RegistryUpdate | undefined {
     if (!this.covers(mark)) return undefined;
     const isFew = this.version.change - mark.change <= MAX_UNSHARED_CHANGES;
     const to = isFew ? this.version : this.sharedVersion();
-    return this.changesBetween({ from: mark, to: messages.holds(to, mark) ? to : mark });
+    return this.changesBetween({ from: mark, to: messages.includes(to, mark) ? to : mark });
   }
 
   /** All changes after version `mark`; undefined if only a snapshot would do. */
-  fullUpdateSince(mark: messages.RegistryMark): RegistryUpdate | undefined {
+  fullUpdateSince(mark: messages.RegistryVersion): RegistryUpdate | undefined {
     return this.covers(mark) ? this.changesBetween({ from: mark, to: this.version }) : undefined;
   }
 
@@ -197,17 +197,17 @@
     const { mark, packed } = this.currentSnapshot();
     // Many changes since the snapshot come with the next poll; packed for each follower, they would cost as much as
     // new snapshots.
-    const isFew = this.version.change - mark.change < registryCopies.PACKED_FROM;
+    const isFew = this.version.change - mark.change < registryCopies.MIN_PACKED_RECORDS;
     const changes = this.changesBetween({ from: mark, to: isFew ? this.version : mark });
     return { ...changes, since: undefined, packedRegistry: packed };
   }
 
   /** Whether the retained changes lead from a version to the current one. */
-  private covers(mark: messages.RegistryMark): boolean {
+  private covers(mark: messages.RegistryVersion): boolean {
     const oldest = this.changes[0] ?? {
       version: { ...this.version, change: this.version.change + 1 },
     };
-    return messages.holds(this.version, mark) && mark.change >= oldest.version.change - 1;
+    return messages.includes(this.version, mark) && mark.change >= oldest.version.change - 1;
   }
 
   private changesBetween({ from, to }: VersionRange): RegistryUpdate {
@@ -221,19 +221,22 @@
     return { mark: to, since: from, ...this.batchOf({ from, to }, changes), suspects, limits };
   }
 
-  private batchOf({ from, to }: VersionRange, changes: readonly Change[]): registryCopies.Bundle {
+  private batchOf(
+    { from, to }: VersionRange,
+    changes: readonly Change[],
+  ): registryCopies.RecordBatch {
     const key = `${from.change} ${to.change}`;
     const cached = this.batches.get(key);
     if (cached !== undefined) return cached;
     const records = changes.flatMap(({ record }) => (record === undefined ? [] : [record]));
-    const batch = registryCopies.bundle(records);
+    const batch = registryCopies.packRecords(records);
     if (batch.packedRecords === undefined) return batch;
     this.batches.set(key, batch);
     if (this.batches.size > MAX_CACHED_BATCHES) this.batches.delete([...this.batches.keys()][0]);
     return batch;
   }
 
-  private sharedVersion(): messages.RegistryMark {
+  private sharedVersion(): messages.RegistryVersion {
     const now = this.dependencies.now();
     if (this.shared === undefined || now - this.shared.at >= SHARED_VERSION_MS) {
       this.shared = { mark: this.version, at: now };
@@ -273,7 +276,7 @@
     await this.dependencies.push({ edition: undefined, ...update });
   }
 
-  private currentSnapshot(): { mark: messages.RegistryMark; packed: Uint8Array } {
+  private currentSnapshot(): { mark: messages.RegistryVersion; packed: Uint8Array } {
     const { cachedSnapshot } = this;
     const isFresh =
       cachedSnapshot !== undefined &&
--- a/packages/daemon/src/keeper/softStateStore.ts
+++ b/packages/daemon/src/keeper/softStateStore.ts
@@ -81,7 +81,7 @@
       this.logUnreadable(targetStore.FILE, loaded.val);
       return;
     }
-    const records = fleet.recall(loaded.val);
+    const records = fleet.loadRecords(loaded.val);
     const ready = records.filter(({ state }) => state === 'ready');
     observe.log('targetsRemembered', { known: records.length, ready: ready.length });
   }
