--- a/packages/daemon/src/fleet/__tests__/leaderLink.test.ts
+++ b/packages/daemon/src/fleet/__tests__/leaderLink.test.ts
@@ -1,4 +1,4 @@
-/** How an entry finds a leader among keepers that are slow to answer. */
+/** How a follower finds a leader among keepers that answer slowly. */
 import * as chai from 'chai';
 import { Err, Ok } from 'ts-results';
 import * as clock from '../../clock';
@@ -12,15 +12,16 @@
 
 const KEEPERS = ['10.0.0.1:1', '10.0.0.2:1', '10.0.0.3:1', '10.0.0.4:1', '10.0.0.5:1'];
 
-/** Within which a follower gives an answer up, milliseconds. */
+/** Time after which a follower gives up a poll, in milliseconds. */
 const TIMEOUT_MS = 700;
 
 describe('leader link', () => {
   /*
-   * Hundreds of entries came back to a new leader. While each waited for its first answer it asked the same keepers again, ten times
-   * a second; the leader answered each question, the last ones after their timeout, and the entries began anew.
+   * Guards against a new leader that is overloaded by repeated polls: while hundreds of entries waited for its first
+   * answer, each polled the same keepers again ten times a second; the leader answered every poll, the last ones
+   * after their timeout, and the entries started again.
    */
-  it('asks each keeper one question at a time while it looks for a leader', async () => {
+  it('has at most one poll in flight to each keeper while it searches for a leader', async () => {
     const inFlight = new Map<string, number>();
     let maxInFlight = 0;
     const client = {
--- a/packages/daemon/src/fleet/holding.ts
+++ b/packages/daemon/src/fleet/holding.ts
@@ -1,6 +1,6 @@
 /**
- * What an entry or a keeper has in force: the newest catalogue it heard of, and the registry of targets.
- * Both only move forward within the life of a process.
+ * Replicated state of an entry or a keeper: the newest catalogue it received, the target registry, suspects and rate
+ * limits. Catalogue and registry only move forward within the lifetime of a process.
  */
 import * as domain from '@celerydrift/domain';
 import type * as protocols from '../edges/protocols';
@@ -19,28 +19,31 @@
   now: () => number;
   onCatalogue: (directory: Directory) => void;
   onRecord: (record: Announcement) => void;
-  /** What is known of suspects changed by news. */
+  /** Called when an update changed the suspect requests. */
   onSuspects?: () => void;
-  /** Limits of targets changed by news. */
+  /** Called when an update changed rate limits of targets. */
   onLimits?: () => void;
 }
 
-/** Endings from which on a suspect is worth telling to a new leader; most with fewer are innocent, and they are many. */
+/**
+ * Minimum number of crashes of a suspect that is reported to a new leader; most suspects with fewer are innocent, and
+ * they are many.
+ */
 const MIN_REPORTED_CRASHES = 2;
 
-/** Changes of targets that are taken together and still get a line of the log each. */
+/** Maximum number of records changed together that are still logged in a line each. */
 const MAX_LOGGED_RECORDS = 20;
 
-/** Takes records into the registry; those that changed with them come back. */
+/** Applies records to the registry; returns the changed ones. */
 type ApplyRecords = (records: readonly Announcement[]) => Announcement[];
 
 export class Holding {
   readonly registry = new domain.registry.registry.Registry();
 
-  /** Requests under which targets end. */
+  /** Requests that crashed targets. */
   readonly quarantine = new domain.quarantine.quarantine.Quarantine();
 
-  /** Limits that targets name. */
+  /** Rate limits that targets reported. */
   readonly limits = new domain.rateLimits.rateLimits.RateLimits();
 
   mark: messages.RegistryVersion = messages.NO_MARK;
@@ -61,7 +64,7 @@
     if (edition.version <= this.version) return;
     const decoded = this.options.protocol.catalogue(packedCatalogue.unpack(edition));
     if (decoded.err) {
-      // Only what a keeper could read is accepted, so this one is an older program.
+      // Only a document that a keeper could decode is accepted, so this process runs an older program.
       this.options.observer.log('catalogueRefused', {
         version: edition.version,
         reason: decoded.val.detail,
@@ -73,19 +76,21 @@
     this.options.onCatalogue(this.current);
   }
 
-  /** Takes what this process's disk held at its start. */
+  /** Loads records that were stored on this process's disk. */
   loadRecords(records: readonly Announcement[]): Announcement[] {
     const loaded = this.registry.remember(records, this.options.now());
     loaded.forEach((record) => this.options.onRecord(record));
     return loaded;
   }
 
-  /** Gives up remembered targets that were silent for too long since `since`. */
+  /**
+   * Gives up targets loaded from disk that haven't announced themselves for too long since `since`.
+   */
   expireUnconfirmed(since: number): Announcement[] {
     return this.notifyChanged(this.registry.endRemembered(this.options.now(), since));
   }
 
-  /** Takes what copies of the registry say; the records that changed with it come back. */
+  /** Merges records of another registry; returns the changed ones. */
   mergeRecords(records: readonly Announcement[]): Announcement[] {
     return this.notifyChanged(this.registry.merge(records, this.options.now()));
   }
@@ -98,8 +103,8 @@
   }
 
   /**
-   * Takes a whole copy of the registry, in one line of the log: an entry that has just started has callers waiting, and a
-   * line for each of 155 targets took it 40 KB of log before it could serve the first of them.
+   * Applies many records, logged in one line: an entry that has just started has callers waiting, and a line for each
+   * of 155 targets wrote 40 KB of log before it could serve the first of them.
    */
   private applyManyRecords(records: readonly Announcement[], apply: ApplyRecords): void {
     const changed = apply(records);
@@ -113,23 +118,26 @@
     });
   }
 
-  /** What a new leader should know of suspects. */
+  /** Reports of suspects that a new leader should know. */
   suspectsToTell(): domain.quarantine.suspect.Report[] {
     const reports = this.quarantine.reports(this.options.now());
     return reports.filter(({ endings }) => endings.length >= MIN_REPORTED_CRASHES);
   }
 
-  /** Takes a target's own word. */
+  /** Applies a target's own announcement. */
   applyAnnouncement(announcement: Announcement): Announcement[] {
     return this.notifyChanged(this.registry.announce(announcement, this.options.now()));
   }
 
-  /** Takes a lifetime's word, from an answer, that it leaves. */
+  /** Applies a lifetime's notice, in an answer, that it drains. */
   takeLeaving({ id, bornAt }: domain.quarantine.endedLifetimes.Lifetime): Announcement[] {
     return this.notifyChanged(this.registry.leave(id, bornAt));
   }
 
-  /** The same for a target that was only remembered, and says what was remembered; thousands may come within a second. */
+  /**
+   * Applies an announcement that confirms a target loaded from disk, without logging it: thousands may arrive within
+   * a second.
+   */
   applyConfirmation(announcement: Announcement): Announcement[] {
     const changed = this.registry.announce(announcement, this.options.now());
     changed.forEach((record) => this.options.onRecord(record));
@@ -153,18 +161,21 @@
     return changed;
   }
 
-  /** Takes news; false where they build on a state that isn't held here, so that a full copy is needed. */
+  /**
+   * Applies an update; returns false if it builds on a version that this process doesn't have, so that it needs a
+   * snapshot.
+   */
   takeNews(update: messages.News): boolean {
     const { edition, mark, since, packedRegistry } = update;
     if (edition !== undefined) this.applyCatalogue(edition);
     if (packedRegistry !== undefined) this.applySnapshot(registryCopies.unpack(packedRegistry));
     const isConsecutive = since === undefined || messages.includes(this.mark, since);
-    // News of a leader that isn't followed any more, or that was held up, says nothing of what came later.
+    // An update of a former leader, or a delayed one, doesn't reflect later changes; its records are merged.
     this.applyRecords(
       registryCopies.unpackRecords(update),
       isConsecutive && !isNewer(this.mark, mark),
     );
-    // A push that was held up comes after the answer to a question: what it says of suspects and limits is no longer so.
+    // A delayed push arrives after the answer to a later poll, so its suspects and limits are outdated.
     if (!isNewer(this.mark, mark)) {
       this.applySuspects(update.suspects);
       this.applyLimits(update.limits);
@@ -179,13 +190,13 @@
     if (suspects.length > 0) this.options.onSuspects?.();
   }
 
-  /** Takes limits that changed or ended. */
+  /** Applies rate limits that changed or ended. */
   applyLimits(limits: readonly RateLimit[]): void {
     const changed = limits.filter((limit) => this.limits.set(limit, this.options.now()));
     if (changed.length > 0) this.options.onLimits?.();
   }
 
-  /** Takes changes; many in one line of the log, like a whole copy. */
+  /** Applies changes; many are logged in one line, like a snapshot. */
   private applyRecords(records: readonly Announcement[], isConsecutive: boolean): void {
     const now = this.options.now();
     const apply: ApplyRecords = (each) =>
--- a/packages/daemon/src/fleet/leaderLink.ts
+++ b/packages/daemon/src/fleet/leaderLink.ts
@@ -1,7 +1,7 @@
 /**
- * Follows the leader of the keepers: finds it, asks it again and again whether what is held here is the
- * newest, and takes its news. Each confirmation starts a lease. A daemon without one may be cut off from
- * changes, such as a key that was taken away, and must not serve what they could forbid.
+ * Connects an entry or keeper to the leader of the keepers: finds the leader, polls it and applies its updates. Each
+ * confirmation starts a lease. A daemon without one may be cut off from changes, such as a revoked key, and must not
+ * serve what they could forbid.
  */
 import * as clock from '../clock';
 import type * as observer from '../observability/observer';
@@ -21,52 +21,56 @@
   holding: holding.Holding;
   observer: observer.Observer;
   moment: () => clock.Moment;
-  /** What runs here, for a new leader's allocator. */
+  /** Returns the dispatches running here, for a new leader's allocator. */
   dispatches: () => messages.Dispatched[];
   onConfirmed: (answer: messages.Confirmed) => void;
 }
 
 type PollOutcome = 'confirmed' | 'failed';
 
-/** Pause before the next question, by what came of the last, milliseconds. */
+/** Interval to the next poll, by the outcome of the last one, in milliseconds. */
 const POLL_INTERVAL_MS: Record<PollOutcome, number> = {
-  // Eight fit into the shortest lease of 4 s.
+  // Eight polls fit into the shortest lease of 4 s.
   confirmed: 500,
   // No leader is known; a new one is elected within 0.8 to 1.2 s.
   failed: 100,
 };
 
 /**
- * How long a connection among entries and keepers may take, milliseconds: some thirty ways there and back. One to a VM that
- * had no power when it was begun is begun anew with the next message after that.
+ * Maximum time to connect among entries and keepers, in milliseconds; some thirty round trips. A connection attempt
+ * to a VM that was without power is repeated with the next message after that.
  */
 export const CONNECT_TIMEOUT_MS = 100;
 
 /**
- * A leader that was asked for a sign of life must give one within so long, milliseconds: a hundred ways there and
- * back, and what a busy leader takes for the plans of a burst.
+ * Maximum time for the leader to answer a liveness probe, in milliseconds: a hundred round trips, and the time a busy
+ * leader needs for the placements of a burst.
  */
 const PROBE_TIMEOUT_MS = 300;
 
 /**
- * A leader that gave a sign of life so lately isn't asked for another, milliseconds; a frozen one is
- * found that much later at most. While a crowd came back to a new leader, two hundred entries asked it a
- * thousand times a second, each time one of their prompts had waited a little.
+ * Time after a successful probe within which the leader isn't probed again, in milliseconds; a frozen leader is
+ * detected at most that much later. While callers returned to a new leader after an outage, two hundred entries would
+ * otherwise probe it a thousand times a second, each time one of their prompts had waited a little.
  */
 const PROBE_VALID_MS = 300;
 
-/** A leader that is silent for longer is looked for elsewhere, milliseconds; covers its wait for the next heartbeat. */
+/**
+ * Maximum wait for the answer to a poll, in milliseconds, after which another leader is searched; covers the leader's
+ * wait for its next heartbeat.
+ */
 const POLL_TIMEOUT_MS = 700;
 
 /**
- * The same for a keeper that may lead and hasn't confirmed this follower yet; others are asked meanwhile. A new leader has the
- * whole fleet's first questions at once, and a question that is given up begins anew with a connection.
+ * The same for a keeper that may lead and hasn't confirmed this follower yet; others are polled meanwhile. A new
+ * leader receives the first polls of the whole fleet at once, and a poll that is given up starts again with a
+ * connection.
  */
 const SEARCH_TIMEOUT_MS = 2_000;
 
 /**
- * Keepers that are asked at once while no leader is known. With one, entries found a new leader 80 to 250 ms after its
- * election; any of the others knows it within a heartbeat.
+ * Number of keepers polled in parallel while no leader is known. With one, entries found a new leader 80 to 250 ms
+ * after its election; any other keeper knows it within a heartbeat.
  */
 const PARALLEL_SEARCHES = 3;
 
@@ -83,26 +87,26 @@
   private timer: NodeJS.Timeout | undefined;
 
   /**
-   * Keepers with a question under way. A new leader of hundreds of entries answers the first ones late; asked again by each
-   * meanwhile, it would answer several times as many, and all of them too late.
+   * Keepers with a poll in flight. A new leader of hundreds of entries answers the first polls late; polled again by
+   * each meanwhile, it would answer several times as many, and all of them too late.
    */
   private readonly polling = new Set<string>();
 
   private stopped = false;
 
-  /** When the present leader last answered that it lives. */
+  /** Time at which the current leader last answered a probe. */
   private probedAt = clock.NEVER;
 
-  /** When it was asked for a sign of life that hasn't come yet. */
+  /** Time at which the pending probe was sent. */
   private probingSince: clock.Moment | undefined;
 
-  /** Called when the present leader is lost. */
+  /** Callbacks for the loss of the current leader. */
   private readonly lossListeners = new Set<() => void>();
 
-  /** The last leader that got this daemon's dispatches, and a keeper's whole registry. */
+  /** The last leader that received this daemon's dispatches, and a keeper's whole registry. */
   private introducedTo = '';
 
-  /** Whether the leader asked for this daemon's registry. */
+  /** Whether the leader asked for this daemon's registry records. */
   private isSendingRecords = false;
 
   constructor(private readonly options: Options) {
@@ -118,7 +122,7 @@
     clearTimeout(this.timer);
   }
 
-  /** Keepers from a settings file that was read again. */
+  /** Adds keepers from a reloaded settings file. */
   addSeeds(seeds: readonly string[]): void {
     seeds.forEach((seed) => this.knownKeepers.add(seed));
   }
@@ -127,31 +131,31 @@
     return [...this.knownKeepers];
   }
 
-  /** Milliseconds since a confirmation was asked for that came; infinite if none ever did. */
+  /** Milliseconds since the last confirmed poll was sent; infinite if none was confirmed. */
   get age(): number {
     return clock.elapsed(this.confirmedAt, this.options.moment());
   }
 
-  /** How long the leader owes a sign of life, milliseconds; 0 where none was asked for. */
+  /** How long the pending probe has been unanswered, in milliseconds; 0 if none is pending. */
   get silentMs(): number {
     const { probingSince } = this;
     return probingSince === undefined ? 0 : clock.elapsed(probingSince, this.options.moment());
   }
 
-  /** The leader didn't answer another call: the next question goes elsewhere. */
+  /** Reports that the leader didn't answer another call; the next poll goes to another keeper. */
   doubt(address: string): void {
     if (address === this.leader) this.loseLeader('a call to it failed');
   }
 
-  /** Calls `onLost` once when the present leader is lost; the result takes that back. */
+  /** Calls `onLost` once when the current leader is lost; the result cancels that. */
   onLost(onLost: () => void): () => void {
     this.lossListeners.add(onLost);
     return () => this.lossListeners.delete(onLost);
   }
 
   /**
-   * Some call has waited for the leader longer than usual. One that is frozen or cut off would keep all requests
-   * waiting until the next `follow` times out; a busy one answers this at once.
+   * Probes the leader, because a call has waited for it longer than usual. A frozen or unreachable leader would keep
+   * all requests waiting until the next `follow` times out; a busy one answers a probe immediately.
    */
   async verify(): Promise<void> {
     const { leader, probingSince } = this;
@@ -180,9 +184,9 @@
 
   private async pollNext(): Promise<void> {
     if (this.leader === '') {
-      // One that had no power when its connection was begun would be waited for until the question's timeout.
+      // A poll of a keeper that was without power when its connection was opened would wait until the poll's timeout.
       this.polling.forEach((address) => this.options.client.dropStuck(address));
-      // One that is down or cut off doesn't answer, and one that has just started knows no leader.
+      // A keeper that is down or cut off doesn't answer, and one that has just started knows no leader.
       for (let i = 0; i < PARALLEL_SEARCHES; i++) void this.search();
       this.schedule(POLL_INTERVAL_MS.failed);
       return;
@@ -223,7 +227,7 @@
       this.redirect(address, answer.val.leader);
       return 'failed';
     }
-    // Another keeper may have been found while this one took its time.
+    // Another keeper may have been found while this one was answering.
     if (this.leader !== '' && this.leader !== address) return 'failed';
     this.confirm(address, polledAt, answer.val);
     return 'confirmed';
@@ -232,7 +236,8 @@
   private followRequest(address: string): messages.FollowRequest {
     const { name, role, dataCentre, replica, holding: state } = this.options;
     const isNew = this.introducedTo !== address;
-    // Hundreds of entries know no more than the few keepers; a new leader would read the same records for half a second.
+    // Hundreds of entries know no more than the few keepers; a new leader would decode the same records for half a
+    // second.
     const sendsRecords = this.isSendingRecords || (isNew && role === 'keeper');
     return {
       name,
@@ -249,7 +254,7 @@
     };
   }
 
-  /** Asks the keeper that another one takes for the leader, at once. */
+  /** Immediately polls the keeper that another one takes for the leader. */
   private redirect(from: string, leader: string): void {
     if (this.leader === from) this.loseLeader('no longer the leader');
     if (leader === '' || leader === from || this.leader !== '') return;
--- a/packages/daemon/src/fleet/messages.ts
+++ b/packages/daemon/src/fleet/messages.ts
@@ -1,4 +1,4 @@
-/** What entries and keepers say to the leader of the keepers, and it to them. */
+/** Messages that entries and keepers exchange with the leader of the keepers. */
 import type * as domain from '@celerydrift/domain';
 import type * as registryCopies from './registryCopies';
 
@@ -7,37 +7,40 @@
 type RateLimit = domain.rateLimits.rateLimits.RateLimit;
 type LimitedPlace = domain.rateLimits.rateLimits.Place;
 
-/** A state of the registry at one leader; numbers of different leaderships don't compare. */
+/** A version of the registry at one leader; versions of different leaderships aren't comparable. */
 export interface RegistryVersion {
-  /** Drawn by each leader at the beginning of its leadership. */
+  /** Drawn at random by each leader at the start of its leadership. */
   epoch: string;
   change: number;
 }
 
 /**
- * `follow`: sent by each entry and keeper again and again; answered once a quorum confirmed the leader. The records are what a
- * keeper knows of targets, for a leader that it meets for the first time; an entry's where the leader asked.
+ * `follow`: the poll that each entry and keeper repeats; answered once a quorum confirmed the leader. The records are
+ * a keeper's registry, sent to a leader that it polls for the first time; an entry sends its own only if the leader
+ * asked for them.
  */
 export interface FollowRequest extends registryCopies.RecordBatch {
   name: string;
   role: 'entry' | 'keeper';
-  /** Peer address of the follower, for pushes. */
+  /** Peer address of the follower, to which updates are pushed. */
   address: string;
-  /** Version of the catalogue that the follower has in force. */
+  /** Version of the catalogue in force at the follower. */
   version: number;
   mark: RegistryVersion;
-  /** Dispatches of an entry that run, for a leader that it meets for the first time. */
+  /** Running dispatches of an entry, sent to a leader that it polls for the first time. */
   dispatches: Dispatched[];
-  /** Requests under which targets ended, for a leader that it meets for the first time. */
+  /** Reports of suspect requests, sent to a leader that the follower polls for the first time. */
   suspects: SuspectReport[];
-  /** Limits of targets that are known here, for a leader that it meets for the first time. */
+  /**
+   * Rate limits of targets known to the follower, sent to a leader that it polls for the first time.
+   */
   limits: RateLimit[];
-  /** A keeper's replica, for a leader that may need it as a voter. */
+  /** Id of a keeper's replica, for a leader that may need it as a voter. */
   replica: string | undefined;
   dataCentre: string;
 }
 
-/** A request and the target that writes its answer. */
+/** A request and the target that decodes its answer. */
 export interface Dispatched {
   request: domain.allocation.allocator.Request;
   target: string;
@@ -47,16 +50,18 @@
   kind: 'confirmed';
   /** Peer addresses of all voters. */
   keepers: string[];
-  /** Entries that follow the leader; 0 while it has led too briefly to know all. */
+  /** Number of entries that follow the leader; 0 while it hasn't led long enough to know all. */
   entries: number;
-  /** Whether the leader knows no targets, so that a follower's copy of the registry helps. */
+  /** Whether the leader knows no targets, so that the follower should send its registry records. */
   lacksTargets: boolean;
-  /** What engines write on average, for an entry that loses the leader and then sees only its own dispatches. */
+  /**
+   * Average load per service, for an entry that loses the leader and then sees only its own dispatches.
+   */
   crowding: domain.allocation.unseen.Crowding[];
   news: News;
 }
 
-/** The asked keeper doesn't lead; `leader` is empty while it knows none. */
+/** The keeper that was asked doesn't lead; `leader` is empty if it knows none. */
 export interface Redirect {
   kind: 'redirect';
   leader: string;
@@ -64,82 +69,89 @@
 
 export type FollowAnswer = Confirmed | Redirect;
 
-/** Changes that a follower lacks; the records come after those of `packedRegistry`. */
+/** Update with the changes that a follower lacks; the records follow those of `packedRegistry`. */
 export interface News extends registryCopies.RecordBatch {
   /** A newer catalogue. */
   edition: domain.catalogue.versions.Edition | undefined;
-  /** The mark after the records. */
+  /** The registry version after the records. */
   mark: RegistryVersion;
-  /** The mark that the records build on; undefined where a whole registry comes, in `packedRegistry`. */
+  /**
+   * The registry version that the records build on; undefined if the update has a whole registry in `packedRegistry`.
+   */
   since: RegistryVersion | undefined;
-  /** Requests under which targets ended, as they are known after the change. */
+  /** Reports of suspect requests after the change. */
   suspects: SuspectReport[];
-  /** Limits of targets that changed or ended. */
+  /** Rate limits of targets that changed or ended. */
   limits: RateLimit[];
-  /** A whole registry, all suspects and all limits, as `registryCopies` packs them. */
+  /** A registry snapshot with all suspects and rate limits, packed by `registryCopies`. */
   packedRegistry?: Uint8Array;
 }
 
-/** What a follower has in force once it took a push. */
+/** Acknowledges an update with the registry version that the follower now has. */
 export interface Learned {
   mark: RegistryVersion;
 }
 
-/** A lifetime that ended while it ran a content. */
+/** A target lifetime that crashed while it ran a request. */
 export interface EndedTarget {
   content: string;
   lifetime: domain.quarantine.endedLifetimes.Lifetime;
-  /** Whether that run was a trial, allowed while the content was suspected already. */
+  /** Whether that run was a canary run, allowed while the request was already suspect. */
   isTrial: boolean;
-  /** How long before the message it was noticed, and the request sent, milliseconds; an entry that was cut off tells later. */
+  /**
+   * Time from the crash's detection, and from sending the request, to this message, in milliseconds; an entry that
+   * was cut off reports later.
+   */
   agoMs: number;
   sentAgoMs: number;
 }
 
-/** `blame`: targets that ended while they ran requests of an entry. */
+/** `blame`: crashes of targets that ran an entry's requests. */
 export interface Blame {
   ended: EndedTarget[];
 }
 
-/** What the leader knows of the blamed contents now, which replaces what the entry noted by itself. */
+/**
+ * The leader's current reports of the named requests, which replace what the entry recorded by itself.
+ */
 export type BlameAnswer = { kind: 'taken'; reports: SuspectReport[] } | Redirect;
 
-/** `permit`: whether a suspect may run now. */
+/** `permit`: asks whether a suspect request may run now. */
 export interface PermitQuestion {
   content: string;
-  /** Id of the request, and the entry that has it. */
+  /** Id of the request, and the entry that holds it. */
   id: string;
   entry: string;
   service: string;
-  /** Targets that it was sent to before. */
+  /** Targets that the request was sent to before. */
   excluded: readonly string[];
 }
 
 export type PermitAnswer =
   /**
-   * It runs as the only one with its content; `endings` is 0 where the leader suspects nothing. `target` is where it must run;
-   * undefined for any.
+   * It runs as the only request with its fingerprint; `endings` is 0 if the leader suspects nothing. `target` is
+   * where it must run; undefined for any target.
    */
   | { kind: 'granted'; endings: number; target: string | undefined }
-  /** Another request with its content runs, or no target is there that runs no other suspect. */
+  /** Another request with its fingerprint is running, or every target runs another suspect. */
   | { kind: 'busy' }
   | { kind: 'quarantined' }
   | Redirect;
 
-/** `trialEnded`: a suspect runs no longer. */
+/** `trialEnded`: a canary run has ended. */
 export interface TrialEnded {
   content: string;
   id: string;
   ranWhole: boolean;
 }
 
-/** The leader has it. */
+/** The leader has applied the message. */
 export type TakenAnswer = { kind: 'taken' } | Redirect;
 
 /** `place`: a request that needs an engine. */
 export type Place = Omit<domain.allocation.allocator.Request, 'entry'> & {
   entry: string;
-  /** How long the entry waits for a place, milliseconds. */
+  /** How long the entry waits for a placement, in milliseconds. */
   patienceMs: number;
 };
 
@@ -151,60 +163,67 @@
 export interface EndedDispatch {
   id: string;
   ending: domain.allocation.soundness.Ending;
-  /** Id of the target that made it fail, where that isn't the one that got the request. */
+  /** Id of the target that caused the failure, if it isn't the one that got the request. */
   faulty?: string;
-  /** Usual pause between the events of its answer, milliseconds. */
+  /** Usual inter-token gap of the answer, in milliseconds. */
   gapMs?: number;
   /** Id of the target that got the request. */
   target: string;
 }
 
-/** `ended`: dispatches of an entry that ended; sent together for a moment's worth of them. */
+/** `ended`: finished dispatches of an entry, collected for a short time and sent together. */
 export interface Ended {
   dispatches: EndedDispatch[];
 }
 
-/** Messages to a target with a limit that no leader gave out: those that couldn't wait, or were sent while nobody led. */
+/**
+ * Number of messages sent to a limited target without a grant: those that couldn't wait, or were sent without a
+ * leader.
+ */
 export interface Spent extends LimitedPlace {
   count: number;
 }
 
-/** `limited`: limits that an entry's targets named, or don't name any more, and what it sent them. */
+/**
+ * `limited`: rate limits that an entry's targets reported or no longer report, and the messages that it sent them.
+ */
 export interface Limited {
   limits: RateLimit[];
   spent: Spent[];
 }
 
-/** `grant`: whether one of some targets with limits may be sent a message now. */
+/** `grant`: asks whether one of several limited targets may be sent a message now. */
 export interface GrantQuestion {
   places: readonly LimitedPlace[];
-  /** A check whether the target lives may be asked for where a request has to wait. */
+  /** A liveness probe may be requested while a request has to wait. */
   purpose: 'request' | 'check';
 }
 
 export type GrantAnswer =
   | { kind: 'granted'; place: LimitedPlace }
-  /** None of them takes another one before so long, milliseconds. */
+  /** None of them admits another message before this time, in milliseconds. */
   | { kind: 'wait'; waitMs: number }
   | Redirect;
 
-/** `announced`: what targets said to the keeper that sends it. */
+/** `announced`: announcements of targets received by the sending keeper. */
 export interface AnnouncementBatch {
   records: Announcement[];
 }
 
 export interface Departure {
   id: string;
-  /** When the lifetime that ended began, Unix milliseconds; undefined where the target didn't say. */
+  /**
+   * Start time of the lifetime that ended, in Unix milliseconds; undefined if the target didn't report it.
+   */
   bornAt: number | undefined;
 }
 
-/** `leaving`: lifetimes that said in answers to an entry that they leave. */
+/** `leaving`: lifetimes that announced in answers to an entry that they drain. */
 export interface Leaving {
   lifetimes: domain.quarantine.endedLifetimes.Lifetime[];
 }
 
-/** `submit`: a catalogue from the keeper that an operator talked to. */
+/** `submit`: a catalogue forwarded by the keeper that received it from an operator. */
 export interface SubmitRequest {
   edition: domain.catalogue.versions.Edition;
 }
@@ -212,14 +231,14 @@
 export type SubmitAnswer =
   { kind: 'accepted'; version: number } | { kind: 'unavailable'; detail: string };
 
-/** `newest`: the newest catalogue, as of the asking. */
+/** `newest`: the newest catalogue at the time of the call. */
 export type NewestAnswer =
   | { kind: 'newest'; edition: domain.catalogue.versions.Edition | undefined }
   | { kind: 'unavailable'; detail: string };
 
 export const NO_MARK: RegistryVersion = { epoch: '', change: 0 };
 
-/** Whether a state holds all that another one of the same leadership does. */
+/** Whether a version contains all changes of another one of the same leadership. */
 export function includes(a: RegistryVersion, b: RegistryVersion): boolean {
   return a.epoch === b.epoch && a.change >= b.change;
 }
--- a/packages/daemon/src/fleet/packedCatalogue.ts
+++ b/packages/daemon/src/fleet/packedCatalogue.ts
@@ -1,4 +1,4 @@
-/** Catalogues as they travel and are stored: the operator's own bytes, compressed. */
+/** Catalogues as they are sent and stored: the operator's own document, compressed. */
 import * as zlib from 'node:zlib';
 import type * as domain from '@celerydrift/domain';
 
@@ -8,7 +8,7 @@
   return { version, packed: zlib.deflateRawSync(document) };
 }
 
-/** The operator's bytes. */
+/** Returns the operator's document. */
 export function unpack({ packed }: Edition): Buffer {
   return zlib.inflateRawSync(packed);
 }
--- a/packages/daemon/src/fleet/peers.ts
+++ b/packages/daemon/src/fleet/peers.ts
@@ -1,10 +1,10 @@
-/** Calls among entries and keepers. */
+/** RPC client for calls among entries and keepers. */
 import type * as roleSettings from '../configuration/roleSettings';
 import type * as observer from '../observability/observer';
 import * as peerClient from '../rpc/peerClient';
 import * as leaderLink from './leaderLink';
 
-/** A client for the peers of a role, whose VMs are near each other. */
+/** Creates a client for a role's peers, whose VMs are close to each other. */
 export function clientOf(
   { secret, source }: roleSettings.Settings,
   observe: observer.Observer,
--- a/packages/daemon/src/fleet/registryCopies.ts
+++ b/packages/daemon/src/fleet/registryCopies.ts
@@ -1,7 +1,7 @@
 /**
- * Registries and many changes of them as they travel to followers: packed once for all who lack the same. After a loss of all two
- * hundred entries ask a new leader within some tenths of a second; to pack 155 targets for each took it 0.1 s in all, and
- * 3.6 MB on its link where compressed copies take a sixth.
+ * Registry snapshots and large batches of registry records, packed for transport once for all followers that lack the
+ * same. After an outage of all VMs, two hundred entries ask a new leader within some tenths of a second; packing 155
+ * targets for each took it 0.1 s in total, and 3.6 MB on its link, of which compressed snapshots take a sixth.
  */
 import * as zlib from 'node:zlib';
 import type * as domain from '@celerydrift/domain';
@@ -9,21 +9,21 @@
 
 type Announcement = domain.registry.registry.Announcement;
 
-/** What a follower takes whole. */
+/** What a follower receives as a whole. */
 export interface RegistrySnapshot {
   records: readonly Announcement[];
-  /** Requests under which targets ended. */
+  /** Reports of suspect requests. */
   suspects: readonly domain.quarantine.suspect.Report[];
   limits: readonly domain.rateLimits.rateLimits.RateLimit[];
 }
 
-/** Records as they travel: many of them packed, some 20 bytes each in place of 230. */
+/** Records as they are sent; many of them are packed, at some 20 bytes each instead of 230. */
 export interface RecordBatch {
   records: Announcement[];
   packedRecords?: Uint8Array;
 }
 
-/** Fewer records aren't worth the time to pack and unpack them. */
+/** Minimum number of records that is worth the time to pack and unpack. */
 export const MIN_PACKED_RECORDS = 64;
 
 const packr = new msgpackr.Packr({ useRecords: true, structuredClone: false });
