--- a/packages/daemon/src/fleet/messages.ts
+++ b/packages/daemon/src/fleet/messages.ts
@@ -83,7 +83,7 @@
   suspects: SuspectReport[];
   /** Rate limits of targets that changed or ended. */
   limits: RateLimit[];
-  /** A registry snapshot with all suspects and rate limits, packed by `registryCopies`. */
+  /** A registry snapshot with all suspects and rate limits, packed. */
   packedRegistry?: Uint8Array;
 }
 
