--- a/packages/daemon/src/keeper/__tests__/placing.test.ts
+++ b/packages/daemon/src/keeper/__tests__/placing.test.ts
@@ -63,13 +63,13 @@
     const allocator = fullFleet();
     const timers: { at: number; action: () => void }[] = [];
     let now = 0;
-    const placer = new placing.Placing({
+    const tested = new placing.Placing({
       allocator,
       clock: { now: () => now, after: (ms, action) => timers.push({ at: now + ms, action }) },
       random: random.seeded(1),
       onRefused: () => undefined,
     });
-    placer.open();
+    tested.open();
     for (let i = 0; i < 200; i++) {
       const request = {
         id: `r${i}`,
@@ -85,7 +85,7 @@
         excluded: [],
         patienceMs: 2_000,
       };
-      placer.ask(request, () => undefined);
+      tested.ask(request, () => undefined);
     }
     allocator.attempts = 0;
     while (timers.length > 0 && now < 1_000) {
@@ -114,13 +114,13 @@
     });
     limits.set({ service: 's', address: '10.0.0.5:80', perSecond: 1 }, now);
     const timers: { at: number; action: () => void }[] = [];
-    const placer = new placing.Placing({
+    const tested = new placing.Placing({
       allocator,
       clock: { now: () => now, after: (ms, action) => timers.push({ at: now + ms, action }) },
       random: random.seeded(1),
       onRefused: () => undefined,
     });
-    placer.open();
+    tested.open();
     const prompt = {
       entry: 'e',
       service: 's',
@@ -135,7 +135,7 @@
     };
     const placed: [string, number][] = [];
     const ask = (id: string, writers?: string[]): void => {
-      placer.ask({ ...prompt, id, writers }, ({ kind }) => placed.push([`${id} ${kind}`, now]));
+      tested.ask({ ...prompt, id, writers }, ({ kind }) => placed.push([`${id} ${kind}`, now]));
     };
     ask('returning', ['bound']);
     ask('new');
