--- a/packages/daemon/src/fleet/holding.ts
+++ b/packages/daemon/src/fleet/holding.ts
@@ -5,8 +5,8 @@
 import * as domain from '@celerydrift/domain';
 import type * as protocols from '../edges/protocols';
 import type * as observer from '../observability/observer';
-import * as packedCatalogue from './packedCatalogue';
 import * as messages from './messages';
+import * as packedCatalogue from './packedCatalogue';
 import * as registryCopies from './registryCopies';
 
 type Announcement = domain.registry.registry.Announcement;
@@ -46,6 +46,7 @@
   /** Rate limits that targets reported. */
   readonly limits = new domain.rateLimits.rateLimits.RateLimits();
 
+  /** Version of the registry that is in force here. */
   mark: messages.RegistryVersion = messages.NO_MARK;
 
   private current: Directory | undefined;
@@ -83,9 +84,7 @@
     return loaded;
   }
 
-  /**
-   * Gives up targets loaded from disk that haven't announced themselves for too long since `since`.
-   */
+  /** Gives up targets loaded from disk that haven't announced themselves in time since `since`. */
   expireUnconfirmed(since: number): Announcement[] {
     return this.notifyChanged(this.registry.endRemembered(this.options.now(), since));
   }
--- a/packages/daemon/src/fleet/leaderLink.ts
+++ b/packages/daemon/src/fleet/leaderLink.ts
@@ -50,14 +50,14 @@
 
 /**
  * Time after a successful probe within which the leader isn't probed again, in milliseconds; a frozen leader is
- * detected at most that much later. While callers returned to a new leader after an outage, two hundred entries would
- * otherwise probe it a thousand times a second, each time one of their prompts had waited a little.
+ * detected at most that much later. While callers returned to a new leader after an outage, two hundred entries
+ * otherwise probed it a thousand times a second, each time one of their prompts had waited a little.
  */
 const PROBE_VALID_MS = 300;
 
 /**
- * Maximum wait for the answer to a poll, in milliseconds, after which another leader is searched; covers the leader's
- * wait for its next heartbeat.
+ * Maximum wait for the leader's answer to a poll, in milliseconds, after which the follower searches for another
+ * leader; covers the leader's wait for its next heartbeat.
  */
 const POLL_TIMEOUT_MS = 700;
 
--- a/packages/daemon/src/fleet/messages.ts
+++ b/packages/daemon/src/fleet/messages.ts
@@ -31,9 +31,7 @@
   dispatches: Dispatched[];
   /** Reports of suspect requests, sent to a leader that the follower polls for the first time. */
   suspects: SuspectReport[];
-  /**
-   * Rate limits of targets known to the follower, sent to a leader that it polls for the first time.
-   */
+  /** Rate limits of targets known to the follower, sent to a leader that it polls for the first time. */
   limits: RateLimit[];
   /** Id of a keeper's replica, for a leader that may need it as a voter. */
   replica: string | undefined;
@@ -54,9 +52,7 @@
   entries: number;
   /** Whether the leader knows no targets, so that the follower should send its registry records. */
   lacksTargets: boolean;
-  /**
-   * Average load per service, for an entry that loses the leader and then sees only its own dispatches.
-   */
+  /** Average load per service, for an entry that loses the leader and then sees only its own dispatches. */
   crowding: domain.allocation.unseen.Crowding[];
   news: News;
 }
@@ -111,9 +107,7 @@
   ended: EndedTarget[];
 }
 
-/**
- * The leader's current reports of the named requests, which replace what the entry recorded by itself.
- */
+/** The leader's current reports of the named requests, which replace what the entry recorded by itself. */
 export type BlameAnswer = { kind: 'taken'; reports: SuspectReport[] } | Redirect;
 
 /** `permit`: asks whether a suspect request may run now. */
@@ -184,9 +178,7 @@
   count: number;
 }
 
-/**
- * `limited`: rate limits that an entry's targets reported or no longer report, and the messages that it sent them.
- */
+/** `limited`: rate limits that an entry's targets reported or no longer report, and the messages that it sent them. */
 export interface Limited {
   limits: RateLimit[];
   spent: Spent[];
@@ -212,9 +204,7 @@
 
 export interface Departure {
   id: string;
-  /**
-   * Start time of the lifetime that ended, in Unix milliseconds; undefined if the target didn't report it.
-   */
+  /** Start time of the lifetime that ended, in Unix milliseconds; undefined if the target didn't report it. */
   bornAt: number | undefined;
 }
 
--- a/packages/daemon/src/keeper/__tests__/__fixtures__/leaderFixture.ts
+++ b/packages/daemon/src/keeper/__tests__/__fixtures__/leaderFixture.ts
@@ -21,9 +21,7 @@
   leader: leadership.Leadership;
   fleet: holding.Holding;
   pushes: Push[];
-  /**
-   * For each confirmation by the quorum, whether it was requested immediately rather than with the next heartbeat.
-   */
+  /** For each confirmation by the quorum, whether it was requested immediately rather than with the next heartbeat. */
   confirmations: boolean[];
 }
 
--- a/packages/daemon/src/keeper/__tests__/keeper.test.ts
+++ b/packages/daemon/src/keeper/__tests__/keeper.test.ts
@@ -1,6 +1,4 @@
-/**
- * Keepers with real sockets and disks: founding, catalogues, announcements, a leader change, a lost disk.
- */
+/** Keepers with real sockets and disks: founding, catalogues, announcements, a leader change, a lost disk. */
 import * as fs from 'node:fs/promises';
 import * as os from 'node:os';
 import * as path from 'node:path';
--- a/packages/daemon/src/keeper/__tests__/leaderLoad.test.ts
+++ b/packages/daemon/src/keeper/__tests__/leaderLoad.test.ts
@@ -19,9 +19,7 @@
 
 const TARGETS = 150;
 
-/**
- * Interval between announcements of different targets if each announces itself every 1.2 s, in milliseconds.
- */
+/** Interval between announcements of different targets if each announces itself every 1.2 s, in milliseconds. */
 const ANNOUNCEMENT_INTERVAL_MS = 8;
 
 function setUp(answerMs: number): Promise<fixture.LeaderFixture> {
--- a/packages/daemon/src/keeper/__tests__/placing.test.ts
+++ b/packages/daemon/src/keeper/__tests__/placing.test.ts
@@ -99,9 +99,7 @@
 });
 
 describe('placement beside a target with a rate limit', () => {
-  /**
-   * Guards against prompts that wait beside free engines behind one that is bound to a limited target.
-   */
+  /** Guards against prompts that wait beside free engines behind one that is bound to a limited target. */
   it('delays no prompt because of one that only a limited target may take', () => {
     let now = 0;
     const limits = new domain.rateLimits.rateLimits.RateLimits();
--- a/packages/daemon/src/keeper/catalogueMachine.ts
+++ b/packages/daemon/src/keeper/catalogueMachine.ts
@@ -9,9 +9,7 @@
 
   private isNotificationQueued = false;
 
-  /**
-   * `onChange` receives the newest catalogue version once all versions committed together are applied.
-   */
+  /** `onChange` receives the newest catalogue version once all versions committed together are applied. */
   constructor(private readonly onChange: (edition: Edition) => void) {}
 
   apply(command: unknown): domain.catalogue.versions.Acceptance {
--- a/packages/daemon/src/keeper/controlServer.ts
+++ b/packages/daemon/src/keeper/controlServer.ts
@@ -6,8 +6,8 @@
 import * as domain from '@celerydrift/domain';
 import type * as codecs from '../configuration/codecs';
 import type * as protocols from '../edges/protocols';
-import * as packedCatalogue from '../fleet/packedCatalogue';
 import type * as messages from '../fleet/messages';
+import * as packedCatalogue from '../fleet/packedCatalogue';
 import * as listening from '../http/listening';
 import type * as observer from '../observability/observer';
 
--- a/packages/daemon/src/keeper/followers.ts
+++ b/packages/daemon/src/keeper/followers.ts
@@ -18,19 +18,13 @@
   polledAt: number;
 }
 
-/**
- * A follower is reachable if it polled within this time, in milliseconds; more than two poll intervals.
- */
+/** A follower is reachable if it polled within this time, in milliseconds; more than two poll intervals. */
 const RECENT_POLL_MS = 1_300;
 
-/**
- * A follower that didn't poll for this long is removed, in milliseconds: it ended, or follows another leader.
- */
+/** A follower that didn't poll for this long is removed, in milliseconds: it ended, or follows another leader. */
 const FOLLOWER_TIMEOUT_MS = 4_000;
 
-/**
- * Maximum wait for a follower's acknowledgement, in milliseconds; a fifth of the shortest drain time.
- */
+/** Maximum wait for a follower's acknowledgement, in milliseconds; a fifth of the shortest drain time. */
 const MAX_ACK_WAIT_MS = 400;
 
 /**
@@ -49,9 +43,7 @@
   next: Promise<void>;
 }
 
-/**
- * What a follower at a version lacks now; undefined if only a snapshot would do, which isn't pushed.
- */
+/** What a follower at a version lacks now; undefined if only a snapshot would do, which isn't pushed. */
 export type UpdateSince = (
   mark: messages.RegistryVersion,
 ) => Omit<messages.News, 'edition'> | undefined;
@@ -160,9 +152,7 @@
   }
 }
 
-/**
- * Makes a push of a catalogue and known changes; a catalogue alone builds on no registry version.
- */
+/** Makes a push of a catalogue and known changes; a catalogue alone builds on no registry version. */
 function updateOf(
   edition: domain.catalogue.versions.Edition | undefined,
   missing: Omit<messages.News, 'edition'> | undefined,
--- a/packages/daemon/src/keeper/keeper.ts
+++ b/packages/daemon/src/keeper/keeper.ts
@@ -21,9 +21,9 @@
 import * as announcementRelay from './announcementRelay';
 import * as catalogueMachine from './catalogueMachine';
 import * as controlServer from './controlServer';
-import * as softStateStore from './softStateStore';
 import * as leaderCalls from './leaderCalls';
 import * as leadership from './leadership';
+import * as softStateStore from './softStateStore';
 
 type Edition = domain.catalogue.versions.Edition;
 
@@ -54,10 +54,7 @@
   restart: { min: 150, max: 200, again: { min: 40, max: 60 } },
 };
 
-/**
- * Number of catalogue versions in the log before a snapshot replaces them; at 10 KB each, the journal stays under 1
- * MB.
- */
+/** Catalogue versions in the log before a snapshot replaces them; at 10 KB each, the journal stays under 1 MB. */
 const SNAPSHOT_EVERY = 64;
 
 /**
@@ -130,9 +127,7 @@
     });
   }
 
-  /**
-   * Opens the replica and starts the keeper; returns false if the disk lost data that it had synced.
-   */
+  /** Opens the replica and starts the keeper; returns false if the disk lost data that it had synced. */
   async start(): Promise<boolean> {
     const { settings, observer: observe, random, onDiskFailure } = this.dependencies;
     const opened = await replicaSet.ReplicaSet.open({
@@ -263,7 +258,7 @@
     });
   }
 
-  /** Registers what only a leader does for entries about suspect requests and rate limits. */
+  /** Registers the methods by which a leader handles suspect requests and rate limits. */
   private serveLeaderMethods(): void {
     const { server } = this;
     const { suspects } = this.leadership;
--- a/packages/daemon/src/keeper/leaderCalls.ts
+++ b/packages/daemon/src/keeper/leaderCalls.ts
@@ -25,9 +25,7 @@
 /** Maximum wait for the leader's answer to a forwarded call, in milliseconds. */
 const FORWARD_TIMEOUT_MS = 900;
 
-/**
- * A catalogue takes longer, in milliseconds: it waits for a sync on a slow disk and a push to the entries.
- */
+/** A catalogue takes longer, in milliseconds: it waits for a sync on a slow disk and a push to the entries. */
 const SUBMIT_TIMEOUT_MS = 3_000;
 
 export class LeaderCalls {
--- a/packages/daemon/src/keeper/leadership.ts
+++ b/packages/daemon/src/keeper/leadership.ts
@@ -10,13 +10,13 @@
 import type * as observer from '../observability/observer';
 import type * as logHost from '../replicas/logHost';
 import type * as peerClient from '../rpc/peerClient';
-import * as snapshotThrottle from './snapshotThrottle';
+import * as batchQueue from './batchQueue';
 import * as followers from './followers';
 import * as limitCoordinator from './limitCoordinator';
 import * as placing from './placing';
 import * as registryUpdates from './registryUpdates';
+import * as snapshotThrottle from './snapshotThrottle';
 import * as suspectTracker from './suspectTracker';
-import * as batchQueue from './batchQueue';
 
 type Announcement = domain.registry.registry.Announcement;
 
@@ -38,9 +38,7 @@
   linkMbps: number;
 }
 
-/**
- * Time after which a new leader has heard from all entries, in milliseconds: three of their poll intervals.
- */
+/** Time after which a new leader has heard from all entries, in milliseconds: three of their poll intervals. */
 const ENTRY_DISCOVERY_MS = 1_500;
 
 /**
@@ -66,9 +64,7 @@
 
   private readonly snapshotThrottle: snapshotThrottle.SnapshotThrottle;
 
-  /**
-   * Followers that were confirmed without a registry snapshot because other snapshots were using the link.
-   */
+  /** Followers that were confirmed without a registry snapshot because other snapshots were using the link. */
   private readonly awaitingSnapshot = new Set<string>();
 
   /** Followers that were asked for their registry records. */
@@ -183,8 +179,8 @@
     if (!this.isSelf(follower.name)) this.followers.polled(follower);
     void this.mergeRecords(registryCopies.unpackRecords(follower));
     this.suspects.merge(follower.suspects);
-    // A follower on this leader's epoch can lack only limit changes that are still being pushed, so its report adds
-    // nothing.
+    // A follower on this leader's epoch has missed the end of no limit except those still being pushed, so its report
+    // has nothing to add.
     if (!this.updates.isCurrentEpoch(follower.mark)) this.limits.merge(follower.limits);
     follower.dispatches.forEach(({ request, target }) => {
       this.allocator.restore(request, target, now());
@@ -225,9 +221,7 @@
     return this.recordSources.has(name);
   }
 
-  /**
-   * Applies a target's own announcement; resolves once the reachable followers know what changed.
-   */
+  /** Applies a target's own announcement; resolves once the reachable followers know what changed. */
   async announce(announcement: Announcement): Promise<void> {
     const { fleetState: fleet, observer } = this.options;
     const { id, service } = announcement;
@@ -271,9 +265,7 @@
     await this.updates.publish(changed);
   }
 
-  /**
-   * Applies announcements, received in targets' answers to entries, that those targets are draining.
-   */
+  /** Applies announcements, received in targets' answers to entries, that those targets are draining. */
   leaving({ lifetimes }: messages.Leaving): messages.TakenAnswer {
     const changed = lifetimes.flatMap((each) => this.options.fleetState.takeLeaving(each));
     if (changed.length > 0) void this.updates.publish(changed);
@@ -367,9 +359,7 @@
     };
   }
 
-  /**
-   * Targets of services without engines, including draining and gone ones; entries choose among these themselves.
-   */
+  /** Targets of services without engines, including draining and gone ones; entries choose among these themselves. */
   private plainTargets(): Announcement[] {
     const { directory, registry } = this.options.fleetState;
     const services = directory?.catalogue.services ?? [];
--- a/packages/daemon/src/keeper/limitCoordinator.ts
+++ b/packages/daemon/src/keeper/limitCoordinator.ts
@@ -21,9 +21,7 @@
 }
 
 export class LimitCoordinator {
-  /**
-   * Addresses whose limit ended under this leadership, so that followers that missed the end don't bring it back.
-   */
+  /** Addresses whose limit ended under this leadership, so that followers that missed the end don't bring it back. */
   private readonly endedLimits = new Set<string>();
 
   constructor(private readonly dependencies: Dependencies) {}
@@ -48,9 +46,7 @@
     );
   }
 
-  /**
-   * Applies what an entry's targets reported, and counts the messages that it sent without a grant.
-   */
+  /** Applies what an entry's targets reported, and counts the messages that it sent without a grant. */
   report({ limits, spent }: messages.Limited): messages.TakenAnswer {
     this.apply(limits);
     const { now } = this.dependencies;
--- a/packages/daemon/src/keeper/placing.ts
+++ b/packages/daemon/src/keeper/placing.ts
@@ -26,9 +26,7 @@
   request: Request;
   waitedMs: number;
   waiting: number;
-  /**
-   * Time until the engines' rate limits admit one more request, in milliseconds; 0 if some engine has no limit.
-   */
+  /** Time until the engines' rate limits admit one more request, in milliseconds; 0 if some engine has no limit. */
   limitedForMs: number;
   retryAfterMs: number;
 }
@@ -67,9 +65,7 @@
 const ATTEMPTS_PER_DEFERRAL = 3;
 const DEFERRAL_SHARE = 0.04;
 
-/**
- * Interval between two rounds that serve the wait queue, in milliseconds; a fifth of an engine step.
- */
+/** Interval between two rounds that serve the wait queue, in milliseconds; a fifth of an engine step. */
 const SERVE_INTERVAL_MS = 10;
 
 /**
@@ -85,9 +81,7 @@
  */
 const SERVE_SHARE = 0.25;
 
-/**
- * Range of the factor by which a caller's wait is multiplied to get its retry time after it waited in vain.
- */
+/** Range of the factor by which a caller's wait is multiplied to get its retry time after it waited in vain. */
 const RETRY_SPREAD = { min: 1, max: 2 } as const;
 
 /** A request without a placement. */
@@ -205,9 +199,7 @@
     this.serveSoon();
   }
 
-  /**
-   * Time until the engines' rate limits admit one request more than those in the queue, in milliseconds.
-   */
+  /** Time until the engines' rate limits admit one request more than those in the queue, in milliseconds. */
   private limitedForMs(service: string): number {
     return this.dependencies.allocator.limitedForMs(service, this.queue.length, this.now);
   }
--- a/packages/daemon/src/keeper/registryUpdates.ts
+++ b/packages/daemon/src/keeper/registryUpdates.ts
@@ -61,9 +61,7 @@
 /** How long a shared version is handed out, in milliseconds. */
 const SHARED_VERSION_MS = 150;
 
-/**
- * Number of packed batches that are cached: the versions that followers may have during a few pushes.
- */
+/** Number of packed batches that are cached: the versions that followers may have during a few pushes. */
 const MAX_CACHED_BATCHES = 16;
 
 /** Share of the registry that may change before its snapshot is packed anew. */
@@ -110,9 +108,7 @@
 
   constructor(private readonly dependencies: Dependencies) {}
 
-  /**
-   * Starts numbering changes anew for a new leadership; versions of different leaderships aren't comparable.
-   */
+  /** Starts numbering changes anew for a new leadership; versions of different leaderships aren't comparable. */
   beginEpoch(): void {
     this.version = { epoch: crypto.randomBytes(6).toString('hex'), change: 0 };
     this.pushedVersion = this.version;
@@ -137,9 +133,7 @@
     setTimeout(this.schedulePush().push, SUSPECTS_BATCH_WINDOW_MS);
   }
 
-  /**
-   * Records rate limits that changed or ended; they are pushed with the other collected changes.
-   */
+  /** Records rate limits that changed or ended; they are pushed with the other collected changes. */
   publishLimits(limits: readonly RateLimit[]): void {
     this.append(limits.map((limit) => ({ limit })));
     this.schedulePush();
--- a/packages/daemon/src/keeper/snapshotThrottle.ts
+++ b/packages/daemon/src/keeper/snapshotThrottle.ts
@@ -5,9 +5,7 @@
  * as the leader places prompts.
  */
 
-/**
- * Share of the leader's link that snapshots may use; confirmations, settings and placements share the rest.
- */
+/** Share of the leader's link that snapshots may use; confirmations, settings and placements share the rest. */
 const LINK_SHARE = 0.25;
 
 /** How much of their share snapshots may use at once after a pause, in milliseconds of it. */
--- a/packages/daemon/src/keeper/softStateStore.ts
+++ b/packages/daemon/src/keeper/softStateStore.ts
@@ -44,9 +44,7 @@
     this.targets.markChanged();
   }
 
-  /**
-   * Schedules a write only if the quarantine changed: most suspects never get there and cost the disk nothing.
-   */
+  /** Schedules a write only if the quarantine changed: most suspects never get there and cost the disk nothing. */
   suspectsChanged(): void {
     const contents = this.quarantineReports()
       .map(({ content }) => content)
--- a/packages/daemon/src/keeper/suspectTracker.ts
+++ b/packages/daemon/src/keeper/suspectTracker.ts
@@ -35,9 +35,7 @@
 
   constructor(private readonly dependencies: Dependencies) {}
 
-  /**
-   * Forgets the canary runs when a leadership begins or ends; runs allowed by another leader aren't known here.
-   */
+  /** Forgets the canary runs when a leadership begins or ends; runs allowed by another leader aren't known here. */
   reset(): void {
     this.canaries.clear();
   }
@@ -52,9 +50,7 @@
     this.publishChanges(this.dependencies.quarantine.merge(reports, this.dependencies.now()));
   }
 
-  /**
-   * Applies crash reports; returns the current report of each named request, also where nothing changed.
-   */
+  /** Applies crash reports; returns the current report of each named request, also where nothing changed. */
   blame({ ended }: messages.Blame): Report[] {
     const { quarantine, now } = this.dependencies;
     const changes = ended
@@ -101,9 +97,7 @@
     this.canaries.forgetEntry(entry);
   }
 
-  /**
-   * Chooses a target of a plain service that runs no other suspect; the allocator chooses engines itself.
-   */
+  /** Chooses a target of a plain service that runs no other suspect; the allocator chooses engines itself. */
   private chooseTarget({
     service,
     excluded,
--- a/packages/daemon/src/keeper/waitQueue.ts
+++ b/packages/daemon/src/keeper/waitQueue.ts
@@ -7,15 +7,11 @@
  */
 
 export interface QueuedRequest<T> {
-  /**
-   * Prompt tokens. If a request finds no slot, a larger one of the same service and `pauseMs` finds none either.
-   */
+  /** Prompt tokens. If a request finds no slot, a larger one of the same service and `pauseMs` finds none either. */
   tokens: number;
   pauseMs: number;
   service: string;
-  /**
-   * Whether only some targets of the service may take it; its failure then implies nothing for other requests.
-   */
+  /** Whether only some targets of the service may take it; its failure then implies nothing for other requests. */
   isRestricted: boolean;
   since: number;
   /** Time until which a placement can still lead to an answer on time. */
