--- a/packages/daemon/src/keeper/followers.ts
+++ b/packages/daemon/src/keeper/followers.ts
@@ -60,7 +60,7 @@
     private readonly updateSince: UpdateSince,
   ) {}
 
-  polled({ name, role, address, dataCentre, replica, mark }: messages.FollowRequest): void {
+  recordPoll({ name, role, address, dataCentre, replica, mark }: messages.FollowRequest): void {
     const polledAt = this.now();
     this.byName.set(name, { name, role, address, dataCentre, replica, mark, polledAt });
   }
--- a/packages/daemon/src/keeper/leadership.ts
+++ b/packages/daemon/src/keeper/leadership.ts
@@ -176,7 +176,7 @@
     if (!(await this.options.host.confirm(isUrgent))) return undefined;
     if (!this.isLeading) this.setLeading(true);
     this.endCanariesOfPreviousProcess(follower);
-    if (!this.isSelf(follower.name)) this.followers.polled(follower);
+    if (!this.isSelf(follower.name)) this.followers.recordPoll(follower);
     void this.mergeRecords(registryCopies.unpackRecords(follower));
     this.suspects.merge(follower.suspects);
     // A follower on this leader's epoch has missed the end of no limit except those still being pushed, so its report
@@ -233,7 +233,7 @@
       observer.log('announcementIgnored', { target: id, reason: `unknown service "${service}"` });
       return;
     }
-    this.suspects.announced(announcement);
+    this.suspects.handleAnnouncement(announcement);
     const isConfirmed = isConfirmation(fleet.registry.get(id), announcement);
     if (isConfirmed) {
       // Followers already use a target that was loaded from disk; its confirmation comes with the answer to their
--- a/packages/daemon/src/keeper/suspectTracker.ts
+++ b/packages/daemon/src/keeper/suspectTracker.ts
@@ -65,7 +65,7 @@
   }
 
   /** Applies a target's announcement, which may clear suspicions. */
-  announced({ id, bornAt, sequence, state }: domain.registry.registry.Announcement): void {
+  handleAnnouncement({ id, bornAt, sequence, state }: domain.registry.registry.Announcement): void {
     const { quarantine } = this.dependencies;
     if (state === 'gone') return;
     this.publishChanges(quarantine.spoke({ id, bornAt }, sequence));
