--- a/packages/daemon/src/keeper/__tests__/__fixtures__/leaderFixture.ts
+++ b/packages/daemon/src/keeper/__tests__/__fixtures__/leaderFixture.ts
@@ -14,7 +14,7 @@
 
 export interface Push {
   address: string;
-  news: messages.News;
+  update: messages.News;
 }
 
 export interface LeaderFixture {
@@ -44,8 +44,8 @@
 }: Setup): Promise<LeaderFixture> {
   const pushes: Push[] = [];
   const client = {
-    call: async (address: string, _method: string, news: messages.News) => {
-      pushes.push({ address, news });
+    call: async (address: string, _method: string, update: messages.News) => {
+      pushes.push({ address, update });
       await clock.pause(answerMs);
       return Ok(reportsNoState ? { mark: messages.NO_MARK } : {});
     },
--- a/packages/daemon/src/keeper/__tests__/largeFleet.test.ts
+++ b/packages/daemon/src/keeper/__tests__/largeFleet.test.ts
@@ -63,8 +63,8 @@
   await Promise.all(announced);
 }
 
-function bytesOf(news: messages.News): number {
-  return framing.encode(news).length;
+function bytesOf(update: messages.News): number {
+  return framing.encode(update).length;
 }
 
 describe('a leader of 300 entries and 3,000 targets', () => {
@@ -76,11 +76,11 @@
   it('reports all targets to its followers within two seconds of link capacity', async () => {
     const setup = await fixture.leaderWithFollowers({ followers: FOLLOWERS, answerMs: 20 });
     await announceAll(setup);
-    const sent = setup.pushes.reduce((sum, { news }) => sum + bytesOf(news), 0);
+    const sent = setup.pushes.reduce((sum, { update }) => sum + bytesOf(update), 0);
     expect(sent).to.be.below(2 * LINK_BYTES_PER_S);
     const one = makeFollower();
     const first = setup.pushes.filter(({ address }) => address === fixture.addressOf(0));
-    first.forEach(({ news }) => one.takeNews(news));
+    first.forEach(({ update }) => one.takeNews(update));
     expect(one.registry.ready('s').length).to.equal(TARGETS);
   });
 
@@ -176,9 +176,9 @@
     const mark = known?.news.mark ?? messages.NO_MARK;
     await setup.leader.follow({ ...fixture.followRequest(0), mark });
     await setup.leader.announce({ ...announcement(7), state: 'draining', sequence: 3 });
-    expect(setup.pushes.map(({ news }) => registryCopies.unpackRecords(news).length)).to.deep.equal(
-      [1],
-    );
+    expect(
+      setup.pushes.map(({ update }) => registryCopies.unpackRecords(update).length),
+    ).to.deep.equal([1]);
   });
 
   /*
@@ -196,7 +196,7 @@
       setup.leader.announce({ ...announcement(i), state: 'draining' }),
     );
     await Promise.all(announced);
-    const records = setup.pushes.flatMap(({ news }) => registryCopies.unpackRecords(news));
+    const records = setup.pushes.flatMap(({ update }) => registryCopies.unpackRecords(update));
     expect(records.map(({ id }) => id)).to.deep.equal([announcement(1).id, announcement(2).id]);
   });
 });
--- a/packages/daemon/src/keeper/__tests__/leaderLoad.test.ts
+++ b/packages/daemon/src/keeper/__tests__/leaderLoad.test.ts
@@ -46,7 +46,7 @@
     const windows = (clock.steady() - startedAt) / 150;
     expect(pushes.length).to.be.at.most(FOLLOWERS * (windows + 1));
     const first = pushes.filter(({ address }) => address === '10.0.0.0:1');
-    expect(first.flatMap(({ news }) => news.records).length).to.equal(TARGETS);
+    expect(first.flatMap(({ update }) => update.records).length).to.equal(TARGETS);
   });
 
   /*
@@ -59,7 +59,7 @@
     await leader.announce(announcement(1, 'draining'));
     await ready;
     expect(pushes.length).to.equal(FOLLOWERS);
-    expect(pushes[0].news.records.map(({ state }) => state)).to.deep.equal(['ready', 'draining']);
+    expect(pushes[0].update.records.map(({ state }) => state)).to.deep.equal(['ready', 'draining']);
   });
 
   /*
@@ -72,9 +72,9 @@
     await Promise.all(announced);
     const first = pushes.filter(({ address }) => address === '10.0.0.0:1');
     expect(first.length).to.equal(2);
-    const ids = first.flatMap(({ news }) => news.records).map(({ id }) => id);
+    const ids = first.flatMap(({ update }) => update.records).map(({ id }) => id);
     expect(ids).to.deep.equal(['t1', 't2', 't3', 't4', 't5']);
-    expect(first[1].news.since).to.deep.equal(first[0].news.mark);
+    expect(first[1].update.since).to.deep.equal(first[0].update.mark);
   });
 
   /*
