--- a/packages/daemon/src/keeper/__tests__/keeper.test.ts
+++ b/packages/daemon/src/keeper/__tests__/keeper.test.ts
@@ -56,7 +56,7 @@
   },
 };
 
-interface KeeperPlace {
+interface KeeperConfiguration {
   folder: string;
   settings: roleSettings.Settings;
 }
@@ -85,7 +85,7 @@
   private readonly closing: (() => Promise<void> | void)[] = [];
 
   private constructor(
-    readonly places: KeeperPlace[],
+    readonly configurations: KeeperConfiguration[],
     readonly followerPort: number,
   ) {}
 
@@ -94,7 +94,7 @@
     while (ports.length < 2 * size + 1) ports.push(await fixture.freePort());
     const folder = await fs.mkdtemp(path.join(os.tmpdir(), 'keeper-'));
     const seeds = ports.slice(0, 3).map((port) => `127.0.0.1:${port}`);
-    const places = Array.from({ length: size }, (_, i) => {
+    const configurations = Array.from({ length: size }, (_, i) => {
       const dataFolder = path.join(folder, String(i));
       const settings = settingsOf(`
 [daemon]
@@ -114,12 +114,12 @@
 `);
       return { folder: dataFolder, settings };
     });
-    return new Fleet(places, ports[2 * size]);
+    return new Fleet(configurations, ports[2 * size]);
   }
 
   async start(i: number, mayFound = true): Promise<void> {
     const made = new keeper.Keeper({
-      settings: { ...this.places[i].settings, mayFound },
+      settings: { ...this.configurations[i].settings, mayFound },
       protocol: PROTOCOL,
       observer: this.observer,
       random: random.seeded(i + 1),
@@ -146,7 +146,7 @@
   }
 
   async call(i: number, method: string, url: string, body?: unknown): Promise<[number, string]> {
-    const { port } = this.places[i].settings.control as { port: number };
+    const { port } = this.configurations[i].settings.control as { port: number };
     const answer = await fetch(`http://127.0.0.1:${port}${url}`, {
       method,
       body: body === undefined ? undefined : JSON.stringify(body),
@@ -196,7 +196,7 @@
       address,
       dataCentre: 'dc0',
       replica: () => undefined,
-      seeds: this.places[0].settings.seeds,
+      seeds: this.configurations[0].settings.seeds,
       client,
       holding: state,
       observer: this.observer,
@@ -267,7 +267,7 @@
     await fleet.submit(3);
     const lost = (fleet.leader + 1) % 3;
     await fleet.stop(lost);
-    await fs.rm(fleet.places[lost].folder, { recursive: true });
+    await fs.rm(fleet.configurations[lost].folder, { recursive: true });
     await fleet.start(lost, false);
     await until('three voters, all caught up', () => {
       const leader = fleet.running.get(fleet.leader)?.gauges();
@@ -340,7 +340,7 @@
     await until('the target', async () => {
       return (await fleet.call(fleet.leader, 'PUT', '/i1', target('ready', 1)))[0] === 200;
     });
-    const files = [0, 1, 2].map((i) => path.join(fleet.places[i].folder, 'targets'));
+    const files = [0, 1, 2].map((i) => path.join(fleet.configurations[i].folder, 'targets'));
     await until('the target on a disk', async () =>
       (await Promise.all(files.map(sizeOf))).some((n) => n > 60),
     );
@@ -362,7 +362,7 @@
    * by another program; it logs this and starts without the file.
    */
   it('start without a file of targets that is truncated or malformed', async () => {
-    const { folder } = fleet.places[0];
+    const { folder } = fleet.configurations[0];
     await fleet.stop(0);
     const whole = frames.encode([{ ...target('ready', 1), id: 'i1' }]);
     const malformed = frames.encode([{ id: 5 }]);
--- a/packages/daemon/src/keeper/__tests__/waitQueue.test.ts
+++ b/packages/daemon/src/keeper/__tests__/waitQueue.test.ts
@@ -9,7 +9,7 @@
 
   readonly outcomes: string[] = [];
 
-  places = 0;
+  freeSlots = 0;
 
   attempts = 0;
 
@@ -24,8 +24,8 @@
       until: since + 1_000,
       attempt: () => {
         this.attempts += 1;
-        if (this.places < needed) return undefined;
-        this.places -= needed;
+        if (this.freeSlots < needed) return undefined;
+        this.freeSlots -= needed;
         return name;
       },
       resolve: (found) => this.outcomes.push(found ?? `${name} refused`),
@@ -39,9 +39,9 @@
     fixture.wait('late', 0);
     fixture.wait('older', 400);
     fixture.wait('newer', 450);
-    fixture.places = 2;
+    fixture.freeSlots = 2;
     fixture.queue.serve(500);
-    fixture.places = 1;
+    fixture.freeSlots = 1;
     fixture.queue.serve(500);
     expect(fixture.outcomes).to.deep.equal(['older', 'newer', 'late']);
   });
@@ -65,7 +65,7 @@
     fixture.wait('small', 1, 5_000);
     fixture.queue.serve(10);
     expect(fixture.attempts).to.be.at.most(8);
-    fixture.places = 1;
+    fixture.freeSlots = 1;
     fixture.queue.serve(10);
     expect(fixture.outcomes).to.deep.equal(['small']);
   });
