--- a/packages/daemon/src/keeper/__tests__/keeper.test.ts
+++ b/packages/daemon/src/keeper/__tests__/keeper.test.ts
@@ -1,4 +1,4 @@
-/** Keepers over real sockets and disks: founding, catalogues, announcements, a takeover, a lost disk. */
+/** Keepers with real sockets and disks: founding, catalogues, announcements, a leader change, a lost disk. */
 import * as fs from 'node:fs/promises';
 import * as os from 'node:os';
 import * as path from 'node:path';
@@ -18,7 +18,7 @@
 import * as peerServer from '../../rpc/peerServer';
 import * as frames from '../../storage/frames';
 import * as keeper from '../keeper';
-import * as targetMemory from '../targetMemory';
+import * as targetStore from '../targetStore';
 
 const { expect } = chai;
 
@@ -28,7 +28,7 @@
 
 const SERVICE = { name: 's', healthPath: '/', maxConnections: 10, engine: undefined };
 
-/** Documents are `{version, valid}`; announcements are the product's own records. */
+/** Documents are `{version, valid}`; announcements are the internal records as JSON. */
 const PROTOCOL: protocols.ControlProtocol = {
   call: (method, url) => {
     if (url === '/catalogue') return { kind: method === 'PUT' ? 'submit' : 'read' };
@@ -56,15 +56,15 @@
   },
 };
 
-interface Place {
+interface KeeperConfiguration {
   folder: string;
   settings: roleSettings.Settings;
 }
 
 async function until(what: string, check: () => boolean | Promise<boolean>): Promise<void> {
-  const end = clock.steady() + 15_000;
+  const deadline = clock.steady() + 15_000;
   while (!(await check())) {
-    if (clock.steady() > end) throw new Error(`waited in vain for ${what}`);
+    if (clock.steady() > deadline) throw new Error(`timed out waiting for ${what}`);
     await new Promise((resolve) => {
       setTimeout(resolve, 20);
     });
@@ -85,7 +85,7 @@
   private readonly closing: (() => Promise<void> | void)[] = [];
 
   private constructor(
-    readonly places: Place[],
+    readonly configurations: KeeperConfiguration[],
     readonly followerPort: number,
   ) {}
 
@@ -94,8 +94,8 @@
     while (ports.length < 2 * size + 1) ports.push(await fixture.freePort());
     const folder = await fs.mkdtemp(path.join(os.tmpdir(), 'keeper-'));
     const seeds = ports.slice(0, 3).map((port) => `127.0.0.1:${port}`);
-    const places = Array.from({ length: size }, (_, i) => {
-      const home = path.join(folder, String(i));
+    const configurations = Array.from({ length: size }, (_, i) => {
+      const dataFolder = path.join(folder, String(i));
       const settings = settingsOf(`
 [daemon]
 role = keeper
@@ -108,18 +108,18 @@
 seeds = ${seeds.join(',')}
 secret = ${SECRET}
 [data]
-folder = ${home}
+folder = ${dataFolder}
 may-found = true
 tolerated-losses = 1
 `);
-      return { folder: home, settings };
+      return { folder: dataFolder, settings };
     });
-    return new Fleet(places, ports[2 * size]);
+    return new Fleet(configurations, ports[2 * size]);
   }
 
   async start(i: number, mayFound = true): Promise<void> {
     const made = new keeper.Keeper({
-      settings: { ...this.places[i].settings, mayFound },
+      settings: { ...this.configurations[i].settings, mayFound },
       protocol: PROTOCOL,
       observer: this.observer,
       random: random.seeded(i + 1),
@@ -146,7 +146,7 @@
   }
 
   async call(i: number, method: string, url: string, body?: unknown): Promise<[number, string]> {
-    const { port } = this.places[i].settings.control as { port: number };
+    const { port } = this.configurations[i].settings.control as { port: number };
     const answer = await fetch(`http://127.0.0.1:${port}${url}`, {
       method,
       body: body === undefined ? undefined : JSON.stringify(body),
@@ -154,7 +154,7 @@
     return [answer.status, await answer.text()];
   }
 
-  /** Submits until a keeper takes it, as operators do. */
+  /** Submits until a keeper accepts, as operators do. */
   async submit(version: number): Promise<void> {
     await until(`version ${version} accepted`, async () => {
       for (const i of this.running.keys()) {
@@ -173,20 +173,20 @@
     return 0;
   }
 
-  /** Something that follows the leader as an entry does. */
-  async follow(): Promise<{ held: holding.Holding; link: leaderLink.LeaderLink }> {
+  /** Follows the leader as an entry does. */
+  async follow(): Promise<{ state: holding.Holding; link: leaderLink.LeaderLink }> {
     const address = `127.0.0.1:${this.followerPort}`;
     const client = new peerClient.PeerClient(SECRET, undefined, this.observer);
     const server = new peerServer.PeerServer(SECRET, undefined, this.observer);
-    const held = new holding.Holding({
+    const state = new holding.Holding({
       protocol: PROTOCOL,
       observer: this.observer,
       now: clock.steady,
       onCatalogue: () => undefined,
       onRecord: () => undefined,
     });
-    server.add('learn', (news) => {
-      held.takeNews(news as messages.News);
+    server.add('learn', (update) => {
+      state.takeNews(update as messages.News);
       return {};
     });
     await server.listen({ host: '127.0.0.1', port: this.followerPort });
@@ -196,9 +196,9 @@
       address,
       dataCentre: 'dc0',
       replica: () => undefined,
-      seeds: this.places[0].settings.seeds,
+      seeds: this.configurations[0].settings.seeds,
       client,
-      holding: held,
+      holding: state,
       observer: this.observer,
       moment: clock.moment,
       dispatches: () => [],
@@ -210,7 +210,7 @@
       () => server.close(),
       () => client.close(),
     );
-    return { held, link };
+    return { state, link };
   }
 }
 
@@ -237,7 +237,7 @@
 
   afterEach(async () => fleet.stopAll());
 
-  it('found one replica set and refuse what is not valid', async () => {
+  it('found one replica set and refuse invalid catalogues', async () => {
     await fleet.submit(3);
     const [status] = await fleet.call(0, 'PUT', '/catalogue', { version: 9, valid: false });
     const [older] = await fleet.call(1, 'PUT', '/catalogue', { version: 2, valid: true });
@@ -245,29 +245,29 @@
   });
 
   /*
-   * Accepted settings would be gone, or a key come back. The leader dies right after it accepted a version;
-   * another one takes over and must show that version to operators and push the next to entries.
+   * Guards against accepted settings that are lost, or a revoked key that returns: the leader stops right after it
+   * accepted a version, and its successor must show that version to operators and push the next one to entries.
    */
-  it('keep what was accepted when the leader dies, and go on', async () => {
-    const { held, link } = await fleet.follow();
+  it('keep accepted settings when the leader stops, and accept new ones', async () => {
+    const { state, link } = await fleet.follow();
     await fleet.submit(3);
     await fleet.stop(fleet.leader);
     expect(await fleet.version().catch(() => 0)).to.be.oneOf([0, 3]);
     await fleet.submit(4);
-    await until('the follower has it', () => held.version === 4);
+    await until('the follower to have it', () => state.version === 4);
     await until('a confirmation', () => link.age < 700);
     expect(await fleet.version()).to.equal(4);
   });
 
   /*
-   * Two leaders, or settings lost. A VM comes back with an empty disk, is told that it may not found, and must
-   * neither vote as its old self nor hold the others up; with it back, the next death must lose nothing.
+   * Guards against two leaders and lost settings: a VM returns with an empty disk and may not found. It must neither
+   * vote as its old replica nor delay the others, and once it is back the next failure must lose nothing.
    */
   it('take a keeper with an empty disk back as a new voter', async () => {
     await fleet.submit(3);
     const lost = (fleet.leader + 1) % 3;
     await fleet.stop(lost);
-    await fs.rm(fleet.places[lost].folder, { recursive: true });
+    await fs.rm(fleet.configurations[lost].folder, { recursive: true });
     await fleet.start(lost, false);
     await until('three voters, all caught up', () => {
       const leader = fleet.running.get(fleet.leader)?.gauges();
@@ -280,104 +280,103 @@
   });
 
   /*
-   * Requests would reach a target that is gone. It says through any keeper that it leaves; when that is
-   * acknowledged, whoever follows the leader must know.
+   * Guards against requests to a target that is gone: a target announces through any keeper that it drains, and
+   * followers of the leader must know by the time this is acknowledged.
    */
-  it('acknowledge that a target leaves once followers know', async () => {
-    const { held, link } = await fleet.follow();
+  it('acknowledge a draining target once followers know', async () => {
+    const { state, link } = await fleet.follow();
     await until('a confirmation', () => link.age < 700);
     const other = (fleet.leader + 1) % 3;
-    await until('announced', async () => {
+    await until('the announcement', async () => {
       return (await fleet.call(other, 'PUT', '/i1', target('ready', 1)))[0] === 200;
     });
-    expect(held.registry.get('i1')?.state).to.equal('ready');
+    expect(state.registry.get('i1')?.state).to.equal('ready');
     expect((await fleet.call(other, 'PUT', '/i1', target('draining', 2)))[0]).to.equal(200);
-    expect(held.registry.get('i1')?.state).to.equal('draining');
+    expect(state.registry.get('i1')?.state).to.equal('draining');
     expect((await fleet.call(fleet.leader, 'DELETE', '/i1'))[0]).to.equal(200);
-    expect(held.registry.get('i1')?.state).to.equal('gone');
+    expect(state.registry.get('i1')?.state).to.equal('gone');
   });
 
   /*
-   * Callers would be refused while an engine stands idle for the rest of the day. It crashed without a word, and another
-   * one started at its address; the keepers must take the new one's word for it, and not wait until the
-   * old one says that it is gone.
+   * Guards against an engine that stays unused: it crashed without departing, and another one started at its address.
+   * The keepers must accept the new one without waiting for the old one to depart.
    */
-  it('know a target that started at the address of one that crashed', async () => {
-    const { held, link } = await fleet.follow();
+  it('accept a target at the address of one that crashed', async () => {
+    const { state, link } = await fleet.follow();
     await until('a confirmation', () => link.age < 700);
-    await until('the first', async () => {
+    await until('the first target', async () => {
       return (await fleet.call(fleet.leader, 'PUT', '/i1', target('ready', 1)))[0] === 200;
     });
     expect((await fleet.call(fleet.leader, 'PUT', '/i2', target('ready', 1)))[0]).to.equal(200);
-    const states = ['i1', 'i2'].map((id) => held.registry.get(id)?.state);
+    const states = ['i1', 'i2'].map((id) => state.registry.get(id)?.state);
     expect(states).to.deep.equal(['gone', 'ready']);
   });
 
   /*
-   * A sound target would lose its place to one that nobody can use. Another program announces a target of a service
-   * that isn't there, at the same address, and one whose slots are a word.
+   * Guards against a healthy target that is replaced by an unusable one: another program announces a target of an
+   * unknown service at the same address, and one with slots that aren't a number.
    */
-  it('take nothing of announcements by other programs', async () => {
-    const { held, link } = await fleet.follow();
+  it('ignore unusable announcements by other programs', async () => {
+    const { state, link } = await fleet.follow();
     await until('a confirmation', () => link.age < 700);
     await fleet.submit(1);
-    await until('settings', () => held.version === 1);
+    await until('the catalogue', () => state.version === 1);
     await until('the target', async () => {
       return (await fleet.call(fleet.leader, 'PUT', '/i1', target('ready', 1)))[0] === 200;
     });
-    const foreign = { ...target('ready', 1), service: 'unknown' };
-    expect((await fleet.call(fleet.leader, 'PUT', '/i2', foreign))[0]).to.equal(200);
+    const malformed = { ...target('ready', 1), service: 'unknown' };
+    expect((await fleet.call(fleet.leader, 'PUT', '/i2', malformed))[0]).to.equal(200);
     const broken = { ...target('ready', 1), slots: 'many' };
     expect((await fleet.call(fleet.leader, 'PUT', '/i3', broken))[0]).to.equal(400);
-    const states = ['i1', 'i2', 'i3'].map((id) => held.registry.get(id)?.state);
+    const states = ['i1', 'i2', 'i3'].map((id) => state.registry.get(id)?.state);
     expect(states).to.deep.equal(['ready', undefined, undefined]);
   });
 
   /*
-   * Every prompt would be refused for over a second with engines idle. All keepers lose power together; the new
-   * leader knows no target until each announces itself again, unless the disks tell.
+   * Guards against prompts that are refused for over a second with engines idle: after a power loss of all keepers
+   * the new leader would know no targets until each announces itself, so it loads them from disk.
    */
-  it('remember targets over a loss of all until they speak', async () => {
+  it('load targets from disk after an outage of all keepers until they announce themselves', async () => {
     await until('the target', async () => {
       return (await fleet.call(fleet.leader, 'PUT', '/i1', target('ready', 1)))[0] === 200;
     });
-    const files = [0, 1, 2].map((i) => path.join(fleet.places[i].folder, 'targets'));
-    await until('it on a disk', async () =>
+    const files = [0, 1, 2].map((i) => path.join(fleet.configurations[i].folder, 'targets'));
+    await until('the target on a disk', async () =>
       (await Promise.all(files.map(sizeOf))).some((n) => n > 60),
     );
     for (const i of [0, 1, 2]) await fleet.stop(i);
     for (const i of [0, 1, 2]) await fleet.start(i, false);
-    const { held } = await fleet.follow();
-    await until('the target from the disk', () => held.registry.get('i1') !== undefined);
-    expect(held.registry.get('i1')).to.include({ state: 'ready', isRemembered: true });
-    await until('its word', async () => {
+    const { state } = await fleet.follow();
+    await until('the target from the disk', () => state.registry.get('i1') !== undefined);
+    expect(state.registry.get('i1')).to.include({ state: 'ready', isRemembered: true });
+    await until('its announcement', async () => {
       return (await fleet.call(fleet.leader, 'PUT', '/i1', target('ready', 2)))[0] === 200;
     });
-    // The follower uses it already; that it lives comes with the answer to its next question.
-    await until('the follower to know', () => held.registry.get('i1')?.isRemembered !== true);
-    expect(held.registry.get('i1')?.state).to.equal('ready');
+    // The follower already uses the target; its confirmation comes with the answer to the next poll.
+    await until('the follower to know', () => state.registry.get('i1')?.isRemembered !== true);
+    expect(state.registry.get('i1')?.state).to.equal('ready');
   });
 
   /*
-   * A keeper that doesn't start would be one loss more. The file of targets is torn by a power loss, or some other
-   * program's; the keeper says so in its log and starts without it.
+   * Guards against a keeper that doesn't start because its file of targets was truncated by a power loss or written
+   * by another program; it logs this and starts without the file.
    */
-  it('start without targets from a file that is torn or foreign', async () => {
-    const { folder } = fleet.places[0];
+  it('start without a file of targets that is truncated or malformed', async () => {
+    const { folder } = fleet.configurations[0];
     await fleet.stop(0);
     const whole = frames.encode([{ ...target('ready', 1), id: 'i1' }]);
-    const foreign = frames.encode([{ id: 5 }]);
+    const malformed = frames.encode([{ id: 5 }]);
     const unusable = { ...target('ready', 1), id: 'i1', address: 'nowhere' };
-    const contents = [whole.subarray(0, -3), Buffer.from('{"targets":[]}'), foreign];
+    const contents = [whole.subarray(0, -3), Buffer.from('{"targets":[]}'), malformed];
     for (const content of contents) {
       await fs.writeFile(path.join(folder, 'targets'), content);
-      expect((await targetMemory.read(folder)).err).to.equal(true);
+      expect((await targetStore.read(folder)).err).to.equal(true);
     }
     await fleet.start(0, false);
     await fs.writeFile(path.join(folder, 'targets'), frames.encode([unusable]));
-    expect((await targetMemory.read(folder)).unwrap()).to.deep.equal([]);
+    expect((await targetStore.read(folder)).unwrap()).to.deep.equal([]);
     await fs.writeFile(path.join(folder, 'targets'), whole);
-    expect((await targetMemory.read(folder)).unwrap().map(({ id }) => id)).to.deep.equal(['i1']);
+    expect((await targetStore.read(folder)).unwrap().map(({ id }) => id)).to.deep.equal(['i1']);
   });
 });
 
--- a/packages/daemon/src/keeper/__tests__/suspicions.test.ts
+++ b/packages/daemon/src/keeper/__tests__/suspectTracker.test.ts
@@ -1,22 +1,23 @@
-/** What a leader makes of ends that entries tell it of. */
+/** How a leader handles crash reports from entries. */
 import * as chai from 'chai';
 import * as domain from '@celerydrift/domain';
 import * as observer from '../../observability/observer';
-import * as suspicions from '../suspicions';
+import * as suspectTracker from '../suspectTracker';
 
 const { expect } = chai;
 
 const CONTENT = '4-content';
 
-describe('a leader that is told of ends', () => {
+describe('suspect tracker', () => {
   /*
-   * A lookup that many callers send was refused at every entry for seconds. One entry had been cut off from all targets, took each
-   * for ended, and told so when it was back; meanwhile all of them had gone on announcing themselves.
+   * Guards against a request that is refused at every entry for seconds although no target crashed: an entry was cut
+   * off from all targets, took each for crashed and reported so once it was back, while all targets had gone on
+   * announcing themselves.
    */
-  it('believes nobody about a target that has spoken since', () => {
+  it('ignores crash reports of targets that announced themselves since', () => {
     const quarantine = new domain.quarantine.quarantine.Quarantine();
     const published: domain.quarantine.suspect.Report[] = [];
-    const made = new suspicions.Suspicions({
+    const tracker = new suspectTracker.SuspectTracker({
       quarantine,
       registry: { spokeAt: ({ id }) => (id === 'silent' ? 0 : 9_500), ready: () => [] },
       isAllocated: () => false,
@@ -24,29 +25,32 @@
       now: () => 10_000,
       publish: (reports) => published.push(...reports),
     });
-    const tell = (id: string, agoMs: number): void => {
-      made.blame({
+    const report = (id: string, agoMs: number): void => {
+      tracker.blame({
         ended: [
           { content: CONTENT, lifetime: { id, bornAt: 1 }, isTrial: true, agoMs, sentAgoMs: agoMs },
         ],
       });
     };
-    ['a', 'b', 'c'].forEach((id) => tell(id, 5_000));
+    ['a', 'b', 'c'].forEach((id) => report(id, 5_000));
     expect([quarantine.size, published.length]).to.deep.equal([0, 0]);
-    tell('a', 10);
-    tell('silent', 5_000);
+    report('a', 10);
+    report('silent', 5_000);
     expect(published.map(({ endings }) => endings.length)).to.deep.equal([1, 2]);
   });
 
-  /** Guards against a new leader that takes followers' copies of the registry for the targets' own words: a culprit's ends didn't count. */
-  it('believes an end although a copy of the registry came since that has the target', () => {
+  /**
+   * Guards against a new leader that mistakes followers' registry records for announcements of the targets
+   * themselves, so that crashes of the request that causes them don't count.
+   */
+  it('accepts a crash report although registry records with the target were merged since', () => {
     const quarantine = new domain.quarantine.quarantine.Quarantine();
     const registry = new domain.registry.registry.Registry();
     const target = { id: 'a', bornAt: 1, state: 'ready', sequence: 7 } as const;
     const place = { service: 'plain', address: '10.0.0.2:1', dataCentre: 'east', slots: 4 };
     registry.announce({ ...target, ...place }, 1_000);
     registry.merge([{ ...target, ...place, sequence: 8 }], 9_900);
-    const made = new suspicions.Suspicions({
+    const tracker = new suspectTracker.SuspectTracker({
       quarantine,
       registry,
       isAllocated: () => false,
@@ -55,7 +59,7 @@
       publish: () => undefined,
     });
     const run = { isTrial: true, agoMs: 5_000, sentAgoMs: 5_100 };
-    made.blame({ ended: [{ content: CONTENT, lifetime: target, ...run }] });
+    tracker.blame({ ended: [{ content: CONTENT, lifetime: target, ...run }] });
     expect(quarantine.standing(CONTENT)).to.equal('suspected');
   });
 });
--- a/packages/daemon/src/keeper/catalogueMachine.ts
+++ b/packages/daemon/src/keeper/catalogueMachine.ts
@@ -1,4 +1,4 @@
-/** The replicated catalogue as a machine of the log. */
+/** The replicated catalogue as a state machine of the log. */
 import * as domain from '@celerydrift/domain';
 import type * as machine from '../replicas/machine';
 
@@ -7,14 +7,14 @@
 export class CatalogueMachine implements machine.Machine {
   readonly versions = new domain.catalogue.versions.Versions();
 
-  private isTelling = false;
+  private isNotificationQueued = false;
 
-  /** `onChange` is told the newest edition once all that were committed together are applied. */
+  /** `onChange` receives the newest catalogue version once all versions committed together are applied. */
   constructor(private readonly onChange: (edition: Edition) => void) {}
 
   apply(command: unknown): domain.catalogue.versions.Acceptance {
     const acceptance = this.versions.apply(command as Edition);
-    if (acceptance.changed) this.tellSoon();
+    if (acceptance.changed) this.queueNotification();
     return acceptance;
   }
 
@@ -30,14 +30,14 @@
   }
 
   /**
-   * A new leader applies all editions since the snapshot at once. To read each of them took one 80 ms after a loss of
-   * all, while every entry waited for the last.
+   * A new leader applies all versions since the snapshot at once. Decoding each of them took 80 ms after an outage of
+   * all keepers, while every entry waited for the last one.
    */
-  private tellSoon(): void {
-    if (this.isTelling) return;
-    this.isTelling = true;
+  private queueNotification(): void {
+    if (this.isNotificationQueued) return;
+    this.isNotificationQueued = true;
     queueMicrotask(() => {
-      this.isTelling = false;
+      this.isNotificationQueued = false;
       const { newest } = this.versions;
       if (newest !== undefined) this.onChange(newest);
     });
--- a/packages/daemon/src/keeper/controlServer.ts
+++ b/packages/daemon/src/keeper/controlServer.ts
@@ -1,24 +1,24 @@
 /**
- * A keeper's listener for targets and operators. Any keeper takes any call and passes it to the leader;
- * what it can't settle it answers 503, so that the caller turns to another keeper.
+ * A keeper's HTTP server for targets and operators. Any keeper accepts any call and forwards it to the leader; it
+ * answers 503 to what it can't settle, so that the caller turns to another keeper.
  */
 import * as http from 'node:http';
 import * as domain from '@celerydrift/domain';
 import type * as codecs from '../configuration/codecs';
 import type * as protocols from '../edges/protocols';
-import * as editions from '../fleet/editions';
 import type * as messages from '../fleet/messages';
+import * as packedCatalogue from '../fleet/packedCatalogue';
 import * as listening from '../http/listening';
 import type * as observer from '../observability/observer';
 
 type Announcement = domain.registry.registry.Announcement;
 
-export interface Parts {
+export interface Dependencies {
   protocol: protocols.ControlProtocol;
   observer: observer.Observer;
-  /** Passes an announcement on; true once the leader has it. */
+  /** Forwards an announcement; resolves with true once the leader has it. */
   announce: (record: Announcement) => Promise<boolean>;
-  depart: (departed: messages.Departed) => Promise<boolean>;
+  depart: (departed: messages.Departure) => Promise<boolean>;
   submit: (edition: domain.catalogue.versions.Edition) => Promise<messages.SubmitAnswer>;
   newest: () => Promise<messages.NewestAnswer>;
 }
@@ -28,10 +28,10 @@
   body: Buffer | string;
 }
 
-/** Longest document or announcement; 350 routes take some 100 KB. */
+/** Maximum size of a document or announcement; 350 routes take some 100 KB. */
 const MAX_BODY_BYTES = 16 * 1024 * 1024;
 
-/** How long a target or operator may keep an idle connection, milliseconds. */
+/** How long a target or operator may keep an idle connection, in milliseconds. */
 const KEEP_ALIVE_MS = 15_000;
 
 const UNAVAILABLE: Reply = { status: 503, body: '{"error":"no leader in touch"}' };
@@ -39,7 +39,7 @@
 export class ControlServer {
   private readonly server: http.Server;
 
-  constructor(private readonly parts: Parts) {
+  constructor(private readonly dependencies: Dependencies) {
     this.server = http.createServer({ keepAliveTimeout: KEEP_ALIVE_MS }, (request, response) => {
       void this.serve(request, response);
     });
@@ -67,7 +67,7 @@
 
   private async reply(request: http.IncomingMessage, body: Buffer): Promise<Reply> {
     const path = (request.url ?? '').split('?')[0];
-    const call = this.parts.protocol.call(request.method ?? '', path);
+    const call = this.dependencies.protocol.call(request.method ?? '', path);
     if (call === undefined) return { status: 404, body: '' };
     if (call.kind === 'announce') return this.announce(call.id, body);
     if (call.kind === 'depart') return this.depart(call.id, body);
@@ -75,46 +75,50 @@
   }
 
   private async announce(id: string, body: Buffer): Promise<Reply> {
-    const decoded = this.parts.protocol.announcement(id, body);
+    const decoded = this.dependencies.protocol.announcement(id, body);
     const problem = decoded.err
       ? decoded.val.detail
       : domain.registry.validity.problemOf(decoded.val);
     if (decoded.err || problem !== undefined) {
-      this.parts.observer.log('announcementIgnored', { target: id, reason: problem });
+      this.dependencies.observer.log('announcementIgnored', { target: id, reason: problem });
       return { status: 400, body: JSON.stringify({ error: problem }) };
     }
-    return (await this.parts.announce(decoded.val)) ? { status: 200, body: '{}' } : UNAVAILABLE;
+    return (await this.dependencies.announce(decoded.val))
+      ? { status: 200, body: '{}' }
+      : UNAVAILABLE;
   }
 
   private async depart(id: string, body: Buffer): Promise<Reply> {
-    const bornAt = this.parts.protocol.departedLifetime(body);
-    return (await this.parts.depart({ id, bornAt })) ? { status: 200, body: '{}' } : UNAVAILABLE;
+    const bornAt = this.dependencies.protocol.departedLifetime(body);
+    return (await this.dependencies.depart({ id, bornAt }))
+      ? { status: 200, body: '{}' }
+      : UNAVAILABLE;
   }
 
   private async submit(body: Buffer): Promise<Reply> {
-    const decoded = this.parts.protocol.catalogue(body);
+    const decoded = this.dependencies.protocol.catalogue(body);
     if (decoded.err) return this.refuse(0, decoded.val.detail);
     const { version } = decoded.val;
     const [problem] = domain.catalogue.catalogue.problemsOf(decoded.val);
     if (problem !== undefined) return this.refuse(version, `${problem.fault}: ${problem.subject}`);
-    const answer = await this.parts.submit(editions.pack(version, body));
+    const answer = await this.dependencies.submit(packedCatalogue.pack(version, body));
     if (answer.kind === 'unavailable') {
-      this.parts.observer.log('catalogueUnsettled', { version, reason: answer.detail });
+      this.dependencies.observer.log('catalogueUnsettled', { version, reason: answer.detail });
       return UNAVAILABLE;
     }
-    this.parts.observer.log('catalogueAccepted', { version, inForce: answer.version });
+    this.dependencies.observer.log('catalogueAccepted', { version, inForce: answer.version });
     return { status: 200, body: JSON.stringify({ version: answer.version }) };
   }
 
   private refuse(version: number, reason: string): Reply {
-    this.parts.observer.log('catalogueRefused', { version, reason });
+    this.dependencies.observer.log('catalogueRefused', { version, reason });
     return { status: 400, body: JSON.stringify({ error: reason }) };
   }
 
   private async read(): Promise<Reply> {
-    const answer = await this.parts.newest();
+    const answer = await this.dependencies.newest();
     if (answer.kind === 'unavailable' || answer.edition === undefined) return UNAVAILABLE;
-    return { status: 200, body: editions.unpack(answer.edition) };
+    return { status: 200, body: packedCatalogue.unpack(answer.edition) };
   }
 }
 
@@ -128,7 +132,7 @@
       chunks.push(chunk as Buffer);
     }
   } catch {
-    // The sender broke off, so nobody waits for an answer.
+    // The sender aborted the request, so nobody waits for an answer.
     return 'broken';
   }
   return Buffer.concat(chunks);
--- a/packages/daemon/src/keeper/followers.ts
+++ b/packages/daemon/src/keeper/followers.ts
@@ -1,6 +1,6 @@
 /**
- * The leader's view of who follows it, and the pushing of news to them. A push is acknowledged when the
- * follower has it in force, so an acknowledgement to a target or an operator can wait for those in touch.
+ * The leader's list of its followers, and the pushing of updates to them. A follower acknowledges a push once it is
+ * in force there, so the reply to a target or an operator can wait for all reachable followers.
  */
 import type * as domain from '@celerydrift/domain';
 import * as clock from '../clock';
@@ -13,55 +13,56 @@
   address: string;
   dataCentre: string;
   replica: string | undefined;
-  /** The state of the registry that it has, as far as it said. */
-  mark: messages.RegistryMark;
-  heardAt: number;
+  /** The registry version that it last reported. */
+  mark: messages.RegistryVersion;
+  polledAt: number;
 }
 
-/** A follower that hasn't asked for so long isn't waited for; more than two of its questions. */
-const IN_TOUCH_MS = 1_300;
+/** A follower is reachable if it polled within this time, in milliseconds; more than two poll intervals. */
+const RECENT_POLL_MS = 1_300;
 
-/** A follower that is silent for so long is forgotten: it ended, or follows another leader. */
-const FORGET_MS = 4_000;
+/** A follower that didn't poll for this long is removed, in milliseconds: it ended, or follows another leader. */
+const FOLLOWER_TIMEOUT_MS = 4_000;
 
-/** Longest wait for a follower's acknowledgement, milliseconds; a fifth of the shortest drain bound. */
-const ACKNOWLEDGED_MS = 400;
+/** Maximum wait for a follower's acknowledgement, in milliseconds; a fifth of the shortest drain time. */
+const MAX_ACK_WAIT_MS = 400;
 
 /**
- * A push that isn't answered for so long ends its connection, milliseconds. Sooner, a busy link or follower would cost the
- * connections of a whole fleet, and making them anew keeps it busy; the follower asks over its own connection meanwhile.
+ * Time after which an unanswered push closes its connection, in milliseconds. With a shorter one, a busy link or
+ * follower would close the connections of a whole fleet, and reopening them keeps it busy; the follower polls over
+ * its own connection meanwhile.
  */
-const SILENT_MS = 1_500;
+const PUSH_TIMEOUT_MS = 1_500;
 
-/** What is on its way to one follower, and what waits until that has arrived. */
-interface Lane {
-  isWaiting: boolean;
-  /** The newest catalogue among what waits. */
+/** A push to one follower that isn't acknowledged yet, and what is queued behind it. */
+interface InFlightPush {
+  hasQueued: boolean;
+  /** The newest catalogue that is queued. */
   edition: domain.catalogue.versions.Edition | undefined;
-  /** Resolves when what waits now has arrived, or was given up. */
+  /** Resolves when everything queued now has arrived or was given up. */
   next: Promise<void>;
 }
 
-/** What a follower with a state lacks at this moment; undefined where only a whole copy would do, which isn't pushed. */
-export type MissedSince = (
-  mark: messages.RegistryMark,
+/** What a follower at a version lacks now; undefined if only a snapshot would do, which isn't pushed. */
+export type UpdateSince = (
+  mark: messages.RegistryVersion,
 ) => Omit<messages.News, 'edition'> | undefined;
 
 export class Followers {
   private readonly byName = new Map<string, Follower>();
 
-  /** Pushes under way, by address. */
-  private readonly lanes = new Map<string, Lane>();
+  /** Unacknowledged pushes, by address. */
+  private readonly inFlight = new Map<string, InFlightPush>();
 
   constructor(
     private readonly client: peerClient.PeerClient,
     private readonly now: () => number,
-    private readonly missedSince: MissedSince,
+    private readonly updateSince: UpdateSince,
   ) {}
 
-  heard({ name, role, address, dataCentre, replica, mark }: messages.Follow): void {
-    const heardAt = this.now();
-    this.byName.set(name, { name, role, address, dataCentre, replica, mark, heardAt });
+  recordPoll({ name, role, address, dataCentre, replica, mark }: messages.FollowRequest): void {
+    const polledAt = this.now();
+    this.byName.set(name, { name, role, address, dataCentre, replica, mark, polledAt });
   }
 
   has(name: string): boolean {
@@ -80,9 +81,9 @@
     return this.byName.size;
   }
 
-  /** Forgets the silent ones and names them. */
-  forgetSilent(): Follower[] {
-    const silent = this.all().filter(({ heardAt }) => this.now() - heardAt > FORGET_MS);
+  /** Removes the followers that stopped polling and returns them. */
+  removeSilent(): Follower[] {
+    const silent = this.all().filter(({ polledAt }) => this.now() - polledAt > FOLLOWER_TIMEOUT_MS);
     silent.forEach(({ name }) => this.byName.delete(name));
     return silent;
   }
@@ -91,71 +92,77 @@
     this.byName.clear();
   }
 
-  /** Pushes to everyone what it lacks, and `news` to those of whom that isn't known; resolves when those in touch have it or after a bound. */
-  async push(news: messages.News): Promise<void> {
-    const inTouch = this.all().filter(({ heardAt }) => this.now() - heardAt < IN_TOUCH_MS);
-    await Promise.all(inTouch.map((follower) => this.pushTo(follower, news)));
+  /**
+   * Pushes to each reachable follower what it lacks, or `update` if that isn't known; resolves when they have it or
+   * after a time limit.
+   */
+  async push(update: messages.News): Promise<void> {
+    const reachable = this.all().filter(({ polledAt }) => this.now() - polledAt < RECENT_POLL_MS);
+    await Promise.all(reachable.map((follower) => this.pushTo(follower, update)));
   }
 
   /**
-   * One push at a time to each follower; what it lacks by the time that this one is answered goes together. So a leader that can't
-   * keep up sends fewer and larger pushes, where it would otherwise fall further behind with each.
+   * At most one push at a time goes to each follower; the changes that collect until it is acknowledged go together.
+   * A leader that can't keep up thus sends fewer and larger pushes and doesn't fall further behind with each.
    */
-  private async pushTo(follower: Follower, news: messages.News): Promise<void> {
-    const lane = this.lanes.get(follower.address);
-    if (lane === undefined) {
-      const missed = this.missedSince(follower.mark);
-      const sent = this.send(follower, missed === undefined ? news : newsOf(news.edition, missed));
-      await Promise.race([sent, clock.pause(ACKNOWLEDGED_MS)]);
+  private async pushTo(follower: Follower, update: messages.News): Promise<void> {
+    const push = this.inFlight.get(follower.address);
+    if (push === undefined) {
+      const missing = this.updateSince(follower.mark);
+      const sent = this.send(
+        follower,
+        missing === undefined ? update : updateOf(update.edition, missing),
+      );
+      await Promise.race([sent, clock.pause(MAX_ACK_WAIT_MS)]);
       return;
     }
-    lane.isWaiting = true;
-    lane.edition = news.edition ?? lane.edition;
-    await Promise.race([lane.next, clock.pause(ACKNOWLEDGED_MS)]);
+    push.hasQueued = true;
+    push.edition = update.edition ?? push.edition;
+    await Promise.race([push.next, clock.pause(MAX_ACK_WAIT_MS)]);
   }
 
-  private async send(follower: Follower, news: messages.News): Promise<void> {
+  private async send(follower: Follower, update: messages.News): Promise<void> {
     const { address } = follower;
     let finish = (): void => undefined;
     const next = new Promise<void>((resolve) => {
       finish = resolve;
     });
-    const lane: Lane = { isWaiting: false, edition: undefined, next };
-    this.lanes.set(address, lane);
-    const answer = await this.client.call<Partial<messages.Learned>>(address, 'learn', news, {
-      timeoutMs: SILENT_MS,
+    const push: InFlightPush = { hasQueued: false, edition: undefined, next };
+    this.inFlight.set(address, push);
+    const answer = await this.client.call<Partial<messages.Learned>>(address, 'learn', update, {
+      timeoutMs: PUSH_TIMEOUT_MS,
     });
-    this.lanes.delete(address);
-    if (answer.ok) follower.mark = answer.val.mark ?? news.mark;
-    if (!lane.isWaiting) {
+    this.inFlight.delete(address);
+    if (answer.ok) follower.mark = answer.val.mark ?? update.mark;
+    if (!push.hasQueued) {
       finish();
       return;
     }
-    // One that waits for its copy of the registry must hear of targets that leave all the same.
-    const missed = this.missedSince(follower.mark) ?? this.missedSince(news.mark);
-    void this.send(follower, newsOf(lane.edition, missed)).then(finish);
+    // A follower that waits for its registry snapshot must still learn of draining targets.
+    const missing = this.updateSince(follower.mark) ?? this.updateSince(update.mark);
+    void this.send(follower, updateOf(push.edition, missing)).then(finish);
   }
 
-  /** Keepers with a replica that asked lately, as spares for the replica set. */
+  /** Keepers with a replica that polled recently, as spares for the replica set. */
   spares(): domain.replication.repair.Spare[] {
-    return this.all().flatMap(({ replica, address, dataCentre, heardAt }) => {
-      const fresh = replica !== undefined && this.now() - heardAt < IN_TOUCH_MS;
+    return this.all().flatMap(({ replica, address, dataCentre, polledAt }) => {
+      const fresh = replica !== undefined && this.now() - polledAt < RECENT_POLL_MS;
       return fresh ? [{ id: replica, address, dataCentre }] : [];
     });
   }
 }
 
-/** A push of what is known; an edition alone builds on no state. */
-function newsOf(
+/** Makes a push of a catalogue and known changes; a catalogue alone builds on no registry version. */
+function updateOf(
   edition: domain.catalogue.versions.Edition | undefined,
-  missed: Omit<messages.News, 'edition'> | undefined,
+  missing: Omit<messages.News, 'edition'> | undefined,
 ): messages.News {
-  const nothing = {
+  const empty = {
     mark: messages.NO_MARK,
     since: messages.NO_MARK,
     records: [],
     suspects: [],
     limits: [],
   };
-  return { edition, ...(missed ?? nothing) };
+  return { edition, ...(missing ?? empty) };
 }
--- a/packages/daemon/src/keeper/leaderCalls.ts
+++ b/packages/daemon/src/keeper/leaderCalls.ts
@@ -1,6 +1,7 @@
 /**
- * What targets and operators ask of a keeper and only the leader can settle: here, or by passing it on. What comes from another keeper
- * is settled here or refused, so that it isn't passed round between two that take each other for the leader.
+ * Calls of targets and operators that only the leader can settle, either here or by forwarding them to it. A call
+ * from another keeper is settled here or refused; otherwise two keepers that take each other for the leader would
+ * forward it back and forth.
  */
 import type * as domain from '@celerydrift/domain';
 import type * as leaderLink from '../fleet/leaderLink';
@@ -13,7 +14,7 @@
 type Announcement = domain.registry.registry.Announcement;
 type Edition = domain.catalogue.versions.Edition;
 
-export interface Parts {
+export interface Dependencies {
   host: logHost.LogHost;
   leadership: leadership.Leadership;
   machine: catalogueMachine.CatalogueMachine;
@@ -21,20 +22,20 @@
   client: peerClient.PeerClient;
 }
 
-/** Longest wait for the leader's answer to what another keeper passes on, milliseconds. */
-const PASS_ON_TIMEOUT_MS = 900;
+/** Maximum wait for the leader's answer to a forwarded call, in milliseconds. */
+const FORWARD_TIMEOUT_MS = 900;
 
-/** A catalogue waits longer: for a sync on a slow disk, and for a push to the entries. */
+/** A catalogue takes longer, in milliseconds: it waits for a sync on a slow disk and a push to the entries. */
 const SUBMIT_TIMEOUT_MS = 3_000;
 
 export class LeaderCalls {
-  constructor(private readonly parts: Parts) {}
+  constructor(private readonly dependencies: Dependencies) {}
 
-  /** Passes on what targets said; false where nobody leads. */
+  /** Forwards targets' announcements; resolves with false if no leader takes them. */
   announce(records: Announcement[]): Promise<boolean> {
-    const content = { records } satisfies messages.Announced;
+    const content = { records } satisfies messages.AnnouncementBatch;
     return this.atLeader(
-      { method: 'announced', content, timeoutMs: PASS_ON_TIMEOUT_MS },
+      { method: 'announced', content, timeoutMs: FORWARD_TIMEOUT_MS },
       {
         here: () => this.announceHere(content),
         unavailable: () => false,
@@ -42,16 +43,16 @@
     );
   }
 
-  /** Resolves once followers know what is new. */
-  async announceHere({ records }: messages.Announced): Promise<boolean> {
-    if (!this.parts.host.isLeader) return false;
-    await Promise.all(records.map((record) => this.parts.leadership.announce(record)));
+  /** Resolves once the followers know the changes. */
+  async announceHere({ records }: messages.AnnouncementBatch): Promise<boolean> {
+    if (!this.dependencies.host.isLeader) return false;
+    await Promise.all(records.map((record) => this.dependencies.leadership.announce(record)));
     return true;
   }
 
-  depart(content: messages.Departed): Promise<boolean> {
+  depart(content: messages.Departure): Promise<boolean> {
     return this.atLeader(
-      { method: 'departed', content, timeoutMs: PASS_ON_TIMEOUT_MS },
+      { method: 'departed', content, timeoutMs: FORWARD_TIMEOUT_MS },
       {
         here: () => this.departHere(content),
         unavailable: () => false,
@@ -59,14 +60,14 @@
     );
   }
 
-  async departHere(departed: messages.Departed): Promise<boolean> {
-    if (!this.parts.host.isLeader) return false;
-    await this.parts.leadership.depart(departed);
+  async departHere(departed: messages.Departure): Promise<boolean> {
+    if (!this.dependencies.host.isLeader) return false;
+    await this.dependencies.leadership.depart(departed);
     return true;
   }
 
   submit(edition: Edition): Promise<messages.SubmitAnswer> {
-    const content = { edition } satisfies messages.Submit;
+    const content = { edition } satisfies messages.SubmitRequest;
     return this.atLeader<messages.SubmitAnswer>(
       { method: 'submit', content, timeoutMs: SUBMIT_TIMEOUT_MS },
       { here: () => this.submitHere(edition), unavailable },
@@ -74,32 +75,32 @@
   }
 
   async submitHere(edition: Edition): Promise<messages.SubmitAnswer> {
-    const applied = await this.parts.host.propose(edition);
+    const applied = await this.dependencies.host.propose(edition);
     if (applied.err) return unavailable(applied.val.kind);
     const { version, changed } = applied.val.answer as domain.catalogue.versions.Acceptance;
-    if (changed) await this.parts.leadership.publishEdition(edition);
+    if (changed) await this.dependencies.leadership.publishEdition(edition);
     return { kind: 'accepted', version };
   }
 
   newest(): Promise<messages.NewestAnswer> {
     return this.atLeader<messages.NewestAnswer>(
-      { method: 'newest', content: {}, timeoutMs: PASS_ON_TIMEOUT_MS },
+      { method: 'newest', content: {}, timeoutMs: FORWARD_TIMEOUT_MS },
       { here: () => this.newestHere(), unavailable },
     );
   }
 
   async newestHere(): Promise<messages.NewestAnswer> {
-    const confirmed = await this.parts.host.confirm(true);
+    const confirmed = await this.dependencies.host.confirm(true);
     if (!confirmed) return unavailable('not confirmed by a quorum');
-    return { kind: 'newest', edition: this.parts.machine.versions.newest };
+    return { kind: 'newest', edition: this.dependencies.machine.versions.newest };
   }
 
-  /** Has a call settled by the leader: here, or by passing it on. */
+  /** Settles a call here if this keeper leads, or else at the leader. */
   private async atLeader<T>(
     { method, content, timeoutMs }: LeaderCall,
     settle: { here: () => Promise<T>; unavailable: (detail: string) => T },
   ): Promise<T> {
-    const { host, link, client } = this.parts;
+    const { host, link, client } = this.dependencies;
     if (host.isLeader) return settle.here();
     const leader = host.leaderAddress || link.leader;
     if (leader === '') return settle.unavailable('no leader known');
