--- a/packages/domain/src/quarantine/__tests__/quarantine.test.ts
+++ b/packages/domain/src/quarantine/__tests__/quarantine.test.ts
@@ -7,17 +7,17 @@
 const { expect } = chai;
 
 const CULPRIT = '9-culprit';
-const BESIDE = '7-beside';
+const BYSTANDER = '7-beside';
 
-function life(id: string): string {
+function lifetimeKey(id: string): string {
   return endedLifetimes.lifetimeOf({ id, bornAt: 1 });
 }
 
 /** The culprit ends so many targets, one each second. */
-function afterEnds(count: number): quarantine.Quarantine {
+function afterCrashes(count: number): quarantine.Quarantine {
   const made = new quarantine.Quarantine();
   for (let i = 0; i < count; i++)
-    made.blame(CULPRIT, life(`t${i}`), { sentAt: 1_000 * i, isTrial: true }, 1_000 * i);
+    made.blame(CULPRIT, lifetimeKey(`t${i}`), { sentAt: 1_000 * i, isTrial: true }, 1_000 * i);
   return made;
 }
 
@@ -25,7 +25,7 @@
   it('begins with the third lifetime that ended, however often each is told', () => {
     const made = new quarantine.Quarantine();
     const seen = ['t0', 't0', 't1', 't1', 't2'].map((id) => {
-      made.blame(CULPRIT, life(id), { sentAt: 0, isTrial: true }, 0);
+      made.blame(CULPRIT, lifetimeKey(id), { sentAt: 0, isTrial: true }, 0);
       return made.standing(CULPRIT);
     });
     expect(seen.join(' ')).to.equal('suspected suspected suspected suspected quarantined');
@@ -37,10 +37,12 @@
    * broken connections was blamed for its end, and the third time put into quarantine.
    */
   it("doesn't blame what was sent after the end", () => {
-    const made = afterEnds(1);
-    expect(made.blame(BESIDE, life('t0'), { sentAt: 1, isTrial: true }, 5)).to.equal(undefined);
-    made.blame(BESIDE, life('t0'), { sentAt: -1, isTrial: false }, 5);
-    expect(made.standing(BESIDE)).to.equal('suspected');
+    const made = afterCrashes(1);
+    expect(made.blame(BYSTANDER, lifetimeKey('t0'), { sentAt: 1, isTrial: true }, 5)).to.equal(
+      undefined,
+    );
+    made.blame(BYSTANDER, lifetimeKey('t0'), { sentAt: -1, isTrial: false }, 5);
+    expect(made.standing(BYSTANDER)).to.equal('suspected');
   });
 
   /*
@@ -50,13 +52,13 @@
   it('counts runs that were under way together as one', () => {
     const made = new quarantine.Quarantine();
     ['t0', 't1', 't2', 't3'].forEach((id) =>
-      made.blame(BESIDE, life(id), { sentAt: 0, isTrial: false }, 0),
+      made.blame(BYSTANDER, lifetimeKey(id), { sentAt: 0, isTrial: false }, 0),
     );
-    expect([made.standing(BESIDE), made.count(BESIDE)]).to.deep.equal(['suspected', 1]);
+    expect([made.standing(BYSTANDER), made.count(BYSTANDER)]).to.deep.equal(['suspected', 1]);
     ['t4', 't5'].forEach((id) =>
-      made.blame(BESIDE, life(id), { sentAt: 1_000, isTrial: true }, 1_000),
+      made.blame(BYSTANDER, lifetimeKey(id), { sentAt: 1_000, isTrial: true }, 1_000),
     );
-    expect(made.standing(BESIDE)).to.equal('quarantined');
+    expect(made.standing(BYSTANDER)).to.equal('quarantined');
   });
 
   /*
@@ -64,7 +66,7 @@
    * they all lived. A target that announces itself twice afterwards lives; one word may be from before its end.
    */
   it('ends when targets that were blamed speak again, but not at a word that was held up', () => {
-    const made = afterEnds(3);
+    const made = afterCrashes(3);
     const target = { id: 't0', bornAt: 1 };
     made.spoke(target, 7);
     made.spoke(target, 7);
@@ -81,7 +83,7 @@
    * by the time they spoke again nobody was blamed for it any more, and nobody noted that they live.
    */
   it('takes targets that speak again for alive, whoever was blamed', () => {
-    const made = afterEnds(1);
+    const made = afterCrashes(1);
     const target = { id: 't0', bornAt: 1 };
     made.ranWhole(CULPRIT);
     const seen = [7, 8].map((sequence) => {
@@ -92,7 +94,7 @@
   });
 
   it('ends when the content runs whole', () => {
-    const made = afterEnds(3);
+    const made = afterCrashes(3);
     made.ranWhole(CULPRIT);
     expect([made.standing(CULPRIT), made.size, made.mayKnow(9)]).to.deep.equal(['free', 0, false]);
   });
@@ -102,14 +104,17 @@
    * crash, whatever caused it. What a culprit explains doesn't count, but only when all who tell of an end have told.
    */
   it('explains ends to what ran beside the culprit', () => {
-    const made = afterEnds(3);
+    const made = afterCrashes(3);
     ['t0', 't1'].forEach((id) =>
-      made.blame(BESIDE, life(id), { sentAt: 0, isTrial: false }, 2_000),
+      made.blame(BYSTANDER, lifetimeKey(id), { sentAt: 0, isTrial: false }, 2_000),
     );
     made.tick(2_400);
-    expect(made.standing(BESIDE)).to.equal('suspected');
+    expect(made.standing(BYSTANDER)).to.equal('suspected');
     made.tick(2_500);
-    expect([made.standing(BESIDE), made.standing(CULPRIT)]).to.deep.equal(['free', 'quarantined']);
+    expect([made.standing(BYSTANDER), made.standing(CULPRIT)]).to.deep.equal([
+      'free',
+      'quarantined',
+    ]);
   });
 
   /*
@@ -117,30 +122,30 @@
    * refused with them for two minutes. Its ends are all theirs too, so one more run decides; a culprit's own end tells.
    */
   it('ends soon where all of its ends are those of others', () => {
-    const made = afterEnds(3);
+    const made = afterCrashes(3);
     const other = '8-other';
     const trial = { sentAt: 0, isTrial: true };
-    ['t3', 't4', 't5'].forEach((id) => made.blame(other, life(id), trial, 2_000));
-    ['t0', 't3', 't4'].forEach((id) => made.blame(BESIDE, life(id), trial, 2_000));
+    ['t3', 't4', 't5'].forEach((id) => made.blame(other, lifetimeKey(id), trial, 2_000));
+    ['t0', 't3', 't4'].forEach((id) => made.blame(BYSTANDER, lifetimeKey(id), trial, 2_000));
     made.tick(3_900);
-    expect(made.standing(BESIDE)).to.equal('quarantined');
+    expect(made.standing(BYSTANDER)).to.equal('quarantined');
     made.tick(4_000);
-    const standings = [BESIDE, CULPRIT, other].map((each) => made.standing(each));
+    const standings = [BYSTANDER, CULPRIT, other].map((each) => made.standing(each));
     // The other has one end of its own and is tried as well; the first culprit has two.
     expect(standings).to.deep.equal(['suspected', 'quarantined', 'suspected']);
     // Beside the other once more: four seconds this time. Then by itself: two minutes, as a first quarantine lasts.
-    made.blame(other, life('t8'), { sentAt: 4_100, isTrial: true }, 4_200);
-    made.blame(BESIDE, life('t8'), { sentAt: 4_100, isTrial: true }, 4_200);
+    made.blame(other, lifetimeKey('t8'), { sentAt: 4_100, isTrial: true }, 4_200);
+    made.blame(BYSTANDER, lifetimeKey('t8'), { sentAt: 4_100, isTrial: true }, 4_200);
     const later = [8_100, 8_200].map((at) => {
       made.tick(at);
-      return made.standing(BESIDE);
+      return made.standing(BYSTANDER);
     });
     expect(later).to.deep.equal(['quarantined', 'suspected']);
-    made.blame(BESIDE, life('t9'), { sentAt: 8_300, isTrial: true }, 8_400);
+    made.blame(BYSTANDER, lifetimeKey('t9'), { sentAt: 8_300, isTrial: true }, 8_400);
     made.tick(8_400 + 119_000);
-    expect(made.standing(BESIDE)).to.equal('quarantined');
+    expect(made.standing(BYSTANDER)).to.equal('quarantined');
     made.tick(8_400 + 120_000);
-    expect(made.standing(BESIDE)).to.equal('suspected');
+    expect(made.standing(BYSTANDER)).to.equal('suspected');
   });
 
   /*
@@ -148,15 +153,17 @@
    * ends of its trials were another's. Without those it had one end, which is chance.
    */
   it('ends soon where one end at most is its own', () => {
-    const made = afterEnds(3);
-    made.blame(BESIDE, life('t9'), { sentAt: 0, isTrial: false }, 1_000);
-    ['t1', 't2'].forEach((id) => made.blame(BESIDE, life(id), { sentAt: 0, isTrial: true }, 2_000));
+    const made = afterCrashes(3);
+    made.blame(BYSTANDER, lifetimeKey('t9'), { sentAt: 0, isTrial: false }, 1_000);
+    ['t1', 't2'].forEach((id) =>
+      made.blame(BYSTANDER, lifetimeKey(id), { sentAt: 0, isTrial: true }, 2_000),
+    );
     made.tick(4_000);
-    expect(made.standing(BESIDE)).to.equal('suspected');
+    expect(made.standing(BYSTANDER)).to.equal('suspected');
     // The culprit has one end of its own too; its trial tells.
     ['u0', 'u1'].forEach((id, i) => {
       const at = 4_100 + 4_000 * i;
-      made.blame(CULPRIT, life(id), { sentAt: at - 10, isTrial: true }, at);
+      made.blame(CULPRIT, lifetimeKey(id), { sentAt: at - 10, isTrial: true }, at);
       made.tick(at + 100);
     });
     made.tick(60_000);
@@ -168,11 +175,11 @@
    * granted first, so that nothing in quarantine explained the summary's ends any more. The culprit never came again.
    */
   it('ends for all that are in doubt at the same time', () => {
-    const made = afterEnds(3);
+    const made = afterCrashes(3);
     const trial = { sentAt: 0, isTrial: true };
-    ['t0', 't1', 't2'].forEach((id) => made.blame(BESIDE, life(id), trial, 2_000));
+    ['t0', 't1', 't2'].forEach((id) => made.blame(BYSTANDER, lifetimeKey(id), trial, 2_000));
     made.tick(4_000);
-    expect([made.standing(CULPRIT), made.standing(BESIDE)]).to.deep.equal([
+    expect([made.standing(CULPRIT), made.standing(BYSTANDER)]).to.deep.equal([
       'suspected',
       'suspected',
     ]);
@@ -185,11 +192,11 @@
   it('ends soon also where what explains it was doubted just before', () => {
     const made = new quarantine.Quarantine();
     const trial = { sentAt: 0, isTrial: true };
-    made.blame(CULPRIT, life('t0'), { sentAt: 0, isTrial: false }, 2_000);
-    ['t1', 't2', 't3', 't4'].forEach((id) => made.blame(CULPRIT, life(id), trial, 2_000));
-    ['t1', 't2', 't3', 't4'].forEach((id) => made.blame(BESIDE, life(id), trial, 2_100));
+    made.blame(CULPRIT, lifetimeKey('t0'), { sentAt: 0, isTrial: false }, 2_000);
+    ['t1', 't2', 't3', 't4'].forEach((id) => made.blame(CULPRIT, lifetimeKey(id), trial, 2_000));
+    ['t1', 't2', 't3', 't4'].forEach((id) => made.blame(BYSTANDER, lifetimeKey(id), trial, 2_100));
     [4_000, 4_100, 4_200].forEach((at) => made.tick(at));
-    expect(made.standing(BESIDE)).to.equal('suspected');
+    expect(made.standing(BYSTANDER)).to.equal('suspected');
   });
 
   /*
@@ -197,13 +204,13 @@
    * that its third end, which would have convicted it, never came; the lookup's third one was a loss of power.
    */
   it('ends soon also where what explains it came no more', () => {
-    const made = afterEnds(2);
+    const made = afterCrashes(2);
     const trial = { sentAt: 0, isTrial: true };
-    ['t0', 't1', 'u0'].forEach((id) => made.blame(BESIDE, life(id), trial, 2_000));
+    ['t0', 't1', 'u0'].forEach((id) => made.blame(BYSTANDER, lifetimeKey(id), trial, 2_000));
     made.tick(3_900);
-    expect(made.standing(BESIDE)).to.equal('quarantined');
+    expect(made.standing(BYSTANDER)).to.equal('quarantined');
     made.tick(4_000);
-    expect(made.standing(BESIDE)).to.equal('suspected');
+    expect(made.standing(BYSTANDER)).to.equal('suspected');
   });
 
   /**
@@ -213,38 +220,40 @@
   it('ends soon also where what explains it ended two targets at one moment', () => {
     const made = new quarantine.Quarantine();
     ['t0', 't1'].forEach((id, i) => {
-      made.blame(CULPRIT, life(id), { sentAt: 0, isTrial: false }, 100);
-      made.blame(BESIDE, life(id), { sentAt: 0, isTrial: i > 0 }, 100);
+      made.blame(CULPRIT, lifetimeKey(id), { sentAt: 0, isTrial: false }, 100);
+      made.blame(BYSTANDER, lifetimeKey(id), { sentAt: 0, isTrial: i > 0 }, 100);
     });
-    made.blame(BESIDE, life('u0'), { sentAt: 5_000, isTrial: true }, 6_000);
-    expect(made.standing(BESIDE)).to.equal('quarantined');
+    made.blame(BYSTANDER, lifetimeKey('u0'), { sentAt: 5_000, isTrial: true }, 6_000);
+    expect(made.standing(BYSTANDER)).to.equal('quarantined');
     [6_500, 8_000].forEach((at) => made.tick(at));
-    expect(made.standing(BESIDE)).to.equal('suspected');
+    expect(made.standing(BYSTANDER)).to.equal('suspected');
   });
 
   /** Guards against an innocent request that is refused for minutes as its culprit was let out for doubt before it was convicted. */
   it('ends soon also where what explains it was doubted before it began', () => {
-    const made = afterEnds(3);
+    const made = afterCrashes(3);
     ['t0', 't2'].forEach((id, i) => {
-      made.blame(BESIDE, life(id), { sentAt: 0, isTrial: i > 0 }, 2_000);
+      made.blame(BYSTANDER, lifetimeKey(id), { sentAt: 0, isTrial: i > 0 }, 2_000);
     });
     made.tick(4_000);
     expect(made.standing(CULPRIT)).to.equal('suspected');
-    made.blame(BESIDE, life('u0'), { sentAt: 4_000, isTrial: true }, 4_100);
-    expect(made.standing(BESIDE)).to.equal('quarantined');
+    made.blame(BYSTANDER, lifetimeKey('u0'), { sentAt: 4_000, isTrial: true }, 4_100);
+    expect(made.standing(BYSTANDER)).to.equal('quarantined');
     made.tick(6_100);
-    expect(made.standing(BESIDE)).to.equal('suspected');
+    expect(made.standing(BYSTANDER)).to.equal('suspected');
   });
 
   /* A culprit goes on to be refused although requests beside it shared two of its ends: those that it has alone are enough. */
   it('costs at most two further targets where what ran beside it twice is suspected', () => {
-    const made = afterEnds(3);
-    ['t1', 't2'].forEach((id) => made.blame(BESIDE, life(id), { sentAt: 0, isTrial: true }, 2_000));
+    const made = afterCrashes(3);
+    ['t1', 't2'].forEach((id) =>
+      made.blame(BYSTANDER, lifetimeKey(id), { sentAt: 0, isTrial: true }, 2_000),
+    );
     let further = 0;
     for (let at = 2_000; at < 110_000; at += 100) {
       made.tick(at);
       if (made.standing(CULPRIT) !== 'quarantined') {
-        made.blame(CULPRIT, life(`u${further}`), { sentAt: at, isTrial: true }, at);
+        made.blame(CULPRIT, lifetimeKey(`u${further}`), { sentAt: at, isTrial: true }, at);
         further += 1;
       }
     }
@@ -254,13 +263,13 @@
   /** Guards against culprits that always come together, explain each other, and are let out for doubt again and again. */
   it('lets a content out for doubt as long as three targets at most end much later than the third', () => {
     const made = new quarantine.Quarantine();
-    const both = [CULPRIT, BESIDE];
+    const both = [CULPRIT, BYSTANDER];
     const ends: number[] = [];
     for (let at = 0; at < 110_000; at += 100) {
       made.tick(at);
       if (both.every((content) => made.standing(content) !== 'quarantined')) {
         const run = { sentAt: at, isTrial: ends.length > 0 };
-        both.forEach((content) => made.blame(content, life(`t${ends.length}`), run, at));
+        both.forEach((content) => made.blame(content, lifetimeKey(`t${ends.length}`), run, at));
         ends.push(at);
       }
     }
@@ -272,25 +281,25 @@
    * of that yet told the leader of its ends once more.
    */
   it("doesn't take back from a follower what it has acquitted", () => {
-    const made = afterEnds(3);
+    const made = afterCrashes(3);
     const trial = { sentAt: 0, isTrial: true };
-    ['t0', 't1', 't2'].forEach((id) => made.blame(BESIDE, life(id), trial, 2_000));
+    ['t0', 't1', 't2'].forEach((id) => made.blame(BYSTANDER, lifetimeKey(id), trial, 2_000));
     const reports = made.reports(3_900);
     made.tick(4_000);
     made.merge(reports, 4_050);
-    expect(made.standing(BESIDE)).to.equal('suspected');
-    made.ranWhole(BESIDE);
+    expect(made.standing(BYSTANDER)).to.equal('suspected');
+    made.ranWhole(BYSTANDER);
     made.merge(reports, 4_100);
-    expect(made.standing(BESIDE)).to.equal('free');
+    expect(made.standing(BYSTANDER)).to.equal('free');
     // Of a target that lives the next word is news.
     made.spoke({ id: 't1', bornAt: 1 }, 7);
     made.spoke({ id: 't1', bornAt: 1 }, 8);
-    made.blame(CULPRIT, life('t1'), { sentAt: 9_000, isTrial: true }, 9_100);
-    expect(made.endings(CULPRIT)).to.include(life('t1'));
+    made.blame(CULPRIT, lifetimeKey('t1'), { sentAt: 9_000, isTrial: true }, 9_100);
+    expect(made.endings(CULPRIT)).to.include(lifetimeKey('t1'));
   });
 
   it('lasts two minutes at first, then one run decides, and longer each time', () => {
-    const made = afterEnds(3);
+    const made = afterCrashes(3);
     const [minute, since] = [60_000, 2_000];
     const standings = [1, 2].map((minutes) => {
       made.tick(since + minutes * minute);
@@ -299,7 +308,7 @@
     expect(standings).to.deep.equal(['quarantined', 'suspected']);
     made.blame(
       CULPRIT,
-      life('t9'),
+      lifetimeKey('t9'),
       { sentAt: since + 3 * minute, isTrial: true },
       since + 3 * minute,
     );
@@ -313,9 +322,9 @@
 
   /* Engines crash by the hundred, each with its requests: memory stays bounded, and who is blamed most is kept longest. */
   it('forgets whoever is blamed least where there are too many', () => {
-    const made = afterEnds(3);
+    const made = afterCrashes(3);
     for (let i = 0; i < 2 * quarantine.MOST_SUSPECTS; i++)
-      made.blame(`5-${i}`, life(`u${i}`), { sentAt: 3_000 + i, isTrial: false }, 3_000 + i);
+      made.blame(`5-${i}`, lifetimeKey(`u${i}`), { sentAt: 3_000 + i, isTrial: false }, 3_000 + i);
     expect([made.size, made.standing(CULPRIT)]).to.deep.equal([
       quarantine.MOST_SUSPECTS,
       'quarantined',
@@ -324,14 +333,14 @@
   });
 
   it('travels as ages, replaces what a follower knew, and adds to what a new leader knows', () => {
-    const [leader, follower] = [afterEnds(3), afterEnds(1)];
-    follower.blame(BESIDE, life('t0'), { sentAt: 0, isTrial: true }, 0);
+    const [leader, follower] = [afterCrashes(3), afterCrashes(1)];
+    follower.blame(BYSTANDER, lifetimeKey('t0'), { sentAt: 0, isTrial: true }, 0);
     follower.takeAll(leader.reports(10_000), 500_000);
-    expect([follower.standing(CULPRIT), follower.standing(BESIDE)]).to.deep.equal([
+    expect([follower.standing(CULPRIT), follower.standing(BYSTANDER)]).to.deep.equal([
       'quarantined',
       'free',
     ]);
-    const next = afterEnds(1);
+    const next = afterCrashes(1);
     next.merge(follower.reports(500_000), 20_000);
     expect(next.standing(CULPRIT)).to.equal('quarantined');
     follower.take(new quarantine.Quarantine().report(CULPRIT, 0), 500_000);
--- a/packages/domain/src/quarantine/endedLifetimes.ts
+++ b/packages/domain/src/quarantine/endedLifetimes.ts
@@ -10,13 +10,13 @@
 }
 
 /** Most lifetimes whose end is remembered; a crashed one is announced as ready for some seconds at most. */
-const MOST_ENDED = 500;
+const MAX_CRASHED_LIFETIMES = 500;
 
-interface Ended {
+interface Crash {
   /** When it was first told. */
   at: number;
   /** The first sequence that it announced after that was told last. */
-  heard: number | undefined;
+  firstSequence: number | undefined;
 }
 
 /** The name of a lifetime, as ids may return with another birth. */
@@ -24,70 +24,70 @@
   return `${id}/${bornAt}`;
 }
 
-export class EndedLifetimes {
+export class CrashedLifetimes {
   /** By lifetime, the latest last. */
-  private readonly ended = new Map<string, Ended>();
+  private readonly crashes = new Map<string, Crash>();
 
-  private readonly contents = new Map<string, Set<string>>();
+  private readonly suspects = new Map<string, Set<string>>();
 
   /** Contents that were acquitted of an end, by lifetime. */
-  private readonly acquitted = new Map<string, Set<string>>();
+  private readonly cleared = new Map<string, Set<string>>();
 
   has(lifetime: string): boolean {
-    return this.ended.has(lifetime);
+    return this.crashes.has(lifetime);
   }
 
   /** When it was first told that it had ended; undefined where it wasn't. */
-  at(lifetime: string): number | undefined {
-    return this.ended.get(lifetime)?.at;
+  reportedAt(lifetime: string): number | undefined {
+    return this.crashes.get(lifetime)?.at;
   }
 
-  note(lifetime: string, at: number): void {
+  record(lifetime: string, at: number): void {
     // Whoever tells it again may have looked after the last announcement.
-    this.ended.set(lifetime, { at: this.at(lifetime) ?? at, heard: undefined });
-    if (this.ended.size <= MOST_ENDED) return;
-    const [oldest] = this.ended.keys();
-    this.ended.delete(oldest);
-    this.acquitted.delete(oldest);
+    this.crashes.set(lifetime, { at: this.reportedAt(lifetime) ?? at, firstSequence: undefined });
+    if (this.crashes.size <= MAX_CRASHED_LIFETIMES) return;
+    const [oldest] = this.crashes.keys();
+    this.crashes.delete(oldest);
+    this.cleared.delete(oldest);
   }
 
   /**
    * It announced itself; whether it lives. One announcement may have been held up since before its death; with a second one, of
    * a higher sequence, whoever couldn't reach it was cut off.
    */
-  livesBy(lifetime: string, sequence: number): boolean {
-    const ended = this.ended.get(lifetime);
-    if (ended === undefined) return false;
-    ended.heard ??= sequence;
-    if (sequence <= ended.heard) return false;
-    this.acquitted.delete(lifetime);
-    return this.ended.delete(lifetime);
+  confirmAlive(lifetime: string, sequence: number): boolean {
+    const crash = this.crashes.get(lifetime);
+    if (crash === undefined) return false;
+    crash.firstSequence ??= sequence;
+    if (sequence <= crash.firstSequence) return false;
+    this.cleared.delete(lifetime);
+    return this.crashes.delete(lifetime);
   }
 
   /** Contents that its end counts against. */
-  blamed(lifetime: string): string[] {
-    return [...(this.contents.get(lifetime) ?? [])];
+  suspectsOf(lifetime: string): string[] {
+    return [...(this.suspects.get(lifetime) ?? [])];
   }
 
-  blame(content: string, lifetime: string): void {
-    const contents = this.contents.get(lifetime) ?? new Set();
-    this.contents.set(lifetime, contents.add(content));
+  addSuspect(fingerprint: string, lifetime: string): void {
+    const suspects = this.suspects.get(lifetime) ?? new Set();
+    this.suspects.set(lifetime, suspects.add(fingerprint));
   }
 
   /** An end counts no longer against a content, whoever tells of it again. */
-  noteAcquittal(content: string, lifetime: string): void {
-    if (!this.ended.has(lifetime)) return;
-    const contents = this.acquitted.get(lifetime) ?? new Set();
-    this.acquitted.set(lifetime, contents.add(content));
+  recordCleared(fingerprint: string, lifetime: string): void {
+    if (!this.crashes.has(lifetime)) return;
+    const fingerprints = this.cleared.get(lifetime) ?? new Set();
+    this.cleared.set(lifetime, fingerprints.add(fingerprint));
   }
 
-  isAcquitted(content: string, lifetime: string): boolean {
-    return this.acquitted.get(lifetime)?.has(content) === true;
+  isCleared(fingerprint: string, lifetime: string): boolean {
+    return this.cleared.get(lifetime)?.has(fingerprint) === true;
   }
 
-  acquit(content: string, lifetime: string): void {
-    const contents = this.contents.get(lifetime);
-    contents?.delete(content);
-    if (contents?.size === 0) this.contents.delete(lifetime);
+  removeSuspect(fingerprint: string, lifetime: string): void {
+    const suspects = this.suspects.get(lifetime);
+    suspects?.delete(fingerprint);
+    if (suspects?.size === 0) this.suspects.delete(lifetime);
   }
 }
--- a/packages/domain/src/quarantine/quarantine.ts
+++ b/packages/domain/src/quarantine/quarantine.ts
@@ -16,7 +16,7 @@
 export type Standing = 'free' | 'suspected' | 'quarantined';
 
 /** Why a suspicion ended. */
-export type Reason = 'targetLives' | 'ranWhole' | 'explained' | 'doubtful' | 'expired';
+export type ClearanceReason = 'targetLives' | 'ranWhole' | 'explained' | 'doubtful' | 'expired';
 
 /**
  * Ends that put a content into quarantine. One is chance, and two may be for a request beside the culprit; a third run happens
@@ -25,13 +25,13 @@
 export const MOST_ENDINGS = 3;
 
 /** A suspect that hasn't been blamed for so long is forgotten, milliseconds; callers give up sooner. */
-const SUSPECT_MS = 600_000;
+const SUSPECT_EXPIRY_MS = 600_000;
 
 /**
  * How long a quarantine must last before it explains ends for others, milliseconds. Blame for one end arrives from several
  * entries; the culprit's may come last, and must not be explained by what ran beside it.
  */
-const EXPLAINS_AFTER_MS = 500;
+const EXPLANATION_DELAY_MS = 500;
 
 /**
  * Most suspects that are kept; some 400 bytes each, and 60 for an entry that starts and takes all. A crash leaves a suspect for
@@ -46,17 +46,17 @@
  * milliseconds, twice as long each further time, one more trial decides. An innocent content is refused for two seconds in
  * place of two minutes; a culprit costs up to two targets more, as these ends are its own.
  */
-const DOUBT_AFTER_MS = 2_000;
+const DOUBT_DELAY_MS = 2_000;
 
 /**
  * A content isn't let out for doubt any more when so many targets ended under it later than so long after its third, milliseconds.
  * Contents that explain each other would otherwise cost a target with each doubt, for as long as they come.
  */
-const MOST_LATER_ENDINGS = 3;
-const LATER_MS = 3_000;
+const MAX_LATE_CRASHES = 3;
+const LATE_CRASH_MS = 3_000;
 
 /** Endings that are left after a quarantine: the next one is the third again. */
-const LEFT_AFTER_QUARANTINE = MOST_ENDINGS - 1;
+const CRASHES_KEPT_ON_RELEASE = MOST_ENDINGS - 1;
 
 /** What a change did, for the log. */
 export interface Change {
@@ -64,11 +64,11 @@
   standing: Standing;
   endings: number;
   /** Why nothing, or less, is left of it; undefined where blame was added. */
-  reason: Reason | undefined;
+  reason: ClearanceReason | undefined;
 }
 
 /** A sending that got no answer. */
-export interface Run {
+export interface UnansweredRun {
   /** By the clock of whoever owns the quarantine. */
   sentAt: number;
   /** Whether it was a trial; see `suspect`. */
@@ -76,7 +76,7 @@
 }
 
 export class Quarantine {
-  private readonly lifetimes = new endedLifetimes.EndedLifetimes();
+  private readonly lifetimes = new endedLifetimes.CrashedLifetimes();
 
   private readonly suspects = new Map<string, Suspect>();
 
@@ -96,50 +96,52 @@
     return this.lengths.has(String(bodyBytes));
   }
 
-  standing(content: string): Standing {
-    const suspect = this.suspects.get(content);
+  standing(fingerprint: string): Standing {
+    const suspect = this.suspects.get(fingerprint);
     if (suspect === undefined) return 'free';
     return suspects.isQuarantined(suspect) ? 'quarantined' : 'suspected';
   }
 
   /** Ends that count against a content. */
-  count(content: string): number {
-    const suspect = this.suspects.get(content);
+  count(fingerprint: string): number {
+    const suspect = this.suspects.get(fingerprint);
     return suspect === undefined ? 0 : suspects.countOf(suspect);
   }
 
   /** Lifetimes that ended under a content. */
-  endings(content: string): string[] {
-    return this.suspects.get(content)?.endings.map(({ lifetime }) => lifetime) ?? [];
+  endings(fingerprint: string): string[] {
+    return this.suspects.get(fingerprint)?.endings.map(({ lifetime }) => lifetime) ?? [];
   }
 
   /** A lifetime ended while it ran the content; undefined where that was known, or it had ended before. */
   blame(
-    content: string,
+    fingerprint: string,
     lifetime: string,
-    { sentAt, isTrial }: Run,
+    { sentAt, isTrial }: UnansweredRun,
     now: number,
   ): Change | undefined {
-    if ((this.lifetimes.at(lifetime) ?? Infinity) < sentAt) return undefined;
-    if (this.lifetimes.isAcquitted(content, lifetime)) return undefined;
-    this.lifetimes.note(lifetime, now);
-    const known = this.suspects.get(content) ?? this.add(content, now);
+    if ((this.lifetimes.reportedAt(lifetime) ?? Infinity) < sentAt) return undefined;
+    if (this.lifetimes.isCleared(fingerprint, lifetime)) return undefined;
+    this.lifetimes.record(lifetime, now);
+    const known = this.suspects.get(fingerprint) ?? this.add(fingerprint, now);
     if (known.endings.some((each) => each.lifetime === lifetime)) return undefined;
     known.endings.push({ lifetime, at: now, isTrial });
-    countEnding(known, now);
-    this.lifetimes.blame(content, lifetime);
+    countCrash(known, now);
+    this.lifetimes.addSuspect(fingerprint, lifetime);
     if (suspects.countOf(known) >= MOST_ENDINGS && !suspects.isQuarantined(known)) {
       known.quarantinedAt = now;
       known.quarantines += 1;
     }
-    return this.changeOf(known, undefined);
+    return this.statusChange(known, undefined);
   }
 
   /** A lifetime announced itself; whoever was blamed for its end is acquitted of that once it surely lives. */
   spoke(lifetime: endedLifetimes.Lifetime, sequence: number): Change[] {
     const key = endedLifetimes.lifetimeOf(lifetime);
-    if (!this.lifetimes.livesBy(key, sequence)) return [];
-    return this.lifetimes.blamed(key).map((content) => this.acquit(content, key, 'targetLives'));
+    if (!this.lifetimes.confirmAlive(key, sequence)) return [];
+    return this.lifetimes
+      .suspectsOf(key)
+      .map((content) => this.clearCrash(content, key, 'targetLives'));
   }
 
   /** Whether a lifetime is taken for ended. */
@@ -148,9 +150,9 @@
   }
 
   /** The content ran to its end: whatever ended beside it, it wasn't the cause. */
-  ranWhole(content: string): Change | undefined {
-    const known = this.suspects.get(content);
-    return known === undefined ? undefined : this.drop(known, 'ranWhole');
+  ranWhole(fingerprint: string): Change | undefined {
+    const known = this.suspects.get(fingerprint);
+    return known === undefined ? undefined : this.clearSuspicion(known, 'ranWhole');
   }
 
   /** Lets time pass: ends quarantines and old suspicions, and explains what ran beside a culprit. */
@@ -163,19 +165,22 @@
     });
     const released = due.map(({ suspect, reason }) => this.release(suspect, reason, now));
     const old = all
-      .filter((each) => !suspects.isQuarantined(each) && now - suspects.blamedAt(each) > SUSPECT_MS)
-      .map((each) => this.drop(each, 'expired'));
+      .filter(
+        (each) =>
+          !suspects.isQuarantined(each) && now - suspects.lastCrashAt(each) > SUSPECT_EXPIRY_MS,
+      )
+      .map((each) => this.clearSuspicion(each, 'expired'));
     return [...released, ...old, ...this.explain(now)];
   }
 
   reports(now: number): suspects.Report[] {
-    return [...this.suspects.values()].map((each) => suspects.reportOf(each, now));
+    return [...this.suspects.values()].map((each) => suspects.toReport(each, now));
   }
 
   /** A content as it is known here; without endings where it isn't. */
-  report(content: string, now: number): suspects.Report {
-    const known = this.suspects.get(content);
-    return known === undefined ? suspects.nothingOf(content) : suspects.reportOf(known, now);
+  report(fingerprint: string, now: number): suspects.Report {
+    const known = this.suspects.get(fingerprint);
+    return known === undefined ? suspects.emptyReport(fingerprint) : suspects.toReport(known, now);
   }
 
   /** Takes a leader's word, which replaces what was known of the content. */
@@ -193,13 +198,13 @@
 
   /** Adds what another copy knows, for a new leader; the contents that changed. */
   merge(reports: readonly suspects.Report[], now: number): Change[] {
-    return reports.flatMap((told) => {
-      const report = this.withoutAcquitted(told);
+    return reports.flatMap((received) => {
+      const report = this.withoutCleared(received);
       const known = this.suspects.get(report.content);
       if (known === undefined) {
         return report.endings.length === 0
           ? []
-          : [this.changeOf(this.restore(report, now), undefined)];
+          : [this.statusChange(this.restore(report, now), undefined)];
       }
       known.quarantines = Math.max(known.quarantines, report.quarantines);
       return (
@@ -214,30 +219,30 @@
   }
 
   /** A follower may not have heard yet of what the content was acquitted of. */
-  private withoutAcquitted(report: suspects.Report): suspects.Report {
+  private withoutCleared(report: suspects.Report): suspects.Report {
     const { content } = report;
     const endings = report.endings.filter(({ lifetime }) => {
-      return !this.lifetimes.isAcquitted(content, lifetime);
+      return !this.lifetimes.isCleared(content, lifetime);
     });
     if (endings.length === report.endings.length) return report;
     const quarantinedForMs = endings.length < MOST_ENDINGS ? undefined : report.quarantinedForMs;
     return { ...report, endings, quarantinedForMs };
   }
 
-  private add(content: string, now: number): Suspect {
-    return this.restore(suspects.nothingOf(content), now);
+  private add(fingerprint: string, now: number): Suspect {
+    return this.restore(suspects.emptyReport(fingerprint), now);
   }
 
   private restore(report: suspects.Report, now: number): Suspect {
     if (this.suspects.size >= MOST_SUSPECTS) this.evict(now);
-    const made = suspects.suspectOf(report, now);
-    if (made.totalEndings >= MOST_ENDINGS) made.thirdEndAt = suspects.blamedAt(made);
+    const made = suspects.fromReport(report, now);
+    if (made.totalEndings >= MOST_ENDINGS) made.thirdEndAt = suspects.lastCrashAt(made);
     this.suspects.set(made.content, made);
     made.endings.forEach(({ lifetime, at }) => {
-      this.lifetimes.blame(made.content, lifetime);
-      this.lifetimes.note(lifetime, at);
+      this.lifetimes.addSuspect(made.content, lifetime);
+      this.lifetimes.record(lifetime, at);
     });
-    const length = lengthOf(made.content);
+    const length = bodyLengthOf(made.content);
     this.lengths.set(length, (this.lengths.get(length) ?? 0) + 1);
     return made;
   }
@@ -245,29 +250,29 @@
   private remove(suspect: Suspect): void {
     const { content, endings } = suspect;
     this.suspects.delete(content);
-    endings.forEach(({ lifetime }) => this.lifetimes.acquit(content, lifetime));
-    const length = lengthOf(content);
+    endings.forEach(({ lifetime }) => this.lifetimes.removeSuspect(content, lifetime));
+    const length = bodyLengthOf(content);
     const left = (this.lengths.get(length) ?? 1) - 1;
     if (left > 0) this.lengths.set(length, left);
     else this.lengths.delete(length);
   }
 
-  private drop(suspect: Suspect, reason: Reason): Change {
+  private clearSuspicion(suspect: Suspect, reason: ClearanceReason): Change {
     const { content, endings } = suspect;
     this.remove(suspect);
-    endings.forEach(({ lifetime }) => this.lifetimes.noteAcquittal(content, lifetime));
+    endings.forEach(({ lifetime }) => this.lifetimes.recordCleared(content, lifetime));
     return { content, standing: 'free', endings: 0, reason };
   }
 
   /** A lifetime no longer counts against a content. */
-  private acquit(content: string, lifetime: string, reason: Reason): Change {
-    const suspect = this.suspects.get(content) as Suspect;
+  private clearCrash(fingerprint: string, lifetime: string, reason: ClearanceReason): Change {
+    const suspect = this.suspects.get(fingerprint) as Suspect;
     suspect.endings = suspect.endings.filter((each) => each.lifetime !== lifetime);
-    this.lifetimes.acquit(content, lifetime);
-    this.lifetimes.noteAcquittal(content, lifetime);
-    if (suspect.endings.length === 0) return this.drop(suspect, reason);
+    this.lifetimes.removeSuspect(fingerprint, lifetime);
+    this.lifetimes.recordCleared(fingerprint, lifetime);
+    if (suspect.endings.length === 0) return this.clearSuspicion(suspect, reason);
     if (suspects.countOf(suspect) < MOST_ENDINGS) suspect.quarantinedAt = undefined;
-    return this.changeOf(suspect, reason);
+    return this.statusChange(suspect, reason);
   }
 
   /** Why a quarantine ends now; undefined where it doesn't. */
@@ -275,9 +280,9 @@
     const { quarantinedAt, doubts } = suspect;
     if (quarantinedAt === undefined) return undefined;
     const lastedMs = now - quarantinedAt;
-    if (lastedMs >= suspects.quarantineMs(suspect)) return 'expired';
-    if (suspect.laterEndings >= MOST_LATER_ENDINGS) return undefined;
-    if (lastedMs < DOUBT_AFTER_MS * 2 ** doubts) return undefined;
+    if (lastedMs >= suspects.quarantineDurationMs(suspect)) return 'expired';
+    if (suspect.laterEndings >= MAX_LATE_CRASHES) return undefined;
+    if (lastedMs < DOUBT_DELAY_MS * 2 ** doubts) return undefined;
     return this.isDoubtful(suspect) ? 'doubtful' : undefined;
   }
 
@@ -287,16 +292,16 @@
       // It may never have been a culprit, so it makes no later quarantine longer.
       suspect.quarantines -= 1;
     }
-    const kept = suspect.endings.slice(-LEFT_AFTER_QUARANTINE);
-    suspect.endings.slice(0, -LEFT_AFTER_QUARANTINE).forEach(({ lifetime }) => {
-      this.lifetimes.acquit(suspect.content, lifetime);
-      this.lifetimes.noteAcquittal(suspect.content, lifetime);
+    const kept = suspect.endings.slice(-CRASHES_KEPT_ON_RELEASE);
+    suspect.endings.slice(0, -CRASHES_KEPT_ON_RELEASE).forEach(({ lifetime }) => {
+      this.lifetimes.removeSuspect(suspect.content, lifetime);
+      this.lifetimes.recordCleared(suspect.content, lifetime);
       if (reason === 'doubtful') this.noteExplained(lifetime);
     });
     suspect.endings = kept.map(({ lifetime }) => ({ lifetime, at: now, isTrial: true }));
     suspect.quarantinedAt = undefined;
     suspect.explained.clear();
-    return this.changeOf(suspect, reason);
+    return this.statusChange(suspect, reason);
   }
 
   /**
@@ -304,7 +309,7 @@
    * own doing as soon as it no longer counts, and who was beside it each time would stay refused for the whole quarantine.
    */
   private noteExplained(lifetime: string): void {
-    this.lifetimes.blamed(lifetime).forEach((content) => {
+    this.lifetimes.suspectsOf(lifetime).forEach((content) => {
       this.suspects.get(content)?.explained.add(lifetime);
     });
   }
@@ -312,15 +317,17 @@
   private isDoubtful(suspect: Suspect): boolean {
     const own = suspect.endings.filter(({ lifetime }) => {
       if (suspect.explained.has(lifetime) || suspect.shared.has(lifetime)) return false;
-      const others = this.lifetimes.blamed(lifetime).filter((other) => other !== suspect.content);
+      const others = this.lifetimes
+        .suspectsOf(lifetime)
+        .filter((other) => other !== suspect.content);
       return !others.some((other) => this.mayBeCulprit(other));
     });
-    return suspects.countOf({ endings: own }) < LEFT_AFTER_QUARANTINE;
+    return suspects.countOf({ endings: own }) < CRASHES_KEPT_ON_RELEASE;
   }
 
   /** Also one that doubt let out, as its trial is to come, and one that ended two targets, at one moment or not: it may come no more. */
-  private mayBeCulprit(content: string): boolean {
-    const suspect = this.suspects.get(content);
+  private mayBeCulprit(fingerprint: string): boolean {
+    const suspect = this.suspects.get(fingerprint);
     if (suspect === undefined) return false;
     if (suspects.isQuarantined(suspect) || suspect.doubts > 0) return true;
     return suspect.endings.length >= MOST_ENDINGS - 1;
@@ -332,39 +339,44 @@
    */
   private explain(now: number): Change[] {
     const culprits = [...this.suspects.values()].filter(({ quarantinedAt = Infinity }) => {
-      return now - quarantinedAt >= EXPLAINS_AFTER_MS;
+      return now - quarantinedAt >= EXPLANATION_DELAY_MS;
     });
-    return culprits.flatMap((culprit) => this.explainBeside(culprit));
+    return culprits.flatMap((culprit) => this.explainCrashesOf(culprit));
   }
 
-  private explainBeside(culprit: Suspect): Change[] {
+  private explainCrashesOf(culprit: Suspect): Change[] {
     const lifetimes = culprit.endings.map(({ lifetime }) => lifetime);
     // What is acquitted now may be the culprit, and the one in quarantine was beside it.
     lifetimes
-      .filter((lifetime) => this.blamedOnce(lifetime).some((each) => this.mayBeCulprit(each)))
+      .filter((lifetime) =>
+        this.singleCrashSuspects(lifetime).some((each) => this.mayBeCulprit(each)),
+      )
       .forEach((lifetime) => culprit.shared.add(lifetime));
     return lifetimes.flatMap((lifetime) => {
-      return this.blamedOnce(lifetime).map((each) => this.acquit(each, lifetime, 'explained'));
+      return this.singleCrashSuspects(lifetime).map((each) =>
+        this.clearCrash(each, lifetime, 'explained'),
+      );
     });
   }
 
   /** Contents that an end counts against, and no other one. */
-  private blamedOnce(lifetime: string): string[] {
-    return this.lifetimes.blamed(lifetime).filter((content) => this.count(content) === 1);
+  private singleCrashSuspects(lifetime: string): string[] {
+    return this.lifetimes.suspectsOf(lifetime).filter((content) => this.count(content) === 1);
   }
 
   /** Makes room: whoever is blamed for least goes first, and of those the one that was blamed longest ago. */
   private evict(now: number): void {
     const weight = (each: Suspect): number => {
       return (
-        suspects.countOf(each) * SUSPECT_MS - Math.min(SUSPECT_MS, now - suspects.blamedAt(each))
+        suspects.countOf(each) * SUSPECT_EXPIRY_MS -
+        Math.min(SUSPECT_EXPIRY_MS, now - suspects.lastCrashAt(each))
       );
     };
     const all = [...this.suspects.values()];
     this.remove(all.reduce((least, each) => (weight(each) < weight(least) ? each : least)));
   }
 
-  private changeOf(suspect: Suspect, reason: Reason | undefined): Change {
+  private statusChange(suspect: Suspect, reason: ClearanceReason | undefined): Change {
     const { content } = suspect;
     return {
       content,
@@ -376,13 +388,13 @@
 }
 
 /** Counts an end also when it counts no longer against the content. */
-function countEnding(suspect: Suspect, now: number): void {
+function countCrash(suspect: Suspect, now: number): void {
   suspect.totalEndings += 1;
   if (suspect.totalEndings === MOST_ENDINGS) suspect.thirdEndAt = now;
-  if (now > suspect.thirdEndAt + LATER_MS) suspect.laterEndings += 1;
+  if (now > suspect.thirdEndAt + LATE_CRASH_MS) suspect.laterEndings += 1;
 }
 
 /** Contents begin with the length of the body. */
-function lengthOf(content: string): string {
-  return content.slice(0, content.indexOf('-'));
+function bodyLengthOf(fingerprint: string): string {
+  return fingerprint.slice(0, fingerprint.indexOf('-'));
 }
--- a/packages/domain/src/quarantine/suspect.ts
+++ b/packages/domain/src/quarantine/suspect.ts
@@ -1,7 +1,7 @@
 /** A content that targets ended under: what counts against it, and how it travels between VMs. */
 
 /** A lifetime that ended while it ran a content; `at` is the owner's clock, milliseconds. */
-export interface Ending {
+export interface Crash {
   lifetime: string;
   at: number;
   /** Whether that run was a trial: begun as the only one with a content that was suspected already. */
@@ -10,7 +10,7 @@
 
 export interface Suspect {
   content: string;
-  endings: Ending[];
+  endings: Crash[];
   /** Quarantines that it has been through, the present one included. */
   quarantines: number;
   /** Since when it is in quarantine; undefined while it isn't. */
@@ -44,16 +44,16 @@
  */
 const FIRST_QUARANTINE_MS = 120_000;
 const QUARANTINE_GROWTH = 10;
-const LONGEST_QUARANTINE_MS = 86_400_000;
+const MAX_QUARANTINE_MS = 86_400_000;
 
 export function isQuarantined({ quarantinedAt }: Suspect): boolean {
   return quarantinedAt !== undefined;
 }
 
 /** How long its present quarantine lasts, milliseconds. */
-export function quarantineMs({ quarantines }: Suspect): number {
+export function quarantineDurationMs({ quarantines }: Suspect): number {
   const grown = FIRST_QUARANTINE_MS * QUARANTINE_GROWTH ** Math.max(0, quarantines - 1);
-  return Math.min(LONGEST_QUARANTINE_MS, grown);
+  return Math.min(MAX_QUARANTINE_MS, grown);
 }
 
 /**
@@ -62,16 +62,16 @@
  * refused with itself.
  */
 export function countOf({ endings }: Pick<Suspect, 'endings'>): number {
-  const inTrials = endings.filter(({ isTrial }) => isTrial).length;
-  return inTrials < endings.length ? inTrials + 1 : inTrials;
+  const inCanaryRuns = endings.filter(({ isTrial }) => isTrial).length;
+  return inCanaryRuns < endings.length ? inCanaryRuns + 1 : inCanaryRuns;
 }
 
 /** When it was last blamed. */
-export function blamedAt({ endings }: Suspect): number {
+export function lastCrashAt({ endings }: Suspect): number {
   return Math.max(...endings.map(({ at }) => at));
 }
 
-export function reportOf(suspect: Suspect, now: number): Report {
+export function toReport(suspect: Suspect, now: number): Report {
   const { content, endings, quarantines, quarantinedAt } = suspect;
   return {
     content,
@@ -82,11 +82,11 @@
 }
 
 /** Nothing is known of a content. */
-export function nothingOf(content: string): Report {
+export function emptyReport(content: string): Report {
   return { content, endings: [], quarantines: 0, quarantinedForMs: undefined };
 }
 
-export function suspectOf(report: Report, now: number): Suspect {
+export function fromReport(report: Report, now: number): Suspect {
   const { content, endings, quarantines, quarantinedForMs } = report;
   return {
     content,
--- a/packages/domain/src/quarantine/trials.ts
+++ b/packages/domain/src/quarantine/trials.ts
@@ -4,9 +4,9 @@
  */
 
 /** A run that nobody ended for so long is over, milliseconds; longer than any caller waits. */
-const LONGEST_TRIAL_MS = 60_000;
+const MAX_CANARY_RUN_MS = 60_000;
 
-export interface Trial {
+export interface CanaryRun {
   id: string;
   entry: string;
   /** The target that it was given; undefined where an allocator chooses one. */
@@ -14,40 +14,40 @@
 }
 
 export class Trials {
-  private readonly byContent = new Map<string, Trial & { since: number }>();
+  private readonly byFingerprint = new Map<string, CanaryRun & { since: number }>();
 
   /** Begins a run of a content; false while another request with that content runs. */
-  begin(content: string, trial: Trial, now: number): boolean {
-    if (!this.mayBegin(content, trial, now)) return false;
-    this.byContent.set(content, { ...trial, since: now });
+  begin(fingerprint: string, run: CanaryRun, now: number): boolean {
+    if (!this.mayBegin(fingerprint, run, now)) return false;
+    this.byFingerprint.set(fingerprint, { ...run, since: now });
     return true;
   }
 
-  mayBegin(content: string, { id, entry }: Omit<Trial, 'target'>, now: number): boolean {
-    const other = this.byContent.get(content);
-    if (other === undefined || now - other.since > LONGEST_TRIAL_MS) return true;
-    return other.id === id && other.entry === entry;
+  mayBegin(fingerprint: string, { id, entry }: Omit<CanaryRun, 'target'>, now: number): boolean {
+    const current = this.byFingerprint.get(fingerprint);
+    if (current === undefined || now - current.since > MAX_CANARY_RUN_MS) return true;
+    return current.id === id && current.entry === entry;
   }
 
   /** Targets that run suspects. */
   get targets(): string[] {
-    return [...this.byContent.values()].flatMap(({ target }) =>
+    return [...this.byFingerprint.values()].flatMap(({ target }) =>
       target === undefined ? [] : [target],
     );
   }
 
-  end(content: string, id: string): void {
-    if (this.byContent.get(content)?.id === id) this.byContent.delete(content);
+  end(fingerprint: string, id: string): void {
+    if (this.byFingerprint.get(fingerprint)?.id === id) this.byFingerprint.delete(fingerprint);
   }
 
   /** Runs of an entry that is gone have ended with it. */
   forgetEntry(entry: string): void {
-    this.byContent.forEach((trial, content) => {
-      if (trial.entry === entry) this.byContent.delete(content);
+    this.byFingerprint.forEach((trial, content) => {
+      if (trial.entry === entry) this.byFingerprint.delete(content);
     });
   }
 
   clear(): void {
-    this.byContent.clear();
+    this.byFingerprint.clear();
   }
 }
--- a/packages/domain/src/registry/__tests__/registry.test.ts
+++ b/packages/domain/src/registry/__tests__/registry.test.ts
@@ -61,20 +61,20 @@
   it('revives it at followers too, and only by a later word', () => {
     const leader = new registry.Registry();
     const follower = new registry.Registry();
-    const tell = (changed: registry.Announcement[]): void => {
+    const propagate = (changed: registry.Announcement[]): void => {
       follower.merge(changed, 0);
     };
-    tell(leader.announce(announcement('a', { sequence: 7 }), 0));
-    tell(leader.presumeEnded('a', 100));
+    propagate(leader.announce(announcement('a', { sequence: 7 }), 0));
+    propagate(leader.presumeEnded('a', 100));
     expect(states(follower)).to.deep.equal({ a: 'gone' });
     // Another copy of the registry that hasn't heard of the end says nothing new.
-    tell([announcement('a', { sequence: 7 })]);
+    propagate([announcement('a', { sequence: 7 })]);
     expect(states(follower)).to.deep.equal({ a: 'gone' });
-    tell(leader.announce(announcement('a', { sequence: 8 }), 200));
-    tell(leader.announce(announcement('a', { sequence: 9 }), 1_000));
+    propagate(leader.announce(announcement('a', { sequence: 8 }), 200));
+    propagate(leader.announce(announcement('a', { sequence: 9 }), 1_000));
     expect(states(follower)).to.deep.equal({ a: 'ready' });
-    tell(leader.depart('a', 1_100));
-    tell([announcement('a', { sequence: 10 })]);
+    propagate(leader.depart('a', 1_100));
+    propagate([announcement('a', { sequence: 10 })]);
     expect(states(follower)).to.deep.equal({ a: 'gone' });
   });
 
@@ -130,7 +130,7 @@
     made.depart('a', 0);
     made.announce(announcement('a'), 10);
     expect(states(made)).to.deep.equal({ a: 'gone' });
-    made.forget(registry.REMEMBER_GONE_MS + 1);
+    made.forget(registry.GONE_RETENTION_MS + 1);
     expect(states(made)).to.deep.equal({});
   });
 
@@ -155,9 +155,9 @@
     const copy = new registry.Registry();
     copy.merge(made.announce(announcement('a', { bornAt: 100, sequence: 9 }), 0), 0);
     const changes = made.announce(announcement('a', { bornAt: 200 }), 10);
-    const told = (each: registry.Announcement): string => `${each.state} ${each.bornAt}`;
-    expect(changes.map(told)).to.deep.equal(['gone 100', 'ready 200']);
-    expect(copy.merge(made.records(), 20).map(told)).to.deep.equal(['gone 100', 'ready 200']);
+    const summary = (each: registry.Announcement): string => `${each.state} ${each.bornAt}`;
+    expect(changes.map(summary)).to.deep.equal(['gone 100', 'ready 200']);
+    expect(copy.merge(made.records(), 20).map(summary)).to.deep.equal(['gone 100', 'ready 200']);
   });
 
   /*
--- a/packages/domain/src/registry/liveTargets.ts
+++ b/packages/domain/src/registry/liveTargets.ts
@@ -4,7 +4,7 @@
  */
 
 /** What is indexed of a target. */
-export interface Place {
+export interface IndexKeys {
   service: string;
   /** HOST:PORT. */
   address: string;
@@ -17,28 +17,28 @@
   private readonly byService = new Map<string, Set<T>>();
 
   /** A target came, moved or went; the order of those that stay where they are doesn't change. */
-  moved(target: T, from: Place | undefined, to: Place | undefined): void {
+  reindex(target: T, from: IndexKeys | undefined, to: IndexKeys | undefined): void {
     const before = from?.isGone === false ? from : undefined;
     const after = to?.isGone === false ? to : undefined;
-    move(this.byAddress, target, { from: before?.address, to: after?.address });
-    move(this.byService, target, { from: before?.service, to: after?.service });
+    moveKey(this.byAddress, target, { from: before?.address, to: after?.address });
+    moveKey(this.byService, target, { from: before?.service, to: after?.service });
   }
 
-  at(address: string): T[] {
+  atAddress(address: string): T[] {
     return [...(this.byAddress.get(address) ?? [])];
   }
 
-  of(service: string): T[] {
+  ofService(service: string): T[] {
     return [...(this.byService.get(service) ?? [])];
   }
 }
 
-interface Move {
+interface KeyChange {
   from: string | undefined;
   to: string | undefined;
 }
 
-function move<T>(index: Map<string, Set<T>>, target: T, { from, to }: Move): void {
+function moveKey<T>(index: Map<string, Set<T>>, target: T, { from, to }: KeyChange): void {
   if (from === to) return;
   if (from !== undefined) {
     const left = index.get(from);
--- a/packages/domain/src/registry/registry.ts
+++ b/packages/domain/src/registry/registry.ts
@@ -37,13 +37,13 @@
   isPresumed?: boolean;
 }
 
-const RANK: Record<State, number> = { ready: 0, draining: 1, gone: 2 };
+const STATE_RANK: Record<State, number> = { ready: 0, draining: 1, gone: 2 };
 
 /**
  * How long a lifetime that is gone is remembered, milliseconds. An announcement that a partition held up may
  * come after the lifetime ended; partitions that heal later than this are not expected.
  */
-export const REMEMBER_GONE_MS = 120_000;
+export const GONE_RETENTION_MS = 120_000;
 
 /**
  * A lifetime that was taken for dead, because another one turned up at its address, is alive after all if it
@@ -56,7 +56,7 @@
  * How long a remembered target may stay silent, milliseconds: two of the usual pauses between announcements. One that
  * lives speaks within that, and one that left was told before that it may be used no longer than some seconds more.
  */
-export const REMEMBERED_MS = 2_400;
+export const LOADED_TIMEOUT_MS = 2_400;
 
 /** Before all time: when a lifetime announced itself that is only known from copies. */
 const NEVER = -Infinity;
@@ -78,7 +78,7 @@
 
   /** Takes what a target says of itself; the records that changed with it come back. */
   announce(announcement: Announcement, now: number): Announcement[] {
-    const changed = this.takeAnnouncement(announcement, now);
+    const changed = this.applyAnnouncement(announcement, now);
     const entry = this.entries.get(announcement.id);
     if (entry?.record.bornAt === announcement.bornAt) entry.spokeAt = now;
     return changed;
@@ -87,20 +87,20 @@
   /** The lifetime ended or announced that it does; `bornAt` where it said which one. */
   depart(id: string, now: number, bornAt = Infinity): Announcement[] {
     const known = this.entries.get(id);
-    if (known === undefined) return [this.keep(unknownEnd(id, bornAt), now).record];
+    if (known === undefined) return [this.store(unknownGone(id, bornAt), now).record];
     if (bornAt < known.record.bornAt) return [];
     const isLater = bornAt !== Infinity && bornAt > known.record.bornAt;
     const hasEnded = known.record.state === 'gone' && !isLater;
     const ofLifetime = isLater ? { ...known.record, bornAt } : known.record;
-    this.write(known, { ...ofLifetime, isPresumed: undefined });
-    return hasEnded ? [] : [this.end(known, now)];
+    this.replaceRecord(known, { ...ofLifetime, isPresumed: undefined });
+    return hasEnded ? [] : [this.markGone(known, now)];
   }
 
   /** A lifetime said in an answer that it leaves. What it announced before that and comes later doesn't undo it. */
   leave(id: string, bornAt: number): Announcement[] {
     const known = this.entries.get(id);
     if (known?.record.bornAt !== bornAt || known.record.state !== 'ready') return [];
-    this.write(known, { ...known.record, state: 'draining', isRemembered: undefined });
+    this.replaceRecord(known, { ...known.record, state: 'draining', isRemembered: undefined });
     return [known.record];
   }
 
@@ -108,7 +108,7 @@
   presumeEnded(id: string, now: number): Announcement[] {
     const known = this.entries.get(id);
     if (known === undefined || known.record.state === 'gone') return [];
-    return [this.presumeEnd(known, now)];
+    return [this.presumeEntryDead(known, now)];
   }
 
   /**
@@ -120,7 +120,7 @@
       .filter(({ id }) => !this.entries.has(id))
       .map((record) => {
         const isRemembered = record.state === 'ready' ? true : undefined;
-        return this.keep({ ...record, isRemembered }, now).record;
+        return this.store({ ...record, isRemembered }, now).record;
       });
   }
 
@@ -128,15 +128,15 @@
   endRemembered(now: number, since = -Infinity): Announcement[] {
     return [...this.entries.values()]
       .filter(({ record, heardAt }) => {
-        const isSilent = now - Math.max(heardAt, since) > REMEMBERED_MS;
-        return isOnlyRemembered(record) && record.state !== 'gone' && isSilent;
+        const isSilent = now - Math.max(heardAt, since) > LOADED_TIMEOUT_MS;
+        return isLoadedFromDisk(record) && record.state !== 'gone' && isSilent;
       })
-      .map((entry) => this.end(entry, now));
+      .map((entry) => this.markGone(entry, now));
   }
 
   /** Takes over what other copies of the registry know. */
   merge(records: readonly Announcement[], now: number): Announcement[] {
-    return this.takeCopies(records, now, false);
+    return this.applyRecords(records, now, false);
   }
 
   /**
@@ -145,7 +145,7 @@
    * that the leader never knew would be wrong for good.
    */
   follow(records: readonly Announcement[], now: number): Announcement[] {
-    return this.takeCopies(records, now, true);
+    return this.applyRecords(records, now, true);
   }
 
   get(id: string): Announcement | undefined {
@@ -175,52 +175,52 @@
     return [...this.entries.values()]
       .filter((entry) => !isPresumedDead(entry))
       .map(({ record }) => record)
-      .filter((record) => record.state !== 'gone' || !isOnlyRemembered(record));
+      .filter((record) => record.state !== 'gone' || !isLoadedFromDisk(record));
   }
 
   /** Targets of a service that take new work. */
   ready(service: string): Announcement[] {
     return this.live
-      .of(service)
+      .ofService(service)
       .map(({ record }) => record)
       .filter(({ state }) => state === 'ready');
   }
 
   /** Whether a target of a service listens at an address. */
   isServed({ service, address }: Pick<Announcement, 'service' | 'address'>): boolean {
-    return this.live.at(address).some(({ record }) => record.service === service);
+    return this.live.atAddress(address).some(({ record }) => record.service === service);
   }
 
   /** Drops lifetimes that ended long ago. */
   forget(now: number): void {
     this.entries.forEach(({ record, heardAt }, id) => {
-      if (record.state === 'gone' && now - heardAt > REMEMBER_GONE_MS) this.entries.delete(id);
+      if (record.state === 'gone' && now - heardAt > GONE_RETENTION_MS) this.entries.delete(id);
     });
   }
 
-  private takeAnnouncement(announcement: Announcement, now: number): Announcement[] {
+  private applyAnnouncement(announcement: Announcement, now: number): Announcement[] {
     const known = this.entries.get(announcement.id);
-    if (known === undefined) return this.add(announcement, now);
-    if (announcement.bornAt > known.record.bornAt) return this.startAgain(known, announcement, now);
+    if (known === undefined) return this.addLifetime(announcement, now);
+    if (announcement.bornAt > known.record.bornAt) return this.restart(known, announcement, now);
     if (announcement.bornAt < known.record.bornAt) return [];
     if (isPresumedDead(known)) return this.contradict(known, announcement, now);
     return this.update(known, announcement, now);
   }
 
-  private takeCopies(
+  private applyRecords(
     records: readonly Announcement[],
     now: number,
     isFromLeader: boolean,
   ): Announcement[] {
     // Ends first: one lifetime's end and its successor at the same address come in one copy, in any order.
-    const ends = records.filter(({ state }) => state === 'gone');
+    const goneRecords = records.filter(({ state }) => state === 'gone');
     const others = records.filter(({ state }) => state !== 'gone');
-    return [...ends, ...others].flatMap((record) => {
+    return [...goneRecords, ...others].flatMap((record) => {
       const known = this.entries.get(record.id);
       if (known !== undefined) return this.mergeKnown(known, record, now, isFromLeader);
-      if (record.state === 'gone') return [this.keep(record, now).record];
-      if (!this.isContested(record, isFromLeader)) return this.add(record, now);
-      this.keep({ ...record, state: 'gone', isPresumed: true }, now);
+      if (record.state === 'gone') return [this.store(record, now).record];
+      if (!this.isAddressTaken(record, isFromLeader)) return this.addLifetime(record, now);
+      this.store({ ...record, state: 'gone', isPresumed: true }, now);
       return [];
     });
   }
@@ -229,42 +229,42 @@
    * Whether another lifetime has the address that a copy gives this one. Without the leader's word the one that lives has to
    * announce itself again. Only a remembered one yields at once.
    */
-  private isContested(record: Announcement, isFromLeader: boolean): boolean {
-    const isBelieved = isFromLeader && !isOnlyRemembered(record);
-    if (isBelieved) return false;
-    return this.live.at(record.address).some(({ record: other }) => {
-      return !isOnlyRemembered(other) || isOnlyRemembered(record);
+  private isAddressTaken(record: Announcement, isFromLeader: boolean): boolean {
+    const isTrusted = isFromLeader && !isLoadedFromDisk(record);
+    if (isTrusted) return false;
+    return this.live.atAddress(record.address).some(({ record: other }) => {
+      return !isLoadedFromDisk(other) || isLoadedFromDisk(record);
     });
   }
 
-  private keep(record: Announcement, now: number): Entry {
+  private store(record: Announcement, now: number): Entry {
     const known = this.entries.get(record.id);
     if (known !== undefined) {
       if (record.bornAt !== known.record.bornAt) known.spokeAt = NEVER;
-      this.write(known, record);
+      this.replaceRecord(known, record);
       return Object.assign(known, { heardAt: now, contradictedAt: 0 });
     }
     const entry = { record, heardAt: now, spokeAt: NEVER, contradictedAt: 0 };
     this.entries.set(record.id, entry);
-    this.live.moved(entry, undefined, placeOf(record));
+    this.live.reindex(entry, undefined, indexKeysOf(record));
     return entry;
   }
 
-  private write(entry: Entry, record: Announcement): void {
-    this.live.moved(entry, placeOf(entry.record), placeOf(record));
+  private replaceRecord(entry: Entry, record: Announcement): void {
+    this.live.reindex(entry, indexKeysOf(entry.record), indexKeysOf(record));
     entry.record = record;
   }
 
-  private end(entry: Entry, now: number): Announcement {
-    this.write(entry, { ...entry.record, state: 'gone' });
+  private markGone(entry: Entry, now: number): Announcement {
+    this.replaceRecord(entry, { ...entry.record, state: 'gone' });
     entry.heardAt = now;
     return entry.record;
   }
 
-  private presumeEnd(entry: Entry, now: number): Announcement {
-    this.end(entry, now);
+  private presumeEntryDead(entry: Entry, now: number): Announcement {
+    this.markGone(entry, now);
     // Somebody else's own word ends it, so the end counts also for those who heard it speak since the memory.
-    this.write(entry, { ...entry.record, isPresumed: true, isRemembered: undefined });
+    this.replaceRecord(entry, { ...entry.record, isPresumed: true, isRemembered: undefined });
     entry.contradictedAt = 0;
     return entry.record;
   }
@@ -275,47 +275,47 @@
     now: number,
     isFromLeader: boolean,
   ): Announcement[] {
-    if (record.bornAt > known.record.bornAt) return this.startAgain(known, record, now);
+    if (record.bornAt > known.record.bornAt) return this.restart(known, record, now);
     if (record.bornAt < known.record.bornAt) return [];
     // Whoever heard it speak has judged whether that was a word held up since before its death.
     const isRevived =
       isPresumedDead(known) &&
       record.state !== 'gone' &&
-      !isOnlyRemembered(record) &&
+      !isLoadedFromDisk(record) &&
       record.sequence > known.record.sequence &&
       // A copy that missed the end must not take the address from the one that lives there.
-      (isFromLeader || this.live.at(record.address).length === 0);
-    return isRevived ? this.add(record, now) : this.update(known, record, now);
+      (isFromLeader || this.live.atAddress(record.address).length === 0);
+    return isRevived ? this.addLifetime(record, now) : this.update(known, record, now);
   }
 
   /**
    * The target started again under its id: whatever was known of the former lifetime ends with it, also that it left.
    * Without the end of the old one in between, its dispatches would count against the new one.
    */
-  private startAgain(known: Entry, announcement: Announcement, now: number): Announcement[] {
-    const ended = known.record.state === 'gone' ? [] : [this.end(known, now)];
-    return [...ended, ...this.add(announcement, now)];
+  private restart(known: Entry, announcement: Announcement, now: number): Announcement[] {
+    const ended = known.record.state === 'gone' ? [] : [this.markGone(known, now)];
+    return [...ended, ...this.addLifetime(announcement, now)];
   }
 
   private update(known: Entry, announcement: Announcement, now: number): Announcement[] {
-    if (isOnlyRemembered(known.record) && !isOnlyRemembered(announcement)) {
+    if (isLoadedFromDisk(known.record) && !isLoadedFromDisk(announcement)) {
       return this.confirm(known, announcement, now);
     }
-    if (isOnlyRemembered(announcement) && !isOnlyRemembered(known.record)) return [];
+    if (isLoadedFromDisk(announcement) && !isLoadedFromDisk(known.record)) return [];
     if (known.record.state !== 'gone') known.heardAt = now;
-    if (RANK[announcement.state] < RANK[known.record.state]) return [];
+    if (STATE_RANK[announcement.state] < STATE_RANK[known.record.state]) return [];
     const sameState = announcement.state === known.record.state;
     if (sameState && announcement.sequence <= known.record.sequence) return [];
     const moved = announcement.address !== known.record.address;
-    this.write(known, announcement);
+    this.replaceRecord(known, announcement);
     return sameState && !moved ? [] : [announcement];
   }
 
   /** A remembered target speaks, also one that was given up for its silence; what is older than the memory says nothing. */
   private confirm(known: Entry, announcement: Announcement, now: number): Announcement[] {
     if (announcement.sequence < known.record.sequence) return [];
-    if (known.record.state === 'gone') return this.add(announcement, now);
-    this.keep(announcement, now);
+    if (known.record.state === 'gone') return this.addLifetime(announcement, now);
+    this.store(announcement, now);
     return [announcement];
   }
 
@@ -323,25 +323,25 @@
    * A new lifetime at an address ends the one that was there: one address serves one target. The dead
    * one's last announcement may still come; it then finds its lifetime gone.
    */
-  private add(announcement: Announcement, now: number): Announcement[] {
+  private addLifetime(announcement: Announcement, now: number): Announcement[] {
     const ended = this.presumeDead(announcement.address, now);
-    this.keep(announcement, now);
+    this.store(announcement, now);
     return [...ended, announcement];
   }
 
   private presumeDead(address: string, now: number): Announcement[] {
-    return this.live.at(address).map((entry) => this.presumeEnd(entry, now));
+    return this.live.atAddress(address).map((entry) => this.presumeEntryDead(entry, now));
   }
 
   private contradict(known: Entry, announcement: Announcement, now: number): Announcement[] {
     if (announcement.sequence <= known.record.sequence) return [];
     if (known.contradictedAt === 0) known.contradictedAt = now;
     if (now - known.contradictedAt < REVIVE_AFTER_MS) return [];
-    return this.add(announcement, now);
+    return this.addLifetime(announcement, now);
   }
 }
 
-function placeOf({ service, address, state }: Announcement): liveTargets.Place {
+function indexKeysOf({ service, address, state }: Announcement): liveTargets.IndexKeys {
   return { service, address, isGone: state === 'gone' };
 }
 
@@ -349,17 +349,17 @@
   return record.isPresumed === true;
 }
 
-function isOnlyRemembered({ isRemembered }: Announcement): boolean {
+function isLoadedFromDisk({ isRemembered }: Announcement): boolean {
   return isRemembered === true;
 }
 
 /** The end of a lifetime that came before its first announcement; where it didn't say which one, of all under its id. */
-function unknownEnd(id: string, bornAt: number): Announcement {
-  return { ...UNKNOWN, id, bornAt: Math.min(bornAt, Number.MAX_SAFE_INTEGER) };
+function unknownGone(id: string, bornAt: number): Announcement {
+  return { ...UNKNOWN_TARGET, id, bornAt: Math.min(bornAt, Number.MAX_SAFE_INTEGER) };
 }
 
 /** What isn't known of such a lifetime, and a sequence that no announcement of it exceeds. */
-const UNKNOWN: Announcement = {
+const UNKNOWN_TARGET: Announcement = {
   id: '',
   bornAt: 0,
   service: '',
--- a/packages/domain/src/registry/validity.ts
+++ b/packages/domain/src/registry/validity.ts
@@ -6,26 +6,26 @@
 
 const ID = /^[\x21-\x7e]{1,128}$/;
 
-const HIGHEST_OCTET = 255;
+const MAX_OCTET = 255;
 
-const HIGHEST_PORT = 65_535;
+const MAX_PORT = 65_535;
 
 /** More requests at once than any target serves. */
-const MOST_SLOTS = 100_000;
+const MAX_SLOTS = 100_000;
 
-function isWithin(text: string | undefined, most: number): boolean {
-  return text !== undefined && /^\d{1,5}$/.test(text) && Number(text) <= most;
+function isWithin(text: string | undefined, max: number): boolean {
+  return text !== undefined && /^\d{1,5}$/.test(text) && Number(text) <= max;
 }
 
 function isAddress(text: string): boolean {
   const [host, port, ...rest] = text.split(':');
   const octets = host.split('.');
-  const isHost = octets.length === 4 && octets.every((each) => isWithin(each, HIGHEST_OCTET));
-  return rest.length === 0 && isHost && isWithin(port, HIGHEST_PORT) && Number(port) > 0;
+  const isHost = octets.length === 4 && octets.every((each) => isWithin(each, MAX_OCTET));
+  return rest.length === 0 && isHost && isWithin(port, MAX_PORT) && Number(port) > 0;
 }
 
-function isCount(value: number, most = Number.MAX_SAFE_INTEGER): boolean {
-  return Number.isSafeInteger(value) && value >= 0 && value <= most;
+function isCount(value: number, max = Number.MAX_SAFE_INTEGER): boolean {
+  return Number.isSafeInteger(value) && value >= 0 && value <= max;
 }
 
 /** What is wrong with an announcement; undefined where it can be used. */
@@ -35,7 +35,7 @@
   if (service === '') return 'service is empty';
   if (dataCentre === '') return 'data centre is empty';
   if (!isAddress(address)) return `address ${address.slice(0, 64)} is not IPV4:PORT`;
-  if (!isCount(slots, MOST_SLOTS)) return `slots ${slots} is not a whole number in range`;
+  if (!isCount(slots, MAX_SLOTS)) return `slots ${slots} is not a whole number in range`;
   if (!isCount(sequence)) return `sequence ${sequence} is not a whole number in range`;
   return isCount(bornAt) ? undefined : `start ${bornAt} is not a whole number in range`;
 }
