--- a/packages/domain/src/quarantine/endedLifetimes.ts
+++ b/packages/domain/src/quarantine/endedLifetimes.ts
@@ -1,49 +1,54 @@
 /**
- * Lifetimes of targets that are taken for ended, and the contents that are blamed for it. A target that crashed is still announced
- * as ready for some seconds, and a request that meets its broken connections then hasn't ended it.
+ * Lifetimes of targets that are taken for crashed, and the requests that were running when they
+ * crashed. A crashed target stays registered as ready for some seconds; a request that meets its
+ * broken connections in that time did not cause the crash.
  */
 
-/** One life of a target, as it announces itself. */
+/** One run of a target process, as the target announces it. */
 export interface Lifetime {
   id: string;
   bornAt: number;
 }
 
-/** Most lifetimes whose end is remembered; a crashed one is announced as ready for some seconds at most. */
+/**
+ * Crashed lifetimes that are kept. A crashed target is announced as ready for some seconds at most,
+ * so older ones no longer matter.
+ */
 const MAX_CRASHED_LIFETIMES = 500;
 
 interface Crash {
-  /** When it was first told. */
+  /** When the crash was first reported. */
   at: number;
-  /** The first sequence that it announced after that was told last. */
+  /** Sequence of the first announcement after the latest report of the crash. */
   firstSequence: number | undefined;
 }
 
-/** The name of a lifetime, as ids may return with another birth. */
+/** Identifies a lifetime; the id alone doesn't, as a restarted target keeps it. */
 export function lifetimeOf({ id, bornAt }: Lifetime): string {
   return `${id}/${bornAt}`;
 }
 
 export class CrashedLifetimes {
-  /** By lifetime, the latest last. */
+  /** By lifetime, in the order of the first reports. */
   private readonly crashes = new Map<string, Crash>();
 
   private readonly suspects = new Map<string, Set<string>>();
 
-  /** Contents that were acquitted of an end, by lifetime. */
+  /** Fingerprints of requests that were cleared of a crash, by lifetime. */
   private readonly cleared = new Map<string, Set<string>>();
 
   has(lifetime: string): boolean {
     return this.crashes.has(lifetime);
   }
 
-  /** When it was first told that it had ended; undefined where it wasn't. */
+  /** When the crash was first reported; undefined for a lifetime without a report. */
   reportedAt(lifetime: string): number | undefined {
     return this.crashes.get(lifetime)?.at;
   }
 
   record(lifetime: string, at: number): void {
-    // Whoever tells it again may have looked after the last announcement.
+    // A repeated report may be newer than the last announcement, so confirming that the target
+    // lives starts over.
     this.crashes.set(lifetime, { at: this.reportedAt(lifetime) ?? at, firstSequence: undefined });
     if (this.crashes.size <= MAX_CRASHED_LIFETIMES) return;
     const [oldest] = this.crashes.keys();
@@ -52,8 +57,9 @@
   }
 
   /**
-   * It announced itself; whether it lives. One announcement may have been held up since before its death; with a second one, of
-   * a higher sequence, whoever couldn't reach it was cut off.
+   * Takes an announcement; returns whether it proves a reported crash wrong. A single announcement
+   * may have been delayed since before the crash. With a second one of a higher sequence the target
+   * is alive, and the reporter was merely cut off from it.
    */
   confirmAlive(lifetime: string, sequence: number): boolean {
     const crash = this.crashes.get(lifetime);
@@ -64,7 +70,7 @@
     return this.crashes.delete(lifetime);
   }
 
-  /** Contents that its end counts against. */
+  /** Fingerprints of the requests that the crash counts against. */
   suspectsOf(lifetime: string): string[] {
     return [...(this.suspects.get(lifetime) ?? [])];
   }
@@ -74,7 +80,7 @@
     this.suspects.set(lifetime, suspects.add(fingerprint));
   }
 
-  /** An end counts no longer against a content, whoever tells of it again. */
+  /** A crash no longer counts against a request, even when it is reported again. */
   recordCleared(fingerprint: string, lifetime: string): void {
     if (!this.crashes.has(lifetime)) return;
     const fingerprints = this.cleared.get(lifetime) ?? new Set();
--- a/packages/domain/src/quarantine/quarantine.ts
+++ b/packages/domain/src/quarantine/quarantine.ts
@@ -1,11 +1,13 @@
 /**
- * Requests under which targets end. A request that crashes whatever runs it comes again under new ids, and each attempt would
- * cost further targets; so every end of a target counts against the contents that it ran. Most of these ran beside the
- * culprit, so a count is a suspicion: suspects run one at a time and apart from each other, and only the culprit's count
- * goes on rising. After the third end the content is in quarantine and runs nowhere.
+ * Quarantine for requests that crash targets. Such a request is retried under new ids, and each
+ * attempt would cost another target, so every crash counts against the fingerprints of all requests
+ * that the target was running. Most of these only ran beside the culprit, so a count is no more
+ * than a suspicion: suspects run one at a time and apart from each other, and then only the
+ * culprit's count keeps rising. After the third crash a request is quarantined and runs nowhere.
  *
- * A suspicion ends when a blamed target turns out to live, when the content runs to its end, when a content in quarantine
- * explains what it was blamed for, and with time. A quarantine ends as well; after it one run decides.
+ * A suspicion is cleared when the target turns out to be alive, when the request completes, when a
+ * quarantined request explains the crash, or after some time. A quarantine expires too; one canary
+ * run then decides.
  */
 
 import * as endedLifetimes from './endedLifetimes';
@@ -15,63 +17,71 @@
 
 export type Standing = 'free' | 'suspected' | 'quarantined';
 
-/** Why a suspicion ended. */
+/** Why a suspicion was cleared or reduced. */
 export type ClearanceReason = 'targetLives' | 'ranWhole' | 'explained' | 'doubtful' | 'expired';
 
 /**
- * Ends that put a content into quarantine. One is chance, and two may be for a request beside the culprit; a third run happens
- * apart from other suspects. With two, the crash of a whole data centre beside any other crash would refuse innocent requests.
+ * Crashes that quarantine a request. One is chance, and two may be the fault of a request beside
+ * it; the third run happens apart from other suspects. With two, the crash of a whole data centre
+ * together with any other crash would refuse innocent requests.
  */
 export const MOST_ENDINGS = 3;
 
-/** A suspect that hasn't been blamed for so long is forgotten, milliseconds; callers give up sooner. */
+/**
+ * A suspect without a new crash for this long is forgotten, milliseconds; callers give up sooner.
+ */
 const SUSPECT_EXPIRY_MS = 600_000;
 
 /**
- * How long a quarantine must last before it explains ends for others, milliseconds. Blame for one end arrives from several
- * entries; the culprit's may come last, and must not be explained by what ran beside it.
+ * How long a quarantine must last before it explains crashes to others, milliseconds. Several
+ * entries report one crash, and the report on the culprit may come last; until then the requests
+ * beside it must not explain the crash to it.
  */
 const EXPLANATION_DELAY_MS = 500;
 
 /**
- * Most suspects that are kept; some 400 bytes each, and 60 for an entry that starts and takes all. A crash leaves a suspect for
- * each request that the target had, ten or so, so this covers a hundred crashes within `SUSPECT_MS`. Beyond that those
- * blamed for least go first.
+ * Suspects that are kept; each takes some 400 bytes, and 60 in the update for an entry that starts
+ * and loads all of them. A crash makes a suspect of each of the ten or so requests that the target
+ * was running, so this covers a hundred crashes within `SUSPECT_EXPIRY_MS`. Beyond that, those with
+ * the fewest crashes are evicted first.
  */
 export const MOST_SUSPECTS = 1_000;
 
 /**
- * A quarantine is in doubt where at most one of its ends isn't one of another content too that may be the culprit: when
- * several culprits end most targets at one moment, what many callers send was beside them each time, its trials included. After so long,
- * milliseconds, twice as long each further time, one more trial decides. An innocent content is refused for two seconds in
- * place of two minutes; a culprit costs up to two targets more, as these ends are its own.
+ * A quarantine is doubtful where all its crashes, except one at most, also count against other
+ * requests that may be the culprit: when several culprits crash most targets at the same time, a
+ * request that many callers send runs beside them each time, its canary runs included. After this
+ * long, milliseconds, doubled for each further doubt, one more canary run decides. An innocent
+ * request is refused for two seconds instead of two minutes; a culprit costs up to two more
+ * targets, as those crashes are its own.
  */
 const DOUBT_DELAY_MS = 2_000;
 
 /**
- * A content isn't let out for doubt any more when so many targets ended under it later than so long after its third, milliseconds.
- * Contents that explain each other would otherwise cost a target with each doubt, for as long as they come.
+ * A request is no longer released as doubtful once this many targets crashed under it later than
+ * this long after its third crash, milliseconds. Requests that explain each other would otherwise
+ * cost a target with each doubt for as long as they come.
  */
 const MAX_LATE_CRASHES = 3;
 const LATE_CRASH_MS = 3_000;
 
-/** Endings that are left after a quarantine: the next one is the third again. */
+/** Crashes that still count after a quarantine: the next one is the third again. */
 const CRASHES_KEPT_ON_RELEASE = MOST_ENDINGS - 1;
 
-/** What a change did, for the log. */
+/** Effect of a change on one request, for the log. */
 export interface Change {
   content: string;
   standing: Standing;
   endings: number;
-  /** Why nothing, or less, is left of it; undefined where blame was added. */
+  /** Why the suspicion was cleared or reduced; undefined where a crash was added. */
   reason: ClearanceReason | undefined;
 }
 
-/** A sending that got no answer. */
+/** A dispatch of a request that got no answer. */
 export interface UnansweredRun {
-  /** By the clock of whoever owns the quarantine. */
+  /** By the clock of the process that holds the quarantine. */
   sentAt: number;
-  /** Whether it was a trial; see `suspect`. */
+  /** Whether it was a canary run; see `suspect`. */
   isTrial: boolean;
 }
 
@@ -80,7 +90,10 @@
 
   private readonly suspects = new Map<string, Suspect>();
 
-  /** Contents by the length of their bodies, so that others needn't be worked out. */
+  /**
+   * Number of suspects by the length of their bodies, so that fingerprints of other requests
+   * needn't be computed.
+   */
   private readonly lengths = new Map<string, number>();
 
   get size(): number {
@@ -91,7 +104,10 @@
     return [...this.suspects.values()].filter(suspects.isQuarantined).length;
   }
 
-  /** Whether some suspect's body has this length, bytes; to be asked before a content is worked out. */
+  /**
+   * Whether some suspect's body has this length, bytes; a cheap check before a fingerprint is
+   * computed.
+   */
   mayKnow(bodyBytes: number): boolean {
     return this.lengths.has(String(bodyBytes));
   }
@@ -102,18 +118,21 @@
     return suspects.isQuarantined(suspect) ? 'quarantined' : 'suspected';
   }
 
-  /** Ends that count against a content. */
+  /** Crashes that count against a request. */
   count(fingerprint: string): number {
     const suspect = this.suspects.get(fingerprint);
     return suspect === undefined ? 0 : suspects.countOf(suspect);
   }
 
-  /** Lifetimes that ended under a content. */
+  /** Lifetimes that crashed while they ran a request. */
   endings(fingerprint: string): string[] {
     return this.suspects.get(fingerprint)?.endings.map(({ lifetime }) => lifetime) ?? [];
   }
 
-  /** A lifetime ended while it ran the content; undefined where that was known, or it had ended before. */
+  /**
+   * Counts a crash of a lifetime against a request that it was running. Undefined where the crash
+   * is known already, or happened before the request was sent.
+   */
   blame(
     fingerprint: string,
     lifetime: string,
@@ -135,7 +154,10 @@
     return this.statusChange(known, undefined);
   }
 
-  /** A lifetime announced itself; whoever was blamed for its end is acquitted of that once it surely lives. */
+  /**
+   * Takes an announcement of a lifetime; once that proves it alive, its crash no longer counts
+   * against any request.
+   */
   spoke(lifetime: endedLifetimes.Lifetime, sequence: number): Change[] {
     const key = endedLifetimes.lifetimeOf(lifetime);
     if (!this.lifetimes.confirmAlive(key, sequence)) return [];
@@ -144,21 +166,24 @@
       .map((content) => this.clearCrash(content, key, 'targetLives'));
   }
 
-  /** Whether a lifetime is taken for ended. */
+  /** Whether a lifetime is taken for crashed. */
   hasEnded(lifetime: endedLifetimes.Lifetime): boolean {
     return this.lifetimes.has(endedLifetimes.lifetimeOf(lifetime));
   }
 
-  /** The content ran to its end: whatever ended beside it, it wasn't the cause. */
+  /** The request ran to completion, so it didn't cause the crashes that happened beside it. */
   ranWhole(fingerprint: string): Change | undefined {
     const known = this.suspects.get(fingerprint);
     return known === undefined ? undefined : this.clearSuspicion(known, 'ranWhole');
   }
 
-  /** Lets time pass: ends quarantines and old suspicions, and explains what ran beside a culprit. */
+  /**
+   * Advances time: ends quarantines, drops old suspicions and explains crashes by quarantined
+   * requests.
+   */
   tick(now: number): Change[] {
     const all = [...this.suspects.values()];
-    // Chosen before any is let out: each may be what puts another one in doubt.
+    // Selected before any of them is released, as each may be what makes another one doubtful.
     const due = all.flatMap((each) => {
       const reason = this.dueReason(each, now);
       return reason === undefined ? [] : [{ suspect: each, reason }];
@@ -177,26 +202,26 @@
     return [...this.suspects.values()].map((each) => suspects.toReport(each, now));
   }
 
-  /** A content as it is known here; without endings where it isn't. */
+  /** State of one request, without crashes where it isn't a suspect. */
   report(fingerprint: string, now: number): suspects.Report {
     const known = this.suspects.get(fingerprint);
     return known === undefined ? suspects.emptyReport(fingerprint) : suspects.toReport(known, now);
   }
 
-  /** Takes a leader's word, which replaces what was known of the content. */
+  /** Applies the leader's report, which replaces the state of that request here. */
   take(report: suspects.Report, now: number): void {
     const known = this.suspects.get(report.content);
     if (known !== undefined) this.remove(known);
     if (report.endings.length > 0) this.restore(report, now);
   }
 
-  /** Takes a leader's whole copy. */
+  /** Replaces all suspects by the leader's. */
   takeAll(reports: readonly suspects.Report[], now: number): void {
     [...this.suspects.values()].forEach((each) => this.remove(each));
     reports.forEach((report) => this.restore(report, now));
   }
 
-  /** Adds what another copy knows, for a new leader; the contents that changed. */
+  /** Adds the suspects of another copy, for a new leader; returns what changed. */
   merge(reports: readonly suspects.Report[], now: number): Change[] {
     return reports.flatMap((received) => {
       const report = this.withoutCleared(received);
@@ -209,7 +234,7 @@
       known.quarantines = Math.max(known.quarantines, report.quarantines);
       return (
         report.endings
-          // Whoever told it has judged whether the request was sent before the end.
+          // The reporter has checked that the request was sent before the crash.
           .map(({ lifetime, isTrial }) => {
             return this.blame(report.content, lifetime, { sentAt: -Infinity, isTrial }, now);
           })
@@ -218,7 +243,10 @@
     });
   }
 
-  /** A follower may not have heard yet of what the content was acquitted of. */
+  /**
+   * Removes crashes of which the request was cleared here; a follower may not have received that
+   * yet.
+   */
   private withoutCleared(report: suspects.Report): suspects.Report {
     const { content } = report;
     const endings = report.endings.filter(({ lifetime }) => {
@@ -264,7 +292,7 @@
     return { content, standing: 'free', endings: 0, reason };
   }
 
-  /** A lifetime no longer counts against a content. */
+  /** The crash of a lifetime no longer counts against a request. */
   private clearCrash(fingerprint: string, lifetime: string, reason: ClearanceReason): Change {
     const suspect = this.suspects.get(fingerprint) as Suspect;
     suspect.endings = suspect.endings.filter((each) => each.lifetime !== lifetime);
@@ -275,7 +303,7 @@
     return this.statusChange(suspect, reason);
   }
 
-  /** Why a quarantine ends now; undefined where it doesn't. */
+  /** Why a quarantine ends now; undefined where it goes on. */
   private dueReason(suspect: Suspect, now: number): 'expired' | 'doubtful' | undefined {
     const { quarantinedAt, doubts } = suspect;
     if (quarantinedAt === undefined) return undefined;
@@ -289,7 +317,7 @@
   private release(suspect: Suspect, reason: 'expired' | 'doubtful', now: number): Change {
     if (reason === 'doubtful') {
       suspect.doubts += 1;
-      // It may never have been a culprit, so it makes no later quarantine longer.
+      // It may never have been a culprit, so this quarantine makes no later one longer.
       suspect.quarantines -= 1;
     }
     const kept = suspect.endings.slice(-CRASHES_KEPT_ON_RELEASE);
@@ -305,8 +333,9 @@
   }
 
   /**
-   * A content that is let out for doubt may still be the culprit. Without a note, what ended under it would look like the others'
-   * own doing as soon as it no longer counts, and who was beside it each time would stay refused for the whole quarantine.
+   * Notes that a crash of a request released as doubtful may still be that request's fault. Without
+   * the note the crash would look like the fault of the requests beside it as soon as it no longer
+   * counts, and they would stay refused for their whole quarantine.
    */
   private noteExplained(lifetime: string): void {
     this.lifetimes.suspectsOf(lifetime).forEach((content) => {
@@ -325,7 +354,11 @@
     return suspects.countOf({ endings: own }) < CRASHES_KEPT_ON_RELEASE;
   }
 
-  /** Also one that doubt let out, as its trial is to come, and one that ended two targets, at one moment or not: it may come no more. */
+  /**
+   * Whether a request may have caused crashes. That includes one released as doubtful, whose canary
+   * run is still to come, and one with two crashes, at the same time or not, as it may never come
+   * again.
+   */
   private mayBeCulprit(fingerprint: string): boolean {
     const suspect = this.suspects.get(fingerprint);
     if (suspect === undefined) return false;
@@ -334,8 +367,8 @@
   }
 
   /**
-   * What ended under a content in quarantine no longer counts against those that ran beside it once. Whoever was blamed in a trial
-   * as well may be a culprit of its own.
+   * Clears suspects with a single crash of the crashes that a quarantined request explains.
+   * Suspects with a crash in a canary run as well may be culprits of their own.
    */
   private explain(now: number): Change[] {
     const culprits = [...this.suspects.values()].filter(({ quarantinedAt = Infinity }) => {
@@ -346,7 +379,8 @@
 
   private explainCrashesOf(culprit: Suspect): Change[] {
     const lifetimes = culprit.endings.map(({ lifetime }) => lifetime);
-    // What is acquitted now may be the culprit, and the one in quarantine was beside it.
+    // A suspect that is cleared here may be the culprit, with the quarantined request only beside
+    // it.
     lifetimes
       .filter((lifetime) =>
         this.singleCrashSuspects(lifetime).some((each) => this.mayBeCulprit(each)),
@@ -359,12 +393,14 @@
     });
   }
 
-  /** Contents that an end counts against, and no other one. */
+  /** Fingerprints of the suspects that this crash counts against, and no other one. */
   private singleCrashSuspects(lifetime: string): string[] {
     return this.lifetimes.suspectsOf(lifetime).filter((content) => this.count(content) === 1);
   }
 
-  /** Makes room: whoever is blamed for least goes first, and of those the one that was blamed longest ago. */
+  /**
+   * Evicts the suspect with the fewest crashes; among equals the one whose last crash is oldest.
+   */
   private evict(now: number): void {
     const weight = (each: Suspect): number => {
       return (
@@ -387,14 +423,14 @@
   }
 }
 
-/** Counts an end also when it counts no longer against the content. */
+/** Counts every crash, including those that later no longer count against the request. */
 function countCrash(suspect: Suspect, now: number): void {
   suspect.totalEndings += 1;
   if (suspect.totalEndings === MOST_ENDINGS) suspect.thirdEndAt = now;
   if (now > suspect.thirdEndAt + LATE_CRASH_MS) suspect.laterEndings += 1;
 }
 
-/** Contents begin with the length of the body. */
+/** A fingerprint begins with the length of the body. */
 function bodyLengthOf(fingerprint: string): string {
   return fingerprint.slice(0, fingerprint.indexOf('-'));
 }
--- a/packages/domain/src/quarantine/suspect.ts
+++ b/packages/domain/src/quarantine/suspect.ts
@@ -1,35 +1,47 @@
-/** A content that targets ended under: what counts against it, and how it travels between VMs. */
+/** A suspect request: the crashes that count against it, and its form in messages between VMs. */
 
-/** A lifetime that ended while it ran a content; `at` is the owner's clock, milliseconds. */
+/**
+ * A crash of a lifetime that was running the request; `at` is by the clock of the process that
+ * holds the quarantine, milliseconds.
+ */
 export interface Crash {
   lifetime: string;
   at: number;
-  /** Whether that run was a trial: begun as the only one with a content that was suspected already. */
+  /** Whether the request ran as a canary: as the only suspect on the target, being one already. */
   isTrial: boolean;
 }
 
 export interface Suspect {
   content: string;
   endings: Crash[];
-  /** Quarantines that it has been through, the present one included. */
+  /** Quarantines so far, including the present one. */
   quarantines: number;
-  /** Since when it is in quarantine; undefined while it isn't. */
+  /** Start of the present quarantine; undefined outside of one. */
   quarantinedAt: number | undefined;
-  /** Doubtful quarantines of it that were ended. */
+  /** Quarantines that were ended as doubtful. */
   doubts: number;
-  /** Lifetimes that ended under it, also those that no longer count. */
+  /** Crashes of all time, including those that no longer count. */
   totalEndings: number;
-  /** When the third of them was told; infinite before. */
+  /** When the third of them was reported; infinite before. */
   thirdEndAt: number;
-  /** Those that came well after that, as the quarantine counts them. */
+  /** Crashes well after that, as defined by `LATE_CRASH_MS` in `quarantine`. */
   laterEndings: number;
-  /** Lifetimes whose end may be another content's doing, although it no longer counts against that one. */
+  /**
+   * Lifetimes whose crash may be another request's fault, although it no longer counts against that
+   * one.
+   */
   explained: Set<string>;
-  /** Lifetimes of which its own conviction acquitted a possible culprit; that doubt outlasts a release. */
+  /**
+   * Lifetimes whose crash this request's quarantine explained to a possible culprit. This doubt
+   * outlasts the other one's clearance.
+   */
   shared: Set<string>;
 }
 
-/** A suspect as it travels; clocks of different VMs don't compare, so times are ages. No endings: nothing is left of it. */
+/**
+ * A suspect as sent between VMs. Their clocks can't be compared, so times are sent as ages. Without
+ * endings the suspicion is cleared.
+ */
 export interface Report {
   content: string;
   endings: { lifetime: string; agoMs: number; isTrial: boolean }[];
@@ -38,9 +50,9 @@
 }
 
 /**
- * How long the first quarantine lasts, milliseconds, and how many times as long each further one; the longest is a day. A
- * wrong one ends with its first run after two minutes; one that is right costs a target after 2, 22 and 222 minutes, and then
- * one a day.
+ * Length of the first quarantine, milliseconds, the factor for each further one, and the maximum, a
+ * day. A wrong quarantine ends with the first run after two minutes; a right one costs a target
+ * after 2, 22 and 222 minutes, and then one a day.
  */
 const FIRST_QUARANTINE_MS = 120_000;
 const QUARANTINE_GROWTH = 10;
@@ -50,23 +62,23 @@
   return quarantinedAt !== undefined;
 }
 
-/** How long its present quarantine lasts, milliseconds. */
+/** Length of the present quarantine, milliseconds. */
 export function quarantineDurationMs({ quarantines }: Suspect): number {
   const grown = FIRST_QUARANTINE_MS * QUARANTINE_GROWTH ** Math.max(0, quarantines - 1);
   return Math.min(MAX_QUARANTINE_MS, grown);
 }
 
 /**
- * Ends that count against it. Runs that were under way when the first one ended its target count as one end together: what many
- * callers send at the same time is on many targets at once, and one culprit that crashes some of them would have it
- * refused with itself.
+ * Crashes that count against it. All crashes outside of canary runs count as one: a request that
+ * many callers send is on many targets at once, and a culprit that crashes some of them would
+ * otherwise have it quarantined too.
  */
 export function countOf({ endings }: Pick<Suspect, 'endings'>): number {
   const inCanaryRuns = endings.filter(({ isTrial }) => isTrial).length;
   return inCanaryRuns < endings.length ? inCanaryRuns + 1 : inCanaryRuns;
 }
 
-/** When it was last blamed. */
+/** When its last crash was reported. */
 export function lastCrashAt({ endings }: Suspect): number {
   return Math.max(...endings.map(({ at }) => at));
 }
@@ -81,7 +93,7 @@
   };
 }
 
-/** Nothing is known of a content. */
+/** The report on a request that is no suspect. */
 export function emptyReport(content: string): Report {
   return { content, endings: [], quarantines: 0, quarantinedForMs: undefined };
 }
--- a/packages/domain/src/quarantine/trials.ts
+++ b/packages/domain/src/quarantine/trials.ts
@@ -1,22 +1,25 @@
 /**
- * Runs of suspects, one at a time for each content. Copies of a request come through several entries at once; without this
- * each would end a target of its own before the first end is known to count against them all.
+ * Canary runs: each suspect request runs once at a time. Several entries receive copies of a
+ * request at the same time; without this each copy would crash a target before the first crash is
+ * known to count against them all.
  */
 
-/** A run that nobody ended for so long is over, milliseconds; longer than any caller waits. */
+/**
+ * A run without a reported end is over after this long, milliseconds; longer than any caller waits.
+ */
 const MAX_CANARY_RUN_MS = 60_000;
 
 export interface CanaryRun {
   id: string;
   entry: string;
-  /** The target that it was given; undefined where an allocator chooses one. */
+  /** The assigned target; undefined where an allocator chooses one. */
   target: string | undefined;
 }
 
 export class Trials {
   private readonly byFingerprint = new Map<string, CanaryRun & { since: number }>();
 
-  /** Begins a run of a content; false while another request with that content runs. */
+  /** Begins a canary run; false while another request with the same fingerprint runs. */
   begin(fingerprint: string, run: CanaryRun, now: number): boolean {
     if (!this.mayBegin(fingerprint, run, now)) return false;
     this.byFingerprint.set(fingerprint, { ...run, since: now });
@@ -29,7 +32,7 @@
     return current.id === id && current.entry === entry;
   }
 
-  /** Targets that run suspects. */
+  /** Targets with a canary run. */
   get targets(): string[] {
     return [...this.byFingerprint.values()].flatMap(({ target }) =>
       target === undefined ? [] : [target],
@@ -40,7 +43,7 @@
     if (this.byFingerprint.get(fingerprint)?.id === id) this.byFingerprint.delete(fingerprint);
   }
 
-  /** Runs of an entry that is gone have ended with it. */
+  /** Ends the runs of an entry that is gone. */
   forgetEntry(entry: string): void {
     this.byFingerprint.forEach((trial, content) => {
       if (trial.entry === entry) this.byFingerprint.delete(content);
--- a/packages/domain/src/registry/liveTargets.ts
+++ b/packages/domain/src/registry/liveTargets.ts
@@ -1,9 +1,9 @@
 /**
- * Targets that aren't gone, by their address and by their service. With thousands of targets, a search through all of them for
- * each announcement kept an entry that takes a whole registry busy for seconds.
+ * Index of the targets that aren't gone, by address and by service. With thousands of targets, a
+ * linear search for each announcement kept an entry that loads a whole registry busy for seconds.
  */
 
-/** What is indexed of a target. */
+/** The keys under which a target is indexed. */
 export interface IndexKeys {
   service: string;
   /** HOST:PORT. */
@@ -16,7 +16,10 @@
 
   private readonly byService = new Map<string, Set<T>>();
 
-  /** A target came, moved or went; the order of those that stay where they are doesn't change. */
+  /**
+   * Updates the index for a target that was added, changed or removed. Targets with unchanged keys
+   * keep their order.
+   */
   reindex(target: T, from: IndexKeys | undefined, to: IndexKeys | undefined): void {
     const before = from?.isGone === false ? from : undefined;
     const after = to?.isGone === false ? to : undefined;
--- a/packages/domain/src/registry/registry.ts
+++ b/packages/domain/src/registry/registry.ts
@@ -1,20 +1,20 @@
 /**
- * The registry of targets: who announced itself, where, and whether it is leaving. Announcements reach
- * keepers late, twice and out of order, and copies of the registry meet after partitions, so records of one
- * lifetime are ordered by state first and sequence second: a lifetime that left never returns. A target may start
- * again under its id; its start then tells the new lifetime from the old one.
+ * The registry of targets: address, service and state of each. Announcements reach keepers late,
+ * twice and out of order, and copies of the registry are merged after partitions, so records of one
+ * lifetime are ordered by state first and sequence second: a lifetime that drains or is gone never
+ * becomes ready again. A target may restart under its id; `bornAt` tells the lifetimes apart.
  */
 
 import * as liveTargets from './liveTargets';
 
 export type State = 'ready' | 'draining' | 'gone';
 
-/** What a target says of itself. */
+/** A target's announcement of itself. */
 export interface Announcement {
   id: string;
   /**
-   * When this lifetime of the target began, Unix milliseconds by the target's clock; 0 where it doesn't say. Only
-   * the two of one id are ever compared.
+   * Start time of this lifetime of the target, Unix milliseconds by the target's clock; 0 where the
+   * target doesn't give it. Only start times of the same id are compared.
    */
   bornAt: number;
   service: string;
@@ -26,13 +26,13 @@
   /** Rises with each announcement of the lifetime. */
   sequence: number;
   /**
-   * Whether this comes from the disk of a keeper that was started again, and the target hasn't spoken since. Such a
-   * target may have ended meanwhile, so it is used with care.
+   * Whether the record was loaded from the disk of a restarted keeper, and the target hasn't
+   * announced itself since. It may have gone meanwhile, so such a target is used with care.
    */
   isRemembered?: boolean;
   /**
-   * Whether this end was only concluded from somebody else at the target's address. A later word of its own proves
-   * that wrong; an end that it announced itself stands.
+   * Whether `gone` was only inferred, as another process answered at the target's address. A later
+   * announcement of the target revokes it; a `gone` that the target announced itself is final.
    */
   isPresumed?: boolean;
 }
@@ -40,34 +40,36 @@
 const STATE_RANK: Record<State, number> = { ready: 0, draining: 1, gone: 2 };
 
 /**
- * How long a lifetime that is gone is remembered, milliseconds. An announcement that a partition held up may
- * come after the lifetime ended; partitions that heal later than this are not expected.
+ * How long a lifetime that is gone is kept, milliseconds. A partition may deliver an announcement
+ * after its target is gone; partitions that heal later than this are not expected.
  */
 export const GONE_RETENTION_MS = 120_000;
 
 /**
- * A lifetime that was taken for dead, because another one turned up at its address, is alive after all if it
- * announces itself again this long after the first time. A single announcement may have been held up since
- * before its death. Milliseconds; half of the usual pause between announcements.
+ * A lifetime that was presumed dead, as another one announced its address, is alive if it announces
+ * itself again at least this long after the first such announcement. A single announcement may have
+ * been delayed since before its death. Milliseconds; half of the usual interval between
+ * announcements.
  */
 const REVIVE_AFTER_MS = 600;
 
 /**
- * How long a remembered target may stay silent, milliseconds: two of the usual pauses between announcements. One that
- * lives speaks within that, and one that left was told before that it may be used no longer than some seconds more.
+ * How long a target loaded from disk may go without an announcement, milliseconds: two of the usual
+ * intervals. A live one announces itself within that time, and a target that stops is told that it
+ * may be used for some seconds more at most.
  */
 export const LOADED_TIMEOUT_MS = 2_400;
 
-/** Before all time: when a lifetime announced itself that is only known from copies. */
+/** Time of the last announcement of a lifetime that is known from copies alone. */
 const NEVER = -Infinity;
 
 interface Entry {
   record: Announcement;
-  /** When something was heard of it last, from whomever. */
+  /** When the last update was received, from the target or a copy. */
   heardAt: number;
-  /** When it announced itself here last; a copy of the registry doesn't say when the target spoke. */
+  /** When it last announced itself here; a copy of the registry doesn't tell that time. */
   spokeAt: number;
-  /** First announcement after it was presumed dead; 0 if none came. */
+  /** When it first announced itself after it was presumed dead; 0 if it didn't. */
   contradictedAt: number;
 }
 
@@ -76,7 +78,7 @@
 
   private readonly live = new liveTargets.LiveTargets<Entry>();
 
-  /** Takes what a target says of itself; the records that changed with it come back. */
+  /** Applies a target's announcement; returns the records that changed. */
   announce(announcement: Announcement, now: number): Announcement[] {
     const changed = this.applyAnnouncement(announcement, now);
     const entry = this.entries.get(announcement.id);
@@ -84,7 +86,7 @@
     return changed;
   }
 
-  /** The lifetime ended or announced that it does; `bornAt` where it said which one. */
+  /** The lifetime is gone, or announced that it goes; `bornAt` if it is known which one. */
   depart(id: string, now: number, bornAt = Infinity): Announcement[] {
     const known = this.entries.get(id);
     if (known === undefined) return [this.store(unknownGone(id, bornAt), now).record];
@@ -96,7 +98,10 @@
     return hasEnded ? [] : [this.markGone(known, now)];
   }
 
-  /** A lifetime said in an answer that it leaves. What it announced before that and comes later doesn't undo it. */
+  /**
+   * A lifetime announced in a response that it drains. Its earlier announcements that arrive later
+   * don't undo that.
+   */
   leave(id: string, bornAt: number): Announcement[] {
     const known = this.entries.get(id);
     if (known?.record.bornAt !== bornAt || known.record.state !== 'ready') return [];
@@ -104,7 +109,10 @@
     return [known.record];
   }
 
-  /** Somebody else answered at the address of this lifetime. It may revive by announcing itself. */
+  /**
+   * Another process answered at the address of this lifetime, so it is presumed dead. It is revived
+   * when it announces itself.
+   */
   presumeEnded(id: string, now: number): Announcement[] {
     const known = this.entries.get(id);
     if (known === undefined || known.record.state === 'gone') return [];
@@ -112,8 +120,8 @@
   }
 
   /**
-   * Takes what a disk held when this process started. A lifetime that was leaving or gone stays so; of the others nobody
-   * knows yet whether they live.
+   * Adds the records that were loaded from disk at the start of this process. A lifetime that was
+   * draining or gone stays so; whether the others are alive isn't known yet.
    */
   remember(records: readonly Announcement[], now: number): Announcement[] {
     return records
@@ -124,7 +132,10 @@
       });
   }
 
-  /** Ends remembered targets that were silent for too long since `since`, when whoever calls began to listen. */
+  /**
+   * Marks targets loaded from disk as gone that haven't announced themselves for too long; the wait
+   * begins at `since` at the earliest, when the caller began to receive announcements.
+   */
   endRemembered(now: number, since = -Infinity): Announcement[] {
     return [...this.entries.values()]
       .filter(({ record, heardAt }) => {
@@ -134,15 +145,15 @@
       .map((entry) => this.markGone(entry, now));
   }
 
-  /** Takes over what other copies of the registry know. */
+  /** Merges the records of another copy of the registry. */
   merge(records: readonly Announcement[], now: number): Announcement[] {
     return this.applyRecords(records, now, false);
   }
 
   /**
-   * Takes over what the leader knows that this copy follows. Which of two lifetimes at one address came later, a copy can't say, but
-   * targets announce themselves to the leader: whatever it has wrong is put right there, and a copy that held on to a lifetime
-   * that the leader never knew would be wrong for good.
+   * Applies an update of the leader. A copy can't tell which of two lifetimes at one address is the
+   * later one, but targets announce themselves to the leader, so its errors are corrected there. A
+   * copy that kept a lifetime that the leader never knew would stay wrong for good.
    */
   follow(records: readonly Announcement[], now: number): Announcement[] {
     return this.applyRecords(records, now, true);
@@ -152,7 +163,9 @@
     return this.entries.get(id)?.record;
   }
 
-  /** When a lifetime announced itself here last; before all time where it didn't, or is known as gone. */
+  /**
+   * When a lifetime last announced itself here; `-Infinity` where it didn't, or is known as gone.
+   */
   spokeAt({ id, bornAt }: Pick<Announcement, 'id' | 'bornAt'>): number {
     const known = this.entries.get(id);
     const isIt = known?.record.bornAt === bornAt && known.record.state !== 'gone';
@@ -168,8 +181,8 @@
   }
 
   /**
-   * What a restart should know. Ends that were only concluded are left out: there such a lifetime could never return, as
-   * the words that prove them wrong may come after the restart.
+   * Records for a restart. Inferred ends are left out: after a restart such a lifetime could never
+   * return, as the announcements that revoke the inference may come later.
    */
   durable(): Announcement[] {
     return [...this.entries.values()]
@@ -178,7 +191,7 @@
       .filter((record) => record.state !== 'gone' || !isLoadedFromDisk(record));
   }
 
-  /** Targets of a service that take new work. */
+  /** Targets of a service that accept new requests. */
   ready(service: string): Announcement[] {
     return this.live
       .ofService(service)
@@ -191,7 +204,7 @@
     return this.live.atAddress(address).some(({ record }) => record.service === service);
   }
 
-  /** Drops lifetimes that ended long ago. */
+  /** Removes lifetimes that are gone for longer than `GONE_RETENTION_MS`. */
   forget(now: number): void {
     this.entries.forEach(({ record, heardAt }, id) => {
       if (record.state === 'gone' && now - heardAt > GONE_RETENTION_MS) this.entries.delete(id);
@@ -212,7 +225,8 @@
     now: number,
     isFromLeader: boolean,
   ): Announcement[] {
-    // Ends first: one lifetime's end and its successor at the same address come in one copy, in any order.
+    // Records of gone lifetimes first: one update may hold such a record and its successor at the
+    // same address, in any order.
     const goneRecords = records.filter(({ state }) => state === 'gone');
     const others = records.filter(({ state }) => state !== 'gone');
     return [...goneRecords, ...others].flatMap((record) => {
@@ -226,8 +240,9 @@
   }
 
   /**
-   * Whether another lifetime has the address that a copy gives this one. Without the leader's word the one that lives has to
-   * announce itself again. Only a remembered one yields at once.
+   * Whether another lifetime has the address of a record from a copy. Unless the leader sent it,
+   * the lifetime that is alive has to announce itself again; only one loaded from disk gives up the
+   * address at once.
    */
   private isAddressTaken(record: Announcement, isFromLeader: boolean): boolean {
     const isTrusted = isFromLeader && !isLoadedFromDisk(record);
@@ -263,7 +278,8 @@
 
   private presumeEntryDead(entry: Entry, now: number): Announcement {
     this.markGone(entry, now);
-    // Somebody else's own word ends it, so the end counts also for those who heard it speak since the memory.
+    // Another target's own announcement replaces it. So this also counts for copies that received
+    // an announcement of it since it was loaded from disk.
     this.replaceRecord(entry, { ...entry.record, isPresumed: true, isRemembered: undefined });
     entry.contradictedAt = 0;
     return entry.record;
@@ -277,20 +293,22 @@
   ): Announcement[] {
     if (record.bornAt > known.record.bornAt) return this.restart(known, record, now);
     if (record.bornAt < known.record.bornAt) return [];
-    // Whoever heard it speak has judged whether that was a word held up since before its death.
+    // The copy that received its announcement has checked that it wasn't delayed since before its
+    // death.
     const isRevived =
       isPresumedDead(known) &&
       record.state !== 'gone' &&
       !isLoadedFromDisk(record) &&
       record.sequence > known.record.sequence &&
-      // A copy that missed the end must not take the address from the one that lives there.
+      // A copy that missed the end of this lifetime must not take the address from the present one.
       (isFromLeader || this.live.atAddress(record.address).length === 0);
     return isRevived ? this.addLifetime(record, now) : this.update(known, record, now);
   }
 
   /**
-   * The target started again under its id: whatever was known of the former lifetime ends with it, also that it left.
-   * Without the end of the old one in between, its dispatches would count against the new one.
+   * The target restarted under its id, so the state of the former lifetime is void, including that
+   * it drained. The former lifetime is reported as gone first; otherwise its dispatches would count
+   * against the new one.
    */
   private restart(known: Entry, announcement: Announcement, now: number): Announcement[] {
     const ended = known.record.state === 'gone' ? [] : [this.markGone(known, now)];
@@ -311,7 +329,10 @@
     return sameState && !moved ? [] : [announcement];
   }
 
-  /** A remembered target speaks, also one that was given up for its silence; what is older than the memory says nothing. */
+  /**
+   * A target loaded from disk announces itself, perhaps after it was given up for not doing so.
+   * Announcements older than the loaded record are ignored.
+   */
   private confirm(known: Entry, announcement: Announcement, now: number): Announcement[] {
     if (announcement.sequence < known.record.sequence) return [];
     if (known.record.state === 'gone') return this.addLifetime(announcement, now);
@@ -320,8 +341,8 @@
   }
 
   /**
-   * A new lifetime at an address ends the one that was there: one address serves one target. The dead
-   * one's last announcement may still come; it then finds its lifetime gone.
+   * Adds a lifetime and presumes any other one at its address dead, as one address serves one
+   * target. A late announcement of the dead one finds its lifetime gone.
    */
   private addLifetime(announcement: Announcement, now: number): Announcement[] {
     const ended = this.presumeDead(announcement.address, now);
@@ -353,12 +374,15 @@
   return isRemembered === true;
 }
 
-/** The end of a lifetime that came before its first announcement; where it didn't say which one, of all under its id. */
+/**
+ * Record of a lifetime that was reported gone before its first announcement; covers all lifetimes
+ * of the id if `bornAt` isn't known.
+ */
 function unknownGone(id: string, bornAt: number): Announcement {
   return { ...UNKNOWN_TARGET, id, bornAt: Math.min(bornAt, Number.MAX_SAFE_INTEGER) };
 }
 
-/** What isn't known of such a lifetime, and a sequence that no announcement of it exceeds. */
+/** Placeholder values, with a sequence that no announcement exceeds. */
 const UNKNOWN_TARGET: Announcement = {
   id: '',
   bornAt: 0,
--- a/packages/domain/src/registry/validity.ts
+++ b/packages/domain/src/registry/validity.ts
@@ -1,6 +1,6 @@
 /**
- * Whether an announcement names a target that can be used. Others write announcements too, with values of their own;
- * an address that is none would fail each request that is sent there, an id with a line break each header.
+ * Validates announcements. Other programs write them too, with values of their own; an invalid
+ * address would fail each request that is sent there, an id with a line break each header.
  */
 import type * as registry from './registry';
 
@@ -10,7 +10,7 @@
 
 const MAX_PORT = 65_535;
 
-/** More requests at once than any target serves. */
+/** More concurrent requests than any target serves. */
 const MAX_SLOTS = 100_000;
 
 function isWithin(text: string | undefined, max: number): boolean {
@@ -28,7 +28,7 @@
   return Number.isSafeInteger(value) && value >= 0 && value <= max;
 }
 
-/** What is wrong with an announcement; undefined where it can be used. */
+/** Describes what is wrong with an announcement; undefined where it is valid. */
 export function problemOf(announcement: registry.Announcement): string | undefined {
   const { id, address, slots, sequence, bornAt, service, dataCentre } = announcement;
   if (!ID.test(id)) return 'id is empty, too long or not printable';
