--- a/packages/domain/src/quarantine/__tests__/quarantine.test.ts
+++ b/packages/domain/src/quarantine/__tests__/quarantine.test.ts
@@ -1,4 +1,4 @@
-/** When a request is suspected of ending targets, when it is held back, and how each of these ends. */
+/** Suspicion of requests that crash targets, their quarantine, and how each of these ends. */
 import * as chai from 'chai';
 import * as endedLifetimes from '../endedLifetimes';
 import * as quarantine from '../quarantine';
@@ -13,7 +13,7 @@
   return endedLifetimes.lifetimeOf({ id, bornAt: 1 });
 }
 
-/** The culprit ends so many targets, one each second. */
+/** A quarantine after the culprit crashed `count` targets, one each second. */
 function afterCrashes(count: number): quarantine.Quarantine {
   const made = new quarantine.Quarantine();
   for (let i = 0; i < count; i++)
@@ -22,7 +22,7 @@
 }
 
 describe('quarantine', () => {
-  it('begins with the third lifetime that ended, however often each is told', () => {
+  it('begins with the third crashed lifetime, however often each crash is reported', () => {
     const made = new quarantine.Quarantine();
     const seen = ['t0', 't0', 't1', 't1', 't2'].map((id) => {
       made.blame(CULPRIT, lifetimeKey(id), { sentAt: 0, isTrial: true }, 0);
@@ -33,10 +33,11 @@
   });
 
   /*
-   * All lookups were refused after one crash. The target was announced as ready for two seconds more; each request that met its
-   * broken connections was blamed for its end, and the third time put into quarantine.
+   * Guards against all lookups being refused after a single crash: a crashed target stays announced
+   * as ready for two seconds, and each request that met its broken connections in that time had the
+   * crash counted against it.
    */
-  it("doesn't blame what was sent after the end", () => {
+  it("doesn't count a crash against requests that were sent after it", () => {
     const made = afterCrashes(1);
     expect(made.blame(BYSTANDER, lifetimeKey('t0'), { sentAt: 1, isTrial: true }, 5)).to.equal(
       undefined,
@@ -46,10 +47,11 @@
   });
 
   /*
-   * A lookup that many callers send was refused with the culprit for two minutes: it ran on three targets at once, and the
-   * culprit's copies ended all of them within a moment. What was under way then counts once; the next run decides.
+   * Guards against an innocent request that is quarantined with the culprit: it ran on three
+   * targets at once, and copies of the culprit crashed all of them within a moment. Concurrent runs
+   * count once; the next run decides.
    */
-  it('counts runs that were under way together as one', () => {
+  it('counts the crashes of concurrent runs as one', () => {
     const made = new quarantine.Quarantine();
     ['t0', 't1', 't2', 't3'].forEach((id) =>
       made.blame(BYSTANDER, lifetimeKey(id), { sentAt: 0, isTrial: false }, 0),
@@ -62,10 +64,11 @@
   });
 
   /*
-   * A clerk's lookup was refused for minutes. Three targets couldn't be reached from its entries, which were cut off, and
-   * they all lived. A target that announces itself twice afterwards lives; one word may be from before its end.
+   * Guards against a request that is refused for minutes although its targets are alive, as the
+   * entries that reported the crashes were cut off from them. Two later announcements prove a
+   * target alive; a single one may have been delayed.
    */
-  it('ends when targets that were blamed speak again, but not at a word that was held up', () => {
+  it('ends when the targets announce themselves again, but not at a delayed announcement', () => {
     const made = afterCrashes(3);
     const target = { id: 't0', bornAt: 1 };
     made.spoke(target, 7);
@@ -79,10 +82,11 @@
   });
 
   /*
-   * All lookups were refused as "a copy runs" for as long as the fleet ran. Its three targets had been frozen and were taken for ended;
-   * by the time they spoke again nobody was blamed for it any more, and nobody noted that they live.
+   * Guards against targets that count as crashed for good: frozen targets were reported as crashed
+   * and announced themselves again only after the suspicion was cleared, and nothing recorded that
+   * they were alive. All requests for them were refused as "a copy runs".
    */
-  it('takes targets that speak again for alive, whoever was blamed', () => {
+  it('takes targets that announce themselves again for alive without any suspect left', () => {
     const made = afterCrashes(1);
     const target = { id: 't0', bornAt: 1 };
     made.ranWhole(CULPRIT);
@@ -93,17 +97,18 @@
     expect(seen).to.deep.equal([true, false]);
   });
 
-  it('ends when the content runs whole', () => {
+  it('ends when the request completes', () => {
     const made = afterCrashes(3);
     made.ranWhole(CULPRIT);
     expect([made.standing(CULPRIT), made.size, made.mayKnow(9)]).to.deep.equal(['free', 0, false]);
   });
 
   /*
-   * A foreman's summary ran beside the culprit at two of its three targets and would have been refused after the next
-   * crash, whatever caused it. What a culprit explains doesn't count, but only when all who tell of an end have told.
+   * Guards against an innocent request that ran beside the culprit on two of its three targets and
+   * would be refused after the next crash of any cause. The culprit's quarantine explains those
+   * crashes, but only once all entries have reported theirs.
    */
-  it('explains ends to what ran beside the culprit', () => {
+  it('explains crashes to requests that ran beside the culprit', () => {
     const made = afterCrashes(3);
     ['t0', 't1'].forEach((id) =>
       made.blame(BYSTANDER, lifetimeKey(id), { sentAt: 0, isTrial: false }, 2_000),
@@ -118,10 +123,11 @@
   });
 
   /*
-   * Two culprits ended all engines within a tenth of a second. A summary that many callers send was beside them each time, and was
-   * refused with them for two minutes. Its ends are all theirs too, so one more run decides; a culprit's own end tells.
+   * Guards against an innocent request that is refused for two minutes: two culprits crashed all
+   * engines within 100 ms, and a request that many callers send ran beside them each time. All its
+   * crashes are theirs too, so one more run decides; a culprit has crashes of its own.
    */
-  it('ends soon where all of its ends are those of others', () => {
+  it('ends soon where all its crashes are shared with other suspects', () => {
     const made = afterCrashes(3);
     const other = '8-other';
     const trial = { sentAt: 0, isTrial: true };
@@ -131,9 +137,10 @@
     expect(made.standing(BYSTANDER)).to.equal('quarantined');
     made.tick(4_000);
     const standings = [BYSTANDER, CULPRIT, other].map((each) => made.standing(each));
-    // The other has one end of its own and is tried as well; the first culprit has two.
+    // The other culprit has one crash of its own and gets a canary run too; the first one has two.
     expect(standings).to.deep.equal(['suspected', 'quarantined', 'suspected']);
-    // Beside the other once more: four seconds this time. Then by itself: two minutes, as a first quarantine lasts.
+    // First beside the other culprit once more, for four seconds this time; then alone, for the two
+    // minutes of a first quarantine.
     made.blame(other, lifetimeKey('t8'), { sentAt: 4_100, isTrial: true }, 4_200);
     made.blame(BYSTANDER, lifetimeKey('t8'), { sentAt: 4_100, isTrial: true }, 4_200);
     const later = [8_100, 8_200].map((at) => {
@@ -149,10 +156,11 @@
   });
 
   /*
-   * A summary was refused for two minutes. Its first end was by a culprit that ended nothing else and was never convicted; the
-   * ends of its trials were another's. Without those it had one end, which is chance.
+   * Guards against an innocent request that is refused for two minutes: its first crash was by a
+   * culprit that crashed nothing else and was never quarantined, those of its canary runs were by
+   * another. That leaves one crash of its own, which is chance.
    */
-  it('ends soon where one end at most is its own', () => {
+  it('ends soon where at most one crash is its own', () => {
     const made = afterCrashes(3);
     made.blame(BYSTANDER, lifetimeKey('t9'), { sentAt: 0, isTrial: false }, 1_000);
     ['t1', 't2'].forEach((id) =>
@@ -160,7 +168,7 @@
     );
     made.tick(4_000);
     expect(made.standing(BYSTANDER)).to.equal('suspected');
-    // The culprit has one end of its own too; its trial tells.
+    // The culprit has one crash of its own too; its canary run decides.
     ['u0', 'u1'].forEach((id, i) => {
       const at = 4_100 + 4_000 * i;
       made.blame(CULPRIT, lifetimeKey(id), { sentAt: at - 10, isTrial: true }, at);
@@ -171,10 +179,11 @@
   });
 
   /*
-   * A summary was refused for two minutes. It had the same ends as the culprit; both were in doubt, and the culprit's trial was
-   * granted first, so that nothing in quarantine explained the summary's ends any more. The culprit never came again.
+   * Guards against an innocent request that is refused for two minutes: it shared all crashes with
+   * the culprit and both were doubtful, but the culprit was released first, so that no quarantined
+   * request explained the other's crashes any more. The culprit never came again.
    */
-  it('ends for all that are in doubt at the same time', () => {
+  it('ends for all that are doubtful at the same time', () => {
     const made = afterCrashes(3);
     const trial = { sentAt: 0, isTrial: true };
     ['t0', 't1', 't2'].forEach((id) => made.blame(BYSTANDER, lifetimeKey(id), trial, 2_000));
@@ -186,10 +195,11 @@
   });
 
   /*
-   * A summary was refused for two minutes, all of whose ends were the culprit's. The culprit was convicted a moment before it and
-   * so was doubted a moment before; that shortened its ends, and the summary's seemed to be its own.
+   * Guards against an innocent request that is refused for two minutes: the culprit, which caused
+   * all its crashes, was quarantined and then released as doubtful a moment before it. The release
+   * dropped crashes of the culprit, which then seemed to be the other request's own.
    */
-  it('ends soon also where what explains it was doubted just before', () => {
+  it('ends soon where the culprit was released as doubtful just before', () => {
     const made = new quarantine.Quarantine();
     const trial = { sentAt: 0, isTrial: true };
     made.blame(CULPRIT, lifetimeKey('t0'), { sentAt: 0, isTrial: false }, 2_000);
@@ -200,10 +210,10 @@
   });
 
   /*
-   * A lookup that many callers send was refused for two minutes. Two of its ends were those of a culprit that came no more, so
-   * that its third end, which would have convicted it, never came; the lookup's third one was a loss of power.
+   * Guards against an innocent request that is refused for two minutes: a culprit caused two of its
+   * crashes and never came again, so it was never quarantined. The third crash was a power loss.
    */
-  it('ends soon also where what explains it came no more', () => {
+  it('ends soon where the culprit never comes again', () => {
     const made = afterCrashes(2);
     const trial = { sentAt: 0, isTrial: true };
     ['t0', 't1', 'u0'].forEach((id) => made.blame(BYSTANDER, lifetimeKey(id), trial, 2_000));
@@ -214,10 +224,10 @@
   });
 
   /**
-   * Guards against an innocent request that is refused for minutes as its culprit ended its targets at one moment: that counts once,
-   * and the innocent one's conviction explained even that.
+   * Guards against an innocent request that is refused for minutes: the culprit crashed two targets
+   * at the same time, which counts once, and the innocent one's quarantine explained even that one.
    */
-  it('ends soon also where what explains it ended two targets at one moment', () => {
+  it('ends soon where the culprit crashed two targets at the same time', () => {
     const made = new quarantine.Quarantine();
     ['t0', 't1'].forEach((id, i) => {
       made.blame(CULPRIT, lifetimeKey(id), { sentAt: 0, isTrial: false }, 100);
@@ -229,8 +239,11 @@
     expect(made.standing(BYSTANDER)).to.equal('suspected');
   });
 
-  /** Guards against an innocent request that is refused for minutes as its culprit was let out for doubt before it was convicted. */
-  it('ends soon also where what explains it was doubted before it began', () => {
+  /**
+   * Guards against an innocent request that is refused for minutes: the culprit was released as
+   * doubtful before it was quarantined.
+   */
+  it('ends soon where the culprit was released as doubtful before it began', () => {
     const made = afterCrashes(3);
     ['t0', 't2'].forEach((id, i) => {
       made.blame(BYSTANDER, lifetimeKey(id), { sentAt: 0, isTrial: i > 0 }, 2_000);
@@ -243,8 +256,11 @@
     expect(made.standing(BYSTANDER)).to.equal('suspected');
   });
 
-  /* A culprit goes on to be refused although requests beside it shared two of its ends: those that it has alone are enough. */
-  it('costs at most two further targets where what ran beside it twice is suspected', () => {
+  /*
+   * A culprit stays quarantined although requests beside it share two of its crashes: its own
+   * crashes are enough.
+   */
+  it('costs at most two more targets where a request that ran beside it twice is suspected', () => {
     const made = afterCrashes(3);
     ['t1', 't2'].forEach((id) =>
       made.blame(BYSTANDER, lifetimeKey(id), { sentAt: 0, isTrial: true }, 2_000),
@@ -260,8 +276,11 @@
     expect(further).to.be.at.most(2);
   });
 
-  /** Guards against culprits that always come together, explain each other, and are let out for doubt again and again. */
-  it('lets a content out for doubt as long as three targets at most end much later than the third', () => {
+  /**
+   * Guards against culprits that always come together, explain each other's crashes, and are
+   * released as doubtful again and again.
+   */
+  it('releases a request as doubtful until three targets crashed well after its third crash', () => {
     const made = new quarantine.Quarantine();
     const both = [CULPRIT, BYSTANDER];
     const ends: number[] = [];
@@ -277,10 +296,10 @@
   });
 
   /**
-   * Guards against an innocent request that is refused again as soon as it was let out, or had run whole: a follower that hadn't heard
-   * of that yet told the leader of its ends once more.
+   * Guards against an innocent request that is refused again right after its release or completion,
+   * when a follower that didn't know of that yet reports its crashes to the leader once more.
    */
-  it("doesn't take back from a follower what it has acquitted", () => {
+  it('ignores crashes from a follower that a request was cleared of', () => {
     const made = afterCrashes(3);
     const trial = { sentAt: 0, isTrial: true };
     ['t0', 't1', 't2'].forEach((id) => made.blame(BYSTANDER, lifetimeKey(id), trial, 2_000));
@@ -291,7 +310,7 @@
     made.ranWhole(BYSTANDER);
     made.merge(reports, 4_100);
     expect(made.standing(BYSTANDER)).to.equal('free');
-    // Of a target that lives the next word is news.
+    // Once a target is known to be alive, the next report of its crash counts.
     made.spoke({ id: 't1', bornAt: 1 }, 7);
     made.spoke({ id: 't1', bornAt: 1 }, 8);
     made.blame(CULPRIT, lifetimeKey('t1'), { sentAt: 9_000, isTrial: true }, 9_100);
@@ -320,8 +339,11 @@
     expect(made.size).to.equal(0);
   });
 
-  /* Engines crash by the hundred, each with its requests: memory stays bounded, and who is blamed most is kept longest. */
-  it('forgets whoever is blamed least where there are too many', () => {
+  /*
+   * Memory stays bounded when hundreds of engines crash, each with its requests, and the suspects
+   * with the most crashes are kept longest.
+   */
+  it('evicts the suspects with the fewest crashes beyond its limit', () => {
     const made = afterCrashes(3);
     for (let i = 0; i < 2 * quarantine.MOST_SUSPECTS; i++)
       made.blame(`5-${i}`, lifetimeKey(`u${i}`), { sentAt: 3_000 + i, isTrial: false }, 3_000 + i);
@@ -332,7 +354,7 @@
     expect(made.standing(`5-${2 * quarantine.MOST_SUSPECTS - 1}`)).to.equal('suspected');
   });
 
-  it('travels as ages, replaces what a follower knew, and adds to what a new leader knows', () => {
+  it('is sent with ages, replaces the state of a follower, and is merged by a new leader', () => {
     const [leader, follower] = [afterCrashes(3), afterCrashes(1)];
     follower.blame(BYSTANDER, lifetimeKey('t0'), { sentAt: 0, isTrial: true }, 0);
     follower.takeAll(leader.reports(10_000), 500_000);
@@ -348,8 +370,8 @@
   });
 });
 
-describe('trials', () => {
-  it('run one request with a content at a time, and end with their entry', () => {
+describe('canary runs', () => {
+  it('run one request per fingerprint at a time, and end with their entry', () => {
     const made = new trials.Trials();
     const begin = (id: string, entry: string, now = 0): boolean => {
       return made.begin(CULPRIT, { id, entry, target: undefined }, now);
--- a/packages/domain/src/registry/__tests__/__fixtures__/announcement.ts
+++ b/packages/domain/src/registry/__tests__/__fixtures__/announcement.ts
@@ -1,4 +1,4 @@
-/** An announcement of a target, for tests of the registry. */
+/** Builds an announcement of a target for the tests of the registry. */
 import type * as registry from '../../registry';
 
 export function announcement(
--- a/packages/domain/src/registry/__tests__/registry.test.ts
+++ b/packages/domain/src/registry/__tests__/registry.test.ts
@@ -1,4 +1,4 @@
-/** The registry of targets under announcements that come late, twice and from other copies. */
+/** The registry of targets with late and duplicate announcements and updates from other copies. */
 import * as chai from 'chai';
 import * as registry from '../registry';
 import * as validity from '../validity';
@@ -14,10 +14,10 @@
 
 describe('registry', () => {
   /*
-   * Callers would see requests refused by a server that announced it leaves. Its draining overtakes an
-   * older announcement on the way; the older one comes last and says ready.
+   * Guards against requests to a draining server, which refuses them: its announcement that it
+   * drains overtakes an older one that says ready.
    */
-  it('never takes a lifetime back from draining to ready', () => {
+  it('never returns a lifetime from draining to ready', () => {
     const made = new registry.Registry();
     made.announce(announcement('a', { state: 'draining', sequence: 5 }), 0);
     expect(made.announce(announcement('a', { sequence: 4 }), 10)).to.deep.equal([]);
@@ -25,8 +25,11 @@
     expect(states(made)).to.deep.equal({ a: 'draining' });
   });
 
-  /** Guards against a target that is used again for what it announced before it left, or that was read from a disk before. */
-  it('never takes a lifetime back that said in an answer that it leaves', () => {
+  /**
+   * Guards against a draining target that is used again because of its earlier announcements or a
+   * record from disk.
+   */
+  it('never returns a lifetime to ready that announced in a response that it drains', () => {
     const made = new registry.Registry();
     made.remember([announcement('a', { sequence: 4 })], 0);
     expect(made.leave('a', 0).map(({ state }) => state)).to.deep.equal(['draining']);
@@ -43,10 +46,10 @@
   });
 
   /*
-   * Requests would go to a dead server's id at an address that serves another one by now. The old lifetime
-   * crashed behind a partition; its last announcement was held up there and comes after the new one's.
+   * Guards against requests for a dead server at an address that serves another one by now: the old
+   * lifetime crashed behind a partition, and its last announcement arrives after the new one's.
    */
-  it('ends the lifetime that another one replaced, and ignores its late announcement', () => {
+  it('presumes a replaced lifetime dead, and ignores its late announcement', () => {
     const made = new registry.Registry();
     made.announce(announcement('old'), 0);
     made.announce(announcement('new'), 1_000);
@@ -55,10 +58,11 @@
   });
 
   /*
-   * A plain target got no calls from any entry for the rest of the day. The leader took it for ended, told the entries
-   * so, and revived it when it went on announcing itself; the entries held that a lifetime that is gone never returns.
+   * Guards against a target without requests for good: the leader presumed it dead, reported that
+   * to the entries, and revived it when it announced itself again, but for the entries a lifetime
+   * that was gone never returned.
    */
-  it('revives it at followers too, and only by a later word', () => {
+  it('revives it at followers too, and only by a later announcement', () => {
     const leader = new registry.Registry();
     const follower = new registry.Registry();
     const propagate = (changed: registry.Announcement[]): void => {
@@ -67,7 +71,7 @@
     propagate(leader.announce(announcement('a', { sequence: 7 }), 0));
     propagate(leader.presumeEnded('a', 100));
     expect(states(follower)).to.deep.equal({ a: 'gone' });
-    // Another copy of the registry that hasn't heard of the end says nothing new.
+    // A copy of the registry that hasn't received the end yet changes nothing.
     propagate([announcement('a', { sequence: 7 })]);
     expect(states(follower)).to.deep.equal({ a: 'gone' });
     propagate(leader.announce(announcement('a', { sequence: 8 }), 200));
@@ -79,10 +83,11 @@
   });
 
   /*
-   * A living target would lose its requests to a dead one at its address. A keeper that missed the end of the old lifetime
-   * meets a new leader, and its copy says that the old one is ready, with a later number than the leader heard.
+   * Guards against a live target that loses its requests to a dead one at its address: a keeper
+   * that missed the end of the old lifetime sends a new leader a record that says ready, with a
+   * later sequence than the leader received.
    */
-  it('lets no copy revive a lifetime whose address another one has', () => {
+  it('revives no lifetime from a copy when another one has its address', () => {
     const leader = new registry.Registry();
     leader.announce(announcement('old', { sequence: 7 }), 0);
     leader.announce(announcement('new'), 100);
@@ -91,10 +96,11 @@
   });
 
   /*
-   * A live server would get no work for ever. The late announcement of a dead lifetime is the first that a
-   * new leader hears, so it takes the live one for replaced; the live one goes on announcing itself.
+   * Guards against a live server without requests for good: a new leader first receives a late
+   * announcement of a dead lifetime and presumes the live one replaced, which goes on announcing
+   * itself.
    */
-  it('revives a lifetime that was wrongly presumed dead', () => {
+  it('revives a lifetime that was presumed dead in error', () => {
     const made = new registry.Registry();
     made.announce(announcement('live', { sequence: 7 }), 0);
     made.announce(announcement('dead', { sequence: 3 }), 100);
@@ -104,7 +110,7 @@
     expect(states(made)).to.deep.equal({ live: 'ready', dead: 'gone' });
   });
 
-  it('lets no copy of another registry end a target that is known here', () => {
+  it('ends no known target for a record from a copy', () => {
     const made = new registry.Registry();
     made.announce(announcement('live'), 0);
     expect(made.merge([announcement('dead')], 10)).to.deep.equal([]);
@@ -112,10 +118,11 @@
   });
 
   /*
-   * Each request would learn by itself that a server is gone. It crashed and sent nothing, and at its address
-   * another one refuses what is meant for it; after the first refusal everybody should know.
+   * Guards against each request finding out for itself that a server is gone: it crashed without an
+   * announcement, and another server at its address refuses its requests. The first refusal updates
+   * the registry.
    */
-  it('ends a lifetime that others answer for, until it announces itself again', () => {
+  it('presumes a lifetime dead when another one answers for it, until it announces itself again', () => {
     const made = new registry.Registry();
     made.announce(announcement('a'), 0);
     made.presumeEnded('a', 100);
@@ -125,7 +132,7 @@
     expect(states(made)).to.deep.equal({ a: 'ready' });
   });
 
-  it('remembers an end that came before the first announcement', () => {
+  it('keeps an end that was reported before the first announcement', () => {
     const made = new registry.Registry();
     made.depart('a', 0);
     made.announce(announcement('a'), 10);
@@ -135,10 +142,10 @@
   });
 
   /*
-   * An engine that crashed and came back under its id would get no work for ever: it had said that it leaves, or
-   * others had answered at its address, and its counts begin anew below those of its former life.
+   * Guards against a restarted engine without requests for good: its former lifetime drained or was
+   * presumed dead, and the sequences of the new one start below those of the former.
    */
-  it('takes a target back that started again under its id', () => {
+  it('accepts a target that restarted under its id', () => {
     const made = new registry.Registry();
     made.announce(announcement('a', { bornAt: 100, sequence: 9, state: 'draining' }), 0);
     made.depart('a', 10);
@@ -147,10 +154,10 @@
   });
 
   /*
-   * Work of the former life would count against the new one: those who keep it hear only that the target is ready,
-   * as it was before. They must hear of the end in between.
+   * Guards against dispatches of the former lifetime that count against the new one: a copy that
+   * only sees the target ready before and after must be told of the end in between.
    */
-  it('ends the former life where a target starts again unnoticed, here and in copies', () => {
+  it('ends the former lifetime when a target restarts unnoticed, here and in copies', () => {
     const made = new registry.Registry();
     const copy = new registry.Registry();
     copy.merge(made.announce(announcement('a', { bornAt: 100, sequence: 9 }), 0), 0);
@@ -161,10 +168,10 @@
   });
 
   /*
-   * A running engine would get no more work. Reports of its former life, that it leaves and that it is gone, were
-   * held up by a cut and come after it started again.
+   * Guards against a running engine without requests: reports that its former lifetime drains and
+   * is gone were delayed by a partition and arrive after its restart.
    */
-  it('ignores late reports of a former life', () => {
+  it('ignores late reports of a former lifetime', () => {
     const made = new registry.Registry();
     made.announce(announcement('a', { bornAt: 200 }), 0);
     const late = announcement('a', { bornAt: 100, state: 'draining', sequence: 9 });
@@ -177,9 +184,12 @@
   });
 });
 
-describe('a registry that missed something', () => {
-  /** Guards against a target that is unknown for minutes, as its former life left before the leader had heard of it. */
-  it('takes a lifetime whose predecessor left before it announced itself', () => {
+describe('a registry that missed an announcement', () => {
+  /**
+   * Guards against a target that is unknown for minutes: its former lifetime was gone before the
+   * leader received an announcement of it.
+   */
+  it('accepts a lifetime whose predecessor was gone before its first announcement', () => {
     const made = new registry.Registry();
     made.depart('a', 0, 1);
     made.announce(announcement('a', { bornAt: 1 }), 10);
@@ -188,8 +198,11 @@
     expect(states(made)).to.deep.equal({ a: 'ready' });
   });
 
-  /** Guards against work for a target that left: the leader knew only its former life when it did. */
-  it('never takes back a lifetime that left before it announced itself', () => {
+  /**
+   * Guards against requests to a target that is gone: the leader knew only its former lifetime when
+   * the end was reported.
+   */
+  it('ignores announcements of a lifetime that was reported gone before', () => {
     const made = new registry.Registry();
     made.announce(announcement('a', { bornAt: 1 }), 0);
     made.depart('a', 10, 2);
@@ -198,10 +211,10 @@
   });
 
   /**
-   * Guards against an entry that has no work for a target for good: it held on to the former one at that address, of which the new
-   * leader never heard.
+   * Guards against an entry that never uses a target: it kept the former one at that address, of
+   * which the new leader never received an announcement.
    */
-  it('follows a leader that has another lifetime at an address', () => {
+  it('applies a record of the leader with another lifetime at an address', () => {
     const leader = new registry.Registry();
     const follower = new registry.Registry();
     follower.announce(announcement('old', { sequence: 5 }), 0);
@@ -212,8 +225,8 @@
 
 describe('an announcement', () => {
   /*
-   * Each request would fail that is sent to an address that is none, and other programs announce themselves too. What
-   * can't be used is refused with the field's name.
+   * Guards against requests to invalid addresses, which all fail: other programs announce
+   * themselves too. An invalid announcement is refused with the name of the field.
    */
   it('must name a target that can be used', () => {
     const problems = [
--- a/packages/domain/src/registry/__tests__/remembered.test.ts
+++ b/packages/domain/src/registry/__tests__/remembered.test.ts
@@ -1,4 +1,7 @@
-/** Targets that a keeper's disk names after a loss of all, until they speak for themselves. */
+/**
+ * Targets that a keeper loads from its disk after a restart of all VMs, until they announce
+ * themselves.
+ */
 import * as chai from 'chai';
 import * as registry from '../registry';
 import * as fixture from './__fixtures__/announcement';
@@ -18,15 +21,16 @@
   return made;
 }
 
-/** What is used, and what of that is only remembered. */
+/** Ids of the ready targets; a question mark marks those that were only loaded from disk. */
 function readyTargets(of: registry.Registry): string[] {
   return of.ready('engines').map(({ id, isRemembered }) => (isRemembered === true ? `${id}?` : id));
 }
 
-describe('remembered targets', () => {
+describe('targets loaded from disk', () => {
   /*
-   * Callers were refused for a second after a power loss of all VMs, with every engine idle: the new leader knew no targets
-   * until each announced itself. It has them from its disk, and their own word confirms them one by one.
+   * Guards against refused requests after a power loss of all VMs: a new leader knew no targets for
+   * a second, until each announced itself. Targets loaded from disk are usable at once, and their
+   * announcements confirm them one by one.
    */
   it('are used at once, and confirmed by their next announcement', () => {
     const made = loadedRegistry(announcement('a'), announcement('bb'));
@@ -37,10 +41,10 @@
   });
 
   /*
-   * Prompts would go to an engine that was taken away while the keepers were down. It never speaks again, so it is
-   * given up after two announcements that should have come; one that was only late comes back with its next word.
+   * Guards against prompts for an engine that was removed while the keepers were down. It is given
+   * up after two missed announcements; one that was merely late returns with its next announcement.
    */
-  it('are given up when they stay silent, and return with their own word', () => {
+  it('are given up without an announcement, and return with a later one', () => {
     const made = loadedRegistry(announcement('a'));
     expect(made.endRemembered(registry.LOADED_TIMEOUT_MS - 1)).to.deep.equal([]);
     const ended = made.endRemembered(registry.LOADED_TIMEOUT_MS + 1);
@@ -51,10 +55,10 @@
   });
 
   /*
-   * A server that had announced that it leaves would get requests again. The announcement is acknowledged, all lose power,
-   * and an older announcement that says ready was held up on the way and comes after the restart.
+   * Guards against requests to a draining server: its announcement was acknowledged, all VMs lost
+   * power, and a delayed older announcement that says ready arrives after the restart.
    */
-  it('that were leaving or gone stay so, whatever comes late', () => {
+  it('stay draining or gone after a late announcement', () => {
     const made = loadedRegistry(
       announcement('a', { state: 'draining' }),
       announcement('bb', { state: 'gone' }),
@@ -65,10 +69,11 @@
   });
 
   /*
-   * Requests for a dead engine would reach the server that has its address by now, and be refused there. Whoever
-   * speaks for itself ends a remembered one at its address, also where a copy of the registry brings the word.
+   * Guards against requests for a dead engine that reach another server at its address and are
+   * refused. A target that announces itself replaces one loaded from disk at its address, also when
+   * a copy of the registry reports it.
    */
-  it('yield to a target that speaks from their address', () => {
+  it('yield to a target that announces their address', () => {
     const made = loadedRegistry(announcement('a'));
     made.announce(announcement('new', { address: '10.0.0.1:80', bornAt: 2 }), 100);
     expect(readyTargets(made)).to.deep.equal(['new']);
@@ -78,10 +83,10 @@
   });
 
   /*
-   * Entries would go on taking confirmed engines for doubtful, or doubtful ones for confirmed, where copies of the
-   * registry meet: a keeper that only remembers a target must not take back what another one heard from it.
+   * Guards against wrong confirmations when copies of the registry are merged: a record that a
+   * keeper only loaded from disk must not replace what another one received from the target.
    */
-  it('are overruled by what another copy of the registry heard', () => {
+  it('are replaced by announcements that another copy of the registry received', () => {
     const made = loadedRegistry(announcement('a'));
     made.merge([announcement('a', { sequence: 7 })], 100);
     expect(readyTargets(made)).to.deep.equal(['a']);
@@ -90,8 +95,11 @@
     expect(readyTargets(made)).to.deep.equal(['a']);
   });
 
-  /* A follower that is told of an end by silence must believe the target when it speaks to the leader again. */
-  it('that the leader gave up return at its followers too', () => {
+  /*
+   * A follower accepts a target that the leader gave up for its silence when it announces itself to
+   * the leader again.
+   */
+  it('return at followers too after the leader gave them up', () => {
     const leader = loadedRegistry(announcement('a'));
     const follower = new registry.Registry();
     follower.merge(leader.records(), 0);
@@ -102,10 +110,10 @@
   });
 
   /*
-   * A living engine would never get work again. It was silent for too long after one restart, or wrongly taken for replaced,
-   * and its end was only concluded; at the next restart the disk says that it is gone.
+   * Guards against a live engine that never gets requests again: its end was only inferred, from
+   * silence after a restart or a replacement in error, and the disk says gone at the next restart.
    */
-  it('are written down without ends that were only concluded', () => {
+  it('are stored without ends that were only inferred', () => {
     const made = loadedRegistry(announcement('a'));
     made.endRemembered(registry.LOADED_TIMEOUT_MS + 1);
     made.announce(announcement('bb'), 3_000);
@@ -115,16 +123,17 @@
   });
 
   /*
-   * Lookups were refused for good with all three targets well. They crashed and came back while no keeper ran; the keepers
-   * remembered the lives before, and took the new ones' word. Entries had lived on and heard the old ones speak, so they
-   * didn't believe an end that came with the mark of a memory, and the new ones stood at addresses that were taken.
+   * Guards against refused requests with all targets up: the targets restarted while no keeper ran,
+   * and the keepers loaded the former lifetimes from disk and accepted the new ones. Entries that
+   * had received announcements of the former lifetimes ignored an end marked as loaded from disk,
+   * so the addresses of the new ones counted as taken.
    */
-  it('end at followers that heard them speak when another lifetime has their address', () => {
+  it('end at followers that received their announcements when another lifetime has their address', () => {
     const follower = new registry.Registry();
     follower.announce(announcement('old'), 0);
     const leader = loadedRegistry(announcement('old'));
     leader.announce(announcement('new', { bornAt: 5 }), 1_000);
-    // A whole copy may name them in any order.
+    // A full copy may list them in any order.
     follower.merge([...leader.records()].reverse(), 1_100);
     expect(readyTargets(follower)).to.deep.equal(['new']);
   });
