--- a/packages/domain/src/membership/__tests__/membership.test.ts
+++ b/packages/domain/src/membership/__tests__/membership.test.ts
@@ -26,14 +26,14 @@
       fastCheck.property(fastCheck.array(RECORD), fastCheck.integer(), (records, seed) => {
         const source = random.seeded(seed);
         const shuffled = [...records].sort(() => source.uniform() - 0.5);
-        const end = (list: typeof records): unknown => {
+        const finalState = (list: typeof records): unknown => {
           const tested = new detector.Detector(member('self'), random.seeded(1));
           list.forEach(({ id, incarnation, status }) => {
             tested.merge(member(id, status, incarnation), 0);
           });
           return tested.list().sort((a, b) => (a.id < b.id ? -1 : 1));
         };
-        expect(end(shuffled)).to.deep.equal(end(records));
+        expect(finalState(shuffled)).to.deep.equal(finalState(records));
       }),
       { seed: 1, numRuns: 1_000 },
     );
@@ -75,8 +75,8 @@
    * other all they knew, 5.5 KB/s a daemon. Equal checksums must say it all.
    */
   it('has equal checksums for equal records, in whatever order they came', () => {
-    const boards = [new gossip.Board<string>(hash), new gossip.Board<string>(hash)];
-    const [a, b] = boards as [gossip.Board<string>, gossip.Board<string>];
+    const buffers = [new gossip.Board<string>(hash), new gossip.Board<string>(hash)];
+    const [a, b] = buffers as [gossip.Board<string>, gossip.Board<string>];
     a.post('x', 'old', '');
     ['x', 'y', 'z'].forEach((key) => a.post(key, `${key}1`, ''));
     ['z', 'x', 'y'].forEach((key) => b.post(key, `${key}1`, 'a'));
@@ -142,10 +142,10 @@
     const ids = ['d0', 'd1', 'd2', 'd3', 'd4'];
     const lease = 4_000;
     for (let split = 0; split < 2 ** ids.length; split++) {
-      const inside = (id: string): boolean => (split & (1 << ids.indexOf(id))) !== 0;
-      const leaderSide = ids.filter(inside);
-      const other = ids.filter((id) => !inside(id));
-      const accepted = freshness.isHeldByMajority(9, ids, (id) => (inside(id) ? 9 : 8));
+      const isOnLeaderSide = (id: string): boolean => (split & (1 << ids.indexOf(id))) !== 0;
+      const leaderSide = ids.filter(isOnLeaderSide);
+      const other = ids.filter((id) => !isOnLeaderSide(id));
+      const accepted = freshness.isHeldByMajority(9, ids, (id) => (isOnLeaderSide(id) ? 9 : 8));
       const admitting = other.filter((id) => {
         const tested = new freshness.Freshness('majority', lease);
         tested.confirm(0);
@@ -164,7 +164,7 @@
   });
 
   it('follows the rule that the operators chose', () => {
-    const verdicts = (['majority', 'refuse', 'serve'] as const).map((rule) => {
+    const admissions = (['majority', 'refuse', 'serve'] as const).map((rule) => {
       const tested = new freshness.Freshness(rule, 1_000);
       const never = tested.verdict(0, 'a', ['a', 'b', 'c']);
       tested.confirm(0);
@@ -173,6 +173,6 @@
       tested.exchanged('b', 5_000);
       return [rule, never, fresh, alone, tested.verdict(5_500, 'a', ['a', 'b', 'c'])];
     });
-    expect(verdicts).toMatchSnapshot();
+    expect(admissions).toMatchSnapshot();
   });
 });
--- a/packages/domain/src/membership/daemon.ts
+++ b/packages/domain/src/membership/daemon.ts
@@ -14,14 +14,14 @@
   status: Status;
 }
 
-const RANK: Record<Status, number> = { alive: 0, leaving: 1, suspect: 2, dead: 3 };
+const STATUS_RANK: Record<Status, number> = { alive: 0, leaving: 1, suspect: 2, dead: 3 };
 
 export function isNewer(candidate: Daemon, current: Daemon | undefined): boolean {
   if (current === undefined) return true;
   if (candidate.incarnation !== current.incarnation) {
     return candidate.incarnation > current.incarnation;
   }
-  return RANK[candidate.status] > RANK[current.status];
+  return STATUS_RANK[candidate.status] > STATUS_RANK[current.status];
 }
 
 /** Whether work and state may be placed on it. */
--- a/packages/domain/src/membership/detector.ts
+++ b/packages/domain/src/membership/detector.ts
@@ -17,15 +17,15 @@
 
 export const DEFAULT_TIMING: Timing = { period: 1_000, suspicion: 3_000, forget: 600_000 };
 
-interface Known {
+interface KnownDaemon {
   record: daemon.Daemon;
   changedAt: number;
 }
 
 export class Detector {
-  private readonly known = new Map<string, Known>();
+  private readonly known = new Map<string, KnownDaemon>();
 
-  private round: string[] = [];
+  private probeQueue: string[] = [];
 
   constructor(
     private self: daemon.Daemon,
@@ -57,9 +57,9 @@
 
   /** The peer to probe next: each once in a random order, so that none is left out for long. */
   nextProbe(): daemon.Daemon | undefined {
-    if (this.round.length === 0) this.round = this.shuffledPeers();
-    while (this.round.length > 0) {
-      const record = this.known.get(this.round.pop() ?? '')?.record;
+    if (this.probeQueue.length === 0) this.probeQueue = this.shuffledPeers();
+    while (this.probeQueue.length > 0) {
+      const record = this.known.get(this.probeQueue.pop() ?? '')?.record;
       if (record !== undefined && record.status !== 'dead') return record;
     }
     return undefined;
@@ -88,8 +88,8 @@
       if (record.status === 'suspect' && age > this.timing.suspicion) {
         changes.push(...this.merge({ ...record, status: 'dead' }, now));
       }
-      const ended = record.status === 'dead' || record.status === 'leaving';
-      if (ended && id !== this.self.id && age > this.timing.forget) this.known.delete(id);
+      const isFinal = record.status === 'dead' || record.status === 'leaving';
+      if (isFinal && id !== this.self.id && age > this.timing.forget) this.known.delete(id);
     });
     return changes;
   }
@@ -111,8 +111,8 @@
   }
 
   private refute(record: daemon.Daemon): daemon.Daemon[] {
-    const accused = record.incarnation >= this.self.incarnation;
-    if (!accused || record.status === this.self.status) return [];
+    const isCurrent = record.incarnation >= this.self.incarnation;
+    if (!isCurrent || record.status === this.self.status) return [];
     this.self = { ...this.self, incarnation: record.incarnation + 1 };
     this.known.set(this.self.id, { record: this.self, changedAt: 0 });
     return [this.self];
--- a/packages/domain/src/membership/freshness.ts
+++ b/packages/domain/src/membership/freshness.ts
@@ -38,8 +38,8 @@
   }
 
   /** A peer told its index, and this daemon has caught up with it; asked at `askedAt`. */
-  exchanged(peer: string, askedAt: number): void {
-    this.exchanges.set(peer, Math.max(this.exchanges.get(peer) ?? -Infinity, askedAt));
+  exchanged(peer: string, requestedAt: number): void {
+    this.exchanges.set(peer, Math.max(this.exchanges.get(peer) ?? -Infinity, requestedAt));
   }
 
   age(now: number): number {
@@ -80,6 +80,6 @@
   indexOf: (id: string) => number,
 ): boolean {
   if (registered.length === 0) return true;
-  const holders = registered.filter((id) => indexOf(id) >= index);
-  return isMajority(holders.length, registered.length);
+  const upToDate = registered.filter((id) => indexOf(id) >= index);
+  return isMajority(upToDate.length, registered.length);
 }
--- a/packages/domain/src/membership/gossip.ts
+++ b/packages/domain/src/membership/gossip.ts
@@ -8,7 +8,7 @@
  */
 import type * as hashing from '../shared/hashing';
 
-interface Posted<R> {
+interface QueuedRecord<R> {
   number: number;
   record: R;
   from: string;
@@ -26,9 +26,9 @@
 }
 
 export class Board<R> {
-  private readonly posted = new Map<string, Posted<R>>();
+  private readonly queued = new Map<string, QueuedRecord<R>>();
 
-  private readonly told = new Map<string, number>();
+  private readonly acknowledgedUpTo = new Map<string, number>();
 
   private counter = 0;
 
@@ -45,51 +45,51 @@
    * Posts the current record of `key`; `from` is the peer that told us, or empty for our own. A passing
    * record is replaced soon and doesn't count for the checksum.
    */
-  post(key: string, record: R, from: string, passing = false): void {
+  post(key: string, record: R, from: string, isTransient = false): void {
     this.remove(key);
     this.counter += 1;
-    const sum = passing ? 0 : this.hash(`${key}=${JSON.stringify(record)}`);
+    const sum = isTransient ? 0 : this.hash(`${key}=${JSON.stringify(record)}`);
     this.sum = (this.sum + sum) % MODULUS;
-    this.posted.set(key, { number: this.counter, record, from, sum });
+    this.queued.set(key, { number: this.counter, record, from, sum });
   }
 
   remove(key: string): void {
-    const known = this.posted.get(key);
+    const known = this.queued.get(key);
     if (known === undefined) return;
-    this.posted.delete(key);
+    this.queued.delete(key);
     this.sum = (this.sum - known.sum + MODULUS) % MODULUS;
   }
 
   /** The peer holds the same lasting records; there is nothing to tell it of them. */
   agreed(peer: string): void {
-    this.told.set(peer, this.counter);
+    this.acknowledgedUpTo.set(peer, this.counter);
   }
 
   /** Up to `limit` records that `peer` has not been told, oldest first. */
   batchFor(peer: string, limit: number): Batch<R> {
-    const start = this.told.get(peer) ?? 0;
+    const start = this.acknowledgedUpTo.get(peer) ?? 0;
     const records: R[] = [];
     let upTo = start;
-    for (const posted of this.posted.values()) {
-      if (posted.number <= start) continue;
+    for (const each of this.queued.values()) {
+      if (each.number <= start) continue;
       if (records.length >= limit) break;
-      upTo = posted.number;
-      if (posted.from !== peer) records.push(posted.record);
+      upTo = each.number;
+      if (each.from !== peer) records.push(each.record);
     }
     return { records, upTo };
   }
 
   /** The peer has taken everything up to this number. */
   acknowledged(peer: string, upTo: number): void {
-    this.told.set(peer, Math.max(this.told.get(peer) ?? 0, upTo));
+    this.acknowledgedUpTo.set(peer, Math.max(this.acknowledgedUpTo.get(peer) ?? 0, upTo));
   }
 
   /** The peer restarted and knows nothing of what it was told. */
   forget(peer: string): void {
-    this.told.delete(peer);
+    this.acknowledgedUpTo.delete(peer);
   }
 
   get size(): number {
-    return this.posted.size;
+    return this.queued.size;
   }
 }
--- a/packages/domain/src/quarantine/__tests__/quarantine.test.ts
+++ b/packages/domain/src/quarantine/__tests__/quarantine.test.ts
@@ -130,9 +130,9 @@
   it('ends soon where all its crashes are shared with other suspects', () => {
     const made = afterCrashes(3);
     const other = '8-other';
-    const trial = { sentAt: 0, isTrial: true };
-    ['t3', 't4', 't5'].forEach((id) => made.blame(other, lifetimeKey(id), trial, 2_000));
-    ['t0', 't3', 't4'].forEach((id) => made.blame(BYSTANDER, lifetimeKey(id), trial, 2_000));
+    const canaryRun = { sentAt: 0, isTrial: true };
+    ['t3', 't4', 't5'].forEach((id) => made.blame(other, lifetimeKey(id), canaryRun, 2_000));
+    ['t0', 't3', 't4'].forEach((id) => made.blame(BYSTANDER, lifetimeKey(id), canaryRun, 2_000));
     made.tick(3_900);
     expect(made.standing(BYSTANDER)).to.equal('quarantined');
     made.tick(4_000);
@@ -185,8 +185,8 @@
    */
   it('ends for all that are doubtful at the same time', () => {
     const made = afterCrashes(3);
-    const trial = { sentAt: 0, isTrial: true };
-    ['t0', 't1', 't2'].forEach((id) => made.blame(BYSTANDER, lifetimeKey(id), trial, 2_000));
+    const canaryRun = { sentAt: 0, isTrial: true };
+    ['t0', 't1', 't2'].forEach((id) => made.blame(BYSTANDER, lifetimeKey(id), canaryRun, 2_000));
     made.tick(4_000);
     expect([made.standing(CULPRIT), made.standing(BYSTANDER)]).to.deep.equal([
       'suspected',
@@ -201,10 +201,14 @@
    */
   it('ends soon where the culprit was released as doubtful just before', () => {
     const made = new quarantine.Quarantine();
-    const trial = { sentAt: 0, isTrial: true };
+    const canaryRun = { sentAt: 0, isTrial: true };
     made.blame(CULPRIT, lifetimeKey('t0'), { sentAt: 0, isTrial: false }, 2_000);
-    ['t1', 't2', 't3', 't4'].forEach((id) => made.blame(CULPRIT, lifetimeKey(id), trial, 2_000));
-    ['t1', 't2', 't3', 't4'].forEach((id) => made.blame(BYSTANDER, lifetimeKey(id), trial, 2_100));
+    ['t1', 't2', 't3', 't4'].forEach((id) =>
+      made.blame(CULPRIT, lifetimeKey(id), canaryRun, 2_000),
+    );
+    ['t1', 't2', 't3', 't4'].forEach((id) =>
+      made.blame(BYSTANDER, lifetimeKey(id), canaryRun, 2_100),
+    );
     [4_000, 4_100, 4_200].forEach((at) => made.tick(at));
     expect(made.standing(BYSTANDER)).to.equal('suspected');
   });
@@ -215,8 +219,8 @@
    */
   it('ends soon where the culprit never comes again', () => {
     const made = afterCrashes(2);
-    const trial = { sentAt: 0, isTrial: true };
-    ['t0', 't1', 'u0'].forEach((id) => made.blame(BYSTANDER, lifetimeKey(id), trial, 2_000));
+    const canaryRun = { sentAt: 0, isTrial: true };
+    ['t0', 't1', 'u0'].forEach((id) => made.blame(BYSTANDER, lifetimeKey(id), canaryRun, 2_000));
     made.tick(3_900);
     expect(made.standing(BYSTANDER)).to.equal('quarantined');
     made.tick(4_000);
@@ -301,8 +305,8 @@
    */
   it('ignores crashes from a follower that a request was cleared of', () => {
     const made = afterCrashes(3);
-    const trial = { sentAt: 0, isTrial: true };
-    ['t0', 't1', 't2'].forEach((id) => made.blame(BYSTANDER, lifetimeKey(id), trial, 2_000));
+    const canaryRun = { sentAt: 0, isTrial: true };
+    ['t0', 't1', 't2'].forEach((id) => made.blame(BYSTANDER, lifetimeKey(id), canaryRun, 2_000));
     const reports = made.reports(3_900);
     made.tick(4_000);
     made.merge(reports, 4_050);
--- a/packages/domain/src/replication/__tests__/replica.test.ts
+++ b/packages/domain/src/replication/__tests__/replica.test.ts
@@ -72,18 +72,18 @@
    * moment, and none votes before a whole election timeout is over, for a lease that nobody relies on.
    */
   it('elects a leader sooner after a loss of all where no lease is relied on', () => {
-    const wait = (restart: replica.Timing['restart']): number => {
+    const measureWait = (restart: replica.Timing['restart']): number => {
       const timing = { ...replica.DEFAULT_TIMING, restart };
       const options = { voters: 5, spares: 0, steps: 0, crash: 0, loss: 0, timing };
       const made = new schedule.Schedule(3, options);
       made.heal(3_000);
       made.restartAll();
       let waited = 0;
-      for (; made.leader() === undefined && waited < 5_000; waited += 10) made.pass(10);
+      for (; made.leader() === undefined && waited < 5_000; waited += 10) made.advance(10);
       return waited;
     };
-    expect(wait(undefined)).to.be.at.least(800);
-    expect(wait(RESTART)).to.be.at.most(500);
+    expect(measureWait(undefined)).to.be.at.least(800);
+    expect(measureWait(RESTART)).to.be.at.most(500);
   });
 
   /*
@@ -96,9 +96,9 @@
       const timing = { ...replica.DEFAULT_TIMING, restart: RESTART };
       const made = new schedule.Schedule(seed, { ...options, timing });
       made.heal(3_000);
-      made.restartInTurn(2, 500);
+      made.restartStaggered(2, 500);
       let waited = 0;
-      for (; made.leader() === undefined && waited < 5_000; waited += 10) made.pass(10);
+      for (; made.leader() === undefined && waited < 5_000; waited += 10) made.advance(10);
       return waited;
     });
     expect(Math.max(...waits)).to.be.at.most(450);
@@ -115,9 +115,9 @@
     const waits = Array.from({ length: 1_000 }, (_each, seed) => {
       const made = new schedule.Schedule(seed, { ...options, timing: EAGER });
       made.heal(1_000);
-      made.restartInTurn(2, EAGER_RESTART.max + (seed % 200));
+      made.restartStaggered(2, EAGER_RESTART.max + (seed % 200));
       let waited = 0;
-      for (; made.leader() === undefined && waited < 5_000; waited += 10) made.pass(10);
+      for (; made.leader() === undefined && waited < 5_000; waited += 10) made.advance(10);
       return waited;
     });
     waits.sort((a, b) => a - b);
@@ -137,7 +137,7 @@
       const before = made.leader()?.id ?? '';
       const others = [...made.nodes.keys()].filter((id) => id !== before);
       others.slice(0, 1 + (seed % 3)).forEach((id) => made.restart(id));
-      made.pass(1_500);
+      made.advance(1_500);
       return made.leader()?.id !== before;
     });
     expect(deposed).to.deep.equal([]);
@@ -152,7 +152,7 @@
     made.heal(3_000);
     const old = made.leader()?.id ?? '';
     made.isolate(old);
-    made.pass(3_000);
+    made.advance(3_000);
     const isolated = made.nodes.get(old)?.replica;
     expect(isolated?.state).to.not.equal('leader');
     expect(made.leader()?.id).to.not.equal(old);
@@ -183,7 +183,7 @@
         made.cutLink(leader, cut);
         for (let round = 0; round < 100; round++) {
           if (restarts) made.restart(other);
-          made.pass(50);
+          made.advance(50);
         }
         expect(made.problem, `seed ${seed}`).to.equal('');
         if (!restarts) expect(made.leader()?.id, `seed ${seed}`).to.equal(leader);
--- a/packages/domain/src/replication/__tests__/schedule.ts
+++ b/packages/domain/src/replication/__tests__/schedule.ts
@@ -21,7 +21,7 @@
   skew: number;
 }
 
-interface Flying {
+interface InFlight {
   from: string;
   to: string;
   message: messages.Message;
@@ -61,11 +61,11 @@
 
   private now = 1_000;
 
-  private flying: Flying[] = [];
+  private inFlight: InFlight[] = [];
 
   private readonly source: shared.random.Random;
 
-  private cut = new Set<string>();
+  private isolated = new Set<string>();
 
   private readonly cutLinks = new Set<string>();
 
@@ -86,7 +86,7 @@
   problem = '';
 
   /** Once the faults are over, writes no longer crash. */
-  private healing = false;
+  private isHealing = false;
 
   constructor(
     readonly seed: number,
@@ -111,14 +111,14 @@
 
   /** Everything heals; then all live replicas must agree and take a new command. */
   heal(ms: number): void {
-    this.healing = true;
-    this.cut.clear();
+    this.isHealing = true;
+    this.isolated.clear();
     this.nodes.forEach((node) => this.start(node));
-    this.pass(ms);
+    this.advance(ms);
   }
 
   /** Lets time pass without new faults; what is cut off stays so. */
-  pass(ms: number): void {
+  advance(ms: number): void {
     for (let t = 0; t < ms && this.problem === ''; t += 10) {
       this.now += 10;
       this.tickAll();
@@ -146,7 +146,7 @@
     const { positions, effects } = node.replica.propose([command], this.nowAt(node));
     const position = positions[0];
     if (position !== undefined) this.pending.set(command, { ...position, node: node.id });
-    this.carryOut(node, effects);
+    this.applyEffects(node, effects);
     return position === undefined ? '' : command;
   }
 
@@ -158,7 +158,7 @@
   }
 
   /** One look of the leader's repair; spares are the nodes in no replica set. */
-  repairStep(size: number, deadAfter: number): repair.Step | undefined {
+  repairStep(size: number, deadAfterMs: number): repair.RepairStep | undefined {
     const node = this.leader();
     const leader = node?.replica;
     if (node === undefined || leader === undefined) return undefined;
@@ -173,15 +173,15 @@
     const spares = [...this.nodes.values()]
       .filter(({ id }) => id.startsWith('s'))
       .map(({ id }) => ({ id, address: id, dataCentre: `dc${id}` }));
-    const step = repair.nextStep(leader.members, health, spares, size, deadAfter);
+    const step = repair.nextStep(leader.members, health, spares, size, deadAfterMs);
     if (step === undefined) return undefined;
     const { refusal, effects } = leader.changeMembers(step.members, now);
-    this.carryOut(node, effects);
+    this.applyEffects(node, effects);
     return refusal === undefined ? step : undefined;
   }
 
   isolate(id: string): void {
-    this.cut.add(id);
+    this.isolated.add(id);
   }
 
   /** Cuts the path between two nodes in silence; both still reach the others. */
@@ -204,12 +204,12 @@
   }
 
   /** All crash, and what was under way with them; some start at once, the others later. */
-  restartInTurn(first: number, laterMs: number): void {
+  restartStaggered(first: number, laterMs: number): void {
     const nodes = [...this.nodes.values()];
     nodes.forEach((node) => this.crash(node));
-    this.flying = [];
+    this.inFlight = [];
     nodes.slice(0, first).forEach((node) => this.start(node));
-    this.pass(laterMs);
+    this.advance(laterMs);
     nodes.forEach((node) => this.start(node));
   }
 
@@ -259,7 +259,7 @@
 
   private toggleCut(): void {
     const { id } = this.pickNode();
-    if (!this.cut.delete(id)) this.cut.add(id);
+    if (!this.isolated.delete(id)) this.isolated.add(id);
   }
 
   /** All replicas end and start again at the same moment. */
@@ -273,40 +273,41 @@
   }
 
   private duplicate(): void {
-    if (this.flying.length > 0) this.flying.push(shared.random.pick(this.source, this.flying));
+    if (this.inFlight.length > 0)
+      this.inFlight.push(shared.random.pick(this.source, this.inFlight));
   }
 
   private compact(node: Node): void {
     if (node.replica === undefined) return;
     const { commit } = node.replica;
-    this.carryOut(node, node.replica.compact(commit, [...node.applied]));
+    this.applyEffects(node, node.replica.compact(commit, [...node.applied]));
   }
 
   private tickAll(): void {
     this.nodes.forEach((node) => {
       if (node.replica !== undefined) {
-        this.carryOut(node, node.replica.tick(this.nowAt(node)));
+        this.applyEffects(node, node.replica.tick(this.nowAt(node)));
       }
     });
   }
 
   private deliverDue(loss: number): void {
-    const due = this.flying.filter(({ at }) => at <= this.now);
-    this.flying = this.flying.filter(({ at }) => at > this.now);
+    const due = this.inFlight.filter(({ at }) => at <= this.now);
+    this.inFlight = this.inFlight.filter(({ at }) => at > this.now);
     due.forEach(({ from, to, message }) => {
       const node = this.nodes.get(to);
-      const linked = !this.cutLinks.has([from, to].sort().join());
-      const together = this.cut.has(from) === this.cut.has(to);
-      const lost = !linked || !together || this.source.uniform() < loss;
-      if (lost || node?.replica === undefined) return;
-      this.carryOut(node, node.replica.receive(structuredClone(message), this.nowAt(node)));
+      const isLinked = !this.cutLinks.has([from, to].sort().join());
+      const isSameSide = this.isolated.has(from) === this.isolated.has(to);
+      const isLost = !isLinked || !isSameSide || this.source.uniform() < loss;
+      if (isLost || node?.replica === undefined) return;
+      this.applyEffects(node, node.replica.receive(structuredClone(message), this.nowAt(node)));
     });
   }
 
-  private carryOut(node: Node, effects: messages.Effects): void {
+  private applyEffects(node: Node, effects: messages.Effects): void {
     if (effects.persist.length > 0) {
       // A crash at a write: either none of the batch is on disk or all of it, and nothing was sent.
-      const crash = !this.healing && this.source.uniform() < this.options.crash;
+      const crash = !this.isHealing && this.source.uniform() < this.options.crash;
       const synced = !crash || this.source.uniform() < 0.5;
       if (synced) {
         // A snapshot rewrites the journal from the replica's state, as the daemon does.
@@ -327,7 +328,7 @@
     effects.send.forEach(({ to, message }) => {
       const jitter = this.source.uniform() * LATENCY_MS * 4;
       const at = this.now + LATENCY_MS + jitter;
-      this.flying.push({ from: node.id, to, message: structuredClone(message), at });
+      this.inFlight.push({ from: node.id, to, message: structuredClone(message), at });
     });
     if (effects.install !== undefined) {
       node.applied = new Map(effects.install.state as [number, unknown][]);
--- a/packages/domain/src/replication/repair.ts
+++ b/packages/domain/src/replication/repair.ts
@@ -21,14 +21,14 @@
   dataCentre: string;
 }
 
-export interface Step {
+export interface RepairStep {
   reason: 'addLearner' | 'promote' | 'removeDead' | 'dropLearner';
   subject: string;
   members: messages.Member[];
 }
 
 /** Silence after which a voter counts as dead, in milliseconds. */
-export const DEFAULT_DEAD_AFTER = 10_000;
+export const DEFAULT_DEAD_AFTER_MS = 10_000;
 
 /** The spare whose data centre holds the fewest voters, so that one lost data centre hurts least. */
 function bestSpare(
@@ -49,10 +49,10 @@
   health: readonly Health[],
   spares: readonly Spare[],
   size: number,
-  deadAfter: number,
-): Step | undefined {
+  deadAfterMs: number,
+): RepairStep | undefined {
   const healthOf = (id: string): Health | undefined => health.find((entry) => entry.id === id);
-  const isDead = (id: string): boolean => (healthOf(id)?.silentFor ?? 0) > deadAfter;
+  const isDead = (id: string): boolean => (healthOf(id)?.silentFor ?? 0) > deadAfterMs;
   const voters = members.filter(({ role }) => role === 'voter');
   const dead = voters.find(({ id }) => isDead(id));
   const learner = members.find(({ role }) => role === 'learner');
--- a/packages/domain/src/replication/replica.ts
+++ b/packages/domain/src/replication/replica.ts
@@ -34,13 +34,13 @@
 export const DEFAULT_TIMING: Timing = { heartbeat: 200, electionMin: 800, electionMax: 1_200 };
 
 /** Most entries in one append request; more follow when it is answered. */
-const BATCH_LIMIT = 256;
+const MAX_BATCH_ENTRIES = 256;
 
 /**
  * Share of the shortest election time for which a leader trusts its last quorum contact. The rest
  * covers clock rates that differ between VMs.
  */
-const LEASE_SHARE = 0.8;
+const LEASE_FRACTION = 0.8;
 
 interface Progress {
   next: number;
@@ -50,7 +50,7 @@
   /** As `contactAt`, but only by real answers: a member that never answered has none. */
   answeredAt: number;
   /** When the last request with entries left, and not yet answered; 0 if none. */
-  waitingSince: number;
+  pendingSince: number;
 }
 
 /** Why a replica can't take a command or a change of the replica set now. */
@@ -83,11 +83,11 @@
 
   private heartbeatAt = 0;
 
-  private heardLeaderAt: number;
+  private leaderContactAt: number;
 
   private leaderSince = 0;
 
-  private grants = new Set<string>();
+  private grantedVotes = new Set<string>();
 
   private progress = new Map<string, Progress>();
 
@@ -108,7 +108,7 @@
     this.random = source;
     // A restarted replica can't know when it last heard a leader. Counting from now keeps it from
     // helping to elect a second one while the lease of the first, which it confirmed, still runs.
-    this.heardLeaderAt = timing.restart === undefined ? now : -Infinity;
+    this.leaderContactAt = timing.restart === undefined ? now : -Infinity;
     this.resetElection(now, timing.restart);
   }
 
@@ -147,24 +147,24 @@
     const snapshot = { ...this.log.snapshot, members };
     this.log.compact(snapshot);
     this.effects.persist.push({ kind: 'snapshot', snapshot });
-    return this.take();
+    return this.takeEffects();
   }
 
   /** Lets time pass: elections, heartbeats, the leader's check that it still has a quorum. */
   tick(now: number): messages.Effects {
     if (this.state === 'leader') this.tickLeader(now);
     else if (now >= this.electionAt) this.startPreVote(now);
-    return this.take();
+    return this.takeEffects();
   }
 
   receive(message: messages.Message, now: number): messages.Effects {
     this.observeTerm(message, now);
-    if (message.kind === 'voteRequest') this.onVoteRequest(message, now);
-    if (message.kind === 'voteAnswer') this.onVoteAnswer(message, now);
-    if (message.kind === 'appendRequest') this.onAppendRequest(message, now);
-    if (message.kind === 'appendAnswer') this.onAppendAnswer(message, now);
-    if (message.kind === 'snapshotRequest') this.onSnapshotRequest(message, now);
-    return this.take();
+    if (message.kind === 'voteRequest') this.handleVoteRequest(message, now);
+    if (message.kind === 'voteAnswer') this.handleVoteAnswer(message, now);
+    if (message.kind === 'appendRequest') this.handleAppendRequest(message, now);
+    if (message.kind === 'appendAnswer') this.handleAppendAnswer(message, now);
+    if (message.kind === 'snapshotRequest') this.handleSnapshotRequest(message, now);
+    return this.takeEffects();
   }
 
   /**
@@ -183,7 +183,7 @@
     });
     this.appendOwn(entries, now);
     const positions = entries.map(({ index, term }) => ({ index, term }));
-    return { positions, effects: this.take() };
+    return { positions, effects: this.takeEffects() };
   }
 
   /** Replaces the replica set by one that differs in one member. */
@@ -195,7 +195,7 @@
     if (refusal !== undefined) return { refusal, effects: messages.noEffects() };
     const index = this.log.lastIndex + 1;
     this.appendOwn([{ kind: 'members', index, term: this.term, members }], now);
-    return { effects: this.take() };
+    return { effects: this.takeEffects() };
   }
 
   /** Whether a quorum confirmed this leader so lately that no other can have been elected. */
@@ -206,14 +206,16 @@
   /** Whether a quorum confirmed this leader lately. Replicas that started since may have elected another one. */
   hasQuorumContact(now: number): boolean {
     if (this.state !== 'leader') return false;
-    const confirmed = this.log.termAt(this.commit) === this.term;
-    return confirmed && now - this.quorumContactAt(now) < this.timing.electionMin * LEASE_SHARE;
+    const isTermCommitted = this.log.termAt(this.commit) === this.term;
+    return (
+      isTermCommitted && now - this.quorumContactAt(now) < this.timing.electionMin * LEASE_FRACTION
+    );
   }
 
   /** Asks a quorum at once whether this replica still leads. */
   askQuorum(now: number): messages.Effects {
     if (this.state === 'leader') this.broadcast(now);
-    return this.take();
+    return this.takeEffects();
   }
 
   /**
@@ -248,10 +250,10 @@
     const snapshot = { index, term, members: this.log.membersAt(index), state };
     this.log.compact(snapshot);
     this.effects.persist.push({ kind: 'snapshot', snapshot });
-    return this.take();
+    return this.takeEffects();
   }
 
-  private take(): messages.Effects {
+  private takeEffects(): messages.Effects {
     const { effects } = this;
     this.effects = messages.noEffects();
     return effects;
@@ -309,34 +311,34 @@
    */
   private trustsLeader(now: number): boolean {
     if (this.state === 'leader') return true;
-    return now - this.heardLeaderAt < this.timing.electionMin;
+    return now - this.leaderContactAt < this.timing.electionMin;
   }
 
   /** Whether no leader was heard since this replica started, in a log where that allows it to vote at once. */
-  private get isNewcomer(): boolean {
-    return this.heardLeaderAt === -Infinity;
+  private get isFreshlyStarted(): boolean {
+    return this.leaderContactAt === -Infinity;
   }
 
   private startPreVote(now: number): void {
-    this.resetElection(now, this.isNewcomer ? this.timing.restart?.again : undefined);
+    this.resetElection(now, this.isFreshlyStarted ? this.timing.restart?.again : undefined);
     this.leader = '';
     if (!this.isVoter) return;
     this.state = 'preCandidate';
     this.requestVotes(true, this.term + 1);
-    if (this.isQuorum(this.grants.size)) this.startElection(now);
+    if (this.isQuorum(this.grantedVotes.size)) this.startElection(now);
   }
 
   private startElection(now: number): void {
     // Votes follow a sync each; a slow disk must not make the candidate begin anew before they come.
-    this.resetElection(now, this.isNewcomer ? this.timing.restart : undefined);
+    this.resetElection(now, this.isFreshlyStarted ? this.timing.restart : undefined);
     this.state = 'candidate';
     this.persistVote({ term: this.term + 1, votedFor: this.id });
     this.requestVotes(false, this.term);
-    if (this.isQuorum(this.grants.size)) this.becomeLeader(now);
+    if (this.isQuorum(this.grantedVotes.size)) this.becomeLeader(now);
   }
 
   private requestVotes(pre: boolean, term: number): void {
-    this.grants = new Set([this.id]);
+    this.grantedVotes = new Set([this.id]);
     const { lastIndex, lastTerm } = this.log;
     this.voters
       .filter(({ id }) => id !== this.id)
@@ -345,15 +347,15 @@
       });
   }
 
-  private onVoteRequest(request: messages.VoteRequest, now: number): void {
-    const granted = this.mayGrant(request, now) && !this.precedes(request);
+  private handleVoteRequest(request: messages.VoteRequest, now: number): void {
+    const granted = this.mayGrant(request, now) && !this.hasElectionPriority(request);
     if (granted && !request.pre) {
       this.persistVote({ term: request.term, votedFor: request.from });
       this.resetElection(now);
     }
     // Among others than newcomers nobody goes first, and two that yield to each other would both stop.
-    const yields = granted && request.pre && this.isNewcomer;
-    if (yields && this.state === 'preCandidate') this.state = 'follower';
+    const isYielding = granted && request.pre && this.isFreshlyStarted;
+    if (isYielding && this.state === 'preCandidate') this.state = 'follower';
     const term = granted && request.pre ? request.term : this.term;
     const { pre } = request;
     const knowsLeader = this.trustsLeader(now);
@@ -366,8 +368,8 @@
    * pre-votes within some milliseconds; where each is granted by those who don't stand, they divide the votes, and
    * nobody leads until a further timeout is over. So among newcomers with the same log the least id goes on alone.
    */
-  private precedes({ pre, from, lastIndex, lastTerm }: messages.VoteRequest): boolean {
-    if (!pre || this.state !== 'preCandidate' || !this.isNewcomer) return false;
+  private hasElectionPriority({ pre, from, lastIndex, lastTerm }: messages.VoteRequest): boolean {
+    if (!pre || this.state !== 'preCandidate' || !this.isFreshlyStarted) return false;
     const isSameLog = lastTerm === this.log.lastTerm && lastIndex === this.log.lastIndex;
     return isSameLog && this.id < from;
   }
@@ -375,27 +377,32 @@
   private mayGrant(request: messages.VoteRequest, now: number): boolean {
     if (request.term < this.term || this.trustsLeader(now)) return false;
     const { lastIndex, lastTerm } = this.log;
-    const upToDate =
+    const isUpToDate =
       request.lastTerm > lastTerm ||
       (request.lastTerm === lastTerm && request.lastIndex >= lastIndex);
-    if (!upToDate) return false;
+    if (!isUpToDate) return false;
     if (request.pre) return request.term > this.term;
     return this.vote.votedFor === '' || this.vote.votedFor === request.from;
   }
 
-  private onVoteAnswer(answer: messages.VoteAnswer, now: number): void {
-    const wanted = answer.pre ? 'preCandidate' : 'candidate';
-    const asked = answer.pre ? this.term + 1 : this.term;
-    if (this.state === wanted && !answer.granted && answer.knowsLeader && this.isNewcomer) {
+  private handleVoteAnswer(answer: messages.VoteAnswer, now: number): void {
+    const expectedState = answer.pre ? 'preCandidate' : 'candidate';
+    const requestedTerm = answer.pre ? this.term + 1 : this.term;
+    if (
+      this.state === expectedState &&
+      !answer.granted &&
+      answer.knowsLeader &&
+      this.isFreshlyStarted
+    ) {
       // It will be heard; a majority of newcomers would depose it for nothing.
       this.state = 'follower';
       this.resetElection(now);
       return;
     }
-    if (this.state !== wanted || !answer.granted || answer.term !== asked) return;
+    if (this.state !== expectedState || !answer.granted || answer.term !== requestedTerm) return;
     if (!this.voters.some(({ id }) => id === answer.from)) return;
-    this.grants.add(answer.from);
-    if (!this.isQuorum(this.grants.size)) return;
+    this.grantedVotes.add(answer.from);
+    if (!this.isQuorum(this.grantedVotes.size)) return;
     if (answer.pre) this.startElection(now);
     else this.becomeLeader(now);
   }
@@ -445,25 +452,25 @@
       // A member counts as silent from now on, not from before it was one.
       contactAt: now,
       answeredAt: -Infinity,
-      waitingSince: 0,
+      pendingSince: 0,
     };
     this.progress.set(id, fresh);
     return fresh;
   }
 
   /** Sends what `id` lacks; while a batch is under way, only a heartbeat without entries. */
-  private sendAppend(id: string, now: number, heartbeat: boolean): void {
+  private sendAppend(id: string, now: number, isHeartbeat: boolean): void {
     const progress = this.progressOf(id, now);
-    const waiting =
-      progress.waitingSince > 0 && now - progress.waitingSince < this.timing.electionMin;
-    if (waiting && !heartbeat) return;
+    const isPending =
+      progress.pendingSince > 0 && now - progress.pendingSince < this.timing.electionMin;
+    if (isPending && !isHeartbeat) return;
     const previousTerm = this.log.termAt(progress.next - 1);
     if (previousTerm === undefined) {
-      if (!waiting) this.sendSnapshot(id, progress, now);
+      if (!isPending) this.sendSnapshot(id, progress, now);
       return;
     }
-    const entries = waiting ? [] : this.log.from(progress.next, BATCH_LIMIT);
-    if (entries.length > 0) progress.waitingSince = now;
+    const entries = isPending ? [] : this.log.from(progress.next, MAX_BATCH_ENTRIES);
+    if (entries.length > 0) progress.pendingSince = now;
     this.send(id, {
       kind: 'appendRequest',
       from: this.id,
@@ -477,13 +484,13 @@
   }
 
   private sendSnapshot(id: string, progress: Progress, now: number): void {
-    progress.waitingSince = now;
+    progress.pendingSince = now;
     const { snapshot } = this.log;
     const { term } = this;
     this.send(id, { kind: 'snapshotRequest', from: this.id, term, snapshot, sentAt: now });
   }
 
-  private onAppendRequest(request: messages.AppendRequest, now: number): void {
+  private handleAppendRequest(request: messages.AppendRequest, now: number): void {
     const { from, sentAt } = request;
     const answer = (success: boolean, matched: number): void => {
       const { term } = this;
@@ -495,9 +502,9 @@
     }
     this.followLeader(from, now);
     // What the snapshot covers is committed and therefore the same here as at any leader.
-    const covered = request.previousIndex < this.log.snapshot.index;
+    const isCovered = request.previousIndex < this.log.snapshot.index;
     const known = this.log.termAt(request.previousIndex);
-    if (!covered && known !== request.previousTerm) {
+    if (!isCovered && known !== request.previousTerm) {
       answer(false, Math.min(this.log.lastIndex, request.previousIndex - 1));
       return;
     }
@@ -511,7 +518,7 @@
     if (this.state !== 'follower' || this.leader !== leader) {
       this.becomeFollower(this.term, leader, now);
     }
-    this.heardLeaderAt = now;
+    this.leaderContactAt = now;
     this.resetElection(now);
   }
 
@@ -529,20 +536,20 @@
     this.effects.persist.push({ kind: 'append', entries: fresh });
   }
 
-  private onAppendAnswer(answer: messages.AppendAnswer, now: number): void {
+  private handleAppendAnswer(answer: messages.AppendAnswer, now: number): void {
     if (this.state !== 'leader' || answer.term !== this.term) return;
     if (!this.members.some(({ id }) => id === answer.from)) return;
     const progress = this.progressOf(answer.from, now);
     progress.contactAt = Math.max(progress.contactAt, answer.sentAt);
     progress.answeredAt = Math.max(progress.answeredAt, answer.sentAt);
-    if (answer.sentAt >= progress.waitingSince) progress.waitingSince = 0;
+    if (answer.sentAt >= progress.pendingSince) progress.pendingSince = 0;
     if (answer.success) {
       progress.matched = Math.max(progress.matched, answer.matched);
       progress.next = Math.max(progress.next, progress.matched + 1);
       this.advanceCommit();
     } else {
       progress.next = Math.max(progress.matched + 1, Math.min(progress.next, answer.matched + 1));
-      progress.waitingSince = 0;
+      progress.pendingSince = 0;
     }
     if (progress.next <= this.log.lastIndex) this.sendAppend(answer.from, now, false);
   }
@@ -553,8 +560,9 @@
       id === this.id ? this.log.lastIndex : (this.progress.get(id)?.matched ?? 0),
     );
     matched.sort((a, b) => b - a);
-    const held = matched[Math.floor(matched.length / 2)] ?? 0;
-    if (held > this.commit && this.log.termAt(held) === this.term) this.advanceTo(held);
+    const quorumIndex = matched[Math.floor(matched.length / 2)] ?? 0;
+    if (quorumIndex > this.commit && this.log.termAt(quorumIndex) === this.term)
+      this.advanceTo(quorumIndex);
   }
 
   private advanceTo(commit: number): void {
@@ -564,7 +572,7 @@
     this.effects.apply.push(...entries);
   }
 
-  private onSnapshotRequest(request: messages.SnapshotRequest, now: number): void {
+  private handleSnapshotRequest(request: messages.SnapshotRequest, now: number): void {
     const { snapshot, from, sentAt } = request;
     if (request.term < this.term) return;
     this.followLeader(from, now);
