--- a/packages/domain/src/membership/__tests__/membership.test.ts
+++ b/packages/domain/src/membership/__tests__/membership.test.ts
@@ -1,4 +1,7 @@
-/** Membership: suspicion and refutation, gossip against flooding, and the rule against staleness. */
+/**
+ * Membership: suspicion and refutation, gossip compared with flooding, and the rule against stale
+ * settings.
+ */
 import * as chai from 'chai';
 import * as fastCheck from 'fast-check';
 import * as hashing from '../../shared/hashing';
@@ -21,7 +24,7 @@
 });
 
 describe('detector', () => {
-  it('ends in the same state whatever the order in which records arrive', () => {
+  it('reaches the same state for any order of the records', () => {
     fastCheck.assert(
       fastCheck.property(fastCheck.array(RECORD), fastCheck.integer(), (records, seed) => {
         const source = random.seeded(seed);
@@ -40,10 +43,10 @@
   });
 
   /*
-   * A VM flaps: it is suspected, answers, is suspected again. It must not be declared dead while it
-   * refutes, and the others must not be touched.
+   * Guards against a flapping VM that is declared dead although it refutes each suspicion, or that
+   * affects other members.
    */
-  it('lets a suspect refute, and declares dead only one that stays silent', () => {
+  it('lets a suspect refute, and declares dead only a silent one', () => {
     const self = new detector.Detector(member('self'), random.seeded(1));
     const peer = new detector.Detector(member('peer'), random.seeded(2));
     self.merge(member('peer'), 0);
@@ -63,7 +66,7 @@
   });
 });
 
-describe('gossip board', () => {
+describe('gossip buffer', () => {
   let hash: hashing.Hash;
 
   before(async () => {
@@ -71,10 +74,10 @@
   });
 
   /*
-   * A fleet of 64 grew quiet only after each pair had met: at every first meeting two daemons told each
-   * other all they knew, 5.5 KB/s a daemon. Equal checksums must say it all.
+   * Guards against full transfers at each first meeting of two daemons: in a fleet of 64 they cost
+   * 5.5 KB/s per daemon until each pair had met. Equal checksums must replace them.
    */
-  it('has equal checksums for equal records, in whatever order they came', () => {
+  it('has equal checksums for equal records in any order', () => {
     const buffers = [new gossip.Board<string>(hash), new gossip.Board<string>(hash)];
     const [a, b] = buffers as [gossip.Board<string>, gossip.Board<string>];
     a.post('x', 'old', '');
@@ -88,7 +91,7 @@
     expect([equal, due, a.checksum === b.checksum]).to.deep.equal([true, [], false]);
   });
 
-  it('brings every record to every member, as flooding would, and then falls silent', () => {
+  it('delivers every record to every member, as flooding would, and then sends nothing', () => {
     fastCheck.assert(
       fastCheck.property(fastCheck.integer(), (seed) => {
         const source = random.seeded(seed);
@@ -106,7 +109,7 @@
           const to = random.pick(source, names);
           const board = boards.get(from) as gossip.Board<string>;
           const batch = board.batchFor(to, 3);
-          // Half of the exchanges are lost; the batch must come again.
+          // Half of the exchanges are lost; the batch must be sent again.
           if (from === to || source.uniform() < 0.5) continue;
           board.acknowledged(to, batch.upTo);
           batch.records.forEach((record) => put(to, record, from));
@@ -134,11 +137,12 @@
 
 describe('freshness', () => {
   /*
-   * A partition leaves foremen served by settings that no longer hold. For every way to split five
-   * daemons in two, with the leader on either side: once a change is accepted on one side, nobody on
-   * the other may go on admitting after the lease, and a merely dead control plane stops nobody.
+   * Guards against requests that are served by outdated settings during a partition. For every
+   * split of five daemons, with the leader on either side: once a change is accepted on one side,
+   * no daemon on the other admits requests after the lease, and a control plane that is merely down
+   * stops none.
    */
-  it('lets no stale side serve beside an accepting leader, for every split', () => {
+  it('admits nothing on a stale side beside an accepting leader, for every split', () => {
     const ids = ['d0', 'd1', 'd2', 'd3', 'd4'];
     const lease = 4_000;
     for (let split = 0; split < 2 ** ids.length; split++) {
@@ -163,7 +167,7 @@
     }
   });
 
-  it('follows the rule that the operators chose', () => {
+  it('follows the configured rule', () => {
     const admissions = (['majority', 'refuse', 'serve'] as const).map((rule) => {
       const tested = new freshness.Freshness(rule, 1_000);
       const never = tested.verdict(0, 'a', ['a', 'b', 'c']);
--- a/packages/domain/src/membership/daemon.ts
+++ b/packages/domain/src/membership/daemon.ts
@@ -1,6 +1,7 @@
 /**
- * A daemon as its peers know it, after SWIM (Das, Gupta, Motivala, 2002): alive until probes fail,
- * then suspected, then dead; a daemon that hears it is suspected refutes it with a new incarnation.
+ * A daemon as its peers see it, after SWIM (Das, Gupta, Motivala, 2002): alive until probes fail,
+ * then suspected, then dead. A daemon that learns that it is suspected refutes that with a new
+ * incarnation.
  */
 
 export type Status = 'alive' | 'leaving' | 'suspect' | 'dead';
@@ -9,7 +10,7 @@
   id: string;
   address: string;
   dataCentre: string;
-  /** Raised by the daemon itself at its start and for each refutation. */
+  /** Raised by the daemon itself when it starts and with each refutation. */
   incarnation: number;
   status: Status;
 }
@@ -24,7 +25,7 @@
   return STATUS_RANK[candidate.status] > STATUS_RANK[current.status];
 }
 
-/** Whether work and state may be placed on it. */
+/** Whether requests and state may be placed on it. */
 export function isLive({ status }: Daemon): boolean {
   return status === 'alive' || status === 'suspect';
 }
--- a/packages/domain/src/membership/detector.ts
+++ b/packages/domain/src/membership/detector.ts
@@ -1,17 +1,17 @@
 /**
- * The failure detector of one daemon. Once a period it probes one peer of its own data centre, over
- * a new connection if the open one is silent, and through other peers if that fails too. The cost is
- * constant per daemon. One flapping VM moves only its own record.
+ * The failure detector of one daemon. Once a period it probes one peer in its own data centre, over
+ * a new connection if the open one doesn't answer, and through other peers if that fails too. The
+ * cost per daemon is constant, and a flapping VM changes only its own record.
  */
 import * as random from '../shared/random';
 import * as daemon from './daemon';
 
 export interface Timing {
-  /** Between two probes, in milliseconds. */
+  /** Time between two probes, milliseconds. */
   period: number;
-  /** From suspicion to death; time for the suspect to refute. */
+  /** Time from suspicion to death, in which a suspect can refute. */
   suspicion: number;
-  /** How long a dead record is kept, so that a late copy can't revive it. */
+  /** How long the record of a dead daemon is kept, so that a late copy can't revive it. */
   forget: number;
 }
 
@@ -39,7 +39,7 @@
     return this.self;
   }
 
-  /** Takes a record heard from a peer; gives back what changed here, to be passed on. */
+  /** Merges a record received from a peer; returns the changes, to be gossiped on. */
   merge(record: daemon.Daemon, now: number): daemon.Daemon[] {
     if (record.id === this.self.id) return this.refute(record);
     const current = this.known.get(record.id);
@@ -48,14 +48,17 @@
     return [record];
   }
 
-  /** Says that this daemon is leaving; it stays so in this incarnation. */
+  /** Announces that this daemon is leaving; it stays so in this incarnation. */
   leave(): daemon.Daemon {
     this.self = { ...this.self, incarnation: this.self.incarnation + 1, status: 'leaving' };
     this.known.set(this.self.id, { record: this.self, changedAt: 0 });
     return this.self;
   }
 
-  /** The peer to probe next: each once in a random order, so that none is left out for long. */
+  /**
+   * The peer to probe next. Each is probed once in a random order, so that none is left out for
+   * long.
+   */
   nextProbe(): daemon.Daemon | undefined {
     if (this.probeQueue.length === 0) this.probeQueue = this.shuffledPeers();
     while (this.probeQueue.length > 0) {
@@ -65,7 +68,7 @@
     return undefined;
   }
 
-  /** Other live peers of the data centre, to probe through. */
+  /** Other live peers in the data centre for indirect probes. */
   helpers(subject: string, count: number): daemon.Daemon[] {
     return this.shuffledPeers()
       .map((id) => this.known.get(id)?.record)
@@ -73,14 +76,14 @@
       .slice(0, count) as daemon.Daemon[];
   }
 
-  /** A probe failed on every path. */
+  /** Marks a daemon as suspected after its probes failed on all paths. */
   suspect(id: string, now: number): daemon.Daemon[] {
     const current = this.known.get(id);
     if (current === undefined || !daemon.isLive(current.record)) return [];
     return this.merge({ ...current.record, status: 'suspect' }, now);
   }
 
-  /** Suspects that did not refute in time. */
+  /** Declares suspects dead that didn't refute in time, and forgets old records. */
   expire(now: number): daemon.Daemon[] {
     const changes: daemon.Daemon[] = [];
     this.known.forEach(({ record, changedAt }, id) => {
@@ -102,7 +105,7 @@
     return this.known.get(id)?.record;
   }
 
-  /** Ids of the live daemons of a data centre, this one included unless it is leaving. */
+  /** Ids of the live daemons in a data centre, including this one unless it is leaving. */
   liveIn(dataCentre: string): string[] {
     return this.list()
       .filter((record) => record.dataCentre === dataCentre && daemon.isLive(record))
--- a/packages/domain/src/membership/freshness.ts
+++ b/packages/domain/src/membership/freshness.ts
@@ -1,21 +1,23 @@
 /**
- * Whether a daemon may go on admitting requests when it can't reach the control plane.
+ * Decides whether a daemon may admit requests when it can't reach the control plane.
  *
  * Failure: a partition leaves some daemons with old settings while others, with the leader, accept
- * new ones. The callers of the first group would be served by settings that no longer hold.
- * Rule: the leader answers "accepted" only when a majority of the registered daemons hold the change;
- * a daemon without a fresh lease admits only while it can exchange indexes with a majority of them.
- * Two majorities share a member, and through it the newer settings reach the daemon, so a stale
- * group that serves and a change that was accepted can't exist side by side for longer than a lease. A control plane that is
- * merely dead stops nobody, as long as a majority of the daemons see each other.
+ * new ones. Callers of the first group would be served by outdated settings.
+ *
+ * Rule: the leader answers "accepted" only when a majority of the registered daemons have the
+ * change, and a daemon without a valid lease admits requests only while it can exchange indexes
+ * with a majority of them. Two majorities share a member, through which the newer settings reach
+ * the daemon. So a stale group that admits requests and an accepted change can't coexist for longer
+ * than a lease. A control plane that is merely down stops no daemon, as long as a majority of the
+ * daemons reach each other.
  */
 
-/** What to do without a fresh lease. */
+/** How a daemon without a valid lease admits requests. */
 export type Rule = 'majority' | 'refuse' | 'serve';
 
 export type Verdict = 'admit' | 'refuse';
 
-/** Milliseconds without word from the leader after which a daemon's view may be stale. */
+/** Milliseconds without an update from the leader after which a daemon's view may be stale. */
 export const DEFAULT_LEASE = 4_000;
 
 export function isMajority(count: number, registered: number): boolean {
@@ -32,12 +34,15 @@
     private readonly lease: number = DEFAULT_LEASE,
   ) {}
 
-  /** The view was the leader's at this time of the own clock. */
+  /** The view was equal to the leader's at this time of the own clock. */
   confirm(asOf: number): void {
     this.freshAsOf = Math.max(this.freshAsOf, asOf);
   }
 
-  /** A peer told its index, and this daemon has caught up with it; asked at `askedAt`. */
+  /**
+   * A peer reported its index, and this daemon has caught up with it; the request was sent at
+   * `requestedAt`.
+   */
   exchanged(peer: string, requestedAt: number): void {
     this.exchanges.set(peer, Math.max(this.exchanges.get(peer) ?? -Infinity, requestedAt));
   }
@@ -50,7 +55,7 @@
     return this.age(now) <= this.lease;
   }
 
-  /** Whether to admit; `registered` are all registered daemons, `self` among them or not. */
+  /** Whether to admit requests; `registered` are all registered daemons, with or without `self`. */
   verdict(now: number, self: string, registered: readonly string[]): Verdict {
     if (this.hasLease(now) || this.rule === 'serve') return 'admit';
     if (this.rule === 'refuse' || this.freshAsOf === -Infinity) return 'refuse';
@@ -61,7 +66,10 @@
   }
 }
 
-/** The leader's side, before it logs a change: contact with a majority of the registered daemons. */
+/**
+ * Leader: whether it may log a change, having recent contact with a majority of the registered
+ * daemons.
+ */
 export function mayAccept(
   now: number,
   registered: readonly string[],
@@ -73,7 +81,7 @@
   return isMajority(recent.length, registered.length);
 }
 
-/** The leader's side, before it answers "accepted": a majority holds the change. */
+/** Leader: whether it may answer "accepted", as a majority has the change. */
 export function isHeldByMajority(
   index: number,
   registered: readonly string[],
--- a/packages/domain/src/membership/gossip.ts
+++ b/packages/domain/src/membership/gossip.ts
@@ -1,10 +1,12 @@
 /**
- * What still has to be told to whom. Every accepted record gets the next local number; for each peer
- * the board knows up to which number it has told it, and from whom a record came, so that nothing is
- * sent back. A record is kept once per key: what a peer missed is at most the current state.
+ * Records that still have to be sent to each peer. Every accepted record gets the next local
+ * number. For each peer the buffer keeps the number up to which it acknowledged, and for each
+ * record the peer that sent it, so that nothing is sent back. There is one record per key, so a
+ * peer that missed updates is sent the current state at most.
  *
- * Two peers that meet for the first time would tell each other everything, in a large fleet mostly what
- * both know. So exchanges carry a checksum of the lasting records, and equal checksums say it all.
+ * Two peers that meet for the first time would send each other everything, most of it known to both
+ * in a large fleet. So exchanges carry a checksum of the lasting records, and equal checksums
+ * replace the transfer.
  */
 import type * as hashing from '../shared/hashing';
 
@@ -12,7 +14,7 @@
   number: number;
   record: R;
   from: string;
-  /** Its part in the checksum; 0 for a passing record. */
+  /** Its contribution to the checksum; 0 for a transient record. */
   sum: number;
 }
 
@@ -21,7 +23,7 @@
 
 export interface Batch<R> {
   records: R[];
-  /** Number up to which the peer has been told once it acknowledges the batch. */
+  /** Number up to which the peer is up to date once it acknowledges the batch. */
   upTo: number;
 }
 
@@ -36,14 +38,14 @@
 
   constructor(private readonly hash: hashing.Hash) {}
 
-  /** Checksum of the lasting records, whatever the order in which they came. */
+  /** Checksum of the lasting records, independent of the order of their arrival. */
   get checksum(): number {
     return this.sum;
   }
 
   /**
-   * Posts the current record of `key`; `from` is the peer that told us, or empty for our own. A passing
-   * record is replaced soon and doesn't count for the checksum.
+   * Sets the current record of `key`. `from` is the peer that sent it, empty for own records. A
+   * transient record is replaced soon and doesn't count for the checksum.
    */
   post(key: string, record: R, from: string, isTransient = false): void {
     this.remove(key);
@@ -60,12 +62,12 @@
     this.sum = (this.sum - known.sum + MODULUS) % MODULUS;
   }
 
-  /** The peer holds the same lasting records; there is nothing to tell it of them. */
+  /** The peer has the same lasting records, so there is nothing to send. */
   agreed(peer: string): void {
     this.acknowledgedUpTo.set(peer, this.counter);
   }
 
-  /** Up to `limit` records that `peer` has not been told, oldest first. */
+  /** Up to `limit` records that `peer` hasn't acknowledged, oldest first. */
   batchFor(peer: string, limit: number): Batch<R> {
     const start = this.acknowledgedUpTo.get(peer) ?? 0;
     const records: R[] = [];
@@ -79,12 +81,12 @@
     return { records, upTo };
   }
 
-  /** The peer has taken everything up to this number. */
+  /** The peer acknowledged everything up to this number. */
   acknowledged(peer: string, upTo: number): void {
     this.acknowledgedUpTo.set(peer, Math.max(this.acknowledgedUpTo.get(peer) ?? 0, upTo));
   }
 
-  /** The peer restarted and knows nothing of what it was told. */
+  /** The peer restarted and has lost its records. */
   forget(peer: string): void {
     this.acknowledgedUpTo.delete(peer);
   }
--- a/packages/domain/src/membership/relay.ts
+++ b/packages/domain/src/membership/relay.ts
@@ -1,7 +1,7 @@
 /**
- * Who follows whom for settings. Two daemons of each data centre are relays, picked by rendezvous
- * hashing from the live members; they follow the replicas, the others follow a relay. The leader's
- * fan-out is bounded by data centres, a relay's by the daemons of its own.
+ * Distribution tree for settings. Two daemons in each data centre are relays, picked by rendezvous
+ * hashing from the live members. Relays poll the replicas, all others poll a relay. The fan-out of
+ * the leader is bounded by the number of data centres, that of a relay by the daemons in its own.
  */
 import * as hashing from '../shared/hashing';
 
@@ -16,8 +16,8 @@
 }
 
 /**
- * Whom a daemon that is no relay may follow, best first. Another relay and then the replicas are there
- * for when the first choice is silent, so one dead or cut-off relay never keeps a change from a daemon.
+ * Upstreams of a daemon that isn't a relay, in order of preference. The other relay and then the
+ * replicas are fallbacks, so one dead or cut-off relay never keeps a change from a daemon.
  */
 export function upstreams(
   hash: hashing.Hash,
--- a/packages/domain/src/replication/__tests__/replica.test.ts
+++ b/packages/domain/src/replication/__tests__/replica.test.ts
@@ -1,4 +1,7 @@
-/** The replicated log against a naive store, under seeded schedules and in the brief's failures. */
+/**
+ * The replicated log against a simple reference store, under seeded schedules and in particular
+ * failures.
+ */
 import * as chai from 'chai';
 import * as random from '../../shared/random';
 import * as messages from '../messages';
@@ -7,7 +10,7 @@
 
 const { expect } = chai;
 
-/** Seeded schedules in a run; each prints its seed when it fails. */
+/** Seeded schedules per test; a failure prints its seed. */
 const SCHEDULES = 2_000;
 
 function run(seed: number, options: schedule.Options): schedule.Finding | undefined {
@@ -28,7 +31,7 @@
 
 const EAGER_RESTART = { min: 150, max: 200, again: { min: 40, max: 60 } };
 
-/** Of few replicas near each other; the restart's bounds are over its heartbeat. */
+/** For few replicas close to each other; the bounds after a restart exceed the heartbeat. */
 const EAGER = { heartbeat: 120, electionMin: 450, electionMax: 750, restart: EAGER_RESTART };
 
 const RESTART = { min: 250, max: 450, again: { min: 150, max: 300 } };
@@ -45,7 +48,7 @@
     expect(findings).to.deep.equal([]);
   });
 
-  it('keeps them where replicas vote at once after a start, and counts on no lease', () => {
+  it('keeps them where replicas vote at once after a start and no lease is used', () => {
     const timing = { ...replica.DEFAULT_TIMING, restart: { ...RESTART, min: 450, max: 700 } };
     const findings: schedule.Finding[] = [];
     for (let seed = 1; seed <= SCHEDULES / 2; seed++) {
@@ -56,7 +59,7 @@
     expect(findings).to.deep.equal([]);
   });
 
-  it('keeps them where newcomers try every tick and the least of them goes first', () => {
+  it('keeps them where started replicas retry with short delays and the lowest id has priority', () => {
     const findings: schedule.Finding[] = [];
     for (let seed = 1; seed <= SCHEDULES / 2; seed++) {
       const voters = seed % 4 === 0 ? 3 : 5;
@@ -68,10 +71,11 @@
   });
 
   /*
-   * Callers would be refused for a second after a power loss of all VMs. All replicas start again at the same
-   * moment, and none votes before a whole election timeout is over, for a lease that nobody relies on.
+   * Guards against refused requests for a second after a power loss of all VMs: all replicas
+   * restart at the same moment, and none votes before a whole election timeout has passed, for a
+   * lease that nobody relies on.
    */
-  it('elects a leader sooner after a loss of all where no lease is relied on', () => {
+  it('elects a leader sooner after a restart of all where no lease is used', () => {
     const measureWait = (restart: replica.Timing['restart']): number => {
       const timing = { ...replica.DEFAULT_TIMING, restart };
       const options = { voters: 5, spares: 0, steps: 0, crash: 0, loss: 0, timing };
@@ -87,10 +91,10 @@
   });
 
   /*
-   * Callers were refused for 0.3 s more than needed. Two of five replicas started first and asked for votes before the others
-   * had started; they asked again only after a whole election timeout.
+   * Guards against 0.3 s of refused requests: two of five replicas started first and requested
+   * votes before the others had started, then retried only after a whole election timeout.
    */
-  it('elects a leader soon after the last one needed for a quorum has started', () => {
+  it('elects a leader soon after the last replica needed for a quorum has started', () => {
     const options = { voters: 5, spares: 0, steps: 0, crash: 0, loss: 0 };
     const waits = [1, 2, 3, 4, 5, 6, 7, 8].map((seed) => {
       const timing = { ...replica.DEFAULT_TIMING, restart: RESTART };
@@ -105,12 +109,12 @@
   });
 
   /*
-   * Callers would be refused for half a second more than needed after a power loss of all VMs. Replicas start one after the
-   * other; those that started first wait for a quorum. When the last one needed is up, a leader must be there at once:
-   * neither the pause between two tries nor a split vote may stand in between. The bounds are a try's pause of
-   * 60 ms, and the six ways of an election at 5 to 25 ms each in this network.
+   * Guards against half a second of refused requests after a power loss of all VMs: the replicas
+   * that start first wait for a quorum, and when it is complete neither the delay between two
+   * attempts nor a split vote may add to the wait. The bounds are one delay of 60 ms and the six
+   * messages of an election at 5 to 25 ms each in this network.
    */
-  it('elects without a split vote once a quorum is up, whoever starts when', () => {
+  it('elects without a split vote once a quorum is up, whatever the order of the starts', () => {
     const options = { voters: 5, spares: 0, steps: 0, crash: 0, loss: 0 };
     const waits = Array.from({ length: 1_000 }, (_each, seed) => {
       const made = new schedule.Schedule(seed, { ...options, timing: EAGER });
@@ -126,10 +130,10 @@
   });
 
   /*
-   * Callers would lose the leader that gives them engines, for nothing. Most of the keepers are killed and back at
-   * once, while the leader lives; if they elect among themselves before they have heard of it, it has to step down.
+   * Guards against the loss of a live leader: most keepers are killed and restart at once, and if
+   * they hold an election before the leader's next message arrives, it has to step down.
    */
-  it('leaves a living leader alone when most of its followers start again', () => {
+  it('keeps a live leader when most of its followers restart', () => {
     const options = { voters: 5, spares: 0, steps: 0, crash: 0, loss: 0 };
     const deposed = Array.from({ length: 1_000 }, (_each, seed) => seed).filter((seed) => {
       const made = new schedule.Schedule(seed, { ...options, timing: EAGER });
@@ -144,10 +148,11 @@
   });
 
   /*
-   * Operators would see accepted settings vanish. A leader is cut off in silence with one follower
-   * dead; it must stop accepting, and what the others accept meanwhile must stand when it returns.
+   * Guards against the loss of accepted settings: a leader is silently cut off with one follower
+   * dead. It must stop accepting changes, and those that the others accept meanwhile must persist
+   * when it returns.
    */
-  it('stops accepting on a leader that is cut off, and loses nothing when it returns', () => {
+  it('accepts nothing on an isolated leader, and loses nothing when it returns', () => {
     const made = new schedule.Schedule(7, { voters: 3, spares: 0, steps: 0, crash: 0, loss: 0 });
     made.heal(3_000);
     const old = made.leader()?.id ?? '';
@@ -165,12 +170,12 @@
   });
 
   /*
-   * An operator reads settings from a leader whose successor has already accepted newer ones. The path
-   * between leader and one follower is cut in silence; the other follower, which confirmed the leader's
-   * lease a moment ago, restarts, forgets that, and would help to elect the first.
+   * Guards against stale reads from a leader whose successor has accepted newer settings: the link
+   * between leader and one follower is silently cut, and the other follower, which has just
+   * confirmed the leader's lease, restarts, forgets that, and would help to elect the first.
    */
   [false, true].forEach((restarts) => {
-    it(`lets no second leader in beside a lease, ${restarts ? 'with' : 'without'} restarts`, () => {
+    it(`elects no second leader during a lease, ${restarts ? 'with' : 'without'} restarts`, () => {
       for (let seed = 1; seed <= 20; seed++) {
         const options = { voters: 3, spares: 0, steps: 0, crash: 0, loss: 0 };
         const made = new schedule.Schedule(seed, options);
@@ -192,8 +197,8 @@
   });
 
   /*
-   * A change that was told as accepted is replaced: a leader took an entry of an earlier term for
-   * committed because a majority held it, and a replica with a later term overwrote it.
+   * Guards against an accepted change that is replaced: a leader took an entry of an earlier term
+   * for committed because a majority had it, and a replica with a later term overwrote it.
    */
   it('counts an entry of an earlier term as committed only with one of its own', () => {
     const members = ['a', 'b', 'c'].map((id): messages.Member => {
@@ -231,8 +236,8 @@
     expect([tested.state, before, tested.commit]).to.deep.equal(['leader', 0, 2]);
   });
 
-  /** A member that can't vote for what it lacks must not get a vote. */
-  it('refuses to promote a learner that does not hold everything committed', () => {
+  /** A member that lacks committed entries must not become a voter. */
+  it('refuses to promote a learner that lacks committed entries', () => {
     const made = new schedule.Schedule(3, { voters: 3, spares: 1, steps: 0, crash: 0, loss: 0 });
     made.heal(3_000);
     made.propose();
@@ -246,10 +251,10 @@
   });
 
   /*
-   * A setting is in force and then the one before it is back: an old snapshot, late on its way, was
-   * installed over what the replica had applied since.
+   * Guards against settings that revert: a delayed old snapshot was installed over later applied
+   * state.
    */
-  it('installs no snapshot older than what it applied', () => {
+  it('installs no snapshot that is older than its applied state', () => {
     const made = new schedule.Schedule(4, { voters: 3, spares: 0, steps: 0, crash: 0, loss: 0 });
     made.heal(3_000);
     for (let i = 0; i < 3; i++) {
@@ -268,12 +273,11 @@
   });
 
   /*
-   * A VM dies, the system repairs itself with a spare, and right after the repair a second VM is lost.
-   * Had the repair counted as done before the new voter held everything, accepted settings would be
-   * gone with the second VM.
+   * Guards against the loss of accepted settings when a second VM is lost right after a repair: the
+   * repair must not count as done before the new voter has all entries.
    */
   [3, 5].forEach((voters) => {
-    it(`loses nothing when a second VM goes right after a repair of ${voters} voters`, () => {
+    it(`loses nothing when a second VM is lost right after a repair of ${voters} voters`, () => {
       for (let seed = 1; seed <= 40; seed++) {
         const made = new schedule.Schedule(seed, {
           voters,
--- a/packages/domain/src/replication/__tests__/schedule.ts
+++ b/packages/domain/src/replication/__tests__/schedule.ts
@@ -1,6 +1,7 @@
 /**
- * A seeded schedule of replicas, disks and a network, small enough to run thousands of times: steps
- * are ticks, deliveries, losses, duplicates, crashes at a write, partitions, disk losses and proposals.
+ * A seeded simulation of replicas, disks and a network, small enough to run thousands of times. Its
+ * steps are ticks, deliveries, message losses, duplicates, crashes during writes, partitions, disk
+ * losses and proposals.
  */
 import * as shared from '../../shared';
 import * as messages from '../messages';
@@ -69,7 +70,9 @@
 
   private readonly cutLinks = new Set<string>();
 
-  /** The naive store: what was committed at each index, by the first replica to apply it. */
+  /**
+   * The reference store: the entry committed at each index, by the first replica that applied it.
+   */
   readonly committed = new Map<number, string>();
 
   /** Proposals that were acknowledged, with their index. */
@@ -85,7 +88,7 @@
 
   problem = '';
 
-  /** Once the faults are over, writes no longer crash. */
+  /** Whether the faults are over, so that writes no longer crash. */
   private isHealing = false;
 
   constructor(
@@ -109,7 +112,7 @@
     return this.problem === '' ? undefined : { seed: this.seed, problem: this.problem };
   }
 
-  /** Everything heals; then all live replicas must agree and take a new command. */
+  /** Ends all faults; afterwards all live replicas must agree and accept a new command. */
   heal(ms: number): void {
     this.isHealing = true;
     this.isolated.clear();
@@ -117,7 +120,7 @@
     this.advance(ms);
   }
 
-  /** Lets time pass without new faults; what is cut off stays so. */
+  /** Advances time without new faults; partitions stay. */
   advance(ms: number): void {
     for (let t = 0; t < ms && this.problem === ''; t += 10) {
       this.now += 10;
@@ -150,14 +153,14 @@
     return position === undefined ? '' : command;
   }
 
-  /** Takes a VM and its disk away for good. */
+  /** Removes a VM and its disk for good. */
   destroy(id: string): void {
     const node = this.nodes.get(id);
     if (node !== undefined) node.replica = undefined;
     this.nodes.delete(id);
   }
 
-  /** One look of the leader's repair; spares are the nodes in no replica set. */
+  /** One check of the leader's repair; spares are the nodes in no replica set. */
   repairStep(size: number, deadAfterMs: number): repair.RepairStep | undefined {
     const node = this.leader();
     const leader = node?.replica;
@@ -184,12 +187,12 @@
     this.isolated.add(id);
   }
 
-  /** Cuts the path between two nodes in silence; both still reach the others. */
+  /** Silently cuts the link between two nodes; both still reach the others. */
   cutLink(a: string, b: string): void {
     this.cutLinks.add([a, b].sort().join());
   }
 
-  /** Ends a process and starts it again at once on its disk. */
+  /** Restarts a process at once with its disk. */
   restart(id: string): void {
     const node = this.nodes.get(id) as Node;
     this.crash(node);
@@ -203,7 +206,10 @@
     this.start(node);
   }
 
-  /** All crash, and what was under way with them; some start at once, the others later. */
+  /**
+   * All nodes crash and messages in flight are lost; the `first` ones start at once, the others
+   * later.
+   */
   restartStaggered(first: number, laterMs: number): void {
     const nodes = [...this.nodes.values()];
     nodes.forEach((node) => this.crash(node));
@@ -231,7 +237,7 @@
     return this.now + node.skew;
   }
 
-  /** Two leases at once would let two leaders answer reads as fresh. */
+  /** Two leases at the same time would let two leaders answer reads as fresh. */
   private checkLeases(): void {
     const holders = [...this.nodes.values()].filter((node) => {
       return node.replica?.hasLease(this.nowAt(node));
@@ -262,7 +268,7 @@
     if (!this.isolated.delete(id)) this.isolated.add(id);
   }
 
-  /** All replicas end and start again at the same moment. */
+  /** Restarts all replicas at the same moment. */
   restartAll(): void {
     this.nodes.forEach((node) => this.crash(node));
     this.nodes.forEach((node) => this.start(node));
@@ -306,7 +312,8 @@
 
   private applyEffects(node: Node, effects: messages.Effects): void {
     if (effects.persist.length > 0) {
-      // A crash at a write: either none of the batch is on disk or all of it, and nothing was sent.
+      // A crash during a write: either the whole batch is on disk or none of it, and nothing was
+      // sent.
       const crash = !this.isHealing && this.source.uniform() < this.options.crash;
       const synced = !crash || this.source.uniform() < 0.5;
       if (synced) {
--- a/packages/domain/src/replication/log.ts
+++ b/packages/domain/src/replication/log.ts
@@ -1,6 +1,4 @@
-/**
- * The entries of one replica after its snapshot. Index arithmetic lives here and nowhere else.
- */
+/** The log entries of one replica after its snapshot. All index arithmetic is in this module. */
 import * as messages from './messages';
 
 export class Log {
@@ -26,7 +24,7 @@
     return this.entries.length;
   }
 
-  /** The term at `index`, or undefined where the log doesn't reach or no longer does. */
+  /** The term at `index`; undefined beyond the end of the log and before its snapshot. */
   termAt(index: number): number | undefined {
     if (index === this.snapshot.index) return this.snapshot.term;
     return this.at(index)?.term;
@@ -36,7 +34,7 @@
     return this.entries[index - this.snapshot.index - 1];
   }
 
-  /** Entries from `index` on, `limit` at most. */
+  /** Up to `limit` entries, starting at `index`. */
   from(index: number, limit: number): messages.Entry[] {
     const start = index - this.snapshot.index - 1;
     return this.entries.slice(start, start + limit);
@@ -50,7 +48,7 @@
     this.entries.length = Math.max(0, from - this.snapshot.index - 1);
   }
 
-  /** Replaces what the snapshot covers; entries that follow it stay if they agree with it. */
+  /** Replaces the entries that the snapshot covers; later ones stay if they agree with it. */
   compact(snapshot: messages.Snapshot): void {
     const agrees = this.termAt(snapshot.index) === snapshot.term;
     this.entries = agrees ? this.from(snapshot.index + 1, Infinity) : [];
--- a/packages/domain/src/replication/messages.ts
+++ b/packages/domain/src/replication/messages.ts
@@ -1,10 +1,10 @@
 /**
- * What replicas of one log keep and say to each other. The protocol is a leader-based replicated
- * log with terms, pre-vote and one-at-a-time changes of the replica set, after Ongaro's
- * dissertation on Raft (2014).
+ * Messages between the replicas of one log, and their state on disk. The protocol is Raft: a
+ * leader-based replicated log with terms, pre-vote and changes of one member at a time, after
+ * Ongaro's dissertation (2014).
  */
 
-/** A voter counts for the quorum; a learner only receives entries until it holds them all. */
+/** A voter counts for the quorum; a learner only receives entries until it has all of them. */
 export type Role = 'voter' | 'learner';
 
 /** One member of the replica set. The id belongs to the data folder, not to the VM. */
@@ -19,7 +19,7 @@
   kind: 'command';
   index: number;
   term: number;
-  /** Opaque to replication; the state machine reads it. */
+  /** Opaque to replication; interpreted by the state machine. */
   command: unknown;
 }
 
@@ -30,7 +30,7 @@
   members: Member[];
 }
 
-/** A new leader's first entry; it commits what earlier terms left. */
+/** A new leader's first entry; committing it commits the entries of earlier terms. */
 export interface EmptyEntry {
   kind: 'empty';
   index: number;
@@ -39,7 +39,7 @@
 
 export type Entry = CommandEntry | MembersEntry | EmptyEntry;
 
-/** State of the machine after `index`, with the replica set as of then. */
+/** State of the state machine after `index`, with the replica set at that index. */
 export interface Snapshot {
   index: number;
   term: number;
@@ -47,7 +47,7 @@
   state: unknown;
 }
 
-/** The part of a replica's state that must survive a crash, besides entries. */
+/** Raft's hard state, which must survive a crash, besides the entries. */
 export interface Vote {
   term: number;
   votedFor: string;
@@ -56,7 +56,7 @@
 export interface VoteRequest {
   kind: 'voteRequest';
   from: string;
-  /** A pre-vote asks without raising terms, so a returning replica can't depose a leader. */
+  /** A pre-vote doesn't raise terms, so a returning replica can't depose a leader. */
   pre: boolean;
   term: number;
   lastIndex: number;
@@ -69,7 +69,7 @@
   pre: boolean;
   term: number;
   granted: boolean;
-  /** Whether the answering replica leads, or heard the leader lately. */
+  /** Whether the answering replica leads, or recently received a message of the leader. */
   knowsLeader: boolean;
 }
 
@@ -81,7 +81,10 @@
   previousTerm: number;
   entries: Entry[];
   commit: number;
-  /** The leader's clock when it sent this; echoed, so that its lease starts at the sending. */
+  /**
+   * The leader's clock at sending. It is echoed in the answer, so that the lease starts at the
+   * sending.
+   */
   sentAt: number;
 }
 
@@ -90,7 +93,7 @@
   from: string;
   term: number;
   success: boolean;
-  /** Last index known to match, or where to go on from after a mismatch. */
+  /** Last index known to match, or after a mismatch the index to continue from. */
   matched: number;
   sentAt: number;
 }
@@ -105,25 +108,25 @@
 
 export type Message = VoteRequest | VoteAnswer | AppendRequest | AppendAnswer | SnapshotRequest;
 
-/** Something that must be on disk before the messages of the same step leave. */
+/** A record that must be on disk before the messages of the same step are sent. */
 export type Record =
   | { kind: 'vote'; vote: Vote }
   | { kind: 'append'; entries: Entry[] }
   | { kind: 'truncate'; from: number }
   | { kind: 'snapshot'; snapshot: Snapshot };
 
-/** What a replica holds on its disk after replay. */
+/** State of a replica on disk after the replay of its journal. */
 export interface Durable {
   vote: Vote;
   snapshot: Snapshot;
   entries: Entry[];
 }
 
-/** What a step asks of the process around it, in this order: persist, send, install, apply. */
+/** Effects of a step, to be carried out in this order: persist, send, install, apply. */
 export interface Effects {
   persist: Record[];
   send: { to: string; message: Message }[];
-  /** State that replaces the machine's. */
+  /** Snapshot that replaces the state of the state machine. */
   install: Snapshot | undefined;
   /** Entries newly committed, in order. */
   apply: Entry[];
@@ -133,13 +136,13 @@
   return { persist: [], send: [], install: undefined, apply: [] };
 }
 
-/** Whether a step asks for nothing. */
+/** Whether a step has no effects. */
 export function isEmpty(effects: Effects): boolean {
   const { persist, send, install, apply } = effects;
   return persist.length + send.length + apply.length === 0 && install === undefined;
 }
 
-/** What a new data folder holds of a log: nothing, in no replica set. */
+/** The log of a new data folder: empty, in no replica set. */
 export function emptyDurable(): Durable {
   return {
     vote: { term: 0, votedFor: '' },
--- a/packages/domain/src/replication/repair.ts
+++ b/packages/domain/src/replication/repair.ts
@@ -1,20 +1,20 @@
 /**
- * Repair of the replica set without operators: a dead voter is replaced by a spare VM with a disk.
- * The order is fixed: add the spare as a learner, promote it when it holds everything committed,
- * then remove the dead one. Each step is committed before the next, so the quorum of the old and of
- * the new set always share a member, and a second loss right after the repair loses nothing.
+ * Automatic repair of the replica set: a dead voter is replaced by a spare VM with a disk. The
+ * order is fixed: add the spare as a learner, promote it when it has everything committed, then
+ * remove the dead voter. Each step is committed before the next, so the quorums of the old and the
+ * new set always share a member, and a second loss right after the repair loses nothing.
  */
 import * as messages from './messages';
 
-/** What the leader knows of one member or spare. */
+/** The leader's view of one member or spare. */
 export interface Health {
   id: string;
-  /** Milliseconds since it last answered. */
+  /** Milliseconds since its last answer. */
   silentFor: number;
   caughtUp: boolean;
 }
 
-/** A VM with a data folder that is in no replica set. */
+/** A VM with a data folder that belongs to no replica set. */
 export interface Spare {
   id: string;
   address: string;
@@ -27,10 +27,13 @@
   members: messages.Member[];
 }
 
-/** Silence after which a voter counts as dead, in milliseconds. */
+/** A voter without an answer for this long counts as dead, milliseconds. */
 export const DEFAULT_DEAD_AFTER_MS = 10_000;
 
-/** The spare whose data centre holds the fewest voters, so that one lost data centre hurts least. */
+/**
+ * The spare in the data centre with the fewest voters, so that the loss of a data centre costs as
+ * few voters as possible.
+ */
 function bestSpare(
   members: readonly messages.Member[],
   spares: readonly Spare[],
@@ -43,7 +46,7 @@
   return ranked[0];
 }
 
-/** The next step towards `size` live voters, or undefined when none is due or possible. */
+/** The next step towards `size` live voters; undefined when none is due or possible. */
 export function nextStep(
   members: readonly messages.Member[],
   health: readonly Health[],
--- a/packages/domain/src/replication/replica.ts
+++ b/packages/domain/src/replication/replica.ts
@@ -1,7 +1,7 @@
 /**
- * One replica of one log: follower, candidate or leader. It holds no clock, disk or connection: a
- * step takes a message or the time and gives back what to persist, send, install and apply. The
- * process must have synced `persist` before it sends anything of the same step.
+ * One replica of one log: follower, candidate or leader. It has no clock, disk or connection: a
+ * step takes a message or the time and returns what to persist, send, install and apply. The
+ * process must have synced `persist` before it sends messages of the same step.
  */
 import * as random from '../shared/random';
 import * as log from './log';
@@ -12,20 +12,22 @@
 /** Times in milliseconds. */
 export interface Timing {
   heartbeat: number;
-  /** Shortest time without a leader before a replica stands for election. */
+  /** Minimum time without a leader before a replica starts an election. */
   electionMin: number;
   electionMax: number;
   /**
-   * Bounds of the first election after a start, where nothing relies on a leader's lease: a replica that has just
-   * started may then vote at once. Over a heartbeat, so that a leader that is there is heard before.
-   * Without them a start waits for a whole election timeout, as the replica may have confirmed a lease before.
+   * Bounds of the first election timeout after a start, for logs whose users don't rely on a
+   * leader's lease: a replica may then vote at once after its start. Longer than a heartbeat, so
+   * that an existing leader is heard first. Without these bounds a replica waits for a whole
+   * election timeout, as it may have confirmed a lease before its restart.
    */
   restart?: {
     min: number;
     max: number;
     /**
-     * Bounds of the pause before the next try, until a leader was heard since the start. A try without a quorum of
-     * answers asked for pre-votes alone, which bind nobody; most often the others are about to start as well.
+     * Bounds of the delay between attempts until the first message of a leader. An attempt that
+     * found no quorum only sent pre-votes, which bind nobody; usually the other replicas are about
+     * to start as well.
      */
     again: { min: number; max: number };
   };
@@ -33,27 +35,27 @@
 
 export const DEFAULT_TIMING: Timing = { heartbeat: 200, electionMin: 800, electionMax: 1_200 };
 
-/** Most entries in one append request; more follow when it is answered. */
+/** Entries in one append request; further ones follow when it is answered. */
 const MAX_BATCH_ENTRIES = 256;
 
 /**
- * Share of the shortest election time for which a leader trusts its last quorum contact. The rest
- * covers clock rates that differ between VMs.
+ * Fraction of the minimum election timeout for which a leader trusts its last quorum contact. The
+ * rest allows for different clock rates of the VMs.
  */
 const LEASE_FRACTION = 0.8;
 
 interface Progress {
   next: number;
   matched: number;
-  /** The leader's clock at the sending of the last request that was answered. */
+  /** The leader's clock at the sending of the last answered request. */
   contactAt: number;
-  /** As `contactAt`, but only by real answers: a member that never answered has none. */
+  /** Like `contactAt`, but without a start value: a member that never answered has none. */
   answeredAt: number;
-  /** When the last request with entries left, and not yet answered; 0 if none. */
+  /** When the last request with entries was sent, if it hasn't been answered yet; 0 otherwise. */
   pendingSince: number;
 }
 
-/** Why a replica can't take a command or a change of the replica set now. */
+/** Why a replica refuses a command or a change of the replica set. */
 export type Refusal = 'notLeader' | 'noQuorumContact' | 'changeInProgress' | 'notCaughtUp';
 
 /** Where a proposal stands in the log. */
@@ -106,8 +108,9 @@
     this.commit = durable.snapshot.index;
     this.timing = timing;
     this.random = source;
-    // A restarted replica can't know when it last heard a leader. Counting from now keeps it from
-    // helping to elect a second one while the lease of the first, which it confirmed, still runs.
+    // A restarted replica can't know when it last received a message of a leader. Counting from now
+    // keeps it from helping to elect a second leader while the lease of the first, which it may
+    // have confirmed, is still valid.
     this.leaderContactAt = timing.restart === undefined ? now : -Infinity;
     this.resetElection(now, timing.restart);
   }
@@ -120,7 +123,7 @@
     return this.log.lastIndex;
   }
 
-  /** Entries kept since the snapshot; the process makes a new one when they grow many. */
+  /** Entries since the snapshot; the process makes a new snapshot when there are many. */
   get logLength(): number {
     return this.log.length;
   }
@@ -130,18 +133,18 @@
     return this.log.membersAt(this.log.lastIndex);
   }
 
-  /** What the disk must hold for this replica, for rewriting its journal. */
+  /** State that the disk must hold, for rewriting the journal. */
   get durable(): messages.Durable {
     const entries = this.log.from(this.log.snapshot.index + 1, Infinity);
     return { vote: this.vote, snapshot: this.log.snapshot, entries };
   }
 
-  /** Whether this replica belongs to a replica set or ever held an entry of one. */
+  /** Whether this replica belongs to a replica set or ever had an entry of one. */
   get isFounded(): boolean {
     return this.members.length > 0 || this.log.lastIndex > 0;
   }
 
-  /** Makes this empty replica a founding member. Does nothing to one that is founded. */
+  /** Makes this empty replica a founding member. Has no effect on one that is founded. */
   found(members: messages.Member[]): messages.Effects {
     if (this.isFounded) return messages.noEffects();
     const snapshot = { ...this.log.snapshot, members };
@@ -150,7 +153,10 @@
     return this.takeEffects();
   }
 
-  /** Lets time pass: elections, heartbeats, the leader's check that it still has a quorum. */
+  /**
+   * Advances time: starts elections, sends heartbeats and checks that the leader still has a
+   * quorum.
+   */
   tick(now: number): messages.Effects {
     if (this.state === 'leader') this.tickLeader(now);
     else if (now >= this.electionAt) this.startPreVote(now);
@@ -168,8 +174,8 @@
   }
 
   /**
-   * Takes commands into the log. Nothing is accepted until the entry is applied with the term given
-   * here; an entry of another term at that index means that the command was lost.
+   * Appends commands to the log. A command is accepted once the entry at its position is applied
+   * with the same term; an entry of another term there means that the command was lost.
    */
   propose(
     commands: readonly unknown[],
@@ -198,12 +204,15 @@
     return { effects: this.takeEffects() };
   }
 
-  /** Whether a quorum confirmed this leader so lately that no other can have been elected. */
+  /** Whether a quorum confirmed this leader so recently that no other one can have been elected. */
   hasLease(now: number): boolean {
     return this.timing.restart === undefined && this.hasQuorumContact(now);
   }
 
-  /** Whether a quorum confirmed this leader lately. Replicas that started since may have elected another one. */
+  /**
+   * Whether a quorum confirmed this leader recently. Replicas that restarted since may have elected
+   * another one.
+   */
   hasQuorumContact(now: number): boolean {
     if (this.state !== 'leader') return false;
     const isTermCommitted = this.log.termAt(this.commit) === this.term;
@@ -212,16 +221,17 @@
     );
   }
 
-  /** Asks a quorum at once whether this replica still leads. */
+  /** Sends heartbeats at once, to confirm with a quorum that this replica still leads. */
   askQuorum(now: number): messages.Effects {
     if (this.state === 'leader') this.broadcast(now);
     return this.takeEffects();
   }
 
   /**
-   * Whether a quorum answered something that this leader sent at `since` or later. Then no other leader can
-   * have committed anything before `since`, so what is applied here is the newest state as of then. Unlike
-   * the lease it holds without any clock: a leader that was suspended proves nothing by old answers.
+   * Whether a quorum answered a request that this leader sent at `since` or later. Then no other
+   * leader can have committed anything before `since`, so the state applied here is the newest as
+   * of then. Unlike the lease this doesn't depend on clocks: old answers prove nothing for a leader
+   * that was suspended.
    */
   isConfirmedSince(since: number): boolean {
     if (this.state !== 'leader' || this.log.termAt(this.commit) !== this.term) return false;
@@ -231,17 +241,20 @@
     return this.isQuorum(confirming.length);
   }
 
-  /** When the leader last heard from `id`, by the sending time of the request it answered. */
+  /**
+   * When the leader last had contact with `id`: the sending time of the last request that `id`
+   * answered.
+   */
   contactAt(id: string): number {
     return this.progress.get(id)?.contactAt ?? this.leaderSince;
   }
 
-  /** Whether `id` holds everything committed. */
+  /** Whether `id` has everything committed. */
   isCaughtUp(id: string): boolean {
     return (this.progress.get(id)?.matched ?? 0) >= this.commit;
   }
 
-  /** Drops entries that the machine's state at `index` covers. */
+  /** Replaces the entries up to `index` by a snapshot of the state machine. */
   compact(index: number, state: unknown): messages.Effects {
     const term = this.log.termAt(index);
     if (term === undefined || index > this.commit || index <= this.log.snapshot.index) {
@@ -289,7 +302,7 @@
     this.effects.persist.push({ kind: 'vote', vote });
   }
 
-  /** A higher term ends whatever this replica was doing, except that pre-votes bind nobody. */
+  /** A higher term turns this replica into a follower, except in pre-votes, which bind nobody. */
   private observeTerm(message: messages.Message, now: number): void {
     if (message.term <= this.term) return;
     if (message.kind === 'voteRequest' && (message.pre || this.trustsLeader(now))) return;
@@ -306,15 +319,19 @@
   }
 
   /**
-   * A follower that heard its leader lately, and a leader with a quorum, refuse to vote. Without it a
-   * replica that was cut off would depose a working leader, and a leader's lease would prove nothing.
+   * Whether to refuse votes: a follower that recently received a message of its leader does, and so
+   * does a leader with a quorum. Otherwise a replica that was cut off would depose a working
+   * leader, and a leader's lease would prove nothing.
    */
   private trustsLeader(now: number): boolean {
     if (this.state === 'leader') return true;
     return now - this.leaderContactAt < this.timing.electionMin;
   }
 
-  /** Whether no leader was heard since this replica started, in a log where that allows it to vote at once. */
+  /**
+   * Whether this replica has received no message of a leader since its start, in a log where it may
+   * therefore vote at once.
+   */
   private get isFreshlyStarted(): boolean {
     return this.leaderContactAt === -Infinity;
   }
@@ -329,7 +346,8 @@
   }
 
   private startElection(now: number): void {
-    // Votes follow a sync each; a slow disk must not make the candidate begin anew before they come.
+    // Each vote takes a disk sync; a slow disk must not restart the election before the votes
+    // arrive.
     this.resetElection(now, this.isFreshlyStarted ? this.timing.restart : undefined);
     this.state = 'candidate';
     this.persistVote({ term: this.term + 1, votedFor: this.id });
@@ -353,7 +371,8 @@
       this.persistVote({ term: request.term, votedFor: request.from });
       this.resetElection(now);
     }
-    // Among others than newcomers nobody goes first, and two that yield to each other would both stop.
+    // Only between freshly started replicas is there a priority; without one, two that yield to
+    // each other would both stop.
     const isYielding = granted && request.pre && this.isFreshlyStarted;
     if (isYielding && this.state === 'preCandidate') this.state = 'follower';
     const term = granted && request.pre ? request.term : this.term;
@@ -364,9 +383,10 @@
   }
 
   /**
-   * Whether this replica stands for election before the one that asks. Replicas that start together all ask for
-   * pre-votes within some milliseconds; where each is granted by those who don't stand, they divide the votes, and
-   * nobody leads until a further timeout is over. So among newcomers with the same log the least id goes on alone.
+   * Whether this replica has priority over the one that requests a pre-vote. Replicas that start
+   * together all request pre-votes within milliseconds; if those that aren't candidates grant each
+   * request, the votes are split, and there is no leader until a further timeout has passed. So
+   * among freshly started replicas with the same log only the one with the lowest id goes on.
    */
   private hasElectionPriority({ pre, from, lastIndex, lastTerm }: messages.VoteRequest): boolean {
     if (!pre || this.state !== 'preCandidate' || !this.isFreshlyStarted) return false;
@@ -394,7 +414,8 @@
       answer.knowsLeader &&
       this.isFreshlyStarted
     ) {
-      // It will be heard; a majority of newcomers would depose it for nothing.
+      // There is a leader, whose next message will arrive; a majority of freshly started replicas
+      // would depose it without need.
       this.state = 'follower';
       this.resetElection(now);
       return;
@@ -416,8 +437,8 @@
   }
 
   private tickLeader(now: number): void {
-    // Quorum check: a leader cut off from a majority must stop answering as one. Without it an
-    // isolated leader would go on for as long as the partition lasts.
+    // Quorum check: a leader that is cut off from a majority must step down; otherwise it would act
+    // as the leader for as long as the partition lasts.
     if (now - this.quorumContactAt(now) > this.timing.electionMax) {
       this.becomeFollower(this.term, '', now);
       return;
@@ -449,7 +470,7 @@
     const fresh = {
       next: this.log.lastIndex + 1,
       matched: 0,
-      // A member counts as silent from now on, not from before it was one.
+      // The silence of a member counts from now, not from before it was a member.
       contactAt: now,
       answeredAt: -Infinity,
       pendingSince: 0,
@@ -458,7 +479,9 @@
     return fresh;
   }
 
-  /** Sends what `id` lacks; while a batch is under way, only a heartbeat without entries. */
+  /**
+   * Sends the entries that `id` lacks; while a batch is pending, only a heartbeat without entries.
+   */
   private sendAppend(id: string, now: number, isHeartbeat: boolean): void {
     const progress = this.progressOf(id, now);
     const isPending =
@@ -501,7 +524,7 @@
       return;
     }
     this.followLeader(from, now);
-    // What the snapshot covers is committed and therefore the same here as at any leader.
+    // Everything that the snapshot covers is committed and therefore equal at any leader.
     const isCovered = request.previousIndex < this.log.snapshot.index;
     const known = this.log.termAt(request.previousIndex);
     if (!isCovered && known !== request.previousTerm) {
@@ -554,7 +577,10 @@
     if (progress.next <= this.log.lastIndex) this.sendAppend(answer.from, now, false);
   }
 
-  /** Commits what a quorum holds. Only entries of this term count; earlier ones follow with them. */
+  /**
+   * Commits what a quorum has. Only entries of this term count; earlier ones are committed with
+   * them.
+   */
   private advanceCommit(): void {
     const matched = this.voters.map(({ id }) =>
       id === this.id ? this.log.lastIndex : (this.progress.get(id)?.matched ?? 0),
@@ -576,7 +602,8 @@
     const { snapshot, from, sentAt } = request;
     if (request.term < this.term) return;
     this.followLeader(from, now);
-    // A snapshot older than what is applied here must not replace it: settings never revert.
+    // A snapshot that is older than the applied state must not replace it, as settings would
+    // revert.
     if (snapshot.index > this.commit) {
       this.log.compact(snapshot);
       this.commit = snapshot.index;
@@ -596,7 +623,7 @@
   private refusalToChange(members: messages.Member[], now: number): Refusal | undefined {
     const refusal = this.refusalToPropose(now);
     if (refusal !== undefined) return refusal;
-    // Two changes under way at once could form two disjoint quorums.
+    // Two concurrent changes could form two disjoint quorums.
     if (this.log.membersIndex > this.commit) return 'changeInProgress';
     const promoted = members.filter(({ id, role }) => {
       const before = this.members.find((member) => member.id === id);
