--- a/packages/domain/src/catalogue/__tests__/catalogue.test.ts
+++ b/packages/domain/src/catalogue/__tests__/catalogue.test.ts
@@ -25,7 +25,7 @@
   };
 }
 
-function made(more: Partial<catalogue.Catalogue> = {}): catalogue.Catalogue {
+function catalogueWith(more: Partial<catalogue.Catalogue> = {}): catalogue.Catalogue {
   return {
     version: 1,
     routes: [route('a')],
@@ -39,7 +39,7 @@
 describe('catalogue', () => {
   it('names everything that keeps it from being put in force', () => {
     const problems = catalogue.problemsOf(
-      made({
+      catalogueWith({
         routes: [
           route('unknown', { shares: [{ service: 'none', weight: 1 }] }),
           route('empty', { shares: [] }),
@@ -59,7 +59,7 @@
 
   it('finds the longest prefix of a host, whatever its case and port', () => {
     const routes = [route('short', { pathPrefix: '/x/' }), route('long', { pathPrefix: '/x/y/' })];
-    const found = new directory.Directory(made({ routes }));
+    const found = new directory.Directory(catalogueWith({ routes }));
     expect(found.route('A.example:80', '/x/y/1')?.name).to.equal('long');
     expect(found.route('a.example', '/x/z')?.name).to.equal('short');
     expect(found.route('b.example', '/x/y/1')).to.equal(undefined);
--- a/packages/domain/src/catalogue/catalogue.ts
+++ b/packages/domain/src/catalogue/catalogue.ts
@@ -103,8 +103,8 @@
 
 function routeProblems(route: Route, services: ReadonlySet<string>): Problem[] {
   const problems: Problem[] = [];
-  const unknown = route.shares.some(({ service }) => !services.has(service));
-  if (unknown || route.shares.length === 0) {
+  const hasUnknownService = route.shares.some(({ service }) => !services.has(service));
+  if (hasUnknownService || route.shares.length === 0) {
     problems.push({ fault: 'unknownService', subject: route.name });
   }
   const weight = route.shares.reduce((sum, share) => sum + share.weight, 0);
@@ -113,7 +113,7 @@
   return problems;
 }
 
-function firstRepeated<T>(items: readonly T[], keyOf: (item: T) => string): T | undefined {
+function firstDuplicate<T>(items: readonly T[], keyOf: (item: T) => string): T | undefined {
   const seen = new Set<string>();
   return items.find((item) => {
     const key = keyOf(item);
@@ -127,12 +127,12 @@
 export function problemsOf({ routes, services, organisations = [] }: Catalogue): Problem[] {
   const names = new Set(services.map(({ name }) => name));
   const problems = routes.flatMap((route) => routeProblems(route, names));
-  const twice = firstRepeated(routes, ({ host, pathPrefix }) => `${host}\n${pathPrefix}`);
-  if (twice !== undefined) problems.push({ fault: 'samePlace', subject: twice.name });
-  const holdings = organisations.flatMap(({ name, keys }) =>
+  const duplicate = firstDuplicate(routes, ({ host, pathPrefix }) => `${host}\n${pathPrefix}`);
+  if (duplicate !== undefined) problems.push({ fault: 'samePlace', subject: duplicate.name });
+  const keyOwners = organisations.flatMap(({ name, keys }) =>
     [...new Set(keys)].map((key) => ({ name, key })),
   );
-  const shared = firstRepeated(holdings, ({ key }) => key);
+  const shared = firstDuplicate(keyOwners, ({ key }) => key);
   if (shared !== undefined) problems.push({ fault: 'sharedKey', subject: shared.name });
   return problems;
 }
--- a/packages/domain/src/catalogue/versions.ts
+++ b/packages/domain/src/catalogue/versions.ts
@@ -19,19 +19,19 @@
 }
 
 export class Versions {
-  private held: Edition | undefined;
+  private current: Edition | undefined;
 
   get newest(): Edition | undefined {
-    return this.held;
+    return this.current;
   }
 
   get version(): number {
-    return this.held?.version ?? 0;
+    return this.current?.version ?? 0;
   }
 
   apply(edition: Edition): Acceptance {
     const changed = edition.version > this.version;
-    if (changed) this.held = edition;
+    if (changed) this.current = edition;
     return { version: this.version, changed };
   }
 
--- a/packages/domain/src/control/__tests__/view.test.ts
+++ b/packages/domain/src/control/__tests__/view.test.ts
@@ -49,7 +49,7 @@
       fastCheck.property(
         fastCheck.array(COMMAND, { maxLength: 60 }),
         fastCheck.array(fastCheck.boolean(), { maxLength: 60 }),
-        (commands, absent) => {
+        (commands, missed) => {
           let source = new state.State();
           const upstream = new view.View();
           const follower = new view.View();
@@ -57,7 +57,7 @@
             const { delta } = source.apply(commandOf(kind, name, source, i), i + 1);
             upstream.advance(delta === undefined ? [] : [delta], i + 1);
             if (i % 7 === 6) source = state.State.restore(structuredClone(source.snapshot()));
-            if (absent[i] === true) return;
+            if (missed[i] === true) return;
             const deltas = upstream.since(follower.index) as state.Delta[];
             if (i % 3 > 0) follower.advance(deltas, upstream.index);
             else {
--- a/packages/domain/src/control/state.ts
+++ b/packages/domain/src/control/state.ts
@@ -62,7 +62,7 @@
 /** Longest before/after text kept with an audit entry, in characters. */
 const AUDIT_TEXT_LIMIT = 2_000;
 
-function shortened(text: string): string {
+function truncated(text: string): string {
   return text.length > AUDIT_TEXT_LIMIT ? `${text.slice(0, AUDIT_TEXT_LIMIT)}…` : text;
 }
 
@@ -91,11 +91,11 @@
       if (command.loaded) this.ordered.add(command.key);
       else this.ordered.delete(command.key);
       const action = command.loaded ? 'load' : 'unload';
-      this.recordOwn(action, command.key, '', command.at, index);
+      this.recordSystemAction(action, command.key, '', command.at, index);
       return { answer: undefined, delta: undefined };
     }
     const { action, subject, detail, at } = command;
-    this.recordOwn(action, subject, detail, at, index);
+    this.recordSystemAction(action, subject, detail, at, index);
     return { answer: undefined, delta: undefined };
   }
 
@@ -133,8 +133,8 @@
     const { author, address, at, subtree: subject } = change;
     const detail = JSON.stringify({
       change: change.id,
-      before: shortened(before),
-      after: shortened(change.text),
+      before: truncated(before),
+      after: truncated(change.text),
     });
     this.record({ index, at, author, address, action: 'change', subject, detail });
     const subtree = this.tree.get(subject);
@@ -142,11 +142,11 @@
   }
 
   private register(daemon: Registered, at: number, index: number): Applied {
-    const same = JSON.stringify(this.daemons.get(daemon.id)) === JSON.stringify(daemon);
-    if (same) return { answer: undefined, delta: undefined };
+    const isUnchanged = JSON.stringify(this.daemons.get(daemon.id)) === JSON.stringify(daemon);
+    if (isUnchanged) return { answer: undefined, delta: undefined };
     this.daemons.set(daemon.id, daemon);
     const detail = `${daemon.address} in ${daemon.dataCentre}`;
-    this.recordOwn('register', daemon.id, detail, at, index);
+    this.recordSystemAction('register', daemon.id, detail, at, index);
     return { answer: undefined, delta: { kind: 'daemon', index, id: daemon.id, daemon } };
   }
 
@@ -155,7 +155,7 @@
     index: number,
   ): Applied {
     if (!this.daemons.delete(id)) return { answer: undefined, delta: undefined };
-    this.recordOwn('unregister', id, reason, at, index);
+    this.recordSystemAction('unregister', id, reason, at, index);
     return { answer: undefined, delta: { kind: 'daemon', index, id, daemon: undefined } };
   }
 
@@ -181,7 +181,7 @@
     return { answer: undefined, delta: { kind: 'stop', index, id, stop: undefined } };
   }
 
-  private recordOwn(
+  private recordSystemAction(
     action: string,
     subject: string,
     detail: string,
--- a/packages/domain/src/control/view.ts
+++ b/packages/domain/src/control/view.ts
@@ -20,10 +20,10 @@
   buckets: number[];
 }
 
-export const BUCKETS = 64;
+export const BUCKET_COUNT = 64;
 
 /** Deltas kept for followers that are a little behind. */
-export const DELTA_LIMIT = 1_024;
+export const MAX_DELTAS = 1_024;
 
 function keyOf(delta: state.Delta): string {
   if (delta.kind === 'subtree') return `subtree/${delta.name}`;
@@ -47,16 +47,16 @@
   /** Takes deltas up to `index`; what is not newer is left out, so nothing ever goes back. */
   advance(deltas: readonly state.Delta[], index: number): boolean {
     if (index <= this.index) return false;
-    deltas.filter((delta) => delta.index > this.index).forEach((delta) => this.take(delta));
+    deltas.filter((delta) => delta.index > this.index).forEach((delta) => this.applyDelta(delta));
     this.index = index;
-    this.trim();
+    this.trimDeltas();
     return true;
   }
 
   /** Replaces the differing parts after a comparison of digests made at `index`. */
   replace(parts: readonly Part[], removed: readonly string[], index: number): boolean {
     if (index <= this.index) return false;
-    removed.forEach((key) => this.drop(key));
+    removed.forEach((key) => this.removeItem(key));
     parts.forEach(({ delta }) => this.store(delta));
     this.index = index;
     this.deltas = [];
@@ -71,9 +71,9 @@
   }
 
   digest(hash: hashing.Hash): Digest {
-    const buckets = new Array<number>(BUCKETS).fill(0);
-    this.parts().forEach((part) => {
-      const bucket = hash(part.key) % BUCKETS;
+    const buckets = new Array<number>(BUCKET_COUNT).fill(0);
+    this.items().forEach((part) => {
+      const bucket = hash(part.key) % BUCKET_COUNT;
       // Addition makes the digest independent of the order in which parts arrived.
       buckets[bucket] = ((buckets[bucket] ?? 0) + hash(JSON.stringify(part.delta))) % 2 ** 32;
     });
@@ -82,7 +82,7 @@
 
   /** The parts in buckets whose digest differs from the other side's. */
   partsIn(hash: hashing.Hash, buckets: ReadonlySet<number>): Part[] {
-    return this.parts().filter(({ key }) => buckets.has(hash(key) % BUCKETS));
+    return this.items().filter(({ key }) => buckets.has(hash(key) % BUCKET_COUNT));
   }
 
   /** Keys in those buckets that are here but not in `kept`: the other side removed them. */
@@ -111,7 +111,7 @@
     return true;
   }
 
-  private parts(): Part[] {
+  private items(): Part[] {
     // The index of a part's last change is left out: two views may have learnt it by other ways.
     const index = 0;
     const deltas: state.Delta[] = [
@@ -128,7 +128,7 @@
     return deltas.map((delta) => ({ key: keyOf(delta), delta }));
   }
 
-  private take(delta: state.Delta): void {
+  private applyDelta(delta: state.Delta): void {
     this.store(delta);
     this.deltas.push(delta);
   }
@@ -144,7 +144,7 @@
     else map.set(key, value);
   }
 
-  private drop(key: string): void {
+  private removeItem(key: string): void {
     const slash = key.indexOf('/');
     const name = key.slice(slash + 1);
     const kind = key.slice(0, slash);
@@ -153,9 +153,9 @@
     if (kind === 'stop') this.stops.delete(name);
   }
 
-  private trim(): void {
-    if (this.deltas.length <= DELTA_LIMIT) return;
-    const cut = this.deltas.splice(0, this.deltas.length - DELTA_LIMIT);
+  private trimDeltas(): void {
+    if (this.deltas.length <= MAX_DELTAS) return;
+    const cut = this.deltas.splice(0, this.deltas.length - MAX_DELTAS);
     this.deltasAfter = cut.at(-1)?.index ?? this.deltasAfter;
   }
 }
--- a/packages/domain/src/ledger/__tests__/ledger.test.ts
+++ b/packages/domain/src/ledger/__tests__/ledger.test.ts
@@ -5,7 +5,7 @@
 
 const { expect } = chai;
 
-const BOUNDS: ledger.Bounds = {
+const LIMITS: ledger.LedgerLimits = {
   retention: 1_000,
   tombstones: 5_000,
   claimsPerOrganisation: 4,
@@ -27,14 +27,14 @@
   it('grants a key to one attempt only until that attempt proves that it was not run', () => {
     fastCheck.assert(
       fastCheck.property(fastCheck.array(COMMAND, { maxLength: 60 }), (commands) => {
-        let tested = new ledger.Ledger(BOUNDS);
+        let tested = new ledger.Ledger(LIMITS);
         // The naive ledger: who may have dispatched each key, for ever.
         const dispatchers = new Map<string, string>();
         let at = 0;
         commands.forEach(({ kind, key, attempt, wait }) => {
           at += wait;
           if (kind === 'restore') {
-            tested = ledger.Ledger.restore(structuredClone(tested.snapshot()), BOUNDS);
+            tested = ledger.Ledger.restore(structuredClone(tested.snapshot()), LIMITS);
           } else if (kind === 'claim') {
             const verdict = tested.apply(claim(key, attempt, at));
             if (verdict.kind !== 'granted') return;
@@ -54,7 +54,7 @@
   });
 
   it('answers each stage of a call to a resend', () => {
-    const tested = new ledger.Ledger(BOUNDS);
+    const tested = new ledger.Ledger(LIMITS);
     const answer = { status: 201, contentType: 'text/plain', body: 'held' };
     const settle = { kind: 'settle', key: 'k', attempt: 'a', settlement: 'completed' } as const;
     expect({
@@ -71,7 +71,7 @@
   });
 
   it('bounds claims of an organisation and the length of answers', () => {
-    const tested = new ledger.Ledger(BOUNDS);
+    const tested = new ledger.Ledger(LIMITS);
     const verdicts = ['1', '2', '3', '4', '5'].map((key) => tested.apply(claim(key, 'a', 10)).kind);
     const answer = { status: 200, contentType: 'text/plain', body: 'longer than ten' };
     const settle = { kind: 'settle', key: '1', attempt: 'a', settlement: 'completed' } as const;
--- a/packages/domain/src/ledger/ledger.ts
+++ b/packages/domain/src/ledger/ledger.ts
@@ -72,7 +72,7 @@
 }
 
 /** Bounds of one ledger. */
-export interface Bounds {
+export interface LedgerLimits {
   /** Milliseconds that an answer is kept for resends. */
   retention: number;
   /** Milliseconds that the key alone is remembered after that, and refused. */
@@ -83,7 +83,7 @@
   answerLength: number;
 }
 
-export const DEFAULT_BOUNDS: Bounds = {
+export const DEFAULT_BOUNDS: LedgerLimits = {
   retention: 24 * 3600 * 1000,
   tombstones: 30 * 24 * 3600 * 1000,
   claimsPerOrganisation: 100_000,
@@ -101,9 +101,9 @@
 
   private readonly tombstones = new Map<string, number>();
 
-  private readonly perOrganisation = new Map<string, number>();
+  private readonly claimCounts = new Map<string, number>();
 
-  constructor(private readonly bounds: Bounds = DEFAULT_BOUNDS) {}
+  constructor(private readonly bounds: LedgerLimits = DEFAULT_BOUNDS) {}
 
   get size(): number {
     return this.entries.size;
@@ -121,7 +121,7 @@
     return { entries: [...this.entries.values()], tombstones };
   }
 
-  static restore(snapshot: Snapshot, bounds: Bounds = DEFAULT_BOUNDS): Ledger {
+  static restore(snapshot: Snapshot, bounds: LedgerLimits = DEFAULT_BOUNDS): Ledger {
     const ledger = new Ledger(bounds);
     snapshot.entries.forEach((entry) => ledger.add({ ...entry }));
     snapshot.tombstones.forEach(({ key, at }) => ledger.tombstones.set(key, at));
@@ -133,12 +133,12 @@
     if (known !== undefined) {
       if (known.content !== claim.content) return { kind: 'mismatch' };
       // The grant was lost on its way: the same attempt has not dispatched yet, so it may.
-      const again = known.attempt === claim.attempt && known.settlement === 'running';
-      return again ? { kind: 'granted' } : this.standing(known, claim.at);
+      const isSameAttempt = known.attempt === claim.attempt && known.settlement === 'running';
+      return isSameAttempt ? { kind: 'granted' } : this.resultFor(known, claim.at);
     }
     if (this.tombstones.has(claim.key)) return { kind: 'expired' };
-    const held = this.perOrganisation.get(claim.organisation) ?? 0;
-    if (held >= this.bounds.claimsPerOrganisation) {
+    const claimCount = this.claimCounts.get(claim.organisation) ?? 0;
+    if (claimCount >= this.bounds.claimsPerOrganisation) {
       return { kind: 'overLimit', retryAfterMs: this.untilOldestExpires(claim) };
     }
     const { key, organisation, content, attempt, deadline, at } = claim;
@@ -147,7 +147,7 @@
     return { kind: 'granted' };
   }
 
-  private standing(entry: Entry, now: number): Verdict {
+  private resultFor(entry: Entry, now: number): Verdict {
     if (entry.settlement !== 'running') {
       return { kind: 'settled', settlement: entry.settlement, answer: entry.answer };
     }
@@ -161,45 +161,45 @@
     const entry = this.entries.get(settle.key);
     if (entry === undefined || entry.attempt !== settle.attempt) return { kind: 'ignored' };
     // Knowledge only grows: an answer may replace "unknown", never the other way about.
-    if (entry.settlement === 'completed') return this.standing(entry, settle.at);
+    if (entry.settlement === 'completed') return this.resultFor(entry, settle.at);
     entry.settlement = settle.settlement;
-    entry.answer = this.bounded(settle.answer);
-    return this.standing(entry, settle.at);
+    entry.answer = this.withinBodyLimit(settle.answer);
+    return this.resultFor(entry, settle.at);
   }
 
-  private bounded(answer: Answer | undefined): Answer | undefined {
+  private withinBodyLimit(answer: Answer | undefined): Answer | undefined {
     if (answer === undefined || answer.body.length <= this.bounds.answerLength) return answer;
     return { ...answer, body: '' };
   }
 
   private release({ key, attempt }: Release): Verdict {
     const entry = this.entries.get(key);
-    const mine = entry?.attempt === attempt && entry.settlement === 'running';
-    if (!mine) return { kind: 'ignored' };
-    this.drop(key);
+    const isOwner = entry?.attempt === attempt && entry.settlement === 'running';
+    if (!isOwner) return { kind: 'ignored' };
+    this.remove(key);
     return { kind: 'released' };
   }
 
   private add(entry: Entry): void {
     this.entries.set(entry.key, entry);
-    const held = this.perOrganisation.get(entry.organisation) ?? 0;
-    this.perOrganisation.set(entry.organisation, held + 1);
+    const claimCount = this.claimCounts.get(entry.organisation) ?? 0;
+    this.claimCounts.set(entry.organisation, claimCount + 1);
   }
 
-  private drop(key: string): void {
+  private remove(key: string): void {
     const entry = this.entries.get(key);
     if (entry === undefined) return;
     this.entries.delete(key);
-    const held = (this.perOrganisation.get(entry.organisation) ?? 1) - 1;
-    if (held > 0) this.perOrganisation.set(entry.organisation, held);
-    else this.perOrganisation.delete(entry.organisation);
+    const claimCount = (this.claimCounts.get(entry.organisation) ?? 1) - 1;
+    if (claimCount > 0) this.claimCounts.set(entry.organisation, claimCount);
+    else this.claimCounts.delete(entry.organisation);
   }
 
   /** Entries are in order of claiming, so expiry looks only at the oldest. */
   private expire(now: number): void {
     for (const [key, entry] of this.entries) {
       if (entry.at + this.bounds.retention > now) break;
-      this.drop(key);
+      this.remove(key);
       this.tombstones.set(key, entry.at);
     }
     for (const [key, at] of this.tombstones) {
--- a/packages/domain/src/memory/__tests__/memory.test.ts
+++ b/packages/domain/src/memory/__tests__/memory.test.ts
@@ -52,7 +52,7 @@
 });
 
 describe('gathering', () => {
-  interface Wish {
+  interface Prompt {
     parts: gathering.Part[];
     held: number;
     done: boolean;
@@ -67,32 +67,32 @@
       fastCheck.property(fastCheck.integer(), (seed) => {
         const source = random.seeded(seed);
         const free = new Map(['a', 'b', 'c'].map((name) => [name, 100]));
-        const wishes: Wish[] = Array.from({ length: 4 }, () => ({
+        const prompts: Prompt[] = Array.from({ length: 4 }, () => ({
           parts: ['a', 'b', 'c']
             .filter(() => source.uniform() < 0.8)
             .map((target) => ({ target, tokens: 30 + random.below(source, 71) })),
           held: 0,
           done: false,
         }));
-        const giveBack = (wish: Wish): void => {
-          wish.parts.slice(0, wish.held).forEach(({ target, tokens }) => {
+        const giveBack = (prompt: Prompt): void => {
+          prompt.parts.slice(0, prompt.held).forEach(({ target, tokens }) => {
             free.set(target, (free.get(target) as number) + tokens);
           });
-          wish.held = 0;
+          prompt.held = 0;
         };
-        for (let step = 0; step < 2_000 && wishes.some(({ done }) => !done); step++) {
-          const wish = random.pick(source, wishes);
-          const part = wish.parts[wish.held];
-          if (wish.done) continue;
+        for (let step = 0; step < 2_000 && prompts.some(({ done }) => !done); step++) {
+          const prompt = random.pick(source, prompts);
+          const part = prompt.parts[prompt.held];
+          if (prompt.done) continue;
           if (part === undefined) {
-            giveBack(wish);
-            wish.done = true;
+            giveBack(prompt);
+            prompt.done = true;
           } else if ((free.get(part.target) as number) >= part.tokens) {
             free.set(part.target, (free.get(part.target) as number) - part.tokens);
-            wish.held += 1;
-          } else giveBack(wish);
+            prompt.held += 1;
+          } else giveBack(prompt);
         }
-        expect(wishes.every(({ done }) => done)).to.equal(true);
+        expect(prompts.every(({ done }) => done)).to.equal(true);
         expect([...free.values()]).to.deep.equal([100, 100, 100]);
       }),
       { seed: 12, numRuns: 300 },
--- a/packages/domain/src/memory/gathering.ts
+++ b/packages/domain/src/memory/gathering.ts
@@ -23,15 +23,15 @@
   others: readonly target.Target[],
   freeTokens: (name: string) => number,
 ): Part[] | undefined {
-  let missing = tokens - Math.floor(primary.memoryTokens * HELPER_SHARE);
+  let missingTokens = tokens - Math.floor(primary.memoryTokens * HELPER_SHARE);
   const parts: Part[] = [];
   const ranked = [...others].sort((a, b) => freeTokens(b.name) - freeTokens(a.name));
   ranked.forEach(({ name, memoryTokens }) => {
-    if (missing <= 0) return;
-    const part = Math.min(missing, Math.floor(memoryTokens * HELPER_SHARE));
-    parts.push({ target: name, tokens: part });
-    missing -= part;
+    if (missingTokens <= 0) return;
+    const partTokens = Math.min(missingTokens, Math.floor(memoryTokens * HELPER_SHARE));
+    parts.push({ target: name, tokens: partTokens });
+    missingTokens -= partTokens;
   });
-  if (missing > 0) return undefined;
+  if (missingTokens > 0) return undefined;
   return parts.sort((a, b) => (a.target < b.target ? -1 : 1));
 }
--- a/packages/domain/src/memory/holding.ts
+++ b/packages/domain/src/memory/holding.ts
@@ -23,7 +23,7 @@
   tokens: number;
 }
 
-export type Finding = 'keep' | 'reclaim';
+export type ReclaimDecision = 'keep' | 'reclaim';
 
 /** What is known of a daemon that owns holdings. */
 export type Standing =
@@ -34,14 +34,14 @@
  * of its earlier holdings, so those count as left behind; an owner that is merely unknown keeps them
  * until the engine's own lease runs out.
  */
-export function judge(listed: Listed, standing: Standing): Finding {
+export function judge(listed: Listed, status: Standing): ReclaimDecision {
   if (listed.system !== SYSTEM) return 'keep';
-  if (standing.kind === 'dead') return 'reclaim';
-  if (standing.kind === 'unknown') return 'keep';
-  return standing.incarnation > listed.owner.incarnation ? 'reclaim' : 'keep';
+  if (status.kind === 'dead') return 'reclaim';
+  if (status.kind === 'unknown') return 'keep';
+  return status.incarnation > listed.owner.incarnation ? 'reclaim' : 'keep';
 }
 
-interface Held {
+interface LeasedResource {
   target: string;
   targetIncarnation: number;
   id: string;
@@ -61,45 +61,46 @@
 
 /** The holdings of one daemon. A release is retried until the engine confirmed it. */
 export class Holdings {
-  private readonly held = new Map<string, Held>();
+  private readonly resources = new Map<string, LeasedResource>();
 
   get size(): number {
-    return this.held.size;
+    return this.resources.size;
   }
 
   hold(target: string, targetIncarnation: number, id: string, kind: Kind): void {
-    const fresh = { state: 'held', retryAt: 0, tries: 0 } as const;
-    this.held.set(`${target}/${id}`, { target, targetIncarnation, id, kind, ...fresh });
+    const initial = { state: 'held', retryAt: 0, tries: 0 } as const;
+    this.resources.set(`${target}/${id}`, { target, targetIncarnation, id, kind, ...initial });
   }
 
   /** Marks for release; `due` hands it out until `confirmed`. */
   release(target: string, id: string, now: number): void {
-    const entry = this.held.get(`${target}/${id}`);
+    const entry = this.resources.get(`${target}/${id}`);
     if (entry === undefined) return;
     entry.state = 'releasing';
     entry.retryAt = now;
   }
 
   confirmed(target: string, id: string): void {
-    this.held.delete(`${target}/${id}`);
+    this.resources.delete(`${target}/${id}`);
   }
 
   /** An engine that restarted holds nothing. */
   targetRestarted(target: string, incarnation: number): void {
-    [...this.held].forEach(([key, entry]) => {
-      if (entry.target === target && entry.targetIncarnation < incarnation) this.held.delete(key);
+    [...this.resources].forEach(([key, entry]) => {
+      if (entry.target === target && entry.targetIncarnation < incarnation)
+        this.resources.delete(key);
     });
   }
 
   targetGone(target: string): void {
-    [...this.held].forEach(([key, entry]) => {
-      if (entry.target === target) this.held.delete(key);
+    [...this.resources].forEach(([key, entry]) => {
+      if (entry.target === target) this.resources.delete(key);
     });
   }
 
   /** Releases to send now; each is handed out again, later and later, until confirmed. */
   due(now: number): { target: string; id: string; kind: Kind }[] {
-    const ready = [...this.held.values()].filter(
+    const ready = [...this.resources.values()].filter(
       (entry) => entry.state === 'releasing' && entry.retryAt <= now,
     );
     return ready.map((entry) => {
@@ -111,7 +112,7 @@
 
   /** Reservations and exports to renew. */
   renewable(): { target: string; id: string }[] {
-    return [...this.held.values()]
+    return [...this.resources.values()]
       .filter(({ state, kind }) => state === 'held' && kind !== 'stream')
       .map(({ target, id }) => ({ target, id }));
   }
--- a/packages/domain/src/settings/__tests__/settings.test.ts
+++ b/packages/domain/src/settings/__tests__/settings.test.ts
@@ -42,17 +42,17 @@
         const answers = new Map<string, { content: string; kind: string }>();
         steps.forEach(({ subtree, basedOn, id, variant, restore }, index) => {
           const text = variant === 0 ? '' : `${GOOD}; ${variant}`;
-          const wish = change(`id${id}`, basedOn, text, subtree);
+          const request = change(`id${id}`, basedOn, text, subtree);
           const content = JSON.stringify([subtree, basedOn, text]);
-          const earlier = answers.get(wish.id);
+          const earlier = answers.get(request.id);
           const revision = revisions.get(subtree) ?? 0;
           const fresh = basedOn === revision ? 'accepted' : 'conflict';
           const replayed = earlier?.content === content ? earlier.kind : 'reused';
           const expected = earlier === undefined ? fresh : replayed;
           if (restore) tested = tree.Tree.restore(structuredClone(tested.snapshot()));
-          expect(tested.apply(wish, index + 1).answer.kind).to.equal(expected);
+          expect(tested.apply(request, index + 1).answer.kind).to.equal(expected);
           if (earlier !== undefined) return;
-          answers.set(wish.id, { content, kind: fresh });
+          answers.set(request.id, { content, kind: fresh });
           if (fresh === 'accepted') revisions.set(subtree, revision + 1);
         });
       }),
--- a/packages/domain/src/settings/directory.ts
+++ b/packages/domain/src/settings/directory.ts
@@ -11,7 +11,7 @@
   organisation: document.Organisation;
 }
 
-function allowed(organisations: readonly string[], name: string): boolean {
+function isAllowed(organisations: readonly string[], name: string): boolean {
   return organisations.includes('*') || organisations.includes(name);
 }
 
@@ -24,11 +24,11 @@
   private readonly revisions = new Map<string, number>();
 
   /** `former` lends its documents for subtrees that did not change: reading hundreds takes a while. */
-  constructor(subtrees: readonly tree.Subtree[], former?: Directory) {
+  constructor(subtrees: readonly tree.Subtree[], previous?: Directory) {
     subtrees.forEach(({ name, index, text }) => {
       this.revisions.set(name, index);
-      const same = former?.revisions.get(name) === index;
-      const known = same ? former?.documents.get(name) : undefined;
+      const same = previous?.revisions.get(name) === index;
+      const known = same ? previous?.documents.get(name) : undefined;
       const content = known ?? document.read(text).unwrapOr(undefined);
       if (content !== undefined) this.add(name, content);
     });
@@ -42,20 +42,20 @@
   model(tenant: Tenant, name: string): Option.Option<document.Model> {
     const models = this.documents.get(tenant.team)?.models ?? [];
     const found = models.find((model) => model.name === name);
-    const open = found !== undefined && allowed(found.organisations, tenant.organisation.name);
-    return open ? Option.some(found) : Option.none;
+    const isOpen = found !== undefined && isAllowed(found.organisations, tenant.organisation.name);
+    return isOpen ? Option.some(found) : Option.none;
   }
 
   models(tenant: Tenant): document.Model[] {
     const models = this.documents.get(tenant.team)?.models ?? [];
-    return models.filter(({ organisations }) => allowed(organisations, tenant.organisation.name));
+    return models.filter(({ organisations }) => isAllowed(organisations, tenant.organisation.name));
   }
 
   service(tenant: Tenant, name: string): Option.Option<document.Service> {
     const services = this.documents.get(tenant.team)?.services ?? [];
     const found = services.find((service) => service.name === name);
-    const open = found !== undefined && allowed(found.organisations, tenant.organisation.name);
-    return open ? Option.some(found) : Option.none;
+    const isOpen = found !== undefined && isAllowed(found.organisations, tenant.organisation.name);
+    return isOpen ? Option.some(found) : Option.none;
   }
 
   /** The operator of `team` whose token has this SHA-256. */
--- a/packages/domain/src/settings/document.ts
+++ b/packages/domain/src/settings/document.ts
@@ -174,11 +174,11 @@
 
 function danglingReferences(document: Document): schema.Problem[] {
   const known = new Set(document.organisations.map(({ name }) => name));
-  const holders = [
+  const owners = [
     ...document.models.map((model) => ({ section: `model.${model.name}`, ...model })),
     ...document.services.map((service) => ({ section: `service.${service.name}`, ...service })),
   ];
-  return holders.flatMap(({ section, organisations }) =>
+  return owners.flatMap(({ section, organisations }) =>
     organisations
       .filter((name) => name !== '*' && !known.has(name))
       .map((name) => ({
@@ -190,7 +190,7 @@
   );
 }
 
-function readSection(
+function decodeSection(
   document: Document,
   section: string,
   raw: Record<string, unknown>,
@@ -218,7 +218,7 @@
   const document: Document = { organisations: [], models: [], services: [], operators: [] };
   const problems: schema.Problem[] = [];
   schema.sectionsOf(text).forEach((raw, section) => {
-    readSection(document, section, raw, problems);
+    decodeSection(document, section, raw, problems);
   });
   if (problems.length === 0) problems.push(...danglingReferences(document));
   return problems.length === 0 ? Ok(document) : Err(problems);
--- a/packages/domain/src/settings/schema.ts
+++ b/packages/domain/src/settings/schema.ts
@@ -57,15 +57,15 @@
 export function numberIn(minimum: number, maximum: number): (text: string) => number | undefined {
   return (text) => {
     const value = Number(text);
-    const usable = text.trim() !== '' && value >= minimum && value <= maximum;
-    return usable ? value : undefined;
+    const isValid = text.trim() !== '' && value >= minimum && value <= maximum;
+    return isValid ? value : undefined;
   };
 }
 
 export function names(text: string): string[] | undefined {
   const parts = list(text);
-  const usable = parts.length > 0 && parts.every((part) => part === '*' || NAME.test(part));
-  return usable ? parts : undefined;
+  const areValid = parts.length > 0 && parts.every((part) => part === '*' || NAME.test(part));
+  return areValid ? parts : undefined;
 }
 
 export type Fields = Record<string, Codec<unknown>>;
--- a/packages/domain/src/settings/tree.ts
+++ b/packages/domain/src/settings/tree.ts
@@ -59,7 +59,7 @@
   index: number;
 }
 
-interface Remembered {
+interface StoredAnswer {
   id: string;
   content: string;
   answer: Answer;
@@ -68,14 +68,14 @@
 export interface Snapshot {
   subtrees: Subtree[];
   removed: { name: string; revision: number }[];
-  remembered: Remembered[];
+  remembered: StoredAnswer[];
 }
 
 /**
  * How many answers are kept for resends: two and a half days at 8,100 changes a day. An older resend
  * is still harmless: its base revision is stale, so it ends as a conflict and never applies twice.
  */
-export const REMEMBERED_ANSWERS = 20_000;
+export const MAX_STORED_ANSWERS = 20_000;
 
 const SUBTREE_NAME = /^[a-z0-9][a-z0-9-]{0,62}$/;
 
@@ -90,18 +90,21 @@
   /** Revisions go on counting after a removal, so that an old base can't match a new subtree. */
   private readonly removed = new Map<string, number>();
 
-  private readonly remembered = new Map<string, Remembered>();
+  private readonly answers = new Map<string, StoredAnswer>();
 
   /** Applies one change; the second value says whether the tree changed. */
   apply(change: Change, index: number): { answer: Answer; changed: boolean } {
-    const earlier = this.remembered.get(change.id);
+    const earlier = this.answers.get(change.id);
     if (earlier !== undefined) {
-      const same = earlier.content === contentOf(change);
-      return { answer: same ? earlier.answer : { kind: 'reused', id: change.id }, changed: false };
+      const isResend = earlier.content === contentOf(change);
+      return {
+        answer: isResend ? earlier.answer : { kind: 'reused', id: change.id },
+        changed: false,
+      };
     }
     const answer = this.decide(change, index);
-    this.remember({ id: change.id, content: contentOf(change), answer });
-    if (answer.kind === 'accepted') this.store(change, answer);
+    this.storeAnswer({ id: change.id, content: contentOf(change), answer });
+    if (answer.kind === 'accepted') this.storeSubtree(change, answer);
     return { answer, changed: answer.kind === 'accepted' };
   }
 
@@ -115,7 +118,7 @@
 
   /** The answer that a resend of `change` would get, if the id is known. */
   answerFor(change: Change): Answer | undefined {
-    const earlier = this.remembered.get(change.id);
+    const earlier = this.answers.get(change.id);
     if (earlier === undefined) return undefined;
     return earlier.content === contentOf(change)
       ? earlier.answer
@@ -124,14 +127,14 @@
 
   snapshot(): Snapshot {
     const removed = [...this.removed].map(([name, revision]) => ({ name, revision }));
-    return { subtrees: this.list(), removed, remembered: [...this.remembered.values()] };
+    return { subtrees: this.list(), removed, remembered: [...this.answers.values()] };
   }
 
   static restore(snapshot: Snapshot): Tree {
     const tree = new Tree();
     snapshot.subtrees.forEach((subtree) => tree.subtrees.set(subtree.name, subtree));
     snapshot.removed.forEach(({ name, revision }) => tree.removed.set(name, revision));
-    snapshot.remembered.forEach((entry) => tree.remembered.set(entry.id, entry));
+    snapshot.remembered.forEach((entry) => tree.answers.set(entry.id, entry));
     return tree;
   }
 
@@ -158,7 +161,7 @@
     return { kind: 'conflict', subtree, revision, author, text: current?.text ?? '' };
   }
 
-  private store(change: Change, { revision, index }: Accepted): void {
+  private storeSubtree(change: Change, { revision, index }: Accepted): void {
     const { subtree: name, text, author, at } = change;
     if (text.trim() === '') {
       this.subtrees.delete(name);
@@ -169,10 +172,10 @@
     this.subtrees.set(name, { name, revision, text, author, at, index });
   }
 
-  private remember(entry: Remembered): void {
-    this.remembered.set(entry.id, entry);
-    if (this.remembered.size <= REMEMBERED_ANSWERS) return;
-    const oldest = this.remembered.keys().next().value;
-    if (oldest !== undefined) this.remembered.delete(oldest);
+  private storeAnswer(entry: StoredAnswer): void {
+    this.answers.set(entry.id, entry);
+    if (this.answers.size <= MAX_STORED_ANSWERS) return;
+    const oldest = this.answers.keys().next().value;
+    if (oldest !== undefined) this.answers.delete(oldest);
   }
 }
--- a/packages/domain/src/shared/random.ts
+++ b/packages/domain/src/shared/random.ts
@@ -20,7 +20,7 @@
 const WARM_UP_DRAWS = 32;
 
 /** Spreads a change of any bit of `seed` over all 32; the last step of MurmurHash3. */
-function scrambled(seed: number): number {
+function mixBits(seed: number): number {
   let bits = seed;
   bits = Math.imul(bits ^ (bits >>> 16), 0x85ebca6b);
   bits = Math.imul(bits ^ (bits >>> 13), 0xc2b2ae35);
@@ -33,7 +33,7 @@
  * times in a row, so that nobody led for 1.6 s after a loss of all instead of 0.35 s.
  */
 export function independent(seed: number): Random {
-  const random = seeded(scrambled(seed));
+  const random = seeded(mixBits(seed));
   for (let i = 0; i < WARM_UP_DRAWS; i++) random.uniform();
   return random;
 }
--- a/packages/domain/src/stop/stop.ts
+++ b/packages/domain/src/stop/stop.ts
@@ -52,9 +52,9 @@
   daemons: readonly string[],
   remainders: ReadonlyMap<string, readonly Remainder[]>,
 ): Progress {
-  const done = daemons.every((id) => {
+  const isDone = daemons.every((id) => {
     const own = remainders.get(id)?.find((remainder) => remainder.stop === stop.id);
     return own !== undefined && own.running === 0;
   });
-  return done ? 'safeToStop' : 'draining';
+  return isDone ? 'safeToStop' : 'draining';
 }
--- a/packages/domain/src/target/keeper.ts
+++ b/packages/domain/src/target/keeper.ts
@@ -9,7 +9,7 @@
 export const KEEPERS_PER_TARGET = 2;
 
 /** Silence after which a target is gone, in milliseconds: three missed announcements. */
-export const DEFAULT_LEASE = 6_000;
+export const DEFAULT_LEASE_MS = 6_000;
 
 export function keepersOf(
   hash: hashing.Hash,
@@ -27,7 +27,7 @@
 export class Keeper {
   private readonly leases = new Map<string, Lease>();
 
-  constructor(private readonly lease: number = DEFAULT_LEASE) {}
+  constructor(private readonly leaseMs: number = DEFAULT_LEASE_MS) {}
 
   /** Takes an announcement; true when the other daemons should hear of it. */
   announce(announced: target.Target, now: number): boolean {
@@ -66,7 +66,7 @@
 
   /** Targets whose lease ran out, as "gone" at the sequence last heard. */
   expire(now: number): target.Target[] {
-    const silent = [...this.leases.values()].filter(({ heardAt }) => now - heardAt > this.lease);
+    const silent = [...this.leases.values()].filter(({ heardAt }) => now - heardAt > this.leaseMs);
     silent.forEach(({ announced }) => this.leases.delete(announced.name));
     return silent.map(({ announced }) => ({ ...announced, status: 'gone' }));
   }
--- a/packages/domain/src/target/target.ts
+++ b/packages/domain/src/target/target.ts
@@ -56,8 +56,8 @@
   if (candidate.status !== current.status) {
     // Within an incarnation leaving is final. "Gone" is a keeper's guess from silence, so a later
     // announcement of the target itself revokes it.
-    const revoked = current.status === 'gone' && candidate.sequence > current.sequence;
-    return revoked || STATUS_RANK[candidate.status] > STATUS_RANK[current.status];
+    const isRevoked = current.status === 'gone' && candidate.sequence > current.sequence;
+    return isRevoked || STATUS_RANK[candidate.status] > STATUS_RANK[current.status];
   }
   return candidate.sequence > current.sequence;
 }
@@ -81,7 +81,7 @@
  */
 export function isNews(candidate: Target, current: Target | undefined): boolean {
   if (current === undefined) return true;
-  const shape = ({ incarnation, status, address, models, memoryTokens }: Target): string =>
+  const relevantFields = ({ incarnation, status, address, models, memoryTokens }: Target): string =>
     JSON.stringify([incarnation, status, address, models, memoryTokens]);
-  return shape(candidate) !== shape(current);
+  return relevantFields(candidate) !== relevantFields(current);
 }
