--- a/packages/domain/src/catalogue/__tests__/catalogue.test.ts
+++ b/packages/domain/src/catalogue/__tests__/catalogue.test.ts
@@ -1,4 +1,4 @@
-/** Catalogues: what is refused, which route is found, which version wins. */
+/** Catalogues: validation, route lookup and the order of versions. */
 import * as chai from 'chai';
 import * as random from '../../shared/random';
 import * as catalogue from '../catalogue';
@@ -37,7 +37,7 @@
 }
 
 describe('catalogue', () => {
-  it('names everything that keeps it from being put in force', () => {
+  it('reports everything that prevents its activation', () => {
     const problems = catalogue.problemsOf(
       catalogueWith({
         routes: [
@@ -57,7 +57,7 @@
     expect(problems).toMatchSnapshot();
   });
 
-  it('finds the longest prefix of a host, whatever its case and port', () => {
+  it('finds the longest prefix of a host, ignoring its case and port', () => {
     const routes = [route('short', { pathPrefix: '/x/' }), route('long', { pathPrefix: '/x/y/' })];
     const found = new directory.Directory(catalogueWith({ routes }));
     expect(found.route('A.example:80', '/x/y/1')?.name).to.equal('long');
@@ -79,10 +79,10 @@
   });
 
   /*
-   * Settings would fall back. Two operators send versions 7 and 9 at once and 7, whose answer was lost, is
-   * sent again after 9 is in force.
+   * Guards against settings that revert: two operators send versions 7 and 9 at the same time, and
+   * 7, whose answer was lost, is resent after 9 is active.
    */
-  it('keeps the highest version whatever comes later', () => {
+  it('keeps the highest version in any order of arrival', () => {
     const held = new versions.Versions();
     const edition = (version: number, byte = version): versions.Edition => {
       return { version, packed: Uint8Array.of(byte) };
--- a/packages/domain/src/catalogue/catalogue.ts
+++ b/packages/domain/src/catalogue/catalogue.ts
@@ -1,13 +1,17 @@
 /**
- * The catalogue: the whole-document form of a fleet's settings. Where the tree of subtrees lets each team
- * change its own part, a catalogue is replaced as one document with a rising version, and says which
- * routes lead to which services, who may use them, and how the engines behind a service compute.
+ * The catalogue: the settings of a fleet as a single document. While teams change their own
+ * subtrees in the settings tree, a catalogue is replaced as a whole with a rising version. It
+ * defines which routes lead to which services, who may use them, and how the engines behind a
+ * service perform.
  */
 
-/** `safe` may run again, `unsafe` at most once, `streaming` only where it can resume. */
+/**
+ * `safe` requests may be repeated, `unsafe` ones run at most once, and `streaming` ones are
+ * repeated only where they can resume.
+ */
 export type RouteKind = 'safe' | 'unsafe' | 'streaming';
 
-/** Part of a route's requests that a service gets. */
+/** The share of a route's requests that goes to a service. */
 export interface Share {
   service: string;
   weight: number;
@@ -16,54 +20,54 @@
 export interface Route {
   name: string;
   host: string;
-  /** Begins and ends with a slash. */
+  /** Starts and ends with a slash. */
   pathPrefix: string;
   kind: RouteKind;
-  /** Longest time that a caller may be kept waiting, milliseconds. */
+  /** Maximum time that a caller waits, milliseconds. */
   timeoutMs: number;
-  /** Latency objective up to the first byte, milliseconds. */
+  /** Latency objective for the first byte, milliseconds. */
   objectiveMs: number;
   /** 0 is the most urgent. */
   priority: number;
   shares: readonly Share[];
-  /** Most targets that one request may be sent to. */
+  /** Maximum number of targets that one request is sent to. */
   maxAttempts: number;
   /** Whether callers need no key. */
   isPublic: boolean;
-  /** Whether a broken stream may go on at another target after its last whole event. */
+  /** Whether a broken stream may be resumed at another target after its last complete event. */
   isResumable: boolean;
-  /** Longest pause between events of an answer that is on time, milliseconds. */
+  /** Maximum inter-token gap of a stream that is on time, milliseconds. */
   pauseMs: number;
 }
 
-/** How the engines of a service compute; the allocator predicts from it. */
+/** Performance model of a service's engines, used by the allocator for predictions. */
 export interface Engine {
-  /** Requests that one engine runs at once. */
+  /** Requests that one engine runs concurrently. */
   slots: number;
-  /** Tokens that fit into one engine's memory. */
+  /** Memory of one engine, in tokens. */
   memoryTokens: number;
-  /** Steps of a pass in which at least one request writes. */
+  /** Engine steps in a pass with at least one decoding request. */
   stepsPerPass: number;
   stepMs: number;
-  /** Added to a step for each writing request. */
+  /** Added to an engine step for each decoding request. */
   writerStepMs: number;
-  /** Added to a step for each thousand tokens of context of a writing request. */
+  /** Added to an engine step for each thousand context tokens of a decoding request. */
   contextStepMs: number;
   readTokensPerMs: number;
-  /** Milliseconds for a million pairs of a prompt token and an earlier one. */
+  /** Attention cost: milliseconds for a million pairs of a prompt token and an earlier one. */
   pairMsPerMillion: number;
-  /** Most prompt tokens read in one step. */
+  /** Maximum number of prompt tokens prefilled in one engine step. */
   chunkTokens: number;
-  /** Added to each step of a request whose prompt was read by several engines. */
+  /** Added to each engine step of a request whose prompt was prefilled by several engines. */
   hopMs: number;
-  /** Mean answer in tokens, for requests that say nothing of theirs. */
+  /** Mean length of an answer in tokens, for requests without a length of their own. */
   usualAnswerTokens: number;
 }
 
 export interface Service {
   name: string;
   healthPath: string;
-  /** Connections that one target takes from all callers together. */
+  /** Connections that one target accepts from all callers together. */
   maxConnections: number;
   engine: Engine | undefined;
 }
@@ -71,11 +75,11 @@
 export interface Organisation {
   name: string;
   keys: readonly string[];
-  /** Goes before the priority of routes. */
+  /** Takes precedence over the priority of routes. */
   priority: number;
 }
 
-/** Bounds on what a caller may send. */
+/** Limits for requests of callers. */
 export interface Limits {
   maxHeaderBytes: number;
   maxBodyBytes: number;
@@ -87,17 +91,17 @@
   version: number;
   routes: readonly Route[];
   services: readonly Service[];
-  /** Undefined where callers need no keys at all. */
+  /** Undefined where callers need no keys. */
   organisations: readonly Organisation[] | undefined;
   limits: Limits;
 }
 
-/** Why a catalogue can't be put in force. */
+/** Why a catalogue can't be activated. */
 export type Fault = 'unknownService' | 'samePlace' | 'noWeight' | 'noTimeout' | 'sharedKey';
 
 export interface Problem {
   fault: Fault;
-  /** The route or organisation at fault. */
+  /** The invalid route or organisation. */
   subject: string;
 }
 
@@ -123,7 +127,7 @@
   });
 }
 
-/** Everything that keeps a catalogue from being put in force. */
+/** All problems that prevent the activation of a catalogue. */
 export function problemsOf({ routes, services, organisations = [] }: Catalogue): Problem[] {
   const names = new Set(services.map(({ name }) => name));
   const problems = routes.flatMap((route) => routeProblems(route, names));
--- a/packages/domain/src/catalogue/directory.ts
+++ b/packages/domain/src/catalogue/directory.ts
@@ -1,4 +1,4 @@
-/** Look-ups in one catalogue, prepared once: the route of a request, the organisation of a key. */
+/** Precomputed lookups in one catalogue: the route of a request, the organisation of a key. */
 import * as random from '../shared/random';
 import type * as catalogue from './catalogue';
 
@@ -27,7 +27,7 @@
     return this.catalogue.version;
   }
 
-  /** The route with the longest prefix that begins the path. A port in `host` doesn't matter. */
+  /** The route with the longest prefix of the path. A port in `host` is ignored. */
   route(host: string, path: string): catalogue.Route | undefined {
     const name = host.replace(/:\d+$/, '').toLowerCase();
     return this.byHost.get(name)?.find(({ pathPrefix }) => path.startsWith(pathPrefix));
@@ -46,7 +46,7 @@
   }
 }
 
-/** One of a route's services, by weight. */
+/** Picks one of a route's services by weight. */
 export function pickService(route: catalogue.Route, source: random.Random): string {
   const total = route.shares.reduce((sum, { weight }) => sum + weight, 0);
   let left = source.uniform() * total;
--- a/packages/domain/src/catalogue/versions.ts
+++ b/packages/domain/src/catalogue/versions.ts
@@ -1,10 +1,10 @@
 /**
- * The replicated state machine that holds the newest catalogue. The highest version wins; a version that
- * is not higher is acknowledged and changes nothing, so a change that was sent twice, or overtaken on
- * its way, can never bring an older state back.
+ * Replicated state machine with the newest catalogue. The highest version wins; a lower or equal
+ * version is acknowledged without effect, so a change that is sent twice or arrives late never
+ * restores an older state.
  */
 
-/** A catalogue as it was sent; replication doesn't read it. */
+/** A packed catalogue as sent; opaque to replication. */
 export interface Edition {
   version: number;
   /** The document, compressed. */
@@ -12,9 +12,9 @@
 }
 
 export interface Acceptance {
-  /** The version in force afterwards. */
+  /** The active version afterwards. */
   version: number;
-  /** Whether this edition came into force. */
+  /** Whether this catalogue was activated. */
   changed: boolean;
 }
 
--- a/packages/domain/src/control/__tests__/view.test.ts
+++ b/packages/domain/src/control/__tests__/view.test.ts
@@ -1,4 +1,7 @@
-/** A follower's view against the state it follows: by deltas, by digests, never backwards. */
+/**
+ * A follower's view against the state that it replicates: updated by deltas and by digests, never
+ * reverted.
+ */
 import * as chai from 'chai';
 import * as fastCheck from 'fast-check';
 import * as hashing from '../../shared/hashing';
@@ -43,7 +46,7 @@
 }
 
 describe('view', () => {
-  it('equals the state after deltas, after a comparison of digests, and after a restart', async () => {
+  it('equals the state after deltas, after a comparison of digests, and after adopting a state', async () => {
     const hash = await hashing.load();
     fastCheck.assert(
       fastCheck.property(
@@ -81,10 +84,10 @@
   });
 
   /*
-   * A fitter's new price list is in force, and then the old one is back: a daemon that lagged behind
-   * served as upstream, and its older word was taken.
+   * Guards against a setting that reverts: a daemon that lagged behind served as upstream, and its
+   * older update was applied.
    */
-  it('takes nothing that is older than what it holds', () => {
+  it('ignores everything older than its own state', () => {
     const tested = new view.View();
     const delta = (index: number, text: string): state.Delta => {
       const subtree = { name: 'a', revision: index, text, author: '', at: 0, index };
--- a/packages/domain/src/control/state.ts
+++ b/packages/domain/src/control/state.ts
@@ -1,12 +1,12 @@
 /**
- * The state machine of the settings log: the settings tree, the registered daemons, planned stops,
- * and the audit trail of what operators and the system itself did. Deterministic: every replica that
- * applied the same entries holds the same state.
+ * Replicated state machine of the settings log: the settings tree, the registered daemons, planned
+ * stops, and the audit trail of the actions of operators and of the system itself. Deterministic:
+ * replicas that applied the same entries have the same state.
  */
 import * as tree from '../settings/tree';
 import * as stop from '../stop/stop';
 
-/** A daemon that takes part; the majority rule of freshness counts these. */
+/** A registered daemon; the majority rule of `membership/freshness` counts these. */
 export interface Registered {
   id: string;
   address: string;
@@ -18,7 +18,7 @@
 export interface Audit {
   index: number;
   at: number;
-  /** An operator's name, or `system` for what the system did by itself. */
+  /** An operator's name, or `system` for actions of the system itself. */
   author: string;
   address: string;
   action: string;
@@ -32,11 +32,14 @@
   | { kind: 'unregister'; id: string; at: number; reason: string }
   | { kind: 'announceStop'; stop: stop.Stop; address: string }
   | { kind: 'cancelStop'; id: string; author: string; address: string; at: number }
-  /** A model that this system had a target load (or unload): only such may it unload again. */
+  /**
+   * A model that this system ordered a target to load or unload; it unloads only models that it
+   * ordered itself.
+   */
   | { kind: 'ordered'; key: string; loaded: boolean; at: number }
   | { kind: 'note'; action: string; subject: string; detail: string; at: number };
 
-/** What a follower must change in its view. */
+/** A change for the view of a follower. */
 export type Delta =
   | { kind: 'subtree'; index: number; name: string; subtree: tree.Subtree | undefined }
   | { kind: 'daemon'; index: number; id: string; daemon: Registered | undefined }
@@ -56,10 +59,10 @@
   audit: Audit[];
 }
 
-/** Audit entries kept in the log's state; about a day of changes at the letter's size. */
+/** Audit entries that the state keeps, enough for about a day of changes at the expected rate. */
 export const AUDIT_LIMIT = 10_000;
 
-/** Longest before/after text kept with an audit entry, in characters. */
+/** Maximum length of the texts before and after a change in an audit entry, in characters. */
 const AUDIT_TEXT_LIMIT = 2_000;
 
 function truncated(text: string): string {
@@ -75,7 +78,7 @@
 
   readonly stops = new Map<string, stop.Stop>();
 
-  /** Keys of what this system loaded on targets. */
+  /** Keys of the models that this system loaded on targets. */
   readonly ordered = new Set<string>();
 
   private audit: Audit[] = [];
--- a/packages/domain/src/control/view.ts
+++ b/packages/domain/src/control/view.ts
@@ -1,20 +1,20 @@
 /**
- * What every daemon holds of the control state: subtrees, registered daemons, planned stops, as of a
- * log index. A view only moves forward. A daemon that fell behind compares digests with its upstream
- * and fetches only the parts that differ.
+ * Every daemon's view of the control state: subtrees, registered daemons and planned stops, as of a
+ * log index. A view only moves forward. A daemon that fell behind compares digests with its
+ * upstream and fetches only the items that differ.
  */
 import * as hashing from '../shared/hashing';
 import * as tree from '../settings/tree';
 import * as stop from '../stop/stop';
 import * as state from './state';
 
-/** One item of a view, with the key under which digests compare it. */
+/** An item of a view, with the key under which digests compare it. */
 export interface Part {
   key: string;
   delta: state.Delta;
 }
 
-/** Digest of each bucket of parts; equal buckets need no look at their parts. */
+/** Digests of the buckets of items; the items in equal buckets need no comparison. */
 export interface Digest {
   index: number;
   buckets: number[];
@@ -22,7 +22,7 @@
 
 export const BUCKET_COUNT = 64;
 
-/** Deltas kept for followers that are a little behind. */
+/** Deltas that are kept for followers that are slightly behind. */
 export const MAX_DELTAS = 1_024;
 
 function keyOf(delta: state.Delta): string {
@@ -41,10 +41,12 @@
 
   private deltas: state.Delta[] = [];
 
-  /** Followers behind this index can't be served from `deltas`. */
+  /** Index before which followers can't be served from `deltas`. */
   private deltasAfter = 0;
 
-  /** Takes deltas up to `index`; what is not newer is left out, so nothing ever goes back. */
+  /**
+   * Applies deltas up to `index`; those that aren't newer are ignored, so the view never reverts.
+   */
   advance(deltas: readonly state.Delta[], index: number): boolean {
     if (index <= this.index) return false;
     deltas.filter((delta) => delta.index > this.index).forEach((delta) => this.applyDelta(delta));
@@ -53,7 +55,7 @@
     return true;
   }
 
-  /** Replaces the differing parts after a comparison of digests made at `index`. */
+  /** Replaces the differing items after a comparison of digests made at `index`. */
   replace(parts: readonly Part[], removed: readonly string[], index: number): boolean {
     if (index <= this.index) return false;
     removed.forEach((key) => this.removeItem(key));
@@ -64,7 +66,7 @@
     return true;
   }
 
-  /** Deltas after `index`, or undefined when they no longer reach back that far. */
+  /** Deltas after `index`; undefined when they no longer reach back that far. */
   since(index: number): state.Delta[] | undefined {
     if (index < this.deltasAfter) return undefined;
     return this.deltas.filter((delta) => delta.index > index);
@@ -74,18 +76,18 @@
     const buckets = new Array<number>(BUCKET_COUNT).fill(0);
     this.items().forEach((part) => {
       const bucket = hash(part.key) % BUCKET_COUNT;
-      // Addition makes the digest independent of the order in which parts arrived.
+      // Addition makes the digest independent of the order in which items arrived.
       buckets[bucket] = ((buckets[bucket] ?? 0) + hash(JSON.stringify(part.delta))) % 2 ** 32;
     });
     return { index: this.index, buckets };
   }
 
-  /** The parts in buckets whose digest differs from the other side's. */
+  /** The items in buckets whose digest differs from the other side's. */
   partsIn(hash: hashing.Hash, buckets: ReadonlySet<number>): Part[] {
     return this.items().filter(({ key }) => buckets.has(hash(key) % BUCKET_COUNT));
   }
 
-  /** Keys in those buckets that are here but not in `kept`: the other side removed them. */
+  /** Keys in those buckets that are here but not in `kept`, as the other side has removed them. */
   keysBeyond(
     hash: hashing.Hash,
     buckets: ReadonlySet<number>,
@@ -96,7 +98,7 @@
       .filter((key) => !kept.has(key));
   }
 
-  /** Starts over from a replica's own state, if that is newer. */
+  /** Replaces the view by a replica's own state, if that is newer. */
   adopt(source: state.State): boolean {
     if (source.index <= this.index) return false;
     this.subtrees.clear();
@@ -112,7 +114,8 @@
   }
 
   private items(): Part[] {
-    // The index of a part's last change is left out: two views may have learnt it by other ways.
+    // The index of an item's last change is left out, as two views may have received it by
+    // different paths.
     const index = 0;
     const deltas: state.Delta[] = [
       ...[...this.subtrees].map(([name, subtree]): state.Delta => {
--- a/packages/domain/src/index.ts
+++ b/packages/domain/src/index.ts
@@ -1,4 +1,4 @@
-/** The aggregates of celerydrift: state and rules, without input, output, clock or chance. */
+/** The domain model of celerydrift: state and rules, without input, output, clock or randomness. */
 export * as allocation from './allocation';
 export * as backOff from './backOff';
 export * as catalogue from './catalogue';
--- a/packages/domain/src/ledger/__tests__/ledger.test.ts
+++ b/packages/domain/src/ledger/__tests__/ledger.test.ts
@@ -1,4 +1,4 @@
-/** The at-most-once ledger against a naive one, and its answers to resends. */
+/** The at-most-once ledger against a simple reference, and its answers to resends. */
 import * as chai from 'chai';
 import * as fastCheck from 'fast-check';
 import * as ledger from '../ledger';
@@ -24,11 +24,11 @@
 });
 
 describe('ledger', () => {
-  it('grants a key to one attempt only until that attempt proves that it was not run', () => {
+  it('grants a key to a single attempt unless that attempt releases it as not run', () => {
     fastCheck.assert(
       fastCheck.property(fastCheck.array(COMMAND, { maxLength: 60 }), (commands) => {
         let tested = new ledger.Ledger(LIMITS);
-        // The naive ledger: who may have dispatched each key, for ever.
+        // The reference: the attempt that may have dispatched each key, for ever.
         const dispatchers = new Map<string, string>();
         let at = 0;
         commands.forEach(({ kind, key, attempt, wait }) => {
@@ -70,7 +70,7 @@
     }).toMatchSnapshot();
   });
 
-  it('bounds claims of an organisation and the length of answers', () => {
+  it('limits claims of an organisation and the length of answers', () => {
     const tested = new ledger.Ledger(LIMITS);
     const verdicts = ['1', '2', '3', '4', '5'].map((key) => tested.apply(claim(key, 'a', 10)).kind);
     const answer = { status: 200, contentType: 'text/plain', body: 'longer than ten' };
--- a/packages/domain/src/ledger/ledger.ts
+++ b/packages/domain/src/ledger/ledger.ts
@@ -1,11 +1,11 @@
 /**
- * Claims on calls that may not be repeated. A claim is committed in the replicated log before the
- * call is dispatched, and only the attempt that holds the claim ever dispatches it, once. Whatever
- * dies afterwards, a resend finds the claim: it gets the stored answer, or waits, or hears that the
+ * At-most-once execution of calls that must not be repeated. A claim is committed in the replicated
+ * log before the call is dispatched, and only the attempt that holds the claim dispatches it, once.
+ * After any crash a resend finds the claim: it gets the stored answer, waits, or is told that the
  * outcome is unknown, but never runs the call again.
  */
 
-/** What a caller is told again on a resend. */
+/** The stored answer that a resend gets. */
 export interface Answer {
   status: number;
   contentType: string;
@@ -14,21 +14,26 @@
 
 export type Settlement = 'completed' | 'unknown';
 
-/** Asks to run a call. */
+/** Requests the right to run a call. */
 export interface Claim {
   kind: 'claim';
   key: string;
   organisation: string;
-  /** Digest of method, path and body: the same key with other content is an error. */
+  /** Digest of method, path and body; the same key with another digest is an error. */
   content: string;
-  /** One HTTP request at one daemon; a claim resent by the same attempt is granted again. */
+  /** Id of one HTTP request at one daemon; a claim that this attempt resends is granted again. */
   attempt: string;
-  /** On the clock of the leader that took it, milliseconds; after it the attempt dispatches no more, so silence means unknown. */
+  /**
+   * Deadline by the clock of the leader that accepted the claim, milliseconds. The attempt
+   * dispatches nothing after it, so a claim that isn't settled by then has an unknown outcome.
+   */
   deadline: number;
   at: number;
 }
 
-/** A claim on its way to the leader, which turns the time left into a point in time of its own clock. */
+/**
+ * A claim as sent to the leader, which converts the remaining time to a deadline by its own clock.
+ */
 export type TimedClaim = Omit<Claim, 'deadline'> & { timeLeftMs: number };
 
 export interface Settle {
@@ -40,7 +45,7 @@
   at: number;
 }
 
-/** Gives a claim back because the call certainly did not run. */
+/** Gives up a claim because the call certainly didn't run. */
 export interface Release {
   kind: 'release';
   key: string;
@@ -71,15 +76,18 @@
   answer: Answer | undefined;
 }
 
-/** Bounds of one ledger. */
+/** Limits of one ledger. */
 export interface LedgerLimits {
-  /** Milliseconds that an answer is kept for resends. */
+  /** Time that an answer is kept for resends, milliseconds. */
   retention: number;
-  /** Milliseconds that the key alone is remembered after that, and refused. */
+  /** Time after that in which the key alone is kept and refused, milliseconds. */
   tombstones: number;
-  /** Claims one organisation may hold within the retention. */
+  /** Claims that one organisation may have within the retention. */
   claimsPerOrganisation: number;
-  /** Longest stored body, in characters; of a longer answer only the status is kept. */
+  /**
+   * Maximum length of a stored body, in characters; of a longer answer only status and content type
+   * are kept.
+   */
   answerLength: number;
 }
 
@@ -95,7 +103,10 @@
   tombstones: { key: string; at: number }[];
 }
 
-/** The aggregate. Only `apply` changes it, in log order, so that every replica decides alike. */
+/**
+ * Replicated state machine of the ledger. Only `apply` changes it, in log order, so all replicas
+ * reach the same decisions.
+ */
 export class Ledger {
   private readonly entries = new Map<string, Entry>();
 
@@ -132,7 +143,8 @@
     const known = this.entries.get(claim.key);
     if (known !== undefined) {
       if (known.content !== claim.content) return { kind: 'mismatch' };
-      // The grant was lost on its way: the same attempt has not dispatched yet, so it may.
+      // The grant was lost on its way to the attempt, which hasn't dispatched the call yet and
+      // still may.
       const isSameAttempt = known.attempt === claim.attempt && known.settlement === 'running';
       return isSameAttempt ? { kind: 'granted' } : this.resultFor(known, claim.at);
     }
@@ -151,8 +163,8 @@
     if (entry.settlement !== 'running') {
       return { kind: 'settled', settlement: entry.settlement, answer: entry.answer };
     }
-    // Its attempt dispatches nothing after the deadline; if it still has not settled, it died or was
-    // cut off, and nobody can say whether the call ran.
+    // The attempt dispatches nothing after the deadline. If it hasn't settled the claim by now, it
+    // crashed or was cut off, and it can't be known whether the call ran.
     if (now > entry.deadline) return { kind: 'settled', settlement: 'unknown', answer: undefined };
     return { kind: 'running', deadline: entry.deadline };
   }
@@ -160,7 +172,7 @@
   private settle(settle: Settle): Verdict {
     const entry = this.entries.get(settle.key);
     if (entry === undefined || entry.attempt !== settle.attempt) return { kind: 'ignored' };
-    // Knowledge only grows: an answer may replace "unknown", never the other way about.
+    // An answer may replace an unknown outcome, but never the reverse.
     if (entry.settlement === 'completed') return this.resultFor(entry, settle.at);
     entry.settlement = settle.settlement;
     entry.answer = this.withinBodyLimit(settle.answer);
@@ -195,7 +207,7 @@
     else this.claimCounts.delete(entry.organisation);
   }
 
-  /** Entries are in order of claiming, so expiry looks only at the oldest. */
+  /** Entries are in the order of their claims, so only the oldest need a check. */
   private expire(now: number): void {
     for (const [key, entry] of this.entries) {
       if (entry.at + this.bounds.retention > now) break;
--- a/packages/domain/src/memory/__tests__/memory.test.ts
+++ b/packages/domain/src/memory/__tests__/memory.test.ts
@@ -1,4 +1,7 @@
-/** Memory on engines: who may free what, releases until confirmed, gathering without deadlock. */
+/**
+ * Memory on engines: who may reclaim it, releases until confirmation, reservations on several
+ * engines without deadlock.
+ */
 import * as chai from 'chai';
 import * as fastCheck from 'fast-check';
 import * as random from '../../shared/random';
@@ -7,12 +10,12 @@
 
 const { expect } = chai;
 
-describe('holdings', () => {
+describe('leased resources', () => {
   /*
-   * After a daemon died its memory stays on the engines, or a survivor frees what the older system
-   * holds there and its users lose their streams.
+   * Guards against memory that stays on the engines after its daemon died, and against reclaiming
+   * resources of the older system, whose users would lose their streams.
    */
-  it('reclaims only what is ours and whose owner is surely gone', () => {
+  it('are reclaimed only if they are ours and their owner is dead or restarted', () => {
     const owner = { daemon: 'd', incarnation: 5 };
     const listed = { id: 'h', kind: 'stream', owner, tokens: 1 } as const;
     const standings: holding.Standing[] = [
@@ -28,7 +31,7 @@
     expect(findings).toMatchSnapshot();
   });
 
-  it('hands a release out again, later and later, until it is confirmed', () => {
+  it('repeat a release with increasing delays until it is confirmed', () => {
     const tested = new holding.Holdings();
     tested.hold('e', 1, 'h', 'stream');
     const times: number[] = [];
@@ -42,7 +45,7 @@
     ]);
   });
 
-  it('forgets what an engine held before its restart', () => {
+  it('are dropped when their engine restarts', () => {
     const tested = new holding.Holdings();
     tested.hold('e', 1, 'old', 'stream');
     tested.hold('e', 2, 'new', 'reservation');
@@ -59,10 +62,10 @@
   }
 
   /*
-   * Two surveyors send million-token histories through two daemons, and both hang for ever: each
-   * daemon holds the memory that the other waits for.
+   * Guards against a deadlock: two long prompts are sent through two daemons, and each daemon has
+   * reserved the memory that the other waits for.
    */
-  it('ends for all of several daemons, whatever the interleaving', () => {
+  it('completes for all of several daemons in any interleaving', () => {
     fastCheck.assert(
       fastCheck.property(fastCheck.integer(), (seed) => {
         const source = random.seeded(seed);
--- a/packages/domain/src/memory/gathering.ts
+++ b/packages/domain/src/memory/gathering.ts
@@ -1,7 +1,7 @@
 /**
- * Memory of several engines for one prompt that no single engine can hold: all of it or none. Engines
- * are asked in the order of their names, by every daemon, and a daemon that is refused gives back
- * everything before it tries again. So two daemons never each hold what the other waits for.
+ * Reserves memory on several engines for a prompt that no single engine can hold: all parts or
+ * none. Every daemon reserves in the order of the engines' names, and a daemon that is refused
+ * releases everything before it retries, so two daemons never wait for each other's memory.
  */
 import * as target from '../target/target';
 
@@ -10,12 +10,12 @@
   tokens: number;
 }
 
-/** Largest share of a helper's memory that one prompt may take. */
+/** Maximum fraction of an engine's memory that one prompt may take. */
 export const HELPER_SHARE = 0.8;
 
 /**
- * The parts to reserve beside the primary engine, in the order of asking, or undefined when the
- * fleet can't hold the prompt at all.
+ * The parts to reserve besides the primary engine, in the order of reservation; undefined when the
+ * engines together can't hold the prompt.
  */
 export function plan(
   tokens: number,
--- a/packages/domain/src/memory/holding.ts
+++ b/packages/domain/src/memory/holding.ts
@@ -1,7 +1,8 @@
 /**
- * What this system makes engines hold: reservations, exports, pinned prefixes, running streams. Each
- * holding has an owner (daemon and incarnation) and a lease. The owner renews or releases; when it
- * dies, survivors reclaim, but only what the engine's own listing shows to be ours.
+ * Resources that this system leases on engines: reservations, exports, pinned prefixes, running
+ * streams. Each has an owner (daemon and incarnation) and a lease. The owner renews or releases it;
+ * when the owner dies, other daemons reclaim it, but only if the engine lists it as a resource of
+ * this system.
  */
 
 export type Kind = 'reservation' | 'export' | 'stream';
@@ -11,10 +12,13 @@
   incarnation: number;
 }
 
-/** Marks holdings of this system; an older one shares the engines, and its holdings are not ours. */
+/**
+ * Identifies resources of this system; an older system shares the engines, and its resources must
+ * not be touched.
+ */
 export const SYSTEM = 'celerydrift';
 
-/** One holding as an engine lists it. */
+/** A leased resource as an engine lists it. */
 export interface Listed {
   id: string;
   system: string;
@@ -25,14 +29,14 @@
 
 export type ReclaimDecision = 'keep' | 'reclaim';
 
-/** What is known of a daemon that owns holdings. */
+/** Status of a daemon that owns resources. */
 export type Standing =
   { kind: 'live'; incarnation: number } | { kind: 'dead' } | { kind: 'unknown' };
 
 /**
- * Whether a survivor should free a listed holding. A restarted owner (newer incarnation) knows nothing
- * of its earlier holdings, so those count as left behind; an owner that is merely unknown keeps them
- * until the engine's own lease runs out.
+ * Whether another daemon should free a listed resource. An owner that restarted (newer incarnation)
+ * has no record of its earlier resources, so those are reclaimed; an owner of unknown status keeps
+ * them until the engine's own lease expires.
  */
 export function judge(listed: Listed, status: Standing): ReclaimDecision {
   if (listed.system !== SYSTEM) return 'keep';
@@ -47,7 +51,7 @@
   id: string;
   kind: Kind;
   state: 'held' | 'releasing';
-  /** When to try the release again. */
+  /** Time of the next attempt to release it. */
   retryAt: number;
   tries: number;
 }
@@ -56,10 +60,10 @@
 
 const RELEASE_RETRY_MAX_MS = 5_000;
 
-/** Renewal is due well before the engine's lease runs out. */
+/** Lease of a resource at its engine; renewals come well before its end. */
 export const LEASE_MS = 15_000;
 
-/** The holdings of one daemon. A release is retried until the engine confirmed it. */
+/** The leased resources of one daemon. A release is retried until the engine confirms it. */
 export class Holdings {
   private readonly resources = new Map<string, LeasedResource>();
 
@@ -72,7 +76,7 @@
     this.resources.set(`${target}/${id}`, { target, targetIncarnation, id, kind, ...initial });
   }
 
-  /** Marks for release; `due` hands it out until `confirmed`. */
+  /** Marks a resource for release; the release stays due until it is confirmed. */
   release(target: string, id: string, now: number): void {
     const entry = this.resources.get(`${target}/${id}`);
     if (entry === undefined) return;
@@ -84,7 +88,7 @@
     this.resources.delete(`${target}/${id}`);
   }
 
-  /** An engine that restarted holds nothing. */
+  /** A restarted engine has lost the resources of its earlier incarnations. */
   targetRestarted(target: string, incarnation: number): void {
     [...this.resources].forEach(([key, entry]) => {
       if (entry.target === target && entry.targetIncarnation < incarnation)
@@ -98,7 +102,7 @@
     });
   }
 
-  /** Releases to send now; each is handed out again, later and later, until confirmed. */
+  /** Releases to send now; each is repeated with exponential backoff until confirmed. */
   due(now: number): { target: string; id: string; kind: Kind }[] {
     const ready = [...this.resources.values()].filter(
       (entry) => entry.state === 'releasing' && entry.retryAt <= now,
--- a/packages/domain/src/settings/__tests__/settings.test.ts
+++ b/packages/domain/src/settings/__tests__/settings.test.ts
@@ -1,4 +1,4 @@
-/** The settings tree against a naive sequential store, and the errors of bad files. */
+/** The settings tree against a simple sequential store, and the errors for invalid files. */
 import * as chai from 'chai';
 import * as fastCheck from 'fast-check';
 import * as document from '../document';
@@ -34,7 +34,7 @@
 });
 
 describe('settings tree', () => {
-  it('decides like a naive sequential store, through snapshots', () => {
+  it('decides like a simple sequential store, also across snapshots', () => {
     fastCheck.assert(
       fastCheck.property(fastCheck.array(STEP, { maxLength: 50 }), (steps) => {
         let tested = new tree.Tree();
@@ -61,10 +61,11 @@
   });
 
   /*
-   * Two operators look at revision 1 and both send a change. One must win; the other must see what
-   * was changed, and a resend of the winner after its answer was lost must get the first answer.
+   * Guards against lost updates: two operators send changes based on revision 1. One is accepted
+   * and the other gets the accepted text. A resend of the accepted change, whose answer was lost,
+   * gets the first answer.
    */
-  it('lets one of two racing operators win and shows the other what changed', () => {
+  it('accepts one of two concurrent changes and returns the accepted text to the other', () => {
     const tested = new tree.Tree();
     tested.apply(change('one', 0, GOOD), 1);
     expect({
@@ -75,7 +76,7 @@
     }).toMatchSnapshot();
   });
 
-  it('names section, key, value and mend of everything wrong in a file', () => {
+  it('reports section, key, value and fix of every problem in a file', () => {
     const bad = {
       unknownSection: '[organisations.a]\nkey = x',
       unknownKey: `[organisation.a]\nkey = ${KEY}\nshares = 2`,
@@ -93,7 +94,7 @@
     expect(Object.fromEntries(problems)).toMatchSnapshot();
   });
 
-  it('reads any text without throwing', () => {
+  it('parses any text without throwing', () => {
     const line = fastCheck.oneof(
       fastCheck.string(),
       fastCheck.constantFrom('[model.a]', '[__proto__]', '[organisation.constructor]', 'a[] = 1'),
--- a/packages/domain/src/settings/directory.ts
+++ b/packages/domain/src/settings/directory.ts
@@ -1,6 +1,6 @@
 /**
- * What the settings in force mean for a request: which organisation a key belongs to, which model
- * or service a name stands for. Built from the subtrees whenever one changes; only reads after that.
+ * Lookups in the active settings: the organisation of a key, the model or service of a name.
+ * Rebuilt from the subtrees when one changes, and read-only after that.
  */
 import * as Option from 'fp-ts/Option';
 import * as document from './document';
@@ -23,7 +23,10 @@
 
   private readonly revisions = new Map<string, number>();
 
-  /** `former` lends its documents for subtrees that did not change: reading hundreds takes a while. */
+  /**
+   * Reuses the documents of `previous` for unchanged subtrees, as parsing hundreds of subtrees
+   * takes a while.
+   */
   constructor(subtrees: readonly tree.Subtree[], previous?: Directory) {
     subtrees.forEach(({ name, index, text }) => {
       this.revisions.set(name, index);
@@ -64,13 +67,13 @@
     return Option.fromNullable(operators.find((operator) => operator.tokenHash === tokenHash));
   }
 
-  /** The teams for which a token with this SHA-256 speaks. */
+  /** The teams that have an operator with this token hash. */
   teamsOf(tokenHash: string): string[] {
     const teams = [...this.documents.keys()];
     return teams.filter((team) => Option.isSome(this.operator(team, tokenHash)));
   }
 
-  /** Every (base, adapter, version) that some team serves. */
+  /** All models that any team serves. */
   wantedModels(): document.Model[] {
     return [...this.documents.values()].flatMap(({ models }) => models);
   }
--- a/packages/domain/src/settings/document.ts
+++ b/packages/domain/src/settings/document.ts
@@ -1,47 +1,47 @@
 /**
- * One subtree of the settings as its team writes it: an INI text with a section for each
- * organisation, model, service and operator. Checking is apart from reading: `read` turns text into
- * a typed document or the list of everything wrong with it, each with section, key, value and mend.
+ * One subtree of the settings, written by its team: an INI text with a section for each
+ * organisation, model, service and operator. The text is parsed into a typed document or the list
+ * of all problems, each with section, key, value and fix.
  */
 import { Err, Ok, Result } from 'ts-results';
 import * as schema from './schema';
 
 export type Priority = 'high' | 'normal' | 'low';
 
-/** An organisation: who may call, how much, and with what weight against others. */
+/** An organisation: its keys, limits and weight against others. */
 export interface Organisation {
   name: string;
   /** SHA-256 of the bearer keys, in hex. */
   keyHashes: string[];
   /** Weight in fair queueing; tokens are shared in proportion to it. */
   share: number;
-  /** Limit over all daemons together; zero means no limit. */
+  /** Limit for all daemons together; zero means no limit. */
   tokensPerSecond: number;
   priority: Priority;
-  /** Seconds a request may take when the caller names none. */
+  /** Deadline of a request, in seconds, if the caller gives none. */
   deadlineSeconds: number;
 }
 
-/** A served model name and what an engine loads for it. */
+/** A model name for callers, and what an engine loads for it. */
 export interface Model {
   name: string;
   base: string;
   adapter: string;
   version: string;
-  /** Names of organisations that may use it; `*` lets all of the subtree in. */
+  /** Names of the organisations that may use it; `*` allows all of the subtree. */
   organisations: string[];
 }
 
-/** A plain service and which of its calls may not be repeated. */
+/** A plain service and its calls that may not be repeated. */
 export interface Service {
   name: string;
   organisations: string[];
-  /** Lines such as `POST /holds`: method and path prefix of calls that run at most once. */
+  /** Method and path prefix of calls that run at most once, such as `POST /holds`. */
   notRepeatable: string[];
   timeoutSeconds: number;
 }
 
-/** A person who may change this subtree. */
+/** An operator who may change this subtree. */
 export interface Operator {
   name: string;
   tokenHash: string;
@@ -54,10 +54,10 @@
   operators: Operator[];
 }
 
-/** Longest text of one subtree, in characters. */
+/** Maximum length of the text of one subtree, in characters. */
 export const MAX_TEXT_LENGTH = 256 * 1024;
 
-/** schema.Values that hold where a section leaves a key out. */
+/** Default values of optional keys. */
 export const DEFAULTS = {
   share: '1',
   'tokens-per-second': '0',
@@ -209,7 +209,7 @@
   if (problems.length === before) addSection(document, kind ?? '', name, values);
 }
 
-/** Reads a subtree's text, or says everything that is wrong with it. */
+/** Parses the text of a subtree; fails with all problems in it. */
 export function read(text: string): Result<Document, schema.Problem[]> {
   if (text.length > MAX_TEXT_LENGTH) {
     const mend = `keep a subtree under ${MAX_TEXT_LENGTH} characters`;
--- a/packages/domain/src/settings/schema.ts
+++ b/packages/domain/src/settings/schema.ts
@@ -1,12 +1,12 @@
 /**
- * Reading of INI texts against a schema: typed values come out, or everything that is wrong, each with
- * section, key, value and mend. Serves the teams' settings and a daemon's own.
+ * Decodes INI texts against a schema, to typed values or all problems, each with section, key,
+ * value and fix. Used for the teams' settings and for a daemon's own configuration.
  */
 import * as ini from 'ini';
 import * as t from 'io-ts';
 import * as Either from 'fp-ts/Either';
 
-/** One thing wrong with a settings file. */
+/** A problem in a settings file; `mend` says how to fix it. */
 export interface Problem {
   section: string;
   key: string;
@@ -18,13 +18,13 @@
 
 const SHA256_HEX = /^[0-9a-f]{64}$/;
 
-/** Reads one value, and says how to mend a bad one. */
+/** Decodes one value; `mend` says how to fix an invalid one. */
 export interface Codec<A> {
   type: t.Decoder<unknown, A>;
   mend: string;
 }
 
-/** A codec from a parsing function that gives undefined for what it doesn't take. */
+/** Makes a codec from a parser that returns undefined for invalid input. */
 export function textCodec<A>(
   name: string,
   parse: (text: string) => A | undefined,
@@ -72,7 +72,7 @@
 
 export type Values = Map<string, unknown>;
 
-/** Reads the keys of one section; adds to `problems` what is wrong. */
+/** Decodes the keys of one section; appends what is wrong to `problems`. */
 export function readFields(
   section: string,
   fields: Fields,
@@ -96,7 +96,7 @@
   return values;
 }
 
-/** Flattens `[a.b]` sections, which the INI library nests at each dot, back to `a.b`. */
+/** Flattens `[a.b]` sections, which the INI library nests at each dot. */
 export function sectionsOf(text: string): Map<string, Record<string, unknown>> {
   const parsed = ini.parse(text) as Record<string, unknown>;
   const sections = new Map<string, Record<string, unknown>>();
@@ -113,7 +113,7 @@
   return sections;
 }
 
-/** One line for people: section, key, value and mend. */
+/** Formats a problem as one line of text. */
 export function describe(problem: Problem): string {
   const place = problem.key === '' ? `[${problem.section}]` : `[${problem.section}] ${problem.key}`;
   return `${place} = "${problem.value}": ${problem.mend}`;
--- a/packages/domain/src/settings/tree.ts
+++ b/packages/domain/src/settings/tree.ts
@@ -1,17 +1,17 @@
 /**
- * The settings tree: subtrees with revisions, changed by compare-and-set. A change names the
- * revision it was based on and an id; of two operators with equal numbers exactly one wins, and a
- * resend of an id gets the first answer again. All of it is decided when the log entry is applied,
- * so every replica decides alike.
+ * The settings tree: subtrees with revisions, changed by compare-and-set. A change has an id and
+ * the revision on which it is based. Of two changes based on the same revision exactly one is
+ * accepted, and a resend with the same id gets the first answer again. All of this is decided when
+ * the log entry is applied, so all replicas reach the same decisions.
  */
 import * as document from './document';
 import * as schema from './schema';
 
-/** A wish to replace the text of one subtree. An empty text removes it. */
+/** A request to replace the text of one subtree. An empty text removes the subtree. */
 export interface Change {
   id: string;
   subtree: string;
-  /** Revision of the subtree that the author saw; 0 for a new one. */
+  /** Revision of the subtree on which the change is based; 0 for a new subtree. */
   basedOn: number;
   text: string;
   author: string;
@@ -30,7 +30,7 @@
 export interface Conflict {
   kind: 'conflict';
   subtree: string;
-  /** Revision in force, and who made it. */
+  /** Current revision, and its author. */
   revision: number;
   author: string;
   text: string;
@@ -41,7 +41,7 @@
   problems: schema.Problem[];
 }
 
-/** The id was used before for other content. */
+/** The id was used before with other content. */
 export interface Reused {
   kind: 'reused';
   id: string;
@@ -55,7 +55,7 @@
   text: string;
   author: string;
   at: number;
-  /** Log index of the change that made it. */
+  /** Log index of the change that created this revision. */
   index: number;
 }
 
@@ -72,8 +72,8 @@
 }
 
 /**
- * How many answers are kept for resends: two and a half days at 8,100 changes a day. An older resend
- * is still harmless: its base revision is stale, so it ends as a conflict and never applies twice.
+ * Answers that are kept for resends: two and a half days at 8,100 changes a day. An older resend is
+ * harmless: its base revision is outdated, so it ends as a conflict and never applies twice.
  */
 export const MAX_STORED_ANSWERS = 20_000;
 
@@ -83,16 +83,19 @@
   return JSON.stringify([change.subtree, change.basedOn, change.text, change.author]);
 }
 
-/** The aggregate. Only `apply` changes it, in log order. */
+/** Replicated state machine of the tree. Only `apply` changes it, in log order. */
 export class Tree {
   private readonly subtrees = new Map<string, Subtree>();
 
-  /** Revisions go on counting after a removal, so that an old base can't match a new subtree. */
+  /**
+   * Last revisions of removed subtrees. Counting continues after a removal, so that an old base
+   * revision can't match a new subtree.
+   */
   private readonly removed = new Map<string, number>();
 
   private readonly answers = new Map<string, StoredAnswer>();
 
-  /** Applies one change; the second value says whether the tree changed. */
+  /** Applies one change; `changed` tells whether the tree changed. */
   apply(change: Change, index: number): { answer: Answer; changed: boolean } {
     const earlier = this.answers.get(change.id);
     if (earlier !== undefined) {
@@ -116,7 +119,7 @@
     return [...this.subtrees.values()];
   }
 
-  /** The answer that a resend of `change` would get, if the id is known. */
+  /** The answer to a resend of `change`, if its id is known. */
   answerFor(change: Change): Answer | undefined {
     const earlier = this.answers.get(change.id);
     if (earlier === undefined) return undefined;
--- a/packages/domain/src/shared/__tests__/random.test.ts
+++ b/packages/domain/src/shared/__tests__/random.test.ts
@@ -1,4 +1,4 @@
-/** Seeded randomness of processes that start together. */
+/** Seeded randomness for processes that start together. */
 import * as chai from 'chai';
 import * as random from '../random';
 
@@ -6,7 +6,7 @@
 
 const SEEDS = 200;
 
-/** How many of the first draws of neighbouring and of distant seeds fall into each tenth of [0, 1). */
+/** Counts how many draws for neighbouring and distant seeds fall into each tenth of [0, 1). */
 function countByTenth(of: (seed: number) => number): number[] {
   const counts = new Array<number>(10).fill(0);
   for (let i = 0; i < SEEDS; i++) {
@@ -18,8 +18,9 @@
 
 describe('independent randomness', () => {
   /*
-   * Callers were refused for a second and more after a loss of all: the keepers started together, drew the same election
-   * timeout, each voted for itself, and again for the next two elections. The first draw hardly depended on the seed.
+   * Guards against requests that are refused for more than a second after a restart of all: keepers
+   * that started together drew the same election timeout and split the vote in three elections, as
+   * the first draw hardly depended on the seed.
    */
   it('differs between processes from the first draw on', () => {
     const first = countByTenth((seed) => random.independent(seed).uniform());
@@ -27,7 +28,7 @@
     expect(Math.max(...first)).to.be.lessThan(34);
   });
 
-  it('differs in how much apart two neighbours draw', () => {
+  it('differs in the distance between the draws of neighbouring seeds', () => {
     const apart = countByTenth((seed) => {
       return Math.abs(random.independent(seed).uniform() - random.independent(seed + 1).uniform());
     });
--- a/packages/domain/src/stop/stop.ts
+++ b/packages/domain/src/stop/stop.ts
@@ -1,6 +1,6 @@
 /**
- * Planned stops of a target, a VM or a data centre. Announced by an operator or the platform, kept
- * in the replicated log, in force on every daemon like a setting.
+ * Planned stops of a target, a VM or a data centre. Announced by an operator or the platform,
+ * stored in the replicated log, and applied by every daemon like a setting.
  */
 
 export type Subject = 'target' | 'vm' | 'dataCentre';
@@ -11,14 +11,14 @@
   name: string;
   author: string;
   at: number;
-  /** Seconds that running streams get before they are moved elsewhere. */
+  /** Grace period of running streams before they are moved to other targets, seconds. */
   graceSeconds: number;
 }
 
-/** What a stop is matched against. */
+/** The location that a stop is matched against. */
 export interface Place {
   target: string;
-  /** Address without port; a VM stop covers everything on it. */
+  /** Address without port; a stop of a VM covers everything at this address. */
   host: string;
   dataCentre: string;
 }
@@ -33,12 +33,12 @@
   return stops.find((stop) => covers(stop, place));
 }
 
-/** Whether streams on the place should be moved now rather than waited for. */
+/** Whether the grace period is over, so that streams are moved now. */
 export function graceIsOver(stop: Stop, now: number): boolean {
   return now - stop.at > stop.graceSeconds * 1000;
 }
 
-/** What one daemon still runs on the place of a stop. */
+/** Number of requests that one daemon still runs on the location of a stop. */
 export interface Remainder {
   stop: string;
   running: number;
@@ -46,7 +46,7 @@
 
 export type Progress = 'draining' | 'safeToStop';
 
-/** A stop is safe when every live daemon knows it and runs nothing there any more. */
+/** A stop is safe when every live daemon knows it and runs nothing there. */
 export function progress(
   stop: Stop,
   daemons: readonly string[],
--- a/packages/domain/src/target/__tests__/target.test.ts
+++ b/packages/domain/src/target/__tests__/target.test.ts
@@ -1,4 +1,4 @@
-/** Targets: announcements in any order, leases of keepers, planned stops. */
+/** Targets: announcements in any order, leases at keepers, planned stops. */
 import * as chai from 'chai';
 import * as fastCheck from 'fast-check';
 import * as random from '../../shared/random';
@@ -36,10 +36,10 @@
 
 describe('target', () => {
   /*
-   * An engine restarted, and an announcement of its former life that went the long way round makes
-   * daemons send to what no longer is.
+   * Guards against requests to a former lifetime of a restarted engine, caused by a delayed
+   * announcement.
    */
-  it('ends with the newest incarnation and sequence, in whatever order they arrive', () => {
+  it('keeps the newest incarnation and sequence for any order of arrival', () => {
     fastCheck.assert(
       fastCheck.property(
         fastCheck.array(ANNOUNCED, { minLength: 1 }),
@@ -62,7 +62,7 @@
     );
   });
 
-  it('stays leaving within an incarnation, and comes back from "gone"', () => {
+  it('stays leaving within an incarnation, and returns from "gone"', () => {
     const newer = (a: target.Target, b: target.Target): boolean => target.isNewer(a, b);
     expect([
       newer(announced(1, 9), announced(1, 2, 'leaving')),
@@ -75,7 +75,7 @@
 });
 
 describe('keeper', () => {
-  it('tells only news, and says "gone" once after silence', () => {
+  it('reports only significant changes, and "gone" once when the lease has expired', () => {
     const tested = new keeper.Keeper(1_000);
     const told = [
       tested.announce(announced(1, 1), 0),
@@ -92,7 +92,7 @@
 });
 
 describe('planned stop', () => {
-  it('covers a target, a VM or a data centre, and is safe when nobody runs anything there', () => {
+  it('covers a target, a VM or a data centre, and is safe once no daemon runs requests there', () => {
     const made = (subject: stop.Subject, name: string): stop.Stop => {
       return { id: 's', subject, name, author: '', at: 0, graceSeconds: 1 };
     };
--- a/packages/domain/src/target/keeper.ts
+++ b/packages/domain/src/target/keeper.ts
@@ -1,14 +1,18 @@
 /**
- * The keeper of a target holds its lease: it hears every announcement, and tells the others only
- * what changed. Two keepers per target are picked by rendezvous hashing over the live daemons of its
- * data centre, so the cost per daemon depends on targets per daemon and not on the fleet.
+ * The keeper of a target manages its lease: it receives every announcement and reports only changes
+ * to the other daemons. Two keepers per target are picked by rendezvous hashing over the live
+ * daemons in its data centre, so the cost per daemon depends on the targets per daemon and not on
+ * the size of the fleet.
  */
 import * as hashing from '../shared/hashing';
 import * as target from './target';
 
 export const KEEPERS_PER_TARGET = 2;
 
-/** Silence after which a target is gone, in milliseconds: three missed announcements. */
+/**
+ * Time without an announcement after which a target counts as gone, milliseconds: three missed
+ * announcements.
+ */
 export const DEFAULT_LEASE_MS = 6_000;
 
 export function keepersOf(
@@ -29,7 +33,7 @@
 
   constructor(private readonly leaseMs: number = DEFAULT_LEASE_MS) {}
 
-  /** Takes an announcement; true when the other daemons should hear of it. */
+  /** Takes an announcement; returns whether to report it to the other daemons. */
   announce(announced: target.Target, now: number): boolean {
     const current = this.leases.get(announced.name);
     if (!target.isNewer(announced, current?.announced)) return false;
@@ -37,7 +41,7 @@
     return target.isNews(announced, current?.announced);
   }
 
-  /** Renews a lease by name alone; false if the target isn't kept here in this incarnation. */
+  /** Renews a lease by name alone; false if there is no lease of the target in this incarnation. */
   renew(name: string, incarnation: number, sequence: number, now: number): boolean {
     const lease = this.leases.get(name);
     if (lease === undefined || lease.announced.incarnation !== incarnation) return false;
@@ -48,14 +52,14 @@
     return true;
   }
 
-  /** Starts the lease of a target whose former keepers may be dead together with it. */
+  /** Starts the lease of a target whose former keepers may have died together with it. */
   adopt(announced: target.Target, now: number): void {
     if (!this.leases.has(announced.name)) {
       this.leases.set(announced.name, { announced, heardAt: now });
     }
   }
 
-  /** Gives up a lease that other daemons keep now. */
+  /** Drops a lease that other daemons manage now. */
   drop(name: string): void {
     this.leases.delete(name);
   }
@@ -64,7 +68,7 @@
     return [...this.leases.keys()];
   }
 
-  /** Targets whose lease ran out, as "gone" at the sequence last heard. */
+  /** Removes expired leases; returns their targets as `gone` with the last received sequence. */
   expire(now: number): target.Target[] {
     const silent = [...this.leases.values()].filter(({ heardAt }) => now - heardAt > this.leaseMs);
     silent.forEach(({ announced }) => this.leases.delete(announced.name));
--- a/packages/domain/src/target/target.ts
+++ b/packages/domain/src/target/target.ts
@@ -1,12 +1,12 @@
 /**
- * A target as the daemons know it: what it announced, in which incarnation, under which load. The
- * order of announcements is (incarnation, sequence), set by the target itself, so copies that travel
- * by different ways always agree on which is newer.
+ * A target as the daemons see it: its announcement, incarnation and load. Announcements are ordered
+ * by (incarnation, sequence), which the target sets itself, so copies that travel by different
+ * paths always agree on which one is newer.
  */
 
 export type Kind = 'engine' | 'service';
 
-/** Whether a target refuses orders that carry an old fencing number. */
+/** Whether a target refuses commands with an outdated fencing token. */
 export type Fencing = 'checked' | 'ignored';
 
 export type Status = 'serving' | 'leaving' | 'gone';
@@ -18,12 +18,14 @@
   version: string;
 }
 
-/** Load as the engine saw it when it reported, already some time ago on arrival. */
+/** Load that the engine measured when it reported, some time before the arrival of the report. */
 export interface Load {
-  /** Prompt tokens accepted but not yet prefilled, of all its users together. */
+  /**
+   * Prompt tokens that were accepted but not yet prefilled, of all users of the engine together.
+   */
   queuedTokens: number;
   streams: number;
-  /** KV memory free or held only by evictable cache, in tokens. */
+  /** KV memory that is free or used only by evictable cache, in tokens. */
   freeTokens: number;
 }
 
@@ -37,7 +39,7 @@
   dataCentre: string;
   status: Status;
   fencing: Fencing;
-  /** Name of the plain service, for targets of that kind. */
+  /** Name of the service, for targets of that kind. */
   service: string;
   models: Loaded[];
   /** KV memory in tokens. */
@@ -54,8 +56,8 @@
     return candidate.incarnation > current.incarnation;
   }
   if (candidate.status !== current.status) {
-    // Within an incarnation leaving is final. "Gone" is a keeper's guess from silence, so a later
-    // announcement of the target itself revokes it.
+    // Within an incarnation `leaving` is final. `gone` was only inferred by a keeper from missing
+    // announcements, so a later announcement of the target revokes it.
     const isRevoked = current.status === 'gone' && candidate.sequence > current.sequence;
     return isRevoked || STATUS_RANK[candidate.status] > STATUS_RANK[current.status];
   }
@@ -69,15 +71,16 @@
   );
 }
 
-/** Rounds a count to about 19% so that small changes of load cause no messages. */
+/** Rounds a count to steps of about 19%, so that small changes of load cause no messages. */
 export function quantised(count: number): number {
   if (count < 1) return 0;
   return Math.round(2 ** (Math.round(Math.log2(count) * 4) / 4));
 }
 
 /**
- * Whether the difference between two announcements is worth telling daemons that don't keep it. Load is
- * not: engines tell it with their answers, to those that use them, at no cost in messages.
+ * Whether to report the difference between two announcements to daemons that don't manage the
+ * lease. Load isn't reported: engines return it with their responses, to those that use them,
+ * without extra messages.
  */
 export function isNews(candidate: Target, current: Target | undefined): boolean {
   if (current === undefined) return true;
