--- a/packages/domain/src/membership/__tests__/membership.test.ts
+++ b/packages/domain/src/membership/__tests__/membership.test.ts
@@ -98,12 +98,12 @@
         const names = ['a', 'b', 'c', 'd', 'e'];
         const boards = new Map(names.map((name) => [name, new gossip.Board<string>(hash)]));
         const known = new Map(names.map((name) => [name, new Set<string>()]));
-        const put = (at: string, record: string, from: string): void => {
+        const deliver = (at: string, record: string, from: string): void => {
           if (known.get(at)?.has(record) === true) return;
           known.get(at)?.add(record);
           boards.get(at)?.post(record, record, from);
         };
-        names.forEach((name) => put(name, `of-${name}`, ''));
+        names.forEach((name) => deliver(name, `of-${name}`, ''));
         for (let round = 0; round < 200; round++) {
           const from = random.pick(source, names);
           const to = random.pick(source, names);
@@ -112,7 +112,7 @@
           // Half of the exchanges are lost; the batch must be sent again.
           if (from === to || source.uniform() < 0.5) continue;
           board.acknowledged(to, batch.upTo);
-          batch.records.forEach((record) => put(to, record, from));
+          batch.records.forEach((record) => deliver(to, record, from));
         }
         names.forEach((name) => expect(known.get(name)?.size).to.equal(names.length));
         const due = (): number => {
--- a/packages/domain/src/quarantine/__tests__/quarantine.test.ts
+++ b/packages/domain/src/quarantine/__tests__/quarantine.test.ts
@@ -9,7 +9,7 @@
 const CULPRIT = '9-culprit';
 const BYSTANDER = '7-beside';
 
-function lifetimeKey(id: string): string {
+function keyOf(id: string): string {
   return endedLifetimes.lifetimeOf({ id, bornAt: 1 });
 }
 
@@ -17,7 +17,7 @@
 function afterCrashes(count: number): quarantine.Quarantine {
   const made = new quarantine.Quarantine();
   for (let i = 0; i < count; i++)
-    made.blame(CULPRIT, lifetimeKey(`t${i}`), { sentAt: 1_000 * i, isTrial: true }, 1_000 * i);
+    made.blame(CULPRIT, keyOf(`t${i}`), { sentAt: 1_000 * i, isTrial: true }, 1_000 * i);
   return made;
 }
 
@@ -25,7 +25,7 @@
   it('begins with the third crashed lifetime, however often each crash is reported', () => {
     const made = new quarantine.Quarantine();
     const seen = ['t0', 't0', 't1', 't1', 't2'].map((id) => {
-      made.blame(CULPRIT, lifetimeKey(id), { sentAt: 0, isTrial: true }, 0);
+      made.blame(CULPRIT, keyOf(id), { sentAt: 0, isTrial: true }, 0);
       return made.standing(CULPRIT);
     });
     expect(seen.join(' ')).to.equal('suspected suspected suspected suspected quarantined');
@@ -39,10 +39,8 @@
    */
   it("doesn't count a crash against requests that were sent after it", () => {
     const made = afterCrashes(1);
-    expect(made.blame(BYSTANDER, lifetimeKey('t0'), { sentAt: 1, isTrial: true }, 5)).to.equal(
-      undefined,
-    );
-    made.blame(BYSTANDER, lifetimeKey('t0'), { sentAt: -1, isTrial: false }, 5);
+    expect(made.blame(BYSTANDER, keyOf('t0'), { sentAt: 1, isTrial: true }, 5)).to.equal(undefined);
+    made.blame(BYSTANDER, keyOf('t0'), { sentAt: -1, isTrial: false }, 5);
     expect(made.standing(BYSTANDER)).to.equal('suspected');
   });
 
@@ -54,11 +52,11 @@
   it('counts the crashes of concurrent runs as one', () => {
     const made = new quarantine.Quarantine();
     ['t0', 't1', 't2', 't3'].forEach((id) =>
-      made.blame(BYSTANDER, lifetimeKey(id), { sentAt: 0, isTrial: false }, 0),
+      made.blame(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: false }, 0),
     );
     expect([made.standing(BYSTANDER), made.count(BYSTANDER)]).to.deep.equal(['suspected', 1]);
     ['t4', 't5'].forEach((id) =>
-      made.blame(BYSTANDER, lifetimeKey(id), { sentAt: 1_000, isTrial: true }, 1_000),
+      made.blame(BYSTANDER, keyOf(id), { sentAt: 1_000, isTrial: true }, 1_000),
     );
     expect(made.standing(BYSTANDER)).to.equal('quarantined');
   });
@@ -111,7 +109,7 @@
   it('explains crashes to requests that ran beside the culprit', () => {
     const made = afterCrashes(3);
     ['t0', 't1'].forEach((id) =>
-      made.blame(BYSTANDER, lifetimeKey(id), { sentAt: 0, isTrial: false }, 2_000),
+      made.blame(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: false }, 2_000),
     );
     made.tick(2_400);
     expect(made.standing(BYSTANDER)).to.equal('suspected');
@@ -131,8 +129,8 @@
     const made = afterCrashes(3);
     const other = '8-other';
     const canaryRun = { sentAt: 0, isTrial: true };
-    ['t3', 't4', 't5'].forEach((id) => made.blame(other, lifetimeKey(id), canaryRun, 2_000));
-    ['t0', 't3', 't4'].forEach((id) => made.blame(BYSTANDER, lifetimeKey(id), canaryRun, 2_000));
+    ['t3', 't4', 't5'].forEach((id) => made.blame(other, keyOf(id), canaryRun, 2_000));
+    ['t0', 't3', 't4'].forEach((id) => made.blame(BYSTANDER, keyOf(id), canaryRun, 2_000));
     made.tick(3_900);
     expect(made.standing(BYSTANDER)).to.equal('quarantined');
     made.tick(4_000);
@@ -141,14 +139,14 @@
     expect(standings).to.deep.equal(['suspected', 'quarantined', 'suspected']);
     // First beside the other culprit once more, for four seconds this time; then alone, for the two
     // minutes of a first quarantine.
-    made.blame(other, lifetimeKey('t8'), { sentAt: 4_100, isTrial: true }, 4_200);
-    made.blame(BYSTANDER, lifetimeKey('t8'), { sentAt: 4_100, isTrial: true }, 4_200);
+    made.blame(other, keyOf('t8'), { sentAt: 4_100, isTrial: true }, 4_200);
+    made.blame(BYSTANDER, keyOf('t8'), { sentAt: 4_100, isTrial: true }, 4_200);
     const later = [8_100, 8_200].map((at) => {
       made.tick(at);
       return made.standing(BYSTANDER);
     });
     expect(later).to.deep.equal(['quarantined', 'suspected']);
-    made.blame(BYSTANDER, lifetimeKey('t9'), { sentAt: 8_300, isTrial: true }, 8_400);
+    made.blame(BYSTANDER, keyOf('t9'), { sentAt: 8_300, isTrial: true }, 8_400);
     made.tick(8_400 + 119_000);
     expect(made.standing(BYSTANDER)).to.equal('quarantined');
     made.tick(8_400 + 120_000);
@@ -162,16 +160,16 @@
    */
   it('ends soon where at most one crash is its own', () => {
     const made = afterCrashes(3);
-    made.blame(BYSTANDER, lifetimeKey('t9'), { sentAt: 0, isTrial: false }, 1_000);
+    made.blame(BYSTANDER, keyOf('t9'), { sentAt: 0, isTrial: false }, 1_000);
     ['t1', 't2'].forEach((id) =>
-      made.blame(BYSTANDER, lifetimeKey(id), { sentAt: 0, isTrial: true }, 2_000),
+      made.blame(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: true }, 2_000),
     );
     made.tick(4_000);
     expect(made.standing(BYSTANDER)).to.equal('suspected');
     // The culprit has one crash of its own too; its canary run decides.
     ['u0', 'u1'].forEach((id, i) => {
       const at = 4_100 + 4_000 * i;
-      made.blame(CULPRIT, lifetimeKey(id), { sentAt: at - 10, isTrial: true }, at);
+      made.blame(CULPRIT, keyOf(id), { sentAt: at - 10, isTrial: true }, at);
       made.tick(at + 100);
     });
     made.tick(60_000);
@@ -186,7 +184,7 @@
   it('ends for all that are doubtful at the same time', () => {
     const made = afterCrashes(3);
     const canaryRun = { sentAt: 0, isTrial: true };
-    ['t0', 't1', 't2'].forEach((id) => made.blame(BYSTANDER, lifetimeKey(id), canaryRun, 2_000));
+    ['t0', 't1', 't2'].forEach((id) => made.blame(BYSTANDER, keyOf(id), canaryRun, 2_000));
     made.tick(4_000);
     expect([made.standing(CULPRIT), made.standing(BYSTANDER)]).to.deep.equal([
       'suspected',
@@ -202,13 +200,9 @@
   it('ends soon where the culprit was released as doubtful just before', () => {
     const made = new quarantine.Quarantine();
     const canaryRun = { sentAt: 0, isTrial: true };
-    made.blame(CULPRIT, lifetimeKey('t0'), { sentAt: 0, isTrial: false }, 2_000);
-    ['t1', 't2', 't3', 't4'].forEach((id) =>
-      made.blame(CULPRIT, lifetimeKey(id), canaryRun, 2_000),
-    );
-    ['t1', 't2', 't3', 't4'].forEach((id) =>
-      made.blame(BYSTANDER, lifetimeKey(id), canaryRun, 2_100),
-    );
+    made.blame(CULPRIT, keyOf('t0'), { sentAt: 0, isTrial: false }, 2_000);
+    ['t1', 't2', 't3', 't4'].forEach((id) => made.blame(CULPRIT, keyOf(id), canaryRun, 2_000));
+    ['t1', 't2', 't3', 't4'].forEach((id) => made.blame(BYSTANDER, keyOf(id), canaryRun, 2_100));
     [4_000, 4_100, 4_200].forEach((at) => made.tick(at));
     expect(made.standing(BYSTANDER)).to.equal('suspected');
   });
@@ -220,7 +214,7 @@
   it('ends soon where the culprit never comes again', () => {
     const made = afterCrashes(2);
     const canaryRun = { sentAt: 0, isTrial: true };
-    ['t0', 't1', 'u0'].forEach((id) => made.blame(BYSTANDER, lifetimeKey(id), canaryRun, 2_000));
+    ['t0', 't1', 'u0'].forEach((id) => made.blame(BYSTANDER, keyOf(id), canaryRun, 2_000));
     made.tick(3_900);
     expect(made.standing(BYSTANDER)).to.equal('quarantined');
     made.tick(4_000);
@@ -234,10 +228,10 @@
   it('ends soon where the culprit crashed two targets at the same time', () => {
     const made = new quarantine.Quarantine();
     ['t0', 't1'].forEach((id, i) => {
-      made.blame(CULPRIT, lifetimeKey(id), { sentAt: 0, isTrial: false }, 100);
-      made.blame(BYSTANDER, lifetimeKey(id), { sentAt: 0, isTrial: i > 0 }, 100);
+      made.blame(CULPRIT, keyOf(id), { sentAt: 0, isTrial: false }, 100);
+      made.blame(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: i > 0 }, 100);
     });
-    made.blame(BYSTANDER, lifetimeKey('u0'), { sentAt: 5_000, isTrial: true }, 6_000);
+    made.blame(BYSTANDER, keyOf('u0'), { sentAt: 5_000, isTrial: true }, 6_000);
     expect(made.standing(BYSTANDER)).to.equal('quarantined');
     [6_500, 8_000].forEach((at) => made.tick(at));
     expect(made.standing(BYSTANDER)).to.equal('suspected');
@@ -250,11 +244,11 @@
   it('ends soon where the culprit was released as doubtful before it began', () => {
     const made = afterCrashes(3);
     ['t0', 't2'].forEach((id, i) => {
-      made.blame(BYSTANDER, lifetimeKey(id), { sentAt: 0, isTrial: i > 0 }, 2_000);
+      made.blame(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: i > 0 }, 2_000);
     });
     made.tick(4_000);
     expect(made.standing(CULPRIT)).to.equal('suspected');
-    made.blame(BYSTANDER, lifetimeKey('u0'), { sentAt: 4_000, isTrial: true }, 4_100);
+    made.blame(BYSTANDER, keyOf('u0'), { sentAt: 4_000, isTrial: true }, 4_100);
     expect(made.standing(BYSTANDER)).to.equal('quarantined');
     made.tick(6_100);
     expect(made.standing(BYSTANDER)).to.equal('suspected');
@@ -267,13 +261,13 @@
   it('costs at most two more targets where a request that ran beside it twice is suspected', () => {
     const made = afterCrashes(3);
     ['t1', 't2'].forEach((id) =>
-      made.blame(BYSTANDER, lifetimeKey(id), { sentAt: 0, isTrial: true }, 2_000),
+      made.blame(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: true }, 2_000),
     );
     let further = 0;
     for (let at = 2_000; at < 110_000; at += 100) {
       made.tick(at);
       if (made.standing(CULPRIT) !== 'quarantined') {
-        made.blame(CULPRIT, lifetimeKey(`u${further}`), { sentAt: at, isTrial: true }, at);
+        made.blame(CULPRIT, keyOf(`u${further}`), { sentAt: at, isTrial: true }, at);
         further += 1;
       }
     }
@@ -292,7 +286,7 @@
       made.tick(at);
       if (both.every((content) => made.standing(content) !== 'quarantined')) {
         const run = { sentAt: at, isTrial: ends.length > 0 };
-        both.forEach((content) => made.blame(content, lifetimeKey(`t${ends.length}`), run, at));
+        both.forEach((content) => made.blame(content, keyOf(`t${ends.length}`), run, at));
         ends.push(at);
       }
     }
@@ -306,7 +300,7 @@
   it('ignores crashes from a follower that a request was cleared of', () => {
     const made = afterCrashes(3);
     const canaryRun = { sentAt: 0, isTrial: true };
-    ['t0', 't1', 't2'].forEach((id) => made.blame(BYSTANDER, lifetimeKey(id), canaryRun, 2_000));
+    ['t0', 't1', 't2'].forEach((id) => made.blame(BYSTANDER, keyOf(id), canaryRun, 2_000));
     const reports = made.reports(3_900);
     made.tick(4_000);
     made.merge(reports, 4_050);
@@ -317,8 +311,8 @@
     // Once a target is known to be alive, the next report of its crash counts.
     made.spoke({ id: 't1', bornAt: 1 }, 7);
     made.spoke({ id: 't1', bornAt: 1 }, 8);
-    made.blame(CULPRIT, lifetimeKey('t1'), { sentAt: 9_000, isTrial: true }, 9_100);
-    expect(made.endings(CULPRIT)).to.include(lifetimeKey('t1'));
+    made.blame(CULPRIT, keyOf('t1'), { sentAt: 9_000, isTrial: true }, 9_100);
+    expect(made.endings(CULPRIT)).to.include(keyOf('t1'));
   });
 
   it('lasts two minutes at first, then one run decides, and longer each time', () => {
@@ -331,7 +325,7 @@
     expect(standings).to.deep.equal(['quarantined', 'suspected']);
     made.blame(
       CULPRIT,
-      lifetimeKey('t9'),
+      keyOf('t9'),
       { sentAt: since + 3 * minute, isTrial: true },
       since + 3 * minute,
     );
@@ -350,7 +344,7 @@
   it('evicts the suspects with the fewest crashes beyond its limit', () => {
     const made = afterCrashes(3);
     for (let i = 0; i < 2 * quarantine.MOST_SUSPECTS; i++)
-      made.blame(`5-${i}`, lifetimeKey(`u${i}`), { sentAt: 3_000 + i, isTrial: false }, 3_000 + i);
+      made.blame(`5-${i}`, keyOf(`u${i}`), { sentAt: 3_000 + i, isTrial: false }, 3_000 + i);
     expect([made.size, made.standing(CULPRIT)]).to.deep.equal([
       quarantine.MOST_SUSPECTS,
       'quarantined',
@@ -360,7 +354,7 @@
 
   it('is sent with ages, replaces the state of a follower, and is merged by a new leader', () => {
     const [leader, follower] = [afterCrashes(3), afterCrashes(1)];
-    follower.blame(BYSTANDER, lifetimeKey('t0'), { sentAt: 0, isTrial: true }, 0);
+    follower.blame(BYSTANDER, keyOf('t0'), { sentAt: 0, isTrial: true }, 0);
     follower.takeAll(leader.reports(10_000), 500_000);
     expect([follower.standing(CULPRIT), follower.standing(BYSTANDER)]).to.deep.equal([
       'quarantined',
