--- a/packages/domain/src/catalogue/__tests__/catalogue.test.ts
+++ b/packages/domain/src/catalogue/__tests__/catalogue.test.ts
@@ -83,13 +83,13 @@
    * 7, whose answer was lost, is resent after 9 is active.
    */
   it('keeps the highest version in any order of arrival', () => {
-    const held = new versions.Versions();
+    const tested = new versions.Versions();
     const edition = (version: number, byte = version): versions.Edition => {
       return { version, packed: Uint8Array.of(byte) };
     };
-    held.apply(edition(9));
-    expect(held.apply(edition(7))).to.deep.equal({ version: 9, changed: false });
-    expect(held.apply(edition(9, 1))).to.deep.equal({ version: 9, changed: false });
-    expect(held.newest).to.deep.equal(edition(9));
+    tested.apply(edition(9));
+    expect(tested.apply(edition(7))).to.deep.equal({ version: 9, changed: false });
+    expect(tested.apply(edition(9, 1))).to.deep.equal({ version: 9, changed: false });
+    expect(tested.newest).to.deep.equal(edition(9));
   });
 });
--- a/packages/domain/src/membership/detector.ts
+++ b/packages/domain/src/membership/detector.ts
@@ -29,7 +29,7 @@
 
   constructor(
     private self: daemon.Daemon,
-    private readonly source: random.Random,
+    private readonly randomSource: random.Random,
     private readonly timing: Timing = DEFAULT_TIMING,
   ) {
     this.known.set(self.id, { record: self, changedAt: 0 });
@@ -126,7 +126,7 @@
       .filter(({ id, dataCentre }) => id !== this.self.id && dataCentre === this.self.dataCentre)
       .map(({ id }) => id);
     for (let i = ids.length - 1; i > 0; i--) {
-      const j = random.below(this.source, i + 1);
+      const j = random.below(this.randomSource, i + 1);
       [ids[i], ids[j]] = [ids[j], ids[i]];
     }
     return ids;
--- a/packages/domain/src/memory/__tests__/memory.test.ts
+++ b/packages/domain/src/memory/__tests__/memory.test.ts
@@ -77,7 +77,7 @@
           held: 0,
           done: false,
         }));
-        const giveBack = (prompt: Prompt): void => {
+        const releaseAll = (prompt: Prompt): void => {
           prompt.parts.slice(0, prompt.held).forEach(({ target, tokens }) => {
             free.set(target, (free.get(target) as number) + tokens);
           });
@@ -88,12 +88,12 @@
           const part = prompt.parts[prompt.held];
           if (prompt.done) continue;
           if (part === undefined) {
-            giveBack(prompt);
+            releaseAll(prompt);
             prompt.done = true;
           } else if ((free.get(part.target) as number) >= part.tokens) {
             free.set(part.target, (free.get(part.target) as number) - part.tokens);
             prompt.held += 1;
-          } else giveBack(prompt);
+          } else releaseAll(prompt);
         }
         expect(prompts.every(({ done }) => done)).to.equal(true);
         expect([...free.values()]).to.deep.equal([100, 100, 100]);
--- a/packages/domain/src/quarantine/__tests__/quarantine.test.ts
+++ b/packages/domain/src/quarantine/__tests__/quarantine.test.ts
@@ -15,21 +15,21 @@
 
 /** A quarantine after the culprit crashed `count` targets, one each second. */
 function afterCrashes(count: number): quarantine.Quarantine {
-  const made = new quarantine.Quarantine();
+  const tested = new quarantine.Quarantine();
   for (let i = 0; i < count; i++)
-    made.blame(CULPRIT, keyOf(`t${i}`), { sentAt: 1_000 * i, isTrial: true }, 1_000 * i);
-  return made;
+    tested.blame(CULPRIT, keyOf(`t${i}`), { sentAt: 1_000 * i, isTrial: true }, 1_000 * i);
+  return tested;
 }
 
 describe('quarantine', () => {
   it('begins with the third crashed lifetime, however often each crash is reported', () => {
-    const made = new quarantine.Quarantine();
+    const tested = new quarantine.Quarantine();
     const seen = ['t0', 't0', 't1', 't1', 't2'].map((id) => {
-      made.blame(CULPRIT, keyOf(id), { sentAt: 0, isTrial: true }, 0);
-      return made.standing(CULPRIT);
+      tested.blame(CULPRIT, keyOf(id), { sentAt: 0, isTrial: true }, 0);
+      return tested.standing(CULPRIT);
     });
     expect(seen.join(' ')).to.equal('suspected suspected suspected suspected quarantined');
-    expect([made.mayKnow(9), made.mayKnow(8)]).to.deep.equal([true, false]);
+    expect([tested.mayKnow(9), tested.mayKnow(8)]).to.deep.equal([true, false]);
   });
 
   /*
@@ -38,10 +38,12 @@
    * crash counted against it.
    */
   it("doesn't count a crash against requests that were sent after it", () => {
-    const made = afterCrashes(1);
-    expect(made.blame(BYSTANDER, keyOf('t0'), { sentAt: 1, isTrial: true }, 5)).to.equal(undefined);
-    made.blame(BYSTANDER, keyOf('t0'), { sentAt: -1, isTrial: false }, 5);
-    expect(made.standing(BYSTANDER)).to.equal('suspected');
+    const tested = afterCrashes(1);
+    expect(tested.blame(BYSTANDER, keyOf('t0'), { sentAt: 1, isTrial: true }, 5)).to.equal(
+      undefined,
+    );
+    tested.blame(BYSTANDER, keyOf('t0'), { sentAt: -1, isTrial: false }, 5);
+    expect(tested.standing(BYSTANDER)).to.equal('suspected');
   });
 
   /*
@@ -50,15 +52,15 @@
    * count once; the next run decides.
    */
   it('counts the crashes of concurrent runs as one', () => {
-    const made = new quarantine.Quarantine();
+    const tested = new quarantine.Quarantine();
     ['t0', 't1', 't2', 't3'].forEach((id) =>
-      made.blame(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: false }, 0),
+      tested.blame(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: false }, 0),
     );
-    expect([made.standing(BYSTANDER), made.count(BYSTANDER)]).to.deep.equal(['suspected', 1]);
+    expect([tested.standing(BYSTANDER), tested.count(BYSTANDER)]).to.deep.equal(['suspected', 1]);
     ['t4', 't5'].forEach((id) =>
-      made.blame(BYSTANDER, keyOf(id), { sentAt: 1_000, isTrial: true }, 1_000),
+      tested.blame(BYSTANDER, keyOf(id), { sentAt: 1_000, isTrial: true }, 1_000),
     );
-    expect(made.standing(BYSTANDER)).to.equal('quarantined');
+    expect(tested.standing(BYSTANDER)).to.equal('quarantined');
   });
 
   /*
@@ -67,14 +69,14 @@
    * target alive; a single one may have been delayed.
    */
   it('ends when the targets announce themselves again, but not at a delayed announcement', () => {
-    const made = afterCrashes(3);
+    const tested = afterCrashes(3);
     const target = { id: 't0', bornAt: 1 };
-    made.spoke(target, 7);
-    made.spoke(target, 7);
-    expect(made.standing(CULPRIT)).to.equal('quarantined');
-    made.spoke({ id: 't0', bornAt: 2 }, 8);
-    expect(made.standing(CULPRIT)).to.equal('quarantined');
-    expect(made.spoke(target, 8)).to.deep.equal([
+    tested.spoke(target, 7);
+    tested.spoke(target, 7);
+    expect(tested.standing(CULPRIT)).to.equal('quarantined');
+    tested.spoke({ id: 't0', bornAt: 2 }, 8);
+    expect(tested.standing(CULPRIT)).to.equal('quarantined');
+    expect(tested.spoke(target, 8)).to.deep.equal([
       { content: CULPRIT, standing: 'suspected', endings: 2, reason: 'targetLives' },
     ]);
   });
@@ -85,20 +87,24 @@
    * they were alive. All requests for them were refused as "a copy runs".
    */
   it('takes targets that announce themselves again for alive without any suspect left', () => {
-    const made = afterCrashes(1);
+    const tested = afterCrashes(1);
     const target = { id: 't0', bornAt: 1 };
-    made.ranWhole(CULPRIT);
+    tested.ranWhole(CULPRIT);
     const seen = [7, 8].map((sequence) => {
-      made.spoke(target, sequence);
-      return made.hasEnded(target);
+      tested.spoke(target, sequence);
+      return tested.hasEnded(target);
     });
     expect(seen).to.deep.equal([true, false]);
   });
 
   it('ends when the request completes', () => {
-    const made = afterCrashes(3);
-    made.ranWhole(CULPRIT);
-    expect([made.standing(CULPRIT), made.size, made.mayKnow(9)]).to.deep.equal(['free', 0, false]);
+    const tested = afterCrashes(3);
+    tested.ranWhole(CULPRIT);
+    expect([tested.standing(CULPRIT), tested.size, tested.mayKnow(9)]).to.deep.equal([
+      'free',
+      0,
+      false,
+    ]);
   });
 
   /*
@@ -107,14 +113,14 @@
    * crashes, but only once all entries have reported theirs.
    */
   it('explains crashes to requests that ran beside the culprit', () => {
-    const made = afterCrashes(3);
+    const tested = afterCrashes(3);
     ['t0', 't1'].forEach((id) =>
-      made.blame(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: false }, 2_000),
+      tested.blame(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: false }, 2_000),
     );
-    made.tick(2_400);
-    expect(made.standing(BYSTANDER)).to.equal('suspected');
-    made.tick(2_500);
-    expect([made.standing(BYSTANDER), made.standing(CULPRIT)]).to.deep.equal([
+    tested.tick(2_400);
+    expect(tested.standing(BYSTANDER)).to.equal('suspected');
+    tested.tick(2_500);
+    expect([tested.standing(BYSTANDER), tested.standing(CULPRIT)]).to.deep.equal([
       'free',
       'quarantined',
     ]);
@@ -126,31 +132,31 @@
    * crashes are theirs too, so one more run decides; a culprit has crashes of its own.
    */
   it('ends soon where all its crashes are shared with other suspects', () => {
-    const made = afterCrashes(3);
+    const tested = afterCrashes(3);
     const other = '8-other';
     const canaryRun = { sentAt: 0, isTrial: true };
-    ['t3', 't4', 't5'].forEach((id) => made.blame(other, keyOf(id), canaryRun, 2_000));
-    ['t0', 't3', 't4'].forEach((id) => made.blame(BYSTANDER, keyOf(id), canaryRun, 2_000));
-    made.tick(3_900);
-    expect(made.standing(BYSTANDER)).to.equal('quarantined');
-    made.tick(4_000);
-    const standings = [BYSTANDER, CULPRIT, other].map((each) => made.standing(each));
+    ['t3', 't4', 't5'].forEach((id) => tested.blame(other, keyOf(id), canaryRun, 2_000));
+    ['t0', 't3', 't4'].forEach((id) => tested.blame(BYSTANDER, keyOf(id), canaryRun, 2_000));
+    tested.tick(3_900);
+    expect(tested.standing(BYSTANDER)).to.equal('quarantined');
+    tested.tick(4_000);
+    const standings = [BYSTANDER, CULPRIT, other].map((each) => tested.standing(each));
     // The other culprit has one crash of its own and gets a canary run too; the first one has two.
     expect(standings).to.deep.equal(['suspected', 'quarantined', 'suspected']);
     // First beside the other culprit once more, for four seconds this time; then alone, for the two
     // minutes of a first quarantine.
-    made.blame(other, keyOf('t8'), { sentAt: 4_100, isTrial: true }, 4_200);
-    made.blame(BYSTANDER, keyOf('t8'), { sentAt: 4_100, isTrial: true }, 4_200);
+    tested.blame(other, keyOf('t8'), { sentAt: 4_100, isTrial: true }, 4_200);
+    tested.blame(BYSTANDER, keyOf('t8'), { sentAt: 4_100, isTrial: true }, 4_200);
     const later = [8_100, 8_200].map((at) => {
-      made.tick(at);
-      return made.standing(BYSTANDER);
+      tested.tick(at);
+      return tested.standing(BYSTANDER);
     });
     expect(later).to.deep.equal(['quarantined', 'suspected']);
-    made.blame(BYSTANDER, keyOf('t9'), { sentAt: 8_300, isTrial: true }, 8_400);
-    made.tick(8_400 + 119_000);
-    expect(made.standing(BYSTANDER)).to.equal('quarantined');
-    made.tick(8_400 + 120_000);
-    expect(made.standing(BYSTANDER)).to.equal('suspected');
+    tested.blame(BYSTANDER, keyOf('t9'), { sentAt: 8_300, isTrial: true }, 8_400);
+    tested.tick(8_400 + 119_000);
+    expect(tested.standing(BYSTANDER)).to.equal('quarantined');
+    tested.tick(8_400 + 120_000);
+    expect(tested.standing(BYSTANDER)).to.equal('suspected');
   });
 
   /*
@@ -159,21 +165,21 @@
    * another. That leaves one crash of its own, which is chance.
    */
   it('ends soon where at most one crash is its own', () => {
-    const made = afterCrashes(3);
-    made.blame(BYSTANDER, keyOf('t9'), { sentAt: 0, isTrial: false }, 1_000);
+    const tested = afterCrashes(3);
+    tested.blame(BYSTANDER, keyOf('t9'), { sentAt: 0, isTrial: false }, 1_000);
     ['t1', 't2'].forEach((id) =>
-      made.blame(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: true }, 2_000),
+      tested.blame(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: true }, 2_000),
     );
-    made.tick(4_000);
-    expect(made.standing(BYSTANDER)).to.equal('suspected');
+    tested.tick(4_000);
+    expect(tested.standing(BYSTANDER)).to.equal('suspected');
     // The culprit has one crash of its own too; its canary run decides.
     ['u0', 'u1'].forEach((id, i) => {
       const at = 4_100 + 4_000 * i;
-      made.blame(CULPRIT, keyOf(id), { sentAt: at - 10, isTrial: true }, at);
-      made.tick(at + 100);
+      tested.blame(CULPRIT, keyOf(id), { sentAt: at - 10, isTrial: true }, at);
+      tested.tick(at + 100);
     });
-    made.tick(60_000);
-    expect(made.standing(CULPRIT)).to.equal('quarantined');
+    tested.tick(60_000);
+    expect(tested.standing(CULPRIT)).to.equal('quarantined');
   });
 
   /*
@@ -182,11 +188,11 @@
    * request explained the other's crashes any more. The culprit never came again.
    */
   it('ends for all that are doubtful at the same time', () => {
-    const made = afterCrashes(3);
+    const tested = afterCrashes(3);
     const canaryRun = { sentAt: 0, isTrial: true };
-    ['t0', 't1', 't2'].forEach((id) => made.blame(BYSTANDER, keyOf(id), canaryRun, 2_000));
-    made.tick(4_000);
-    expect([made.standing(CULPRIT), made.standing(BYSTANDER)]).to.deep.equal([
+    ['t0', 't1', 't2'].forEach((id) => tested.blame(BYSTANDER, keyOf(id), canaryRun, 2_000));
+    tested.tick(4_000);
+    expect([tested.standing(CULPRIT), tested.standing(BYSTANDER)]).to.deep.equal([
       'suspected',
       'suspected',
     ]);
@@ -198,13 +204,13 @@
    * dropped crashes of the culprit, which then seemed to be the other request's own.
    */
   it('ends soon where the culprit was released as doubtful just before', () => {
-    const made = new quarantine.Quarantine();
+    const tested = new quarantine.Quarantine();
     const canaryRun = { sentAt: 0, isTrial: true };
-    made.blame(CULPRIT, keyOf('t0'), { sentAt: 0, isTrial: false }, 2_000);
-    ['t1', 't2', 't3', 't4'].forEach((id) => made.blame(CULPRIT, keyOf(id), canaryRun, 2_000));
-    ['t1', 't2', 't3', 't4'].forEach((id) => made.blame(BYSTANDER, keyOf(id), canaryRun, 2_100));
-    [4_000, 4_100, 4_200].forEach((at) => made.tick(at));
-    expect(made.standing(BYSTANDER)).to.equal('suspected');
+    tested.blame(CULPRIT, keyOf('t0'), { sentAt: 0, isTrial: false }, 2_000);
+    ['t1', 't2', 't3', 't4'].forEach((id) => tested.blame(CULPRIT, keyOf(id), canaryRun, 2_000));
+    ['t1', 't2', 't3', 't4'].forEach((id) => tested.blame(BYSTANDER, keyOf(id), canaryRun, 2_100));
+    [4_000, 4_100, 4_200].forEach((at) => tested.tick(at));
+    expect(tested.standing(BYSTANDER)).to.equal('suspected');
   });
 
   /*
@@ -212,13 +218,13 @@
    * crashes and never came again, so it was never quarantined. The third crash was a power loss.
    */
   it('ends soon where the culprit never comes again', () => {
-    const made = afterCrashes(2);
+    const tested = afterCrashes(2);
     const canaryRun = { sentAt: 0, isTrial: true };
-    ['t0', 't1', 'u0'].forEach((id) => made.blame(BYSTANDER, keyOf(id), canaryRun, 2_000));
-    made.tick(3_900);
-    expect(made.standing(BYSTANDER)).to.equal('quarantined');
-    made.tick(4_000);
-    expect(made.standing(BYSTANDER)).to.equal('suspected');
+    ['t0', 't1', 'u0'].forEach((id) => tested.blame(BYSTANDER, keyOf(id), canaryRun, 2_000));
+    tested.tick(3_900);
+    expect(tested.standing(BYSTANDER)).to.equal('quarantined');
+    tested.tick(4_000);
+    expect(tested.standing(BYSTANDER)).to.equal('suspected');
   });
 
   /**
@@ -226,15 +232,15 @@
    * at the same time, which counts once, and the innocent one's quarantine explained even that one.
    */
   it('ends soon where the culprit crashed two targets at the same time', () => {
-    const made = new quarantine.Quarantine();
+    const tested = new quarantine.Quarantine();
     ['t0', 't1'].forEach((id, i) => {
-      made.blame(CULPRIT, keyOf(id), { sentAt: 0, isTrial: false }, 100);
-      made.blame(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: i > 0 }, 100);
+      tested.blame(CULPRIT, keyOf(id), { sentAt: 0, isTrial: false }, 100);
+      tested.blame(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: i > 0 }, 100);
     });
-    made.blame(BYSTANDER, keyOf('u0'), { sentAt: 5_000, isTrial: true }, 6_000);
-    expect(made.standing(BYSTANDER)).to.equal('quarantined');
-    [6_500, 8_000].forEach((at) => made.tick(at));
-    expect(made.standing(BYSTANDER)).to.equal('suspected');
+    tested.blame(BYSTANDER, keyOf('u0'), { sentAt: 5_000, isTrial: true }, 6_000);
+    expect(tested.standing(BYSTANDER)).to.equal('quarantined');
+    [6_500, 8_000].forEach((at) => tested.tick(at));
+    expect(tested.standing(BYSTANDER)).to.equal('suspected');
   });
 
   /**
@@ -242,16 +248,16 @@
    * doubtful before it was quarantined.
    */
   it('ends soon where the culprit was released as doubtful before it began', () => {
-    const made = afterCrashes(3);
+    const tested = afterCrashes(3);
     ['t0', 't2'].forEach((id, i) => {
-      made.blame(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: i > 0 }, 2_000);
+      tested.blame(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: i > 0 }, 2_000);
     });
-    made.tick(4_000);
-    expect(made.standing(CULPRIT)).to.equal('suspected');
-    made.blame(BYSTANDER, keyOf('u0'), { sentAt: 4_000, isTrial: true }, 4_100);
-    expect(made.standing(BYSTANDER)).to.equal('quarantined');
-    made.tick(6_100);
-    expect(made.standing(BYSTANDER)).to.equal('suspected');
+    tested.tick(4_000);
+    expect(tested.standing(CULPRIT)).to.equal('suspected');
+    tested.blame(BYSTANDER, keyOf('u0'), { sentAt: 4_000, isTrial: true }, 4_100);
+    expect(tested.standing(BYSTANDER)).to.equal('quarantined');
+    tested.tick(6_100);
+    expect(tested.standing(BYSTANDER)).to.equal('suspected');
   });
 
   /*
@@ -259,15 +265,15 @@
    * crashes are enough.
    */
   it('costs at most two more targets where a request that ran beside it twice is suspected', () => {
-    const made = afterCrashes(3);
+    const tested = afterCrashes(3);
     ['t1', 't2'].forEach((id) =>
-      made.blame(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: true }, 2_000),
+      tested.blame(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: true }, 2_000),
     );
     let further = 0;
     for (let at = 2_000; at < 110_000; at += 100) {
-      made.tick(at);
-      if (made.standing(CULPRIT) !== 'quarantined') {
-        made.blame(CULPRIT, keyOf(`u${further}`), { sentAt: at, isTrial: true }, at);
+      tested.tick(at);
+      if (tested.standing(CULPRIT) !== 'quarantined') {
+        tested.blame(CULPRIT, keyOf(`u${further}`), { sentAt: at, isTrial: true }, at);
         further += 1;
       }
     }
@@ -279,14 +285,14 @@
    * released as doubtful again and again.
    */
   it('releases a request as doubtful until three targets crashed well after its third crash', () => {
-    const made = new quarantine.Quarantine();
+    const tested = new quarantine.Quarantine();
     const both = [CULPRIT, BYSTANDER];
     const ends: number[] = [];
     for (let at = 0; at < 110_000; at += 100) {
-      made.tick(at);
-      if (both.every((content) => made.standing(content) !== 'quarantined')) {
+      tested.tick(at);
+      if (both.every((content) => tested.standing(content) !== 'quarantined')) {
         const run = { sentAt: at, isTrial: ends.length > 0 };
-        both.forEach((content) => made.blame(content, keyOf(`t${ends.length}`), run, at));
+        both.forEach((content) => tested.blame(content, keyOf(`t${ends.length}`), run, at));
         ends.push(at);
       }
     }
@@ -298,43 +304,43 @@
    * when a follower that didn't know of that yet reports its crashes to the leader once more.
    */
   it('ignores crashes from a follower that a request was cleared of', () => {
-    const made = afterCrashes(3);
+    const tested = afterCrashes(3);
     const canaryRun = { sentAt: 0, isTrial: true };
-    ['t0', 't1', 't2'].forEach((id) => made.blame(BYSTANDER, keyOf(id), canaryRun, 2_000));
-    const reports = made.reports(3_900);
-    made.tick(4_000);
-    made.merge(reports, 4_050);
-    expect(made.standing(BYSTANDER)).to.equal('suspected');
-    made.ranWhole(BYSTANDER);
-    made.merge(reports, 4_100);
-    expect(made.standing(BYSTANDER)).to.equal('free');
+    ['t0', 't1', 't2'].forEach((id) => tested.blame(BYSTANDER, keyOf(id), canaryRun, 2_000));
+    const reports = tested.reports(3_900);
+    tested.tick(4_000);
+    tested.merge(reports, 4_050);
+    expect(tested.standing(BYSTANDER)).to.equal('suspected');
+    tested.ranWhole(BYSTANDER);
+    tested.merge(reports, 4_100);
+    expect(tested.standing(BYSTANDER)).to.equal('free');
     // Once a target is known to be alive, the next report of its crash counts.
-    made.spoke({ id: 't1', bornAt: 1 }, 7);
-    made.spoke({ id: 't1', bornAt: 1 }, 8);
-    made.blame(CULPRIT, keyOf('t1'), { sentAt: 9_000, isTrial: true }, 9_100);
-    expect(made.endings(CULPRIT)).to.include(keyOf('t1'));
+    tested.spoke({ id: 't1', bornAt: 1 }, 7);
+    tested.spoke({ id: 't1', bornAt: 1 }, 8);
+    tested.blame(CULPRIT, keyOf('t1'), { sentAt: 9_000, isTrial: true }, 9_100);
+    expect(tested.endings(CULPRIT)).to.include(keyOf('t1'));
   });
 
   it('lasts two minutes at first, then one run decides, and longer each time', () => {
-    const made = afterCrashes(3);
+    const tested = afterCrashes(3);
     const [minute, since] = [60_000, 2_000];
     const standings = [1, 2].map((minutes) => {
-      made.tick(since + minutes * minute);
-      return made.standing(CULPRIT);
+      tested.tick(since + minutes * minute);
+      return tested.standing(CULPRIT);
     });
     expect(standings).to.deep.equal(['quarantined', 'suspected']);
-    made.blame(
+    tested.blame(
       CULPRIT,
       keyOf('t9'),
       { sentAt: since + 3 * minute, isTrial: true },
       since + 3 * minute,
     );
-    made.tick(since + 3 * minute + 19 * minute);
-    expect(made.standing(CULPRIT)).to.equal('quarantined');
-    made.tick(since + 3 * minute + 20 * minute);
-    expect(made.standing(CULPRIT)).to.equal('suspected');
-    made.tick(since + 40 * minute);
-    expect(made.size).to.equal(0);
+    tested.tick(since + 3 * minute + 19 * minute);
+    expect(tested.standing(CULPRIT)).to.equal('quarantined');
+    tested.tick(since + 3 * minute + 20 * minute);
+    expect(tested.standing(CULPRIT)).to.equal('suspected');
+    tested.tick(since + 40 * minute);
+    expect(tested.size).to.equal(0);
   });
 
   /*
@@ -342,14 +348,14 @@
    * with the most crashes are kept longest.
    */
   it('evicts the suspects with the fewest crashes beyond its limit', () => {
-    const made = afterCrashes(3);
+    const tested = afterCrashes(3);
     for (let i = 0; i < 2 * quarantine.MOST_SUSPECTS; i++)
-      made.blame(`5-${i}`, keyOf(`u${i}`), { sentAt: 3_000 + i, isTrial: false }, 3_000 + i);
-    expect([made.size, made.standing(CULPRIT)]).to.deep.equal([
+      tested.blame(`5-${i}`, keyOf(`u${i}`), { sentAt: 3_000 + i, isTrial: false }, 3_000 + i);
+    expect([tested.size, tested.standing(CULPRIT)]).to.deep.equal([
       quarantine.MOST_SUSPECTS,
       'quarantined',
     ]);
-    expect(made.standing(`5-${2 * quarantine.MOST_SUSPECTS - 1}`)).to.equal('suspected');
+    expect(tested.standing(`5-${2 * quarantine.MOST_SUSPECTS - 1}`)).to.equal('suspected');
   });
 
   it('is sent with ages, replaces the state of a follower, and is merged by a new leader', () => {
@@ -370,16 +376,16 @@
 
 describe('canary runs', () => {
   it('run one request per fingerprint at a time, and end with their entry', () => {
-    const made = new trials.Trials();
+    const tested = new trials.Trials();
     const begin = (id: string, entry: string, now = 0): boolean => {
-      return made.begin(CULPRIT, { id, entry, target: undefined }, now);
+      return tested.begin(CULPRIT, { id, entry, target: undefined }, now);
     };
     const begun = [begin('r1', 'e1'), begin('r1', 'e1'), begin('r2', 'e1'), begin('r1', 'e2')];
-    made.forgetEntry('e1');
+    tested.forgetEntry('e1');
     begun.push(begin('r3', 'e2'));
-    made.end(CULPRIT, 'r2');
+    tested.end(CULPRIT, 'r2');
     begun.push(begin('r4', 'e2'));
-    made.end(CULPRIT, 'r3');
+    tested.end(CULPRIT, 'r3');
     begun.push(begin('r4', 'e2'), begin('r5', 'e2', 61_000));
     expect(begun).to.deep.equal([true, true, false, false, true, false, true, true]);
   });
--- a/packages/domain/src/quarantine/quarantine.ts
+++ b/packages/domain/src/quarantine/quarantine.ts
@@ -189,13 +189,13 @@
       return reason === undefined ? [] : [{ suspect: each, reason }];
     });
     const released = due.map(({ suspect, reason }) => this.release(suspect, reason, now));
-    const old = all
+    const expired = all
       .filter(
         (each) =>
           !suspects.isQuarantined(each) && now - suspects.lastCrashAt(each) > SUSPECT_EXPIRY_MS,
       )
       .map((each) => this.clearSuspicion(each, 'expired'));
-    return [...released, ...old, ...this.explain(now)];
+    return [...released, ...expired, ...this.explain(now)];
   }
 
   reports(now: number): suspects.Report[] {
@@ -263,16 +263,16 @@
 
   private restore(report: suspects.Report, now: number): Suspect {
     if (this.suspects.size >= MOST_SUSPECTS) this.evict(now);
-    const made = suspects.fromReport(report, now);
-    if (made.totalEndings >= MOST_ENDINGS) made.thirdEndAt = suspects.lastCrashAt(made);
-    this.suspects.set(made.content, made);
-    made.endings.forEach(({ lifetime, at }) => {
-      this.lifetimes.addSuspect(made.content, lifetime);
+    const restored = suspects.fromReport(report, now);
+    if (restored.totalEndings >= MOST_ENDINGS) restored.thirdEndAt = suspects.lastCrashAt(restored);
+    this.suspects.set(restored.content, restored);
+    restored.endings.forEach(({ lifetime, at }) => {
+      this.lifetimes.addSuspect(restored.content, lifetime);
       this.lifetimes.record(lifetime, at);
     });
-    const length = bodyLengthOf(made.content);
+    const length = bodyLengthOf(restored.content);
     this.lengths.set(length, (this.lengths.get(length) ?? 0) + 1);
-    return made;
+    return restored;
   }
 
   private remove(suspect: Suspect): void {
@@ -320,13 +320,13 @@
       // It may never have been a culprit, so this quarantine makes no later one longer.
       suspect.quarantines -= 1;
     }
-    const kept = suspect.endings.slice(-CRASHES_KEPT_ON_RELEASE);
+    const remaining = suspect.endings.slice(-CRASHES_KEPT_ON_RELEASE);
     suspect.endings.slice(0, -CRASHES_KEPT_ON_RELEASE).forEach(({ lifetime }) => {
       this.lifetimes.removeSuspect(suspect.content, lifetime);
       this.lifetimes.recordCleared(suspect.content, lifetime);
       if (reason === 'doubtful') this.noteExplained(lifetime);
     });
-    suspect.endings = kept.map(({ lifetime }) => ({ lifetime, at: now, isTrial: true }));
+    suspect.endings = remaining.map(({ lifetime }) => ({ lifetime, at: now, isTrial: true }));
     suspect.quarantinedAt = undefined;
     suspect.explained.clear();
     return this.statusChange(suspect, reason);
@@ -344,14 +344,14 @@
   }
 
   private isDoubtful(suspect: Suspect): boolean {
-    const own = suspect.endings.filter(({ lifetime }) => {
+    const ownCrashes = suspect.endings.filter(({ lifetime }) => {
       if (suspect.explained.has(lifetime) || suspect.shared.has(lifetime)) return false;
       const others = this.lifetimes
         .suspectsOf(lifetime)
         .filter((other) => other !== suspect.content);
       return !others.some((other) => this.mayBeCulprit(other));
     });
-    return suspects.countOf({ endings: own }) < CRASHES_KEPT_ON_RELEASE;
+    return suspects.countOf({ endings: ownCrashes }) < CRASHES_KEPT_ON_RELEASE;
   }
 
   /**
@@ -383,12 +383,12 @@
     // it.
     lifetimes
       .filter((lifetime) =>
-        this.singleCrashSuspects(lifetime).some((each) => this.mayBeCulprit(each)),
+        this.singleCrashSuspects(lifetime).some((fingerprint) => this.mayBeCulprit(fingerprint)),
       )
       .forEach((lifetime) => culprit.shared.add(lifetime));
     return lifetimes.flatMap((lifetime) => {
-      return this.singleCrashSuspects(lifetime).map((each) =>
-        this.clearCrash(each, lifetime, 'explained'),
+      return this.singleCrashSuspects(lifetime).map((fingerprint) =>
+        this.clearCrash(fingerprint, lifetime, 'explained'),
       );
     });
   }
--- a/packages/domain/src/quarantine/trials.ts
+++ b/packages/domain/src/quarantine/trials.ts
@@ -45,8 +45,8 @@
 
   /** Ends the runs of an entry that is gone. */
   forgetEntry(entry: string): void {
-    this.byFingerprint.forEach((trial, content) => {
-      if (trial.entry === entry) this.byFingerprint.delete(content);
+    this.byFingerprint.forEach((run, fingerprint) => {
+      if (run.entry === entry) this.byFingerprint.delete(fingerprint);
     });
   }
 
--- a/packages/domain/src/registry/__tests__/registry.test.ts
+++ b/packages/domain/src/registry/__tests__/registry.test.ts
@@ -18,11 +18,11 @@
    * drains overtakes an older one that says ready.
    */
   it('never returns a lifetime from draining to ready', () => {
-    const made = new registry.Registry();
-    made.announce(announcement('a', { state: 'draining', sequence: 5 }), 0);
-    expect(made.announce(announcement('a', { sequence: 4 }), 10)).to.deep.equal([]);
-    expect(made.announce(announcement('a', { sequence: 9 }), 20)).to.deep.equal([]);
-    expect(states(made)).to.deep.equal({ a: 'draining' });
+    const tested = new registry.Registry();
+    tested.announce(announcement('a', { state: 'draining', sequence: 5 }), 0);
+    expect(tested.announce(announcement('a', { sequence: 4 }), 10)).to.deep.equal([]);
+    expect(tested.announce(announcement('a', { sequence: 9 }), 20)).to.deep.equal([]);
+    expect(states(tested)).to.deep.equal({ a: 'draining' });
   });
 
   /**
@@ -30,19 +30,19 @@
    * record from disk.
    */
   it('never returns a lifetime to ready that announced in a response that it drains', () => {
-    const made = new registry.Registry();
-    made.remember([announcement('a', { sequence: 4 })], 0);
-    expect(made.leave('a', 0).map(({ state }) => state)).to.deep.equal(['draining']);
-    made.announce(announcement('a', { sequence: 9 }), 20);
-    made.merge([announcement('a', { sequence: 10 })], 30);
-    made.follow([announcement('a', { sequence: 11 })], 40);
-    expect([states(made), made.leave('a', 0), made.leave('b', 0)]).to.deep.equal([
+    const tested = new registry.Registry();
+    tested.remember([announcement('a', { sequence: 4 })], 0);
+    expect(tested.leave('a', 0).map(({ state }) => state)).to.deep.equal(['draining']);
+    tested.announce(announcement('a', { sequence: 9 }), 20);
+    tested.merge([announcement('a', { sequence: 10 })], 30);
+    tested.follow([announcement('a', { sequence: 11 })], 40);
+    expect([states(tested), tested.leave('a', 0), tested.leave('b', 0)]).to.deep.equal([
       { a: 'draining' },
       [],
       [],
     ]);
-    made.announce(announcement('a', { bornAt: 5, sequence: 1 }), 50);
-    expect([made.leave('a', 0), states(made)]).to.deep.equal([[], { a: 'ready' }]);
+    tested.announce(announcement('a', { bornAt: 5, sequence: 1 }), 50);
+    expect([tested.leave('a', 0), states(tested)]).to.deep.equal([[], { a: 'ready' }]);
   });
 
   /*
@@ -50,11 +50,11 @@
    * lifetime crashed behind a partition, and its last announcement arrives after the new one's.
    */
   it('presumes a replaced lifetime dead, and ignores its late announcement', () => {
-    const made = new registry.Registry();
-    made.announce(announcement('old'), 0);
-    made.announce(announcement('new'), 1_000);
-    made.announce(announcement('old', { sequence: 2 }), 1_100);
-    expect(states(made)).to.deep.equal({ old: 'gone', new: 'ready' });
+    const tested = new registry.Registry();
+    tested.announce(announcement('old'), 0);
+    tested.announce(announcement('new'), 1_000);
+    tested.announce(announcement('old', { sequence: 2 }), 1_100);
+    expect(states(tested)).to.deep.equal({ old: 'gone', new: 'ready' });
   });
 
   /*
@@ -101,20 +101,20 @@
    * itself.
    */
   it('revives a lifetime that was presumed dead in error', () => {
-    const made = new registry.Registry();
-    made.announce(announcement('live', { sequence: 7 }), 0);
-    made.announce(announcement('dead', { sequence: 3 }), 100);
-    expect(states(made)).to.deep.equal({ live: 'gone', dead: 'ready' });
-    made.announce(announcement('live', { sequence: 8 }), 1_200);
-    made.announce(announcement('live', { sequence: 9 }), 2_400);
-    expect(states(made)).to.deep.equal({ live: 'ready', dead: 'gone' });
+    const tested = new registry.Registry();
+    tested.announce(announcement('live', { sequence: 7 }), 0);
+    tested.announce(announcement('dead', { sequence: 3 }), 100);
+    expect(states(tested)).to.deep.equal({ live: 'gone', dead: 'ready' });
+    tested.announce(announcement('live', { sequence: 8 }), 1_200);
+    tested.announce(announcement('live', { sequence: 9 }), 2_400);
+    expect(states(tested)).to.deep.equal({ live: 'ready', dead: 'gone' });
   });
 
   it('ends no known target for a record from a copy', () => {
-    const made = new registry.Registry();
-    made.announce(announcement('live'), 0);
-    expect(made.merge([announcement('dead')], 10)).to.deep.equal([]);
-    expect(states(made)).to.deep.equal({ live: 'ready', dead: 'gone' });
+    const tested = new registry.Registry();
+    tested.announce(announcement('live'), 0);
+    expect(tested.merge([announcement('dead')], 10)).to.deep.equal([]);
+    expect(states(tested)).to.deep.equal({ live: 'ready', dead: 'gone' });
   });
 
   /*
@@ -123,22 +123,22 @@
    * the registry.
    */
   it('presumes a lifetime dead when another one answers for it, until it announces itself again', () => {
-    const made = new registry.Registry();
-    made.announce(announcement('a'), 0);
-    made.presumeEnded('a', 100);
-    expect(states(made)).to.deep.equal({ a: 'gone' });
-    made.announce(announcement('a', { sequence: 2 }), 200);
-    made.announce(announcement('a', { sequence: 3 }), 1_400);
-    expect(states(made)).to.deep.equal({ a: 'ready' });
+    const tested = new registry.Registry();
+    tested.announce(announcement('a'), 0);
+    tested.presumeEnded('a', 100);
+    expect(states(tested)).to.deep.equal({ a: 'gone' });
+    tested.announce(announcement('a', { sequence: 2 }), 200);
+    tested.announce(announcement('a', { sequence: 3 }), 1_400);
+    expect(states(tested)).to.deep.equal({ a: 'ready' });
   });
 
   it('keeps an end that was reported before the first announcement', () => {
-    const made = new registry.Registry();
-    made.depart('a', 0);
-    made.announce(announcement('a'), 10);
-    expect(states(made)).to.deep.equal({ a: 'gone' });
-    made.forget(registry.GONE_RETENTION_MS + 1);
-    expect(states(made)).to.deep.equal({});
+    const tested = new registry.Registry();
+    tested.depart('a', 0);
+    tested.announce(announcement('a'), 10);
+    expect(states(tested)).to.deep.equal({ a: 'gone' });
+    tested.forget(registry.GONE_RETENTION_MS + 1);
+    expect(states(tested)).to.deep.equal({});
   });
 
   /*
@@ -146,11 +146,11 @@
    * presumed dead, and the sequences of the new one start below those of the former.
    */
   it('accepts a target that restarted under its id', () => {
-    const made = new registry.Registry();
-    made.announce(announcement('a', { bornAt: 100, sequence: 9, state: 'draining' }), 0);
-    made.depart('a', 10);
-    made.announce(announcement('a', { bornAt: 200, sequence: 1 }), 20);
-    expect(states(made)).to.deep.equal({ a: 'ready' });
+    const tested = new registry.Registry();
+    tested.announce(announcement('a', { bornAt: 100, sequence: 9, state: 'draining' }), 0);
+    tested.depart('a', 10);
+    tested.announce(announcement('a', { bornAt: 200, sequence: 1 }), 20);
+    expect(states(tested)).to.deep.equal({ a: 'ready' });
   });
 
   /*
@@ -158,13 +158,13 @@
    * only sees the target ready before and after must be told of the end in between.
    */
   it('ends the former lifetime when a target restarts unnoticed, here and in copies', () => {
-    const made = new registry.Registry();
+    const tested = new registry.Registry();
     const copy = new registry.Registry();
-    copy.merge(made.announce(announcement('a', { bornAt: 100, sequence: 9 }), 0), 0);
-    const changes = made.announce(announcement('a', { bornAt: 200 }), 10);
+    copy.merge(tested.announce(announcement('a', { bornAt: 100, sequence: 9 }), 0), 0);
+    const changes = tested.announce(announcement('a', { bornAt: 200 }), 10);
     const summary = (each: registry.Announcement): string => `${each.state} ${each.bornAt}`;
     expect(changes.map(summary)).to.deep.equal(['gone 100', 'ready 200']);
-    expect(copy.merge(made.records(), 20).map(summary)).to.deep.equal(['gone 100', 'ready 200']);
+    expect(copy.merge(tested.records(), 20).map(summary)).to.deep.equal(['gone 100', 'ready 200']);
   });
 
   /*
@@ -172,15 +172,15 @@
    * is gone were delayed by a partition and arrive after its restart.
    */
   it('ignores late reports of a former lifetime', () => {
-    const made = new registry.Registry();
-    made.announce(announcement('a', { bornAt: 200 }), 0);
+    const tested = new registry.Registry();
+    tested.announce(announcement('a', { bornAt: 200 }), 0);
     const late = announcement('a', { bornAt: 100, state: 'draining', sequence: 9 });
-    expect(made.announce(late, 10)).to.deep.equal([]);
-    expect(made.merge([{ ...late, state: 'gone' }], 20)).to.deep.equal([]);
-    expect(made.depart('a', 30, 100)).to.deep.equal([]);
-    expect(states(made)).to.deep.equal({ a: 'ready' });
-    made.depart('a', 40, 200);
-    expect(states(made)).to.deep.equal({ a: 'gone' });
+    expect(tested.announce(late, 10)).to.deep.equal([]);
+    expect(tested.merge([{ ...late, state: 'gone' }], 20)).to.deep.equal([]);
+    expect(tested.depart('a', 30, 100)).to.deep.equal([]);
+    expect(states(tested)).to.deep.equal({ a: 'ready' });
+    tested.depart('a', 40, 200);
+    expect(states(tested)).to.deep.equal({ a: 'gone' });
   });
 });
 
@@ -190,12 +190,12 @@
    * leader received an announcement of it.
    */
   it('accepts a lifetime whose predecessor was gone before its first announcement', () => {
-    const made = new registry.Registry();
-    made.depart('a', 0, 1);
-    made.announce(announcement('a', { bornAt: 1 }), 10);
-    expect(states(made)).to.deep.equal({ a: 'gone' });
-    made.announce(announcement('a', { bornAt: 2 }), 20);
-    expect(states(made)).to.deep.equal({ a: 'ready' });
+    const tested = new registry.Registry();
+    tested.depart('a', 0, 1);
+    tested.announce(announcement('a', { bornAt: 1 }), 10);
+    expect(states(tested)).to.deep.equal({ a: 'gone' });
+    tested.announce(announcement('a', { bornAt: 2 }), 20);
+    expect(states(tested)).to.deep.equal({ a: 'ready' });
   });
 
   /**
@@ -203,11 +203,11 @@
    * the end was reported.
    */
   it('ignores announcements of a lifetime that was reported gone before', () => {
-    const made = new registry.Registry();
-    made.announce(announcement('a', { bornAt: 1 }), 0);
-    made.depart('a', 10, 2);
-    made.announce(announcement('a', { bornAt: 2 }), 20);
-    expect(states(made)).to.deep.equal({ a: 'gone' });
+    const tested = new registry.Registry();
+    tested.announce(announcement('a', { bornAt: 1 }), 0);
+    tested.depart('a', 10, 2);
+    tested.announce(announcement('a', { bornAt: 2 }), 20);
+    expect(states(tested)).to.deep.equal({ a: 'gone' });
   });
 
   /**
--- a/packages/domain/src/registry/__tests__/loadedTargets.test.ts
+++ b/packages/domain/src/registry/__tests__/remembered.test.ts
@@ -16,9 +16,9 @@
 }
 
 function loadedRegistry(...records: registry.Announcement[]): registry.Registry {
-  const made = new registry.Registry();
-  made.remember(records, 0);
-  return made;
+  const tested = new registry.Registry();
+  tested.remember(records, 0);
+  return tested;
 }
 
 /** Ids of the ready targets; a question mark marks those that were only loaded from disk. */
@@ -33,11 +33,11 @@
    * announcements confirm them one by one.
    */
   it('are used at once, and confirmed by their next announcement', () => {
-    const made = loadedRegistry(announcement('a'), announcement('bb'));
-    expect(readyTargets(made)).to.deep.equal(['a?', 'bb?']);
-    const changed = made.announce(announcement('a', { sequence: 6 }), 300);
+    const tested = loadedRegistry(announcement('a'), announcement('bb'));
+    expect(readyTargets(tested)).to.deep.equal(['a?', 'bb?']);
+    const changed = tested.announce(announcement('a', { sequence: 6 }), 300);
     expect(changed.map(({ id }) => id)).to.deep.equal(['a']);
-    expect(readyTargets(made)).to.deep.equal(['a', 'bb?']);
+    expect(readyTargets(tested)).to.deep.equal(['a', 'bb?']);
   });
 
   /*
@@ -45,13 +45,13 @@
    * up after two missed announcements; one that was merely late returns with its next announcement.
    */
   it('are given up without an announcement, and return with a later one', () => {
-    const made = loadedRegistry(announcement('a'));
-    expect(made.endRemembered(registry.LOADED_TIMEOUT_MS - 1)).to.deep.equal([]);
-    const ended = made.endRemembered(registry.LOADED_TIMEOUT_MS + 1);
+    const tested = loadedRegistry(announcement('a'));
+    expect(tested.endRemembered(registry.LOADED_TIMEOUT_MS - 1)).to.deep.equal([]);
+    const ended = tested.endRemembered(registry.LOADED_TIMEOUT_MS + 1);
     expect(ended.map(({ id, state }) => `${id} ${state}`)).to.deep.equal(['a gone']);
-    expect(readyTargets(made)).to.deep.equal([]);
-    made.announce(announcement('a', { sequence: 9 }), registry.LOADED_TIMEOUT_MS + 50);
-    expect(readyTargets(made)).to.deep.equal(['a']);
+    expect(readyTargets(tested)).to.deep.equal([]);
+    tested.announce(announcement('a', { sequence: 9 }), registry.LOADED_TIMEOUT_MS + 50);
+    expect(readyTargets(tested)).to.deep.equal(['a']);
   });
 
   /*
@@ -59,13 +59,13 @@
    * power, and a delayed older announcement that says ready arrives after the restart.
    */
   it('stay draining or gone after a late announcement', () => {
-    const made = loadedRegistry(
+    const tested = loadedRegistry(
       announcement('a', { state: 'draining' }),
       announcement('bb', { state: 'gone' }),
     );
-    made.announce(announcement('a', { sequence: 4 }), 10);
-    made.announce(announcement('bb', { sequence: 9 }), 20);
-    expect(readyTargets(made)).to.deep.equal([]);
+    tested.announce(announcement('a', { sequence: 4 }), 10);
+    tested.announce(announcement('bb', { sequence: 9 }), 20);
+    expect(readyTargets(tested)).to.deep.equal([]);
   });
 
   /*
@@ -74,9 +74,9 @@
    * a copy of the registry reports it.
    */
   it('yield to a target that announces their address', () => {
-    const made = loadedRegistry(announcement('a'));
-    made.announce(announcement('new', { address: '10.0.0.1:80', bornAt: 2 }), 100);
-    expect(readyTargets(made)).to.deep.equal(['new']);
+    const tested = loadedRegistry(announcement('a'));
+    tested.announce(announcement('new', { address: '10.0.0.1:80', bornAt: 2 }), 100);
+    expect(readyTargets(tested)).to.deep.equal(['new']);
     const copy = loadedRegistry(announcement('a'));
     copy.merge([announcement('new', { address: '10.0.0.1:80', bornAt: 2 })], 100);
     expect(readyTargets(copy)).to.deep.equal(['new']);
@@ -87,12 +87,12 @@
    * keeper only loaded from disk must not replace what another one received from the target.
    */
   it('are replaced by announcements that another copy of the registry received', () => {
-    const made = loadedRegistry(announcement('a'));
-    made.merge([announcement('a', { sequence: 7 })], 100);
-    expect(readyTargets(made)).to.deep.equal(['a']);
-    made.merge([announcement('a', { isRemembered: true })], 200);
-    made.merge([announcement('a', { isRemembered: true, state: 'gone' })], 300);
-    expect(readyTargets(made)).to.deep.equal(['a']);
+    const tested = loadedRegistry(announcement('a'));
+    tested.merge([announcement('a', { sequence: 7 })], 100);
+    expect(readyTargets(tested)).to.deep.equal(['a']);
+    tested.merge([announcement('a', { isRemembered: true })], 200);
+    tested.merge([announcement('a', { isRemembered: true, state: 'gone' })], 300);
+    expect(readyTargets(tested)).to.deep.equal(['a']);
   });
 
   /*
@@ -114,12 +114,12 @@
    * silence after a restart or a replacement in error, and the disk says gone at the next restart.
    */
   it('are stored without ends that were only inferred', () => {
-    const made = loadedRegistry(announcement('a'));
-    made.endRemembered(registry.LOADED_TIMEOUT_MS + 1);
-    made.announce(announcement('bb'), 3_000);
-    made.presumeEnded('bb', 3_100);
-    made.announce(announcement('ccc', { state: 'gone' }), 3_200);
-    expect(made.durable().map(({ id, state }) => `${id} ${state}`)).to.deep.equal(['ccc gone']);
+    const tested = loadedRegistry(announcement('a'));
+    tested.endRemembered(registry.LOADED_TIMEOUT_MS + 1);
+    tested.announce(announcement('bb'), 3_000);
+    tested.presumeEnded('bb', 3_100);
+    tested.announce(announcement('ccc', { state: 'gone' }), 3_200);
+    expect(tested.durable().map(({ id, state }) => `${id} ${state}`)).to.deep.equal(['ccc gone']);
   });
 
   /*
--- a/packages/domain/src/registry/validity.ts
+++ b/packages/domain/src/registry/validity.ts
@@ -13,15 +13,15 @@
 /** More concurrent requests than any target serves. */
 const MAX_SLOTS = 100_000;
 
-function isWithin(text: string | undefined, max: number): boolean {
+function isIntegerUpTo(text: string | undefined, max: number): boolean {
   return text !== undefined && /^\d{1,5}$/.test(text) && Number(text) <= max;
 }
 
 function isAddress(text: string): boolean {
   const [host, port, ...rest] = text.split(':');
   const octets = host.split('.');
-  const isHost = octets.length === 4 && octets.every((each) => isWithin(each, MAX_OCTET));
-  return rest.length === 0 && isHost && isWithin(port, MAX_PORT) && Number(port) > 0;
+  const isHost = octets.length === 4 && octets.every((each) => isIntegerUpTo(each, MAX_OCTET));
+  return rest.length === 0 && isHost && isIntegerUpTo(port, MAX_PORT) && Number(port) > 0;
 }
 
 function isCount(value: number, max = Number.MAX_SAFE_INTEGER): boolean {
--- a/packages/domain/src/replication/__tests__/replica.test.ts
+++ b/packages/domain/src/replication/__tests__/replica.test.ts
@@ -14,18 +14,18 @@
 const SCHEDULES = 2_000;
 
 function run(seed: number, options: schedule.Options): schedule.Finding | undefined {
-  const made = new schedule.Schedule(seed, options);
-  const found = made.run();
+  const simulation = new schedule.Schedule(seed, options);
+  const found = simulation.run();
   if (found !== undefined) return found;
-  made.heal(3_000);
-  const lost = [...made.acknowledged].find(([command, index]) => {
-    return !made.committed.get(index)?.includes(`"command":"${command}"`);
+  simulation.heal(3_000);
+  const lost = [...simulation.acknowledged].find(([command, index]) => {
+    return !simulation.committed.get(index)?.includes(`"command":"${command}"`);
   });
   if (lost !== undefined) return { seed, problem: `acknowledged ${lost[0]} is lost` };
-  if (made.problem !== '') return { seed, problem: made.problem };
-  const last = made.propose();
-  made.heal(500);
-  const taken = made.acknowledged.has(last);
+  if (simulation.problem !== '') return { seed, problem: simulation.problem };
+  const last = simulation.propose();
+  simulation.heal(500);
+  const taken = simulation.acknowledged.has(last);
   return taken ? undefined : { seed, problem: 'no command taken after everything healed' };
 }
 
@@ -79,11 +79,12 @@
     const measureWait = (restart: replica.Timing['restart']): number => {
       const timing = { ...replica.DEFAULT_TIMING, restart };
       const options = { voters: 5, spares: 0, steps: 0, crash: 0, loss: 0, timing };
-      const made = new schedule.Schedule(3, options);
-      made.heal(3_000);
-      made.restartAll();
+      const simulation = new schedule.Schedule(3, options);
+      simulation.heal(3_000);
+      simulation.restartAll();
       let waited = 0;
-      for (; made.leader() === undefined && waited < 5_000; waited += 10) made.advance(10);
+      for (; simulation.leader() === undefined && waited < 5_000; waited += 10)
+        simulation.advance(10);
       return waited;
     };
     expect(measureWait(undefined)).to.be.at.least(800);
@@ -98,11 +99,12 @@
     const options = { voters: 5, spares: 0, steps: 0, crash: 0, loss: 0 };
     const waits = [1, 2, 3, 4, 5, 6, 7, 8].map((seed) => {
       const timing = { ...replica.DEFAULT_TIMING, restart: RESTART };
-      const made = new schedule.Schedule(seed, { ...options, timing });
-      made.heal(3_000);
-      made.restartStaggered(2, 500);
+      const simulation = new schedule.Schedule(seed, { ...options, timing });
+      simulation.heal(3_000);
+      simulation.restartStaggered(2, 500);
       let waited = 0;
-      for (; made.leader() === undefined && waited < 5_000; waited += 10) made.advance(10);
+      for (; simulation.leader() === undefined && waited < 5_000; waited += 10)
+        simulation.advance(10);
       return waited;
     });
     expect(Math.max(...waits)).to.be.at.most(450);
@@ -117,11 +119,12 @@
   it('elects without a split vote once a quorum is up, whatever the order of the starts', () => {
     const options = { voters: 5, spares: 0, steps: 0, crash: 0, loss: 0 };
     const waits = Array.from({ length: 1_000 }, (_each, seed) => {
-      const made = new schedule.Schedule(seed, { ...options, timing: EAGER });
-      made.heal(1_000);
-      made.restartStaggered(2, EAGER_RESTART.max + (seed % 200));
+      const simulation = new schedule.Schedule(seed, { ...options, timing: EAGER });
+      simulation.heal(1_000);
+      simulation.restartStaggered(2, EAGER_RESTART.max + (seed % 200));
       let waited = 0;
-      for (; made.leader() === undefined && waited < 5_000; waited += 10) made.advance(10);
+      for (; simulation.leader() === undefined && waited < 5_000; waited += 10)
+        simulation.advance(10);
       return waited;
     });
     waits.sort((a, b) => a - b);
@@ -136,13 +139,13 @@
   it('keeps a live leader when most of its followers restart', () => {
     const options = { voters: 5, spares: 0, steps: 0, crash: 0, loss: 0 };
     const deposed = Array.from({ length: 1_000 }, (_each, seed) => seed).filter((seed) => {
-      const made = new schedule.Schedule(seed, { ...options, timing: EAGER });
-      made.heal(1_000);
-      const before = made.leader()?.id ?? '';
-      const others = [...made.nodes.keys()].filter((id) => id !== before);
-      others.slice(0, 1 + (seed % 3)).forEach((id) => made.restart(id));
-      made.advance(1_500);
-      return made.leader()?.id !== before;
+      const simulation = new schedule.Schedule(seed, { ...options, timing: EAGER });
+      simulation.heal(1_000);
+      const before = simulation.leader()?.id ?? '';
+      const others = [...simulation.nodes.keys()].filter((id) => id !== before);
+      others.slice(0, 1 + (seed % 3)).forEach((id) => simulation.restart(id));
+      simulation.advance(1_500);
+      return simulation.leader()?.id !== before;
     });
     expect(deposed).to.deep.equal([]);
   });
@@ -153,20 +156,26 @@
    * when it returns.
    */
   it('accepts nothing on an isolated leader, and loses nothing when it returns', () => {
-    const made = new schedule.Schedule(7, { voters: 3, spares: 0, steps: 0, crash: 0, loss: 0 });
-    made.heal(3_000);
-    const old = made.leader()?.id ?? '';
-    made.isolate(old);
-    made.advance(3_000);
-    const isolated = made.nodes.get(old)?.replica;
+    const simulation = new schedule.Schedule(7, {
+      voters: 3,
+      spares: 0,
+      steps: 0,
+      crash: 0,
+      loss: 0,
+    });
+    simulation.heal(3_000);
+    const old = simulation.leader()?.id ?? '';
+    simulation.isolate(old);
+    simulation.advance(3_000);
+    const isolated = simulation.nodes.get(old)?.replica;
     expect(isolated?.state).to.not.equal('leader');
-    expect(made.leader()?.id).to.not.equal(old);
-    made.propose();
-    made.heal(3_000);
-    made.propose();
-    made.heal(500);
-    expect(made.problem).to.equal('');
-    expect(made.acknowledged.size).to.be.greaterThan(0);
+    expect(simulation.leader()?.id).to.not.equal(old);
+    simulation.propose();
+    simulation.heal(3_000);
+    simulation.propose();
+    simulation.heal(500);
+    expect(simulation.problem).to.equal('');
+    expect(simulation.acknowledged.size).to.be.greaterThan(0);
   });
 
   /*
@@ -178,20 +187,20 @@
     it(`elects no second leader during a lease, ${restarts ? 'with' : 'without'} restarts`, () => {
       for (let seed = 1; seed <= 20; seed++) {
         const options = { voters: 3, spares: 0, steps: 0, crash: 0, loss: 0 };
-        const made = new schedule.Schedule(seed, options);
-        made.heal(3_000);
-        const leader = made.leader()?.id as string;
-        const [cut, other] = [...made.nodes.keys()].filter((id) => id !== leader) as [
+        const simulation = new schedule.Schedule(seed, options);
+        simulation.heal(3_000);
+        const leader = simulation.leader()?.id as string;
+        const [cut, other] = [...simulation.nodes.keys()].filter((id) => id !== leader) as [
           string,
           string,
         ];
-        made.cutLink(leader, cut);
+        simulation.cutLink(leader, cut);
         for (let round = 0; round < 100; round++) {
-          if (restarts) made.restart(other);
-          made.advance(50);
+          if (restarts) simulation.restart(other);
+          simulation.advance(50);
         }
-        expect(made.problem, `seed ${seed}`).to.equal('');
-        if (!restarts) expect(made.leader()?.id, `seed ${seed}`).to.equal(leader);
+        expect(simulation.problem, `seed ${seed}`).to.equal('');
+        if (!restarts) expect(simulation.leader()?.id, `seed ${seed}`).to.equal(leader);
       }
     });
   });
@@ -238,15 +247,21 @@
 
   /** A member that lacks committed entries must not become a voter. */
   it('refuses to promote a learner that lacks committed entries', () => {
-    const made = new schedule.Schedule(3, { voters: 3, spares: 1, steps: 0, crash: 0, loss: 0 });
-    made.heal(3_000);
-    made.propose();
-    made.heal(300);
-    const leader = made.leader();
+    const simulation = new schedule.Schedule(3, {
+      voters: 3,
+      spares: 1,
+      steps: 0,
+      crash: 0,
+      loss: 0,
+    });
+    simulation.heal(3_000);
+    simulation.propose();
+    simulation.heal(300);
+    const leader = simulation.leader();
     const members = leader?.replica?.members ?? [];
     const spare = { id: 's0', address: 's0', dataCentre: 'd', role: 'voter' } as const;
     const now = (leader as unknown as { skew: number }).skew;
-    const asked = leader?.replica?.changeMembers([...members, spare], made.clock + now);
+    const asked = leader?.replica?.changeMembers([...members, spare], simulation.clock + now);
     expect(asked?.refusal).to.equal('notCaughtUp');
   });
 
@@ -255,18 +270,24 @@
    * state.
    */
   it('installs no snapshot that is older than its applied state', () => {
-    const made = new schedule.Schedule(4, { voters: 3, spares: 0, steps: 0, crash: 0, loss: 0 });
-    made.heal(3_000);
+    const simulation = new schedule.Schedule(4, {
+      voters: 3,
+      spares: 0,
+      steps: 0,
+      crash: 0,
+      loss: 0,
+    });
+    simulation.heal(3_000);
     for (let i = 0; i < 3; i++) {
-      made.propose();
-      made.heal(100);
+      simulation.propose();
+      simulation.heal(100);
     }
-    const leader = made.leader();
-    const follower = [...made.nodes.values()].find(({ id }) => id !== leader?.id);
+    const leader = simulation.leader();
+    const follower = [...simulation.nodes.values()].find(({ id }) => id !== leader?.id);
     const snapshot = { index: 1, term: 1, members: leader?.replica?.members ?? [], state: 'old' };
     const effects = follower?.replica?.receive(
       { kind: 'snapshotRequest', from: leader?.id ?? '', term: 9, snapshot, sentAt: 0 },
-      made.clock,
+      simulation.clock,
     );
     expect(effects?.install).to.equal(undefined);
     expect(follower?.replica?.commit).to.be.greaterThan(1);
@@ -279,37 +300,37 @@
   [3, 5].forEach((voters) => {
     it(`loses nothing when a second VM is lost right after a repair of ${voters} voters`, () => {
       for (let seed = 1; seed <= 40; seed++) {
-        const made = new schedule.Schedule(seed, {
+        const simulation = new schedule.Schedule(seed, {
           voters,
           spares: 1,
           steps: 0,
           crash: 0,
           loss: 0,
         });
-        made.heal(2_500);
+        simulation.heal(2_500);
         for (let i = 0; i < 30; i++) {
-          made.propose();
-          made.heal(30);
+          simulation.propose();
+          simulation.heal(30);
         }
-        made.heal(300);
-        const accepted = made.acknowledged.size;
-        const victims = [...made.nodes.keys()].filter((id) => id !== made.leader()?.id);
-        made.destroy(victims.find((id) => id.startsWith('n')) as string);
+        simulation.heal(300);
+        const accepted = simulation.acknowledged.size;
+        const victims = [...simulation.nodes.keys()].filter((id) => id !== simulation.leader()?.id);
+        simulation.destroy(victims.find((id) => id.startsWith('n')) as string);
         let reason = '';
         for (let round = 0; round < 800 && reason !== 'removeDead'; round++) {
-          reason = made.repairStep(voters, 1_000)?.reason ?? '';
-          made.heal(20);
+          reason = simulation.repairStep(voters, 1_000)?.reason ?? '';
+          simulation.heal(20);
         }
         expect(reason, `seed ${seed}`).to.equal('removeDead');
-        made.heal(200);
-        const second = made.leader()?.id as string;
-        made.destroy(second);
-        made.heal(4_000);
-        const last = made.propose();
-        made.heal(500);
-        expect(made.acknowledged.has(last), `seed ${seed}`).to.equal(true);
-        expect(made.acknowledged.size, `seed ${seed}`).to.equal(accepted + 1);
-        expect(made.problem, `seed ${seed}`).to.equal('');
+        simulation.heal(200);
+        const second = simulation.leader()?.id as string;
+        simulation.destroy(second);
+        simulation.heal(4_000);
+        const last = simulation.propose();
+        simulation.heal(500);
+        expect(simulation.acknowledged.has(last), `seed ${seed}`).to.equal(true);
+        expect(simulation.acknowledged.size, `seed ${seed}`).to.equal(accepted + 1);
+        expect(simulation.problem, `seed ${seed}`).to.equal('');
       }
     });
   });
--- a/packages/domain/src/replication/__tests__/schedule.ts
+++ b/packages/domain/src/replication/__tests__/schedule.ts
@@ -249,7 +249,7 @@
     this.checkLeases();
     this.now += Math.floor(this.source.uniform() * 40);
     const choice = this.source.uniform();
-    if (choice < 0.015) this.toggleCut();
+    if (choice < 0.015) this.toggleIsolation();
     else if (choice < 0.025) this.crash(this.pickNode());
     else if (choice < 0.065) this.start(this.pickNode());
     else if (choice < 0.15) this.propose();
@@ -263,7 +263,7 @@
     return shared.random.pick(this.source, [...this.nodes.values()]);
   }
 
-  private toggleCut(): void {
+  private toggleIsolation(): void {
     const { id } = this.pickNode();
     if (!this.isolated.delete(id)) this.isolated.add(id);
   }
--- a/packages/domain/src/target/__tests__/target.test.ts
+++ b/packages/domain/src/target/__tests__/target.test.ts
@@ -46,7 +46,7 @@
         fastCheck.integer(),
         (list, seed) => {
           const source = random.seeded(seed);
-          const end = [...list]
+          const latest = [...list]
             .sort(() => source.uniform() - 0.5)
             .reduce<target.Target | undefined>(
               (current, each) => (target.isNewer(each, current) ? each : current),
@@ -55,7 +55,7 @@
           const newest = [...list].sort(
             (a, b) => b.incarnation - a.incarnation || b.sequence - a.sequence,
           )[0];
-          expect(end).to.deep.equal(newest);
+          expect(latest).to.deep.equal(newest);
         },
       ),
       { seed: 5, numRuns: 500 },
