--- a/packages/domain/src/control/state.ts
+++ b/packages/domain/src/control/state.ts
@@ -55,6 +55,7 @@
   tree: tree.Snapshot;
   daemons: Registered[];
   stops: stop.Stop[];
+  /** Keys of the models that this system loaded on targets. */
   ordered: string[];
   audit: Audit[];
 }
--- a/packages/domain/src/ledger/ledger.ts
+++ b/packages/domain/src/ledger/ledger.ts
@@ -100,6 +100,7 @@
 
 export interface Snapshot {
   entries: Entry[];
+  /** Keys whose answers have expired. */
   tombstones: { key: string; at: number }[];
 }
 
--- a/packages/domain/src/quarantine/quarantine.ts
+++ b/packages/domain/src/quarantine/quarantine.ts
@@ -15,6 +15,7 @@
 
 type Suspect = suspects.Suspect;
 
+/** Quarantine status of a request. */
 export type Standing = 'free' | 'suspected' | 'quarantined';
 
 /** Why a suspicion was cleared or reduced. */
@@ -70,8 +71,11 @@
 
 /** Effect of a change on one request, for the log. */
 export interface Change {
+  /** Fingerprint of the request. */
   content: string;
+  /** Its status afterwards. */
   standing: Standing;
+  /** Crashes that count against it afterwards. */
   endings: number;
   /** Why the suspicion was cleared or reduced; undefined where a crash was added. */
   reason: ClearanceReason | undefined;
--- a/packages/domain/src/quarantine/suspect.ts
+++ b/packages/domain/src/quarantine/suspect.ts
@@ -12,7 +12,9 @@
 }
 
 export interface Suspect {
+  /** Fingerprint of the request. */
   content: string;
+  /** Crashes that count against it. */
   endings: Crash[];
   /** Quarantines so far, including the present one. */
   quarantines: number;
@@ -43,6 +45,7 @@
  * endings the suspicion is cleared.
  */
 export interface Report {
+  /** Fingerprint of the request. */
   content: string;
   endings: { lifetime: string; agoMs: number; isTrial: boolean }[];
   quarantines: number;
--- a/packages/domain/src/settings/tree.ts
+++ b/packages/domain/src/settings/tree.ts
@@ -61,13 +61,16 @@
 
 interface StoredAnswer {
   id: string;
+  /** The change in canonical form, to tell a resend from another use of the id. */
   content: string;
   answer: Answer;
 }
 
 export interface Snapshot {
   subtrees: Subtree[];
+  /** Last revisions of removed subtrees. */
   removed: { name: string; revision: number }[];
+  /** Answers that are kept for resends. */
   remembered: StoredAnswer[];
 }
 
