--- a/packages/domain/src/ledger/ledger.ts
+++ b/packages/domain/src/ledger/ledger.ts
@@ -115,7 +115,7 @@
 
   private readonly claimCounts = new Map<string, number>();
 
-  constructor(private readonly bounds: LedgerLimits = DEFAULT_BOUNDS) {}
+  constructor(private readonly limits: LedgerLimits = DEFAULT_BOUNDS) {}
 
   get size(): number {
     return this.entries.size;
@@ -133,8 +133,8 @@
     return { entries: [...this.entries.values()], tombstones };
   }
 
-  static restore(snapshot: Snapshot, bounds: LedgerLimits = DEFAULT_BOUNDS): Ledger {
-    const ledger = new Ledger(bounds);
+  static restore(snapshot: Snapshot, limits: LedgerLimits = DEFAULT_BOUNDS): Ledger {
+    const ledger = new Ledger(limits);
     snapshot.entries.forEach((entry) => ledger.add({ ...entry }));
     snapshot.tombstones.forEach(({ key, at }) => ledger.tombstones.set(key, at));
     return ledger;
@@ -151,7 +151,7 @@
     }
     if (this.tombstones.has(claim.key)) return { kind: 'expired' };
     const claimCount = this.claimCounts.get(claim.organisation) ?? 0;
-    if (claimCount >= this.bounds.claimsPerOrganisation) {
+    if (claimCount >= this.limits.claimsPerOrganisation) {
       return { kind: 'overLimit', retryAfterMs: this.untilOldestExpires(claim) };
     }
     const { key, organisation, content, attempt, deadline, at } = claim;
@@ -181,7 +181,7 @@
   }
 
   private withinBodyLimit(answer: Answer | undefined): Answer | undefined {
-    if (answer === undefined || answer.body.length <= this.bounds.answerLength) return answer;
+    if (answer === undefined || answer.body.length <= this.limits.answerLength) return answer;
     return { ...answer, body: '' };
   }
 
@@ -211,20 +211,20 @@
   /** Entries are in the order of their claims, so only the oldest need a check. */
   private expire(now: number): void {
     for (const [key, entry] of this.entries) {
-      if (entry.at + this.bounds.retention > now) break;
+      if (entry.at + this.limits.retention > now) break;
       this.remove(key);
       this.tombstones.set(key, entry.at);
     }
     for (const [key, at] of this.tombstones) {
-      if (at + this.bounds.retention + this.bounds.tombstones > now) break;
+      if (at + this.limits.retention + this.limits.tombstones > now) break;
       this.tombstones.delete(key);
     }
   }
 
   private untilOldestExpires({ organisation, at }: Claim): number {
     for (const entry of this.entries.values()) {
-      if (entry.organisation === organisation) return entry.at + this.bounds.retention - at;
+      if (entry.organisation === organisation) return entry.at + this.limits.retention - at;
     }
-    return this.bounds.retention;
+    return this.limits.retention;
   }
 }
--- a/packages/domain/src/membership/freshness.ts
+++ b/packages/domain/src/membership/freshness.ts
@@ -77,8 +77,8 @@
   lease: number,
 ): boolean {
   if (registered.length === 0) return true;
-  const recent = registered.filter((id) => now - contactAt(id) <= lease);
-  return isMajority(recent.length, registered.length);
+  const reachable = registered.filter((id) => now - contactAt(id) <= lease);
+  return isMajority(reachable.length, registered.length);
 }
 
 /** Leader: whether it may answer "accepted", as a majority has the change. */
--- a/packages/domain/src/memory/holding.ts
+++ b/packages/domain/src/memory/holding.ts
@@ -58,7 +58,7 @@
 
 const RELEASE_RETRY_MS = 200;
 
-const RELEASE_RETRY_MAX_MS = 5_000;
+const MAX_RELEASE_RETRY_MS = 5_000;
 
 /** Lease of a resource at its engine; renewals come well before its end. */
 export const LEASE_MS = 15_000;
@@ -109,7 +109,7 @@
     );
     return ready.map((entry) => {
       entry.tries += 1;
-      entry.retryAt = now + Math.min(RELEASE_RETRY_MAX_MS, RELEASE_RETRY_MS * 2 ** entry.tries);
+      entry.retryAt = now + Math.min(MAX_RELEASE_RETRY_MS, RELEASE_RETRY_MS * 2 ** entry.tries);
       return { target: entry.target, id: entry.id, kind: entry.kind };
     });
   }
--- a/packages/domain/src/quarantine/quarantine.ts
+++ b/packages/domain/src/quarantine/quarantine.ts
@@ -215,13 +215,13 @@
   /** Applies the leader's report, which replaces the state of that request here. */
   take(report: suspects.Report, now: number): void {
     const known = this.suspects.get(report.content);
-    if (known !== undefined) this.remove(known);
+    if (known !== undefined) this.deleteSuspect(known);
     if (report.endings.length > 0) this.restore(report, now);
   }
 
   /** Replaces all suspects by the leader's. */
   takeAll(reports: readonly suspects.Report[], now: number): void {
-    [...this.suspects.values()].forEach((each) => this.remove(each));
+    [...this.suspects.values()].forEach((each) => this.deleteSuspect(each));
     reports.forEach((report) => this.restore(report, now));
   }
 
@@ -279,19 +279,19 @@
     return restored;
   }
 
-  private remove(suspect: Suspect): void {
+  private deleteSuspect(suspect: Suspect): void {
     const { content, endings } = suspect;
     this.suspects.delete(content);
     endings.forEach(({ lifetime }) => this.lifetimes.removeSuspect(content, lifetime));
     const length = bodyLengthOf(content);
-    const left = (this.lengths.get(length) ?? 1) - 1;
-    if (left > 0) this.lengths.set(length, left);
+    const remaining = (this.lengths.get(length) ?? 1) - 1;
+    if (remaining > 0) this.lengths.set(length, remaining);
     else this.lengths.delete(length);
   }
 
   private clearSuspicion(suspect: Suspect, reason: ClearanceReason): Change {
     const { content, endings } = suspect;
-    this.remove(suspect);
+    this.deleteSuspect(suspect);
     endings.forEach(({ lifetime }) => this.lifetimes.recordCleared(content, lifetime));
     return { content, standing: 'free', endings: 0, reason };
   }
@@ -406,14 +406,16 @@
    * Evicts the suspect with the fewest crashes; among equals the one whose last crash is oldest.
    */
   private evict(now: number): void {
-    const weight = (each: Suspect): number => {
+    const priorityOf = (each: Suspect): number => {
       return (
         suspects.countOf(each) * SUSPECT_EXPIRY_MS -
         Math.min(SUSPECT_EXPIRY_MS, now - suspects.lastCrashAt(each))
       );
     };
     const all = [...this.suspects.values()];
-    this.remove(all.reduce((least, each) => (weight(each) < weight(least) ? each : least)));
+    this.deleteSuspect(
+      all.reduce((least, each) => (priorityOf(each) < priorityOf(least) ? each : least)),
+    );
   }
 
   private statusChange(suspect: Suspect, reason: ClearanceReason | undefined): Change {
--- a/packages/domain/src/registry/liveTargets.ts
+++ b/packages/domain/src/registry/liveTargets.ts
@@ -44,9 +44,9 @@
 function moveKey<T>(index: Map<string, Set<T>>, target: T, { from, to }: KeyChange): void {
   if (from === to) return;
   if (from !== undefined) {
-    const left = index.get(from);
-    left?.delete(target);
-    if (left?.size === 0) index.delete(from);
+    const remaining = index.get(from);
+    remaining?.delete(target);
+    if (remaining?.size === 0) index.delete(from);
   }
   if (to !== undefined) index.set(to, (index.get(to) ?? new Set<T>()).add(target));
 }
--- a/packages/domain/src/registry/registry.ts
+++ b/packages/domain/src/registry/registry.ts
@@ -92,10 +92,10 @@
     if (known === undefined) return [this.store(unknownGone(id, bornAt), now).record];
     if (bornAt < known.record.bornAt) return [];
     const isLater = bornAt !== Infinity && bornAt > known.record.bornAt;
-    const hasEnded = known.record.state === 'gone' && !isLater;
-    const ofLifetime = isLater ? { ...known.record, bornAt } : known.record;
-    this.replaceRecord(known, { ...ofLifetime, isPresumed: undefined });
-    return hasEnded ? [] : [this.markGone(known, now)];
+    const wasGone = known.record.state === 'gone' && !isLater;
+    const recordOfLifetime = isLater ? { ...known.record, bornAt } : known.record;
+    this.replaceRecord(known, { ...recordOfLifetime, isPresumed: undefined });
+    return wasGone ? [] : [this.markGone(known, now)];
   }
 
   /**
@@ -139,8 +139,8 @@
   endRemembered(now: number, since = -Infinity): Announcement[] {
     return [...this.entries.values()]
       .filter(({ record, heardAt }) => {
-        const isSilent = now - Math.max(heardAt, since) > LOADED_TIMEOUT_MS;
-        return isLoadedFromDisk(record) && record.state !== 'gone' && isSilent;
+        const isTimedOut = now - Math.max(heardAt, since) > LOADED_TIMEOUT_MS;
+        return isLoadedFromDisk(record) && record.state !== 'gone' && isTimedOut;
       })
       .map((entry) => this.markGone(entry, now));
   }
@@ -168,8 +168,8 @@
    */
   spokeAt({ id, bornAt }: Pick<Announcement, 'id' | 'bornAt'>): number {
     const known = this.entries.get(id);
-    const isIt = known?.record.bornAt === bornAt && known.record.state !== 'gone';
-    return isIt ? known.spokeAt : NEVER;
+    const isSameLifetime = known?.record.bornAt === bornAt && known.record.state !== 'gone';
+    return isSameLifetime ? known.spokeAt : NEVER;
   }
 
   get size(): number {
--- a/packages/domain/src/settings/directory.ts
+++ b/packages/domain/src/settings/directory.ts
@@ -30,8 +30,8 @@
   constructor(subtrees: readonly tree.Subtree[], previous?: Directory) {
     subtrees.forEach(({ name, index, text }) => {
       this.revisions.set(name, index);
-      const same = previous?.revisions.get(name) === index;
-      const known = same ? previous?.documents.get(name) : undefined;
+      const isUnchanged = previous?.revisions.get(name) === index;
+      const known = isUnchanged ? previous?.documents.get(name) : undefined;
       const content = known ?? document.read(text).unwrapOr(undefined);
       if (content !== undefined) this.add(name, content);
     });
--- a/packages/domain/src/settings/tree.ts
+++ b/packages/domain/src/settings/tree.ts
@@ -100,11 +100,11 @@
 
   /** Applies one change; `changed` tells whether the tree changed. */
   apply(change: Change, index: number): { answer: Answer; changed: boolean } {
-    const earlier = this.answers.get(change.id);
-    if (earlier !== undefined) {
-      const isResend = earlier.content === contentOf(change);
+    const stored = this.answers.get(change.id);
+    if (stored !== undefined) {
+      const isResend = stored.content === contentOf(change);
       return {
-        answer: isResend ? earlier.answer : { kind: 'reused', id: change.id },
+        answer: isResend ? stored.answer : { kind: 'reused', id: change.id },
         changed: false,
       };
     }
@@ -124,11 +124,9 @@
 
   /** The answer to a resend of `change`, if its id is known. */
   answerFor(change: Change): Answer | undefined {
-    const earlier = this.answers.get(change.id);
-    if (earlier === undefined) return undefined;
-    return earlier.content === contentOf(change)
-      ? earlier.answer
-      : { kind: 'reused', id: change.id };
+    const stored = this.answers.get(change.id);
+    if (stored === undefined) return undefined;
+    return stored.content === contentOf(change) ? stored.answer : { kind: 'reused', id: change.id };
   }
 
   snapshot(): Snapshot {
@@ -156,8 +154,8 @@
     }
     const revision = this.revisionOf(change.subtree);
     if (revision !== change.basedOn) return this.conflict(change.subtree, revision);
-    const read = document.read(change.text);
-    if (read.err) return { kind: 'invalid', problems: read.val };
+    const parsed = document.read(change.text);
+    if (parsed.err) return { kind: 'invalid', problems: parsed.val };
     return { kind: 'accepted', subtree: change.subtree, revision: revision + 1, index };
   }
 
