--- a/packages/domain/src/catalogue/__tests__/catalogue.test.ts
+++ b/packages/domain/src/catalogue/__tests__/catalogue.test.ts
@@ -1,4 +1,4 @@
-/** Catalogues: what is refused, which route is found, which version wins. */
+/** Catalogues: validation, route lookup and the order of versions. */
 import * as chai from 'chai';
 import * as random from '../../shared/random';
 import * as catalogue from '../catalogue';
@@ -25,7 +25,7 @@
   };
 }
 
-function made(more: Partial<catalogue.Catalogue> = {}): catalogue.Catalogue {
+function catalogueWith(more: Partial<catalogue.Catalogue> = {}): catalogue.Catalogue {
   return {
     version: 1,
     routes: [route('a')],
@@ -37,9 +37,9 @@
 }
 
 describe('catalogue', () => {
-  it('names everything that keeps it from being put in force', () => {
+  it('reports everything that prevents its activation', () => {
     const problems = catalogue.problemsOf(
-      made({
+      catalogueWith({
         routes: [
           route('unknown', { shares: [{ service: 'none', weight: 1 }] }),
           route('empty', { shares: [] }),
@@ -57,9 +57,9 @@
     expect(problems).toMatchSnapshot();
   });
 
-  it('finds the longest prefix of a host, whatever its case and port', () => {
+  it('finds the longest prefix of a host, ignoring its case and port', () => {
     const routes = [route('short', { pathPrefix: '/x/' }), route('long', { pathPrefix: '/x/y/' })];
-    const found = new directory.Directory(made({ routes }));
+    const found = new directory.Directory(catalogueWith({ routes }));
     expect(found.route('A.example:80', '/x/y/1')?.name).to.equal('long');
     expect(found.route('a.example', '/x/z')?.name).to.equal('short');
     expect(found.route('b.example', '/x/y/1')).to.equal(undefined);
@@ -79,17 +79,17 @@
   });
 
   /*
-   * Settings would fall back. Two operators send versions 7 and 9 at once and 7, whose answer was lost, is
-   * sent again after 9 is in force.
+   * Guards against settings that revert: two operators send versions 7 and 9 at the same time, and
+   * 7, whose answer was lost, is resent after 9 is active.
    */
-  it('keeps the highest version whatever comes later', () => {
-    const held = new versions.Versions();
+  it('keeps the highest version in any order of arrival', () => {
+    const tested = new versions.Versions();
     const edition = (version: number, byte = version): versions.Edition => {
       return { version, packed: Uint8Array.of(byte) };
     };
-    held.apply(edition(9));
-    expect(held.apply(edition(7))).to.deep.equal({ version: 9, changed: false });
-    expect(held.apply(edition(9, 1))).to.deep.equal({ version: 9, changed: false });
-    expect(held.newest).to.deep.equal(edition(9));
+    tested.apply(edition(9));
+    expect(tested.apply(edition(7))).to.deep.equal({ version: 9, changed: false });
+    expect(tested.apply(edition(9, 1))).to.deep.equal({ version: 9, changed: false });
+    expect(tested.newest).to.deep.equal(edition(9));
   });
 });
--- a/packages/domain/src/catalogue/versions.ts
+++ b/packages/domain/src/catalogue/versions.ts
@@ -1,10 +1,10 @@
 /**
- * The replicated state machine that holds the newest catalogue. The highest version wins; a version that
- * is not higher is acknowledged and changes nothing, so a change that was sent twice, or overtaken on
- * its way, can never bring an older state back.
+ * Replicated state machine with the newest catalogue. The highest version wins; a lower or equal
+ * version is acknowledged without effect, so a change that is sent twice or arrives late never
+ * restores an older state.
  */
 
-/** A catalogue as it was sent; replication doesn't read it. */
+/** A packed catalogue as sent; opaque to replication. */
 export interface Edition {
   version: number;
   /** The document, compressed. */
@@ -12,26 +12,26 @@
 }
 
 export interface Acceptance {
-  /** The version in force afterwards. */
+  /** The active version afterwards. */
   version: number;
-  /** Whether this edition came into force. */
+  /** Whether this catalogue was activated. */
   changed: boolean;
 }
 
 export class Versions {
-  private held: Edition | undefined;
+  private current: Edition | undefined;
 
   get newest(): Edition | undefined {
-    return this.held;
+    return this.current;
   }
 
   get version(): number {
-    return this.held?.version ?? 0;
+    return this.current?.version ?? 0;
   }
 
   apply(edition: Edition): Acceptance {
     const changed = edition.version > this.version;
-    if (changed) this.held = edition;
+    if (changed) this.current = edition;
     return { version: this.version, changed };
   }
 
--- a/packages/domain/src/control/state.ts
+++ b/packages/domain/src/control/state.ts
@@ -1,12 +1,12 @@
 /**
- * The state machine of the settings log: the settings tree, the registered daemons, planned stops,
- * and the audit trail of what operators and the system itself did. Deterministic: every replica that
- * applied the same entries holds the same state.
+ * Replicated state machine of the settings log: the settings tree, the registered daemons, planned
+ * stops, and the audit trail of the actions of operators and of the system itself. Deterministic:
+ * replicas that applied the same entries have the same state.
  */
 import * as tree from '../settings/tree';
 import * as stop from '../stop/stop';
 
-/** A daemon that takes part; the majority rule of freshness counts these. */
+/** A registered daemon; the majority rule of `membership/freshness` counts these. */
 export interface Registered {
   id: string;
   address: string;
@@ -18,7 +18,7 @@
 export interface Audit {
   index: number;
   at: number;
-  /** An operator's name, or `system` for what the system did by itself. */
+  /** An operator's name, or `system` for actions of the system itself. */
   author: string;
   address: string;
   action: string;
@@ -32,11 +32,14 @@
   | { kind: 'unregister'; id: string; at: number; reason: string }
   | { kind: 'announceStop'; stop: stop.Stop; address: string }
   | { kind: 'cancelStop'; id: string; author: string; address: string; at: number }
-  /** A model that this system had a target load (or unload): only such may it unload again. */
+  /**
+   * A model that this system ordered a target to load or unload; it unloads only models that it
+   * ordered itself.
+   */
   | { kind: 'ordered'; key: string; loaded: boolean; at: number }
   | { kind: 'note'; action: string; subject: string; detail: string; at: number };
 
-/** What a follower must change in its view. */
+/** A change for the view of a follower. */
 export type Delta =
   | { kind: 'subtree'; index: number; name: string; subtree: tree.Subtree | undefined }
   | { kind: 'daemon'; index: number; id: string; daemon: Registered | undefined }
@@ -52,17 +55,18 @@
   tree: tree.Snapshot;
   daemons: Registered[];
   stops: stop.Stop[];
+  /** Keys of the models that this system loaded on targets. */
   ordered: string[];
   audit: Audit[];
 }
 
-/** Audit entries kept in the log's state; about a day of changes at the letter's size. */
+/** Audit entries that the state keeps, enough for about a day of changes at the expected rate. */
 export const AUDIT_LIMIT = 10_000;
 
-/** Longest before/after text kept with an audit entry, in characters. */
+/** Maximum length of the texts before and after a change in an audit entry, in characters. */
 const AUDIT_TEXT_LIMIT = 2_000;
 
-function shortened(text: string): string {
+function truncated(text: string): string {
   return text.length > AUDIT_TEXT_LIMIT ? `${text.slice(0, AUDIT_TEXT_LIMIT)}…` : text;
 }
 
@@ -75,7 +79,7 @@
 
   readonly stops = new Map<string, stop.Stop>();
 
-  /** Keys of what this system loaded on targets. */
+  /** Keys of the models that this system loaded on targets. */
   readonly ordered = new Set<string>();
 
   private audit: Audit[] = [];
@@ -91,11 +95,11 @@
       if (command.loaded) this.ordered.add(command.key);
       else this.ordered.delete(command.key);
       const action = command.loaded ? 'load' : 'unload';
-      this.recordOwn(action, command.key, '', command.at, index);
+      this.recordSystemAction(action, command.key, '', command.at, index);
       return { answer: undefined, delta: undefined };
     }
     const { action, subject, detail, at } = command;
-    this.recordOwn(action, subject, detail, at, index);
+    this.recordSystemAction(action, subject, detail, at, index);
     return { answer: undefined, delta: undefined };
   }
 
@@ -133,8 +137,8 @@
     const { author, address, at, subtree: subject } = change;
     const detail = JSON.stringify({
       change: change.id,
-      before: shortened(before),
-      after: shortened(change.text),
+      before: truncated(before),
+      after: truncated(change.text),
     });
     this.record({ index, at, author, address, action: 'change', subject, detail });
     const subtree = this.tree.get(subject);
@@ -142,11 +146,11 @@
   }
 
   private register(daemon: Registered, at: number, index: number): Applied {
-    const same = JSON.stringify(this.daemons.get(daemon.id)) === JSON.stringify(daemon);
-    if (same) return { answer: undefined, delta: undefined };
+    const isUnchanged = JSON.stringify(this.daemons.get(daemon.id)) === JSON.stringify(daemon);
+    if (isUnchanged) return { answer: undefined, delta: undefined };
     this.daemons.set(daemon.id, daemon);
     const detail = `${daemon.address} in ${daemon.dataCentre}`;
-    this.recordOwn('register', daemon.id, detail, at, index);
+    this.recordSystemAction('register', daemon.id, detail, at, index);
     return { answer: undefined, delta: { kind: 'daemon', index, id: daemon.id, daemon } };
   }
 
@@ -155,7 +159,7 @@
     index: number,
   ): Applied {
     if (!this.daemons.delete(id)) return { answer: undefined, delta: undefined };
-    this.recordOwn('unregister', id, reason, at, index);
+    this.recordSystemAction('unregister', id, reason, at, index);
     return { answer: undefined, delta: { kind: 'daemon', index, id, daemon: undefined } };
   }
 
@@ -181,7 +185,7 @@
     return { answer: undefined, delta: { kind: 'stop', index, id, stop: undefined } };
   }
 
-  private recordOwn(
+  private recordSystemAction(
     action: string,
     subject: string,
     detail: string,
--- a/packages/domain/src/ledger/__tests__/ledger.test.ts
+++ b/packages/domain/src/ledger/__tests__/ledger.test.ts
@@ -1,11 +1,11 @@
-/** The at-most-once ledger against a naive one, and its answers to resends. */
+/** The at-most-once ledger against a simple reference, and its answers to resends. */
 import * as chai from 'chai';
 import * as fastCheck from 'fast-check';
 import * as ledger from '../ledger';
 
 const { expect } = chai;
 
-const BOUNDS: ledger.Bounds = {
+const LIMITS: ledger.LedgerLimits = {
   retention: 1_000,
   tombstones: 5_000,
   claimsPerOrganisation: 4,
@@ -24,17 +24,17 @@
 });
 
 describe('ledger', () => {
-  it('grants a key to one attempt only until that attempt proves that it was not run', () => {
+  it('grants a key to a single attempt unless that attempt releases it as not run', () => {
     fastCheck.assert(
       fastCheck.property(fastCheck.array(COMMAND, { maxLength: 60 }), (commands) => {
-        let tested = new ledger.Ledger(BOUNDS);
-        // The naive ledger: who may have dispatched each key, for ever.
+        let tested = new ledger.Ledger(LIMITS);
+        // The reference: the attempt that may have dispatched each key, for ever.
         const dispatchers = new Map<string, string>();
         let at = 0;
         commands.forEach(({ kind, key, attempt, wait }) => {
           at += wait;
           if (kind === 'restore') {
-            tested = ledger.Ledger.restore(structuredClone(tested.snapshot()), BOUNDS);
+            tested = ledger.Ledger.restore(structuredClone(tested.snapshot()), LIMITS);
           } else if (kind === 'claim') {
             const verdict = tested.apply(claim(key, attempt, at));
             if (verdict.kind !== 'granted') return;
@@ -54,7 +54,7 @@
   });
 
   it('answers each stage of a call to a resend', () => {
-    const tested = new ledger.Ledger(BOUNDS);
+    const tested = new ledger.Ledger(LIMITS);
     const answer = { status: 201, contentType: 'text/plain', body: 'held' };
     const settle = { kind: 'settle', key: 'k', attempt: 'a', settlement: 'completed' } as const;
     expect({
@@ -70,8 +70,8 @@
     }).toMatchSnapshot();
   });
 
-  it('bounds claims of an organisation and the length of answers', () => {
-    const tested = new ledger.Ledger(BOUNDS);
+  it('limits claims of an organisation and the length of answers', () => {
+    const tested = new ledger.Ledger(LIMITS);
     const verdicts = ['1', '2', '3', '4', '5'].map((key) => tested.apply(claim(key, 'a', 10)).kind);
     const answer = { status: 200, contentType: 'text/plain', body: 'longer than ten' };
     const settle = { kind: 'settle', key: '1', attempt: 'a', settlement: 'completed' } as const;
--- a/packages/domain/src/membership/gossip.ts
+++ b/packages/domain/src/membership/gossip.ts
@@ -1,18 +1,20 @@
 /**
- * What still has to be told to whom. Every accepted record gets the next local number; for each peer
- * the board knows up to which number it has told it, and from whom a record came, so that nothing is
- * sent back. A record is kept once per key: what a peer missed is at most the current state.
+ * Records that still have to be sent to each peer. Every accepted record gets the next local
+ * number. For each peer the buffer keeps the number up to which it acknowledged, and for each
+ * record the peer that sent it, so that nothing is sent back. There is one record per key, so a
+ * peer that missed updates is sent the current state at most.
  *
- * Two peers that meet for the first time would tell each other everything, in a large fleet mostly what
- * both know. So exchanges carry a checksum of the lasting records, and equal checksums say it all.
+ * Two peers that meet for the first time would send each other everything, most of it known to both
+ * in a large fleet. So exchanges carry a checksum of the lasting records, and equal checksums
+ * replace the transfer.
  */
 import type * as hashing from '../shared/hashing';
 
-interface Posted<R> {
+interface QueuedRecord<R> {
   number: number;
   record: R;
   from: string;
-  /** Its part in the checksum; 0 for a passing record. */
+  /** Its contribution to the checksum; 0 for a transient record. */
   sum: number;
 }
 
@@ -21,14 +23,14 @@
 
 export interface Batch<R> {
   records: R[];
-  /** Number up to which the peer has been told once it acknowledges the batch. */
+  /** Number up to which the peer is up to date once it acknowledges the batch. */
   upTo: number;
 }
 
 export class Board<R> {
-  private readonly posted = new Map<string, Posted<R>>();
+  private readonly queued = new Map<string, QueuedRecord<R>>();
 
-  private readonly told = new Map<string, number>();
+  private readonly acknowledgedUpTo = new Map<string, number>();
 
   private counter = 0;
 
@@ -36,60 +38,60 @@
 
   constructor(private readonly hash: hashing.Hash) {}
 
-  /** Checksum of the lasting records, whatever the order in which they came. */
+  /** Checksum of the lasting records, independent of the order of their arrival. */
   get checksum(): number {
     return this.sum;
   }
 
   /**
-   * Posts the current record of `key`; `from` is the peer that told us, or empty for our own. A passing
-   * record is replaced soon and doesn't count for the checksum.
+   * Sets the current record of `key`. `from` is the peer that sent it, empty for own records. A
+   * transient record is replaced soon and doesn't count for the checksum.
    */
-  post(key: string, record: R, from: string, passing = false): void {
+  post(key: string, record: R, from: string, isTransient = false): void {
     this.remove(key);
     this.counter += 1;
-    const sum = passing ? 0 : this.hash(`${key}=${JSON.stringify(record)}`);
+    const sum = isTransient ? 0 : this.hash(`${key}=${JSON.stringify(record)}`);
     this.sum = (this.sum + sum) % MODULUS;
-    this.posted.set(key, { number: this.counter, record, from, sum });
+    this.queued.set(key, { number: this.counter, record, from, sum });
   }
 
   remove(key: string): void {
-    const known = this.posted.get(key);
+    const known = this.queued.get(key);
     if (known === undefined) return;
-    this.posted.delete(key);
+    this.queued.delete(key);
     this.sum = (this.sum - known.sum + MODULUS) % MODULUS;
   }
 
-  /** The peer holds the same lasting records; there is nothing to tell it of them. */
+  /** The peer has the same lasting records, so there is nothing to send. */
   agreed(peer: string): void {
-    this.told.set(peer, this.counter);
+    this.acknowledgedUpTo.set(peer, this.counter);
   }
 
-  /** Up to `limit` records that `peer` has not been told, oldest first. */
+  /** Up to `limit` records that `peer` hasn't acknowledged, oldest first. */
   batchFor(peer: string, limit: number): Batch<R> {
-    const start = this.told.get(peer) ?? 0;
+    const start = this.acknowledgedUpTo.get(peer) ?? 0;
     const records: R[] = [];
     let upTo = start;
-    for (const posted of this.posted.values()) {
-      if (posted.number <= start) continue;
+    for (const each of this.queued.values()) {
+      if (each.number <= start) continue;
       if (records.length >= limit) break;
-      upTo = posted.number;
-      if (posted.from !== peer) records.push(posted.record);
+      upTo = each.number;
+      if (each.from !== peer) records.push(each.record);
     }
     return { records, upTo };
   }
 
-  /** The peer has taken everything up to this number. */
+  /** The peer acknowledged everything up to this number. */
   acknowledged(peer: string, upTo: number): void {
-    this.told.set(peer, Math.max(this.told.get(peer) ?? 0, upTo));
+    this.acknowledgedUpTo.set(peer, Math.max(this.acknowledgedUpTo.get(peer) ?? 0, upTo));
   }
 
-  /** The peer restarted and knows nothing of what it was told. */
+  /** The peer restarted and has lost its records. */
   forget(peer: string): void {
-    this.told.delete(peer);
+    this.acknowledgedUpTo.delete(peer);
   }
 
   get size(): number {
-    return this.posted.size;
+    return this.queued.size;
   }
 }
--- a/packages/domain/src/memory/__tests__/memory.test.ts
+++ b/packages/domain/src/memory/__tests__/memory.test.ts
@@ -1,4 +1,7 @@
-/** Memory on engines: who may free what, releases until confirmed, gathering without deadlock. */
+/**
+ * Memory on engines: who may reclaim it, releases until confirmation, reservations on several
+ * engines without deadlock.
+ */
 import * as chai from 'chai';
 import * as fastCheck from 'fast-check';
 import * as random from '../../shared/random';
@@ -7,12 +10,12 @@
 
 const { expect } = chai;
 
-describe('holdings', () => {
+describe('leased resources', () => {
   /*
-   * After a daemon died its memory stays on the engines, or a survivor frees what the older system
-   * holds there and its users lose their streams.
+   * Guards against memory that stays on the engines after its daemon died, and against reclaiming
+   * resources of the older system, whose users would lose their streams.
    */
-  it('reclaims only what is ours and whose owner is surely gone', () => {
+  it('are reclaimed only if they are ours and their owner is dead or restarted', () => {
     const owner = { daemon: 'd', incarnation: 5 };
     const listed = { id: 'h', kind: 'stream', owner, tokens: 1 } as const;
     const standings: holding.Standing[] = [
@@ -28,7 +31,7 @@
     expect(findings).toMatchSnapshot();
   });
 
-  it('hands a release out again, later and later, until it is confirmed', () => {
+  it('repeat a release with increasing delays until it is confirmed', () => {
     const tested = new holding.Holdings();
     tested.hold('e', 1, 'h', 'stream');
     const times: number[] = [];
@@ -42,7 +45,7 @@
     ]);
   });
 
-  it('forgets what an engine held before its restart', () => {
+  it('are dropped when their engine restarts', () => {
     const tested = new holding.Holdings();
     tested.hold('e', 1, 'old', 'stream');
     tested.hold('e', 2, 'new', 'reservation');
@@ -52,47 +55,47 @@
 });
 
 describe('gathering', () => {
-  interface Wish {
+  interface Prompt {
     parts: gathering.Part[];
     held: number;
     done: boolean;
   }
 
   /*
-   * Two surveyors send million-token histories through two daemons, and both hang for ever: each
-   * daemon holds the memory that the other waits for.
+   * Guards against a deadlock: two long prompts are sent through two daemons, and each daemon has
+   * reserved the memory that the other waits for.
    */
-  it('ends for all of several daemons, whatever the interleaving', () => {
+  it('completes for all of several daemons in any interleaving', () => {
     fastCheck.assert(
       fastCheck.property(fastCheck.integer(), (seed) => {
         const source = random.seeded(seed);
         const free = new Map(['a', 'b', 'c'].map((name) => [name, 100]));
-        const wishes: Wish[] = Array.from({ length: 4 }, () => ({
+        const prompts: Prompt[] = Array.from({ length: 4 }, () => ({
           parts: ['a', 'b', 'c']
             .filter(() => source.uniform() < 0.8)
             .map((target) => ({ target, tokens: 30 + random.below(source, 71) })),
           held: 0,
           done: false,
         }));
-        const giveBack = (wish: Wish): void => {
-          wish.parts.slice(0, wish.held).forEach(({ target, tokens }) => {
+        const releaseAll = (prompt: Prompt): void => {
+          prompt.parts.slice(0, prompt.held).forEach(({ target, tokens }) => {
             free.set(target, (free.get(target) as number) + tokens);
           });
-          wish.held = 0;
+          prompt.held = 0;
         };
-        for (let step = 0; step < 2_000 && wishes.some(({ done }) => !done); step++) {
-          const wish = random.pick(source, wishes);
-          const part = wish.parts[wish.held];
-          if (wish.done) continue;
+        for (let step = 0; step < 2_000 && prompts.some(({ done }) => !done); step++) {
+          const prompt = random.pick(source, prompts);
+          const part = prompt.parts[prompt.held];
+          if (prompt.done) continue;
           if (part === undefined) {
-            giveBack(wish);
-            wish.done = true;
+            releaseAll(prompt);
+            prompt.done = true;
           } else if ((free.get(part.target) as number) >= part.tokens) {
             free.set(part.target, (free.get(part.target) as number) - part.tokens);
-            wish.held += 1;
-          } else giveBack(wish);
+            prompt.held += 1;
+          } else releaseAll(prompt);
         }
-        expect(wishes.every(({ done }) => done)).to.equal(true);
+        expect(prompts.every(({ done }) => done)).to.equal(true);
         expect([...free.values()]).to.deep.equal([100, 100, 100]);
       }),
       { seed: 12, numRuns: 300 },
--- a/packages/domain/src/memory/holding.ts
+++ b/packages/domain/src/memory/holding.ts
@@ -1,7 +1,8 @@
 /**
- * What this system makes engines hold: reservations, exports, pinned prefixes, running streams. Each
- * holding has an owner (daemon and incarnation) and a lease. The owner renews or releases; when it
- * dies, survivors reclaim, but only what the engine's own listing shows to be ours.
+ * Resources that this system leases on engines: reservations, exports, pinned prefixes, running
+ * streams. Each has an owner (daemon and incarnation) and a lease. The owner renews or releases it;
+ * when the owner dies, other daemons reclaim it, but only if the engine lists it as a resource of
+ * this system.
  */
 
 export type Kind = 'reservation' | 'export' | 'stream';
@@ -11,10 +12,13 @@
   incarnation: number;
 }
 
-/** Marks holdings of this system; an older one shares the engines, and its holdings are not ours. */
+/**
+ * Identifies resources of this system; an older system shares the engines, and its resources must
+ * not be touched.
+ */
 export const SYSTEM = 'celerydrift';
 
-/** One holding as an engine lists it. */
+/** A leased resource as an engine lists it. */
 export interface Listed {
   id: string;
   system: string;
@@ -23,95 +27,96 @@
   tokens: number;
 }
 
-export type Finding = 'keep' | 'reclaim';
+export type ReclaimDecision = 'keep' | 'reclaim';
 
-/** What is known of a daemon that owns holdings. */
+/** Status of a daemon that owns resources. */
 export type Standing =
   { kind: 'live'; incarnation: number } | { kind: 'dead' } | { kind: 'unknown' };
 
 /**
- * Whether a survivor should free a listed holding. A restarted owner (newer incarnation) knows nothing
- * of its earlier holdings, so those count as left behind; an owner that is merely unknown keeps them
- * until the engine's own lease runs out.
+ * Whether another daemon should free a listed resource. An owner that restarted (newer incarnation)
+ * has no record of its earlier resources, so those are reclaimed; an owner of unknown status keeps
+ * them until the engine's own lease expires.
  */
-export function judge(listed: Listed, standing: Standing): Finding {
+export function judge(listed: Listed, status: Standing): ReclaimDecision {
   if (listed.system !== SYSTEM) return 'keep';
-  if (standing.kind === 'dead') return 'reclaim';
-  if (standing.kind === 'unknown') return 'keep';
-  return standing.incarnation > listed.owner.incarnation ? 'reclaim' : 'keep';
+  if (status.kind === 'dead') return 'reclaim';
+  if (status.kind === 'unknown') return 'keep';
+  return status.incarnation > listed.owner.incarnation ? 'reclaim' : 'keep';
 }
 
-interface Held {
+interface LeasedResource {
   target: string;
   targetIncarnation: number;
   id: string;
   kind: Kind;
   state: 'held' | 'releasing';
-  /** When to try the release again. */
+  /** Time of the next attempt to release it. */
   retryAt: number;
   tries: number;
 }
 
 const RELEASE_RETRY_MS = 200;
 
-const RELEASE_RETRY_MAX_MS = 5_000;
+const MAX_RELEASE_RETRY_MS = 5_000;
 
-/** Renewal is due well before the engine's lease runs out. */
+/** Lease of a resource at its engine; renewals come well before its end. */
 export const LEASE_MS = 15_000;
 
-/** The holdings of one daemon. A release is retried until the engine confirmed it. */
+/** The leased resources of one daemon. A release is retried until the engine confirms it. */
 export class Holdings {
-  private readonly held = new Map<string, Held>();
+  private readonly resources = new Map<string, LeasedResource>();
 
   get size(): number {
-    return this.held.size;
+    return this.resources.size;
   }
 
   hold(target: string, targetIncarnation: number, id: string, kind: Kind): void {
-    const fresh = { state: 'held', retryAt: 0, tries: 0 } as const;
-    this.held.set(`${target}/${id}`, { target, targetIncarnation, id, kind, ...fresh });
+    const initial = { state: 'held', retryAt: 0, tries: 0 } as const;
+    this.resources.set(`${target}/${id}`, { target, targetIncarnation, id, kind, ...initial });
   }
 
-  /** Marks for release; `due` hands it out until `confirmed`. */
+  /** Marks a resource for release; the release stays due until it is confirmed. */
   release(target: string, id: string, now: number): void {
-    const entry = this.held.get(`${target}/${id}`);
+    const entry = this.resources.get(`${target}/${id}`);
     if (entry === undefined) return;
     entry.state = 'releasing';
     entry.retryAt = now;
   }
 
   confirmed(target: string, id: string): void {
-    this.held.delete(`${target}/${id}`);
+    this.resources.delete(`${target}/${id}`);
   }
 
-  /** An engine that restarted holds nothing. */
+  /** A restarted engine has lost the resources of its earlier incarnations. */
   targetRestarted(target: string, incarnation: number): void {
-    [...this.held].forEach(([key, entry]) => {
-      if (entry.target === target && entry.targetIncarnation < incarnation) this.held.delete(key);
+    [...this.resources].forEach(([key, entry]) => {
+      if (entry.target === target && entry.targetIncarnation < incarnation)
+        this.resources.delete(key);
     });
   }
 
   targetGone(target: string): void {
-    [...this.held].forEach(([key, entry]) => {
-      if (entry.target === target) this.held.delete(key);
+    [...this.resources].forEach(([key, entry]) => {
+      if (entry.target === target) this.resources.delete(key);
     });
   }
 
-  /** Releases to send now; each is handed out again, later and later, until confirmed. */
+  /** Releases to send now; each is repeated with exponential backoff until confirmed. */
   due(now: number): { target: string; id: string; kind: Kind }[] {
-    const ready = [...this.held.values()].filter(
+    const ready = [...this.resources.values()].filter(
       (entry) => entry.state === 'releasing' && entry.retryAt <= now,
     );
     return ready.map((entry) => {
       entry.tries += 1;
-      entry.retryAt = now + Math.min(RELEASE_RETRY_MAX_MS, RELEASE_RETRY_MS * 2 ** entry.tries);
+      entry.retryAt = now + Math.min(MAX_RELEASE_RETRY_MS, RELEASE_RETRY_MS * 2 ** entry.tries);
       return { target: entry.target, id: entry.id, kind: entry.kind };
     });
   }
 
   /** Reservations and exports to renew. */
   renewable(): { target: string; id: string }[] {
-    return [...this.held.values()]
+    return [...this.resources.values()]
       .filter(({ state, kind }) => state === 'held' && kind !== 'stream')
       .map(({ target, id }) => ({ target, id }));
   }
--- a/packages/domain/src/quarantine/__tests__/quarantine.test.ts
+++ b/packages/domain/src/quarantine/__tests__/quarantine.test.ts
@@ -1,4 +1,4 @@
-/** When a request is suspected of ending targets, when it is held back, and how each of these ends. */
+/** Suspicion of requests that crash targets, their quarantine, and how each of these ends. */
 import * as chai from 'chai';
 import * as endedLifetimes from '../endedLifetimes';
 import * as quarantine from '../quarantine';
@@ -7,260 +7,292 @@
 const { expect } = chai;
 
 const CULPRIT = '9-culprit';
-const BESIDE = '7-beside';
+const BYSTANDER = '7-beside';
 
-function life(id: string): string {
+function keyOf(id: string): string {
   return endedLifetimes.lifetimeOf({ id, bornAt: 1 });
 }
 
-/** The culprit ends so many targets, one each second. */
-function afterEnds(count: number): quarantine.Quarantine {
-  const made = new quarantine.Quarantine();
+/** A quarantine after the culprit crashed `count` targets, one each second. */
+function afterCrashes(count: number): quarantine.Quarantine {
+  const tested = new quarantine.Quarantine();
   for (let i = 0; i < count; i++)
-    made.blame(CULPRIT, life(`t${i}`), { sentAt: 1_000 * i, isTrial: true }, 1_000 * i);
-  return made;
+    tested.blame(CULPRIT, keyOf(`t${i}`), { sentAt: 1_000 * i, isTrial: true }, 1_000 * i);
+  return tested;
 }
 
 describe('quarantine', () => {
-  it('begins with the third lifetime that ended, however often each is told', () => {
-    const made = new quarantine.Quarantine();
+  it('begins with the third crashed lifetime, however often each crash is reported', () => {
+    const tested = new quarantine.Quarantine();
     const seen = ['t0', 't0', 't1', 't1', 't2'].map((id) => {
-      made.blame(CULPRIT, life(id), { sentAt: 0, isTrial: true }, 0);
-      return made.standing(CULPRIT);
+      tested.blame(CULPRIT, keyOf(id), { sentAt: 0, isTrial: true }, 0);
+      return tested.standing(CULPRIT);
     });
     expect(seen.join(' ')).to.equal('suspected suspected suspected suspected quarantined');
-    expect([made.mayKnow(9), made.mayKnow(8)]).to.deep.equal([true, false]);
+    expect([tested.mayKnow(9), tested.mayKnow(8)]).to.deep.equal([true, false]);
   });
 
   /*
-   * All lookups were refused after one crash. The target was announced as ready for two seconds more; each request that met its
-   * broken connections was blamed for its end, and the third time put into quarantine.
+   * Guards against all lookups being refused after a single crash: a crashed target stays announced
+   * as ready for two seconds, and each request that met its broken connections in that time had the
+   * crash counted against it.
    */
-  it("doesn't blame what was sent after the end", () => {
-    const made = afterEnds(1);
-    expect(made.blame(BESIDE, life('t0'), { sentAt: 1, isTrial: true }, 5)).to.equal(undefined);
-    made.blame(BESIDE, life('t0'), { sentAt: -1, isTrial: false }, 5);
-    expect(made.standing(BESIDE)).to.equal('suspected');
+  it("doesn't count a crash against requests that were sent after it", () => {
+    const tested = afterCrashes(1);
+    expect(tested.blame(BYSTANDER, keyOf('t0'), { sentAt: 1, isTrial: true }, 5)).to.equal(
+      undefined,
+    );
+    tested.blame(BYSTANDER, keyOf('t0'), { sentAt: -1, isTrial: false }, 5);
+    expect(tested.standing(BYSTANDER)).to.equal('suspected');
   });
 
   /*
-   * A lookup that many callers send was refused with the culprit for two minutes: it ran on three targets at once, and the
-   * culprit's copies ended all of them within a moment. What was under way then counts once; the next run decides.
+   * Guards against an innocent request that is quarantined with the culprit: it ran on three
+   * targets at once, and copies of the culprit crashed all of them within a moment. Concurrent runs
+   * count once; the next run decides.
    */
-  it('counts runs that were under way together as one', () => {
-    const made = new quarantine.Quarantine();
+  it('counts the crashes of concurrent runs as one', () => {
+    const tested = new quarantine.Quarantine();
     ['t0', 't1', 't2', 't3'].forEach((id) =>
-      made.blame(BESIDE, life(id), { sentAt: 0, isTrial: false }, 0),
+      tested.blame(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: false }, 0),
     );
-    expect([made.standing(BESIDE), made.count(BESIDE)]).to.deep.equal(['suspected', 1]);
+    expect([tested.standing(BYSTANDER), tested.count(BYSTANDER)]).to.deep.equal(['suspected', 1]);
     ['t4', 't5'].forEach((id) =>
-      made.blame(BESIDE, life(id), { sentAt: 1_000, isTrial: true }, 1_000),
+      tested.blame(BYSTANDER, keyOf(id), { sentAt: 1_000, isTrial: true }, 1_000),
     );
-    expect(made.standing(BESIDE)).to.equal('quarantined');
+    expect(tested.standing(BYSTANDER)).to.equal('quarantined');
   });
 
   /*
-   * A clerk's lookup was refused for minutes. Three targets couldn't be reached from its entries, which were cut off, and
-   * they all lived. A target that announces itself twice afterwards lives; one word may be from before its end.
+   * Guards against a request that is refused for minutes although its targets are alive, as the
+   * entries that reported the crashes were cut off from them. Two later announcements prove a
+   * target alive; a single one may have been delayed.
    */
-  it('ends when targets that were blamed speak again, but not at a word that was held up', () => {
-    const made = afterEnds(3);
+  it('ends when the targets announce themselves again, but not at a delayed announcement', () => {
+    const tested = afterCrashes(3);
     const target = { id: 't0', bornAt: 1 };
-    made.spoke(target, 7);
-    made.spoke(target, 7);
-    expect(made.standing(CULPRIT)).to.equal('quarantined');
-    made.spoke({ id: 't0', bornAt: 2 }, 8);
-    expect(made.standing(CULPRIT)).to.equal('quarantined');
-    expect(made.spoke(target, 8)).to.deep.equal([
+    tested.spoke(target, 7);
+    tested.spoke(target, 7);
+    expect(tested.standing(CULPRIT)).to.equal('quarantined');
+    tested.spoke({ id: 't0', bornAt: 2 }, 8);
+    expect(tested.standing(CULPRIT)).to.equal('quarantined');
+    expect(tested.spoke(target, 8)).to.deep.equal([
       { content: CULPRIT, standing: 'suspected', endings: 2, reason: 'targetLives' },
     ]);
   });
 
   /*
-   * All lookups were refused as "a copy runs" for as long as the fleet ran. Its three targets had been frozen and were taken for ended;
-   * by the time they spoke again nobody was blamed for it any more, and nobody noted that they live.
+   * Guards against targets that count as crashed for good: frozen targets were reported as crashed
+   * and announced themselves again only after the suspicion was cleared, and nothing recorded that
+   * they were alive. All requests for them were refused as "a copy runs".
    */
-  it('takes targets that speak again for alive, whoever was blamed', () => {
-    const made = afterEnds(1);
+  it('takes targets that announce themselves again for alive without any suspect left', () => {
+    const tested = afterCrashes(1);
     const target = { id: 't0', bornAt: 1 };
-    made.ranWhole(CULPRIT);
+    tested.ranWhole(CULPRIT);
     const seen = [7, 8].map((sequence) => {
-      made.spoke(target, sequence);
-      return made.hasEnded(target);
+      tested.spoke(target, sequence);
+      return tested.hasEnded(target);
     });
     expect(seen).to.deep.equal([true, false]);
   });
 
-  it('ends when the content runs whole', () => {
-    const made = afterEnds(3);
-    made.ranWhole(CULPRIT);
-    expect([made.standing(CULPRIT), made.size, made.mayKnow(9)]).to.deep.equal(['free', 0, false]);
+  it('ends when the request completes', () => {
+    const tested = afterCrashes(3);
+    tested.ranWhole(CULPRIT);
+    expect([tested.standing(CULPRIT), tested.size, tested.mayKnow(9)]).to.deep.equal([
+      'free',
+      0,
+      false,
+    ]);
   });
 
   /*
-   * A foreman's summary ran beside the culprit at two of its three targets and would have been refused after the next
-   * crash, whatever caused it. What a culprit explains doesn't count, but only when all who tell of an end have told.
+   * Guards against an innocent request that ran beside the culprit on two of its three targets and
+   * would be refused after the next crash of any cause. The culprit's quarantine explains those
+   * crashes, but only once all entries have reported theirs.
    */
-  it('explains ends to what ran beside the culprit', () => {
-    const made = afterEnds(3);
+  it('explains crashes to requests that ran beside the culprit', () => {
+    const tested = afterCrashes(3);
     ['t0', 't1'].forEach((id) =>
-      made.blame(BESIDE, life(id), { sentAt: 0, isTrial: false }, 2_000),
+      tested.blame(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: false }, 2_000),
     );
-    made.tick(2_400);
-    expect(made.standing(BESIDE)).to.equal('suspected');
-    made.tick(2_500);
-    expect([made.standing(BESIDE), made.standing(CULPRIT)]).to.deep.equal(['free', 'quarantined']);
+    tested.tick(2_400);
+    expect(tested.standing(BYSTANDER)).to.equal('suspected');
+    tested.tick(2_500);
+    expect([tested.standing(BYSTANDER), tested.standing(CULPRIT)]).to.deep.equal([
+      'free',
+      'quarantined',
+    ]);
   });
 
   /*
-   * Two culprits ended all engines within a tenth of a second. A summary that many callers send was beside them each time, and was
-   * refused with them for two minutes. Its ends are all theirs too, so one more run decides; a culprit's own end tells.
+   * Guards against an innocent request that is refused for two minutes: two culprits crashed all
+   * engines within 100 ms, and a request that many callers send ran beside them each time. All its
+   * crashes are theirs too, so one more run decides; a culprit has crashes of its own.
    */
-  it('ends soon where all of its ends are those of others', () => {
-    const made = afterEnds(3);
+  it('ends soon where all its crashes are shared with other suspects', () => {
+    const tested = afterCrashes(3);
     const other = '8-other';
-    const trial = { sentAt: 0, isTrial: true };
-    ['t3', 't4', 't5'].forEach((id) => made.blame(other, life(id), trial, 2_000));
-    ['t0', 't3', 't4'].forEach((id) => made.blame(BESIDE, life(id), trial, 2_000));
-    made.tick(3_900);
-    expect(made.standing(BESIDE)).to.equal('quarantined');
-    made.tick(4_000);
-    const standings = [BESIDE, CULPRIT, other].map((each) => made.standing(each));
-    // The other has one end of its own and is tried as well; the first culprit has two.
+    const canaryRun = { sentAt: 0, isTrial: true };
+    ['t3', 't4', 't5'].forEach((id) => tested.blame(other, keyOf(id), canaryRun, 2_000));
+    ['t0', 't3', 't4'].forEach((id) => tested.blame(BYSTANDER, keyOf(id), canaryRun, 2_000));
+    tested.tick(3_900);
+    expect(tested.standing(BYSTANDER)).to.equal('quarantined');
+    tested.tick(4_000);
+    const standings = [BYSTANDER, CULPRIT, other].map((each) => tested.standing(each));
+    // The other culprit has one crash of its own and gets a canary run too; the first one has two.
     expect(standings).to.deep.equal(['suspected', 'quarantined', 'suspected']);
-    // Beside the other once more: four seconds this time. Then by itself: two minutes, as a first quarantine lasts.
-    made.blame(other, life('t8'), { sentAt: 4_100, isTrial: true }, 4_200);
-    made.blame(BESIDE, life('t8'), { sentAt: 4_100, isTrial: true }, 4_200);
+    // First beside the other culprit once more, for four seconds this time; then alone, for the two
+    // minutes of a first quarantine.
+    tested.blame(other, keyOf('t8'), { sentAt: 4_100, isTrial: true }, 4_200);
+    tested.blame(BYSTANDER, keyOf('t8'), { sentAt: 4_100, isTrial: true }, 4_200);
     const later = [8_100, 8_200].map((at) => {
-      made.tick(at);
-      return made.standing(BESIDE);
+      tested.tick(at);
+      return tested.standing(BYSTANDER);
     });
     expect(later).to.deep.equal(['quarantined', 'suspected']);
-    made.blame(BESIDE, life('t9'), { sentAt: 8_300, isTrial: true }, 8_400);
-    made.tick(8_400 + 119_000);
-    expect(made.standing(BESIDE)).to.equal('quarantined');
-    made.tick(8_400 + 120_000);
-    expect(made.standing(BESIDE)).to.equal('suspected');
+    tested.blame(BYSTANDER, keyOf('t9'), { sentAt: 8_300, isTrial: true }, 8_400);
+    tested.tick(8_400 + 119_000);
+    expect(tested.standing(BYSTANDER)).to.equal('quarantined');
+    tested.tick(8_400 + 120_000);
+    expect(tested.standing(BYSTANDER)).to.equal('suspected');
   });
 
   /*
-   * A summary was refused for two minutes. Its first end was by a culprit that ended nothing else and was never convicted; the
-   * ends of its trials were another's. Without those it had one end, which is chance.
+   * Guards against an innocent request that is refused for two minutes: its first crash was by a
+   * culprit that crashed nothing else and was never quarantined, those of its canary runs were by
+   * another. That leaves one crash of its own, which is chance.
    */
-  it('ends soon where one end at most is its own', () => {
-    const made = afterEnds(3);
-    made.blame(BESIDE, life('t9'), { sentAt: 0, isTrial: false }, 1_000);
-    ['t1', 't2'].forEach((id) => made.blame(BESIDE, life(id), { sentAt: 0, isTrial: true }, 2_000));
-    made.tick(4_000);
-    expect(made.standing(BESIDE)).to.equal('suspected');
-    // The culprit has one end of its own too; its trial tells.
+  it('ends soon where at most one crash is its own', () => {
+    const tested = afterCrashes(3);
+    tested.blame(BYSTANDER, keyOf('t9'), { sentAt: 0, isTrial: false }, 1_000);
+    ['t1', 't2'].forEach((id) =>
+      tested.blame(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: true }, 2_000),
+    );
+    tested.tick(4_000);
+    expect(tested.standing(BYSTANDER)).to.equal('suspected');
+    // The culprit has one crash of its own too; its canary run decides.
     ['u0', 'u1'].forEach((id, i) => {
       const at = 4_100 + 4_000 * i;
-      made.blame(CULPRIT, life(id), { sentAt: at - 10, isTrial: true }, at);
-      made.tick(at + 100);
+      tested.blame(CULPRIT, keyOf(id), { sentAt: at - 10, isTrial: true }, at);
+      tested.tick(at + 100);
     });
-    made.tick(60_000);
-    expect(made.standing(CULPRIT)).to.equal('quarantined');
+    tested.tick(60_000);
+    expect(tested.standing(CULPRIT)).to.equal('quarantined');
   });
 
   /*
-   * A summary was refused for two minutes. It had the same ends as the culprit; both were in doubt, and the culprit's trial was
-   * granted first, so that nothing in quarantine explained the summary's ends any more. The culprit never came again.
+   * Guards against an innocent request that is refused for two minutes: it shared all crashes with
+   * the culprit and both were doubtful, but the culprit was released first, so that no quarantined
+   * request explained the other's crashes any more. The culprit never came again.
    */
-  it('ends for all that are in doubt at the same time', () => {
-    const made = afterEnds(3);
-    const trial = { sentAt: 0, isTrial: true };
-    ['t0', 't1', 't2'].forEach((id) => made.blame(BESIDE, life(id), trial, 2_000));
-    made.tick(4_000);
-    expect([made.standing(CULPRIT), made.standing(BESIDE)]).to.deep.equal([
+  it('ends for all that are doubtful at the same time', () => {
+    const tested = afterCrashes(3);
+    const canaryRun = { sentAt: 0, isTrial: true };
+    ['t0', 't1', 't2'].forEach((id) => tested.blame(BYSTANDER, keyOf(id), canaryRun, 2_000));
+    tested.tick(4_000);
+    expect([tested.standing(CULPRIT), tested.standing(BYSTANDER)]).to.deep.equal([
       'suspected',
       'suspected',
     ]);
   });
 
   /*
-   * A summary was refused for two minutes, all of whose ends were the culprit's. The culprit was convicted a moment before it and
-   * so was doubted a moment before; that shortened its ends, and the summary's seemed to be its own.
+   * Guards against an innocent request that is refused for two minutes: the culprit, which caused
+   * all its crashes, was quarantined and then released as doubtful a moment before it. The release
+   * dropped crashes of the culprit, which then seemed to be the other request's own.
    */
-  it('ends soon also where what explains it was doubted just before', () => {
-    const made = new quarantine.Quarantine();
-    const trial = { sentAt: 0, isTrial: true };
-    made.blame(CULPRIT, life('t0'), { sentAt: 0, isTrial: false }, 2_000);
-    ['t1', 't2', 't3', 't4'].forEach((id) => made.blame(CULPRIT, life(id), trial, 2_000));
-    ['t1', 't2', 't3', 't4'].forEach((id) => made.blame(BESIDE, life(id), trial, 2_100));
-    [4_000, 4_100, 4_200].forEach((at) => made.tick(at));
-    expect(made.standing(BESIDE)).to.equal('suspected');
+  it('ends soon where the culprit was released as doubtful just before', () => {
+    const tested = new quarantine.Quarantine();
+    const canaryRun = { sentAt: 0, isTrial: true };
+    tested.blame(CULPRIT, keyOf('t0'), { sentAt: 0, isTrial: false }, 2_000);
+    ['t1', 't2', 't3', 't4'].forEach((id) => tested.blame(CULPRIT, keyOf(id), canaryRun, 2_000));
+    ['t1', 't2', 't3', 't4'].forEach((id) => tested.blame(BYSTANDER, keyOf(id), canaryRun, 2_100));
+    [4_000, 4_100, 4_200].forEach((at) => tested.tick(at));
+    expect(tested.standing(BYSTANDER)).to.equal('suspected');
   });
 
   /*
-   * A lookup that many callers send was refused for two minutes. Two of its ends were those of a culprit that came no more, so
-   * that its third end, which would have convicted it, never came; the lookup's third one was a loss of power.
+   * Guards against an innocent request that is refused for two minutes: a culprit caused two of its
+   * crashes and never came again, so it was never quarantined. The third crash was a power loss.
    */
-  it('ends soon also where what explains it came no more', () => {
-    const made = afterEnds(2);
-    const trial = { sentAt: 0, isTrial: true };
-    ['t0', 't1', 'u0'].forEach((id) => made.blame(BESIDE, life(id), trial, 2_000));
-    made.tick(3_900);
-    expect(made.standing(BESIDE)).to.equal('quarantined');
-    made.tick(4_000);
-    expect(made.standing(BESIDE)).to.equal('suspected');
+  it('ends soon where the culprit never comes again', () => {
+    const tested = afterCrashes(2);
+    const canaryRun = { sentAt: 0, isTrial: true };
+    ['t0', 't1', 'u0'].forEach((id) => tested.blame(BYSTANDER, keyOf(id), canaryRun, 2_000));
+    tested.tick(3_900);
+    expect(tested.standing(BYSTANDER)).to.equal('quarantined');
+    tested.tick(4_000);
+    expect(tested.standing(BYSTANDER)).to.equal('suspected');
   });
 
   /**
-   * Guards against an innocent request that is refused for minutes as its culprit ended its targets at one moment: that counts once,
-   * and the innocent one's conviction explained even that.
+   * Guards against an innocent request that is refused for minutes: the culprit crashed two targets
+   * at the same time, which counts once, and the innocent one's quarantine explained even that one.
    */
-  it('ends soon also where what explains it ended two targets at one moment', () => {
-    const made = new quarantine.Quarantine();
+  it('ends soon where the culprit crashed two targets at the same time', () => {
+    const tested = new quarantine.Quarantine();
     ['t0', 't1'].forEach((id, i) => {
-      made.blame(CULPRIT, life(id), { sentAt: 0, isTrial: false }, 100);
-      made.blame(BESIDE, life(id), { sentAt: 0, isTrial: i > 0 }, 100);
+      tested.blame(CULPRIT, keyOf(id), { sentAt: 0, isTrial: false }, 100);
+      tested.blame(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: i > 0 }, 100);
     });
-    made.blame(BESIDE, life('u0'), { sentAt: 5_000, isTrial: true }, 6_000);
-    expect(made.standing(BESIDE)).to.equal('quarantined');
-    [6_500, 8_000].forEach((at) => made.tick(at));
-    expect(made.standing(BESIDE)).to.equal('suspected');
+    tested.blame(BYSTANDER, keyOf('u0'), { sentAt: 5_000, isTrial: true }, 6_000);
+    expect(tested.standing(BYSTANDER)).to.equal('quarantined');
+    [6_500, 8_000].forEach((at) => tested.tick(at));
+    expect(tested.standing(BYSTANDER)).to.equal('suspected');
   });
 
-  /** Guards against an innocent request that is refused for minutes as its culprit was let out for doubt before it was convicted. */
-  it('ends soon also where what explains it was doubted before it began', () => {
-    const made = afterEnds(3);
+  /**
+   * Guards against an innocent request that is refused for minutes: the culprit was released as
+   * doubtful before it was quarantined.
+   */
+  it('ends soon where the culprit was released as doubtful before it began', () => {
+    const tested = afterCrashes(3);
     ['t0', 't2'].forEach((id, i) => {
-      made.blame(BESIDE, life(id), { sentAt: 0, isTrial: i > 0 }, 2_000);
+      tested.blame(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: i > 0 }, 2_000);
     });
-    made.tick(4_000);
-    expect(made.standing(CULPRIT)).to.equal('suspected');
-    made.blame(BESIDE, life('u0'), { sentAt: 4_000, isTrial: true }, 4_100);
-    expect(made.standing(BESIDE)).to.equal('quarantined');
-    made.tick(6_100);
-    expect(made.standing(BESIDE)).to.equal('suspected');
+    tested.tick(4_000);
+    expect(tested.standing(CULPRIT)).to.equal('suspected');
+    tested.blame(BYSTANDER, keyOf('u0'), { sentAt: 4_000, isTrial: true }, 4_100);
+    expect(tested.standing(BYSTANDER)).to.equal('quarantined');
+    tested.tick(6_100);
+    expect(tested.standing(BYSTANDER)).to.equal('suspected');
   });
 
-  /* A culprit goes on to be refused although requests beside it shared two of its ends: those that it has alone are enough. */
-  it('costs at most two further targets where what ran beside it twice is suspected', () => {
-    const made = afterEnds(3);
-    ['t1', 't2'].forEach((id) => made.blame(BESIDE, life(id), { sentAt: 0, isTrial: true }, 2_000));
+  /*
+   * A culprit stays quarantined although requests beside it share two of its crashes: its own
+   * crashes are enough.
+   */
+  it('costs at most two more targets where a request that ran beside it twice is suspected', () => {
+    const tested = afterCrashes(3);
+    ['t1', 't2'].forEach((id) =>
+      tested.blame(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: true }, 2_000),
+    );
     let further = 0;
     for (let at = 2_000; at < 110_000; at += 100) {
-      made.tick(at);
-      if (made.standing(CULPRIT) !== 'quarantined') {
-        made.blame(CULPRIT, life(`u${further}`), { sentAt: at, isTrial: true }, at);
+      tested.tick(at);
+      if (tested.standing(CULPRIT) !== 'quarantined') {
+        tested.blame(CULPRIT, keyOf(`u${further}`), { sentAt: at, isTrial: true }, at);
         further += 1;
       }
     }
     expect(further).to.be.at.most(2);
   });
 
-  /** Guards against culprits that always come together, explain each other, and are let out for doubt again and again. */
-  it('lets a content out for doubt as long as three targets at most end much later than the third', () => {
-    const made = new quarantine.Quarantine();
-    const both = [CULPRIT, BESIDE];
+  /**
+   * Guards against culprits that always come together, explain each other's crashes, and are
+   * released as doubtful again and again.
+   */
+  it('releases a request as doubtful until three targets crashed well after its third crash', () => {
+    const tested = new quarantine.Quarantine();
+    const both = [CULPRIT, BYSTANDER];
     const ends: number[] = [];
     for (let at = 0; at < 110_000; at += 100) {
-      made.tick(at);
-      if (both.every((content) => made.standing(content) !== 'quarantined')) {
+      tested.tick(at);
+      if (both.every((content) => tested.standing(content) !== 'quarantined')) {
         const run = { sentAt: at, isTrial: ends.length > 0 };
-        both.forEach((content) => made.blame(content, life(`t${ends.length}`), run, at));
+        both.forEach((content) => tested.blame(content, keyOf(`t${ends.length}`), run, at));
         ends.push(at);
       }
     }
@@ -268,70 +300,73 @@
   });
 
   /**
-   * Guards against an innocent request that is refused again as soon as it was let out, or had run whole: a follower that hadn't heard
-   * of that yet told the leader of its ends once more.
+   * Guards against an innocent request that is refused again right after its release or completion,
+   * when a follower that didn't know of that yet reports its crashes to the leader once more.
    */
-  it("doesn't take back from a follower what it has acquitted", () => {
-    const made = afterEnds(3);
-    const trial = { sentAt: 0, isTrial: true };
-    ['t0', 't1', 't2'].forEach((id) => made.blame(BESIDE, life(id), trial, 2_000));
-    const reports = made.reports(3_900);
-    made.tick(4_000);
-    made.merge(reports, 4_050);
-    expect(made.standing(BESIDE)).to.equal('suspected');
-    made.ranWhole(BESIDE);
-    made.merge(reports, 4_100);
-    expect(made.standing(BESIDE)).to.equal('free');
-    // Of a target that lives the next word is news.
-    made.spoke({ id: 't1', bornAt: 1 }, 7);
-    made.spoke({ id: 't1', bornAt: 1 }, 8);
-    made.blame(CULPRIT, life('t1'), { sentAt: 9_000, isTrial: true }, 9_100);
-    expect(made.endings(CULPRIT)).to.include(life('t1'));
+  it('ignores crashes from a follower that a request was cleared of', () => {
+    const tested = afterCrashes(3);
+    const canaryRun = { sentAt: 0, isTrial: true };
+    ['t0', 't1', 't2'].forEach((id) => tested.blame(BYSTANDER, keyOf(id), canaryRun, 2_000));
+    const reports = tested.reports(3_900);
+    tested.tick(4_000);
+    tested.merge(reports, 4_050);
+    expect(tested.standing(BYSTANDER)).to.equal('suspected');
+    tested.ranWhole(BYSTANDER);
+    tested.merge(reports, 4_100);
+    expect(tested.standing(BYSTANDER)).to.equal('free');
+    // Once a target is known to be alive, the next report of its crash counts.
+    tested.spoke({ id: 't1', bornAt: 1 }, 7);
+    tested.spoke({ id: 't1', bornAt: 1 }, 8);
+    tested.blame(CULPRIT, keyOf('t1'), { sentAt: 9_000, isTrial: true }, 9_100);
+    expect(tested.endings(CULPRIT)).to.include(keyOf('t1'));
   });
 
   it('lasts two minutes at first, then one run decides, and longer each time', () => {
-    const made = afterEnds(3);
+    const tested = afterCrashes(3);
     const [minute, since] = [60_000, 2_000];
     const standings = [1, 2].map((minutes) => {
-      made.tick(since + minutes * minute);
-      return made.standing(CULPRIT);
+      tested.tick(since + minutes * minute);
+      return tested.standing(CULPRIT);
     });
     expect(standings).to.deep.equal(['quarantined', 'suspected']);
-    made.blame(
+    tested.blame(
       CULPRIT,
-      life('t9'),
+      keyOf('t9'),
       { sentAt: since + 3 * minute, isTrial: true },
       since + 3 * minute,
     );
-    made.tick(since + 3 * minute + 19 * minute);
-    expect(made.standing(CULPRIT)).to.equal('quarantined');
-    made.tick(since + 3 * minute + 20 * minute);
-    expect(made.standing(CULPRIT)).to.equal('suspected');
-    made.tick(since + 40 * minute);
-    expect(made.size).to.equal(0);
+    tested.tick(since + 3 * minute + 19 * minute);
+    expect(tested.standing(CULPRIT)).to.equal('quarantined');
+    tested.tick(since + 3 * minute + 20 * minute);
+    expect(tested.standing(CULPRIT)).to.equal('suspected');
+    tested.tick(since + 40 * minute);
+    expect(tested.size).to.equal(0);
   });
 
-  /* Engines crash by the hundred, each with its requests: memory stays bounded, and who is blamed most is kept longest. */
-  it('forgets whoever is blamed least where there are too many', () => {
-    const made = afterEnds(3);
+  /*
+   * Memory stays bounded when hundreds of engines crash, each with its requests, and the suspects
+   * with the most crashes are kept longest.
+   */
+  it('evicts the suspects with the fewest crashes beyond its limit', () => {
+    const tested = afterCrashes(3);
     for (let i = 0; i < 2 * quarantine.MOST_SUSPECTS; i++)
-      made.blame(`5-${i}`, life(`u${i}`), { sentAt: 3_000 + i, isTrial: false }, 3_000 + i);
-    expect([made.size, made.standing(CULPRIT)]).to.deep.equal([
+      tested.blame(`5-${i}`, keyOf(`u${i}`), { sentAt: 3_000 + i, isTrial: false }, 3_000 + i);
+    expect([tested.size, tested.standing(CULPRIT)]).to.deep.equal([
       quarantine.MOST_SUSPECTS,
       'quarantined',
     ]);
-    expect(made.standing(`5-${2 * quarantine.MOST_SUSPECTS - 1}`)).to.equal('suspected');
+    expect(tested.standing(`5-${2 * quarantine.MOST_SUSPECTS - 1}`)).to.equal('suspected');
   });
 
-  it('travels as ages, replaces what a follower knew, and adds to what a new leader knows', () => {
-    const [leader, follower] = [afterEnds(3), afterEnds(1)];
-    follower.blame(BESIDE, life('t0'), { sentAt: 0, isTrial: true }, 0);
+  it('is sent with ages, replaces the state of a follower, and is merged by a new leader', () => {
+    const [leader, follower] = [afterCrashes(3), afterCrashes(1)];
+    follower.blame(BYSTANDER, keyOf('t0'), { sentAt: 0, isTrial: true }, 0);
     follower.takeAll(leader.reports(10_000), 500_000);
-    expect([follower.standing(CULPRIT), follower.standing(BESIDE)]).to.deep.equal([
+    expect([follower.standing(CULPRIT), follower.standing(BYSTANDER)]).to.deep.equal([
       'quarantined',
       'free',
     ]);
-    const next = afterEnds(1);
+    const next = afterCrashes(1);
     next.merge(follower.reports(500_000), 20_000);
     expect(next.standing(CULPRIT)).to.equal('quarantined');
     follower.take(new quarantine.Quarantine().report(CULPRIT, 0), 500_000);
@@ -339,18 +374,18 @@
   });
 });
 
-describe('trials', () => {
-  it('run one request with a content at a time, and end with their entry', () => {
-    const made = new trials.Trials();
+describe('canary runs', () => {
+  it('run one request per fingerprint at a time, and end with their entry', () => {
+    const tested = new trials.Trials();
     const begin = (id: string, entry: string, now = 0): boolean => {
-      return made.begin(CULPRIT, { id, entry, target: undefined }, now);
+      return tested.begin(CULPRIT, { id, entry, target: undefined }, now);
     };
     const begun = [begin('r1', 'e1'), begin('r1', 'e1'), begin('r2', 'e1'), begin('r1', 'e2')];
-    made.forgetEntry('e1');
+    tested.forgetEntry('e1');
     begun.push(begin('r3', 'e2'));
-    made.end(CULPRIT, 'r2');
+    tested.end(CULPRIT, 'r2');
     begun.push(begin('r4', 'e2'));
-    made.end(CULPRIT, 'r3');
+    tested.end(CULPRIT, 'r3');
     begun.push(begin('r4', 'e2'), begin('r5', 'e2', 61_000));
     expect(begun).to.deep.equal([true, true, false, false, true, false, true, true]);
   });
--- a/packages/domain/src/quarantine/quarantine.ts
+++ b/packages/domain/src/quarantine/quarantine.ts
@@ -1,11 +1,13 @@
 /**
- * Requests under which targets end. A request that crashes whatever runs it comes again under new ids, and each attempt would
- * cost further targets; so every end of a target counts against the contents that it ran. Most of these ran beside the
- * culprit, so a count is a suspicion: suspects run one at a time and apart from each other, and only the culprit's count
- * goes on rising. After the third end the content is in quarantine and runs nowhere.
+ * Quarantine for requests that crash targets. Such a request is retried under new ids, and each
+ * attempt would cost another target, so every crash counts against the fingerprints of all requests
+ * that the target was running. Most of these only ran beside the culprit, so a count is no more
+ * than a suspicion: suspects run one at a time and apart from each other, and then only the
+ * culprit's count keeps rising. After the third crash a request is quarantined and runs nowhere.
  *
- * A suspicion ends when a blamed target turns out to live, when the content runs to its end, when a content in quarantine
- * explains what it was blamed for, and with time. A quarantine ends as well; after it one run decides.
+ * A suspicion is cleared when the target turns out to be alive, when the request completes, when a
+ * quarantined request explains the crash, or after some time. A quarantine expires too; one canary
+ * run then decides.
  */
 
 import * as endedLifetimes from './endedLifetimes';
@@ -13,74 +15,89 @@
 
 type Suspect = suspects.Suspect;
 
+/** Quarantine status of a request. */
 export type Standing = 'free' | 'suspected' | 'quarantined';
 
-/** Why a suspicion ended. */
-export type Reason = 'targetLives' | 'ranWhole' | 'explained' | 'doubtful' | 'expired';
+/** Why a suspicion was cleared or reduced. */
+export type ClearanceReason = 'targetLives' | 'ranWhole' | 'explained' | 'doubtful' | 'expired';
 
 /**
- * Ends that put a content into quarantine. One is chance, and two may be for a request beside the culprit; a third run happens
- * apart from other suspects. With two, the crash of a whole data centre beside any other crash would refuse innocent requests.
+ * Crashes that quarantine a request. One is chance, and two may be the fault of a request beside
+ * it; the third run happens apart from other suspects. With two, the crash of a whole data centre
+ * together with any other crash would refuse innocent requests.
  */
 export const MOST_ENDINGS = 3;
 
-/** A suspect that hasn't been blamed for so long is forgotten, milliseconds; callers give up sooner. */
-const SUSPECT_MS = 600_000;
+/**
+ * A suspect without a new crash for this long is forgotten, milliseconds; callers give up sooner.
+ */
+const SUSPECT_EXPIRY_MS = 600_000;
 
 /**
- * How long a quarantine must last before it explains ends for others, milliseconds. Blame for one end arrives from several
- * entries; the culprit's may come last, and must not be explained by what ran beside it.
+ * How long a quarantine must last before it explains crashes to others, milliseconds. Several
+ * entries report one crash, and the report on the culprit may come last; until then the requests
+ * beside it must not explain the crash to it.
  */
-const EXPLAINS_AFTER_MS = 500;
+const EXPLANATION_DELAY_MS = 500;
 
 /**
- * Most suspects that are kept; some 400 bytes each, and 60 for an entry that starts and takes all. A crash leaves a suspect for
- * each request that the target had, ten or so, so this covers a hundred crashes within `SUSPECT_MS`. Beyond that those
- * blamed for least go first.
+ * Suspects that are kept; each takes some 400 bytes, and 60 in the update for an entry that starts
+ * and loads all of them. A crash makes a suspect of each of the ten or so requests that the target
+ * was running, so this covers a hundred crashes within `SUSPECT_EXPIRY_MS`. Beyond that, those with
+ * the fewest crashes are evicted first.
  */
 export const MOST_SUSPECTS = 1_000;
 
 /**
- * A quarantine is in doubt where at most one of its ends isn't one of another content too that may be the culprit: when
- * several culprits end most targets at one moment, what many callers send was beside them each time, its trials included. After so long,
- * milliseconds, twice as long each further time, one more trial decides. An innocent content is refused for two seconds in
- * place of two minutes; a culprit costs up to two targets more, as these ends are its own.
+ * A quarantine is doubtful where all its crashes, except one at most, also count against other
+ * requests that may be the culprit: when several culprits crash most targets at the same time, a
+ * request that many callers send runs beside them each time, its canary runs included. After this
+ * long, milliseconds, doubled for each further doubt, one more canary run decides. An innocent
+ * request is refused for two seconds instead of two minutes; a culprit costs up to two more
+ * targets, as those crashes are its own.
  */
-const DOUBT_AFTER_MS = 2_000;
+const DOUBT_DELAY_MS = 2_000;
 
 /**
- * A content isn't let out for doubt any more when so many targets ended under it later than so long after its third, milliseconds.
- * Contents that explain each other would otherwise cost a target with each doubt, for as long as they come.
+ * A request is no longer released as doubtful once this many targets crashed under it later than
+ * this long after its third crash, milliseconds. Requests that explain each other would otherwise
+ * cost a target with each doubt for as long as they come.
  */
-const MOST_LATER_ENDINGS = 3;
-const LATER_MS = 3_000;
+const MAX_LATE_CRASHES = 3;
+const LATE_CRASH_MS = 3_000;
 
-/** Endings that are left after a quarantine: the next one is the third again. */
-const LEFT_AFTER_QUARANTINE = MOST_ENDINGS - 1;
+/** Crashes that still count after a quarantine: the next one is the third again. */
+const CRASHES_KEPT_ON_RELEASE = MOST_ENDINGS - 1;
 
-/** What a change did, for the log. */
+/** Effect of a change on one request, for the log. */
 export interface Change {
+  /** Fingerprint of the request. */
   content: string;
+  /** Its status afterwards. */
   standing: Standing;
+  /** Crashes that count against it afterwards. */
   endings: number;
-  /** Why nothing, or less, is left of it; undefined where blame was added. */
-  reason: Reason | undefined;
+  /** Why the suspicion was cleared or reduced; undefined where a crash was added. */
+  reason: ClearanceReason | undefined;
 }
 
-/** A sending that got no answer. */
-export interface Run {
-  /** By the clock of whoever owns the quarantine. */
+/** A dispatch of a request that got no answer. */
+export interface UnansweredRun {
+  /** By the clock of the process that holds the quarantine. */
   sentAt: number;
-  /** Whether it was a trial; see `suspect`. */
+  /** Whether it was a canary run; see `suspect`. */
   isTrial: boolean;
 }
 
 export class Quarantine {
-  private readonly lifetimes = new endedLifetimes.EndedLifetimes();
+  private readonly lifetimes = new endedLifetimes.CrashedLifetimes();
 
   private readonly suspects = new Map<string, Suspect>();
 
-  /** Contents by the length of their bodies, so that others needn't be worked out. */
+  /**
+   * Number of suspects by the length of their bodies, so that fingerprints of other requests
+   * needn't be computed.
+   */
   private readonly lengths = new Map<string, number>();
 
   get size(): number {
@@ -91,120 +108,137 @@
     return [...this.suspects.values()].filter(suspects.isQuarantined).length;
   }
 
-  /** Whether some suspect's body has this length, bytes; to be asked before a content is worked out. */
+  /**
+   * Whether some suspect's body has this length, bytes; a cheap check before a fingerprint is
+   * computed.
+   */
   mayKnow(bodyBytes: number): boolean {
     return this.lengths.has(String(bodyBytes));
   }
 
-  standing(content: string): Standing {
-    const suspect = this.suspects.get(content);
+  standing(fingerprint: string): Standing {
+    const suspect = this.suspects.get(fingerprint);
     if (suspect === undefined) return 'free';
     return suspects.isQuarantined(suspect) ? 'quarantined' : 'suspected';
   }
 
-  /** Ends that count against a content. */
-  count(content: string): number {
-    const suspect = this.suspects.get(content);
+  /** Crashes that count against a request. */
+  count(fingerprint: string): number {
+    const suspect = this.suspects.get(fingerprint);
     return suspect === undefined ? 0 : suspects.countOf(suspect);
   }
 
-  /** Lifetimes that ended under a content. */
-  endings(content: string): string[] {
-    return this.suspects.get(content)?.endings.map(({ lifetime }) => lifetime) ?? [];
+  /** Lifetimes that crashed while they ran a request. */
+  endings(fingerprint: string): string[] {
+    return this.suspects.get(fingerprint)?.endings.map(({ lifetime }) => lifetime) ?? [];
   }
 
-  /** A lifetime ended while it ran the content; undefined where that was known, or it had ended before. */
+  /**
+   * Counts a crash of a lifetime against a request that it was running. Undefined where the crash
+   * is known already, or happened before the request was sent.
+   */
   blame(
-    content: string,
+    fingerprint: string,
     lifetime: string,
-    { sentAt, isTrial }: Run,
+    { sentAt, isTrial }: UnansweredRun,
     now: number,
   ): Change | undefined {
-    if ((this.lifetimes.at(lifetime) ?? Infinity) < sentAt) return undefined;
-    if (this.lifetimes.isAcquitted(content, lifetime)) return undefined;
-    this.lifetimes.note(lifetime, now);
-    const known = this.suspects.get(content) ?? this.add(content, now);
+    if ((this.lifetimes.reportedAt(lifetime) ?? Infinity) < sentAt) return undefined;
+    if (this.lifetimes.isCleared(fingerprint, lifetime)) return undefined;
+    this.lifetimes.record(lifetime, now);
+    const known = this.suspects.get(fingerprint) ?? this.add(fingerprint, now);
     if (known.endings.some((each) => each.lifetime === lifetime)) return undefined;
     known.endings.push({ lifetime, at: now, isTrial });
-    countEnding(known, now);
-    this.lifetimes.blame(content, lifetime);
+    countCrash(known, now);
+    this.lifetimes.addSuspect(fingerprint, lifetime);
     if (suspects.countOf(known) >= MOST_ENDINGS && !suspects.isQuarantined(known)) {
       known.quarantinedAt = now;
       known.quarantines += 1;
     }
-    return this.changeOf(known, undefined);
+    return this.statusChange(known, undefined);
   }
 
-  /** A lifetime announced itself; whoever was blamed for its end is acquitted of that once it surely lives. */
+  /**
+   * Takes an announcement of a lifetime; once that proves it alive, its crash no longer counts
+   * against any request.
+   */
   spoke(lifetime: endedLifetimes.Lifetime, sequence: number): Change[] {
     const key = endedLifetimes.lifetimeOf(lifetime);
-    if (!this.lifetimes.livesBy(key, sequence)) return [];
-    return this.lifetimes.blamed(key).map((content) => this.acquit(content, key, 'targetLives'));
+    if (!this.lifetimes.confirmAlive(key, sequence)) return [];
+    return this.lifetimes
+      .suspectsOf(key)
+      .map((content) => this.clearCrash(content, key, 'targetLives'));
   }
 
-  /** Whether a lifetime is taken for ended. */
+  /** Whether a lifetime is taken for crashed. */
   hasEnded(lifetime: endedLifetimes.Lifetime): boolean {
     return this.lifetimes.has(endedLifetimes.lifetimeOf(lifetime));
   }
 
-  /** The content ran to its end: whatever ended beside it, it wasn't the cause. */
-  ranWhole(content: string): Change | undefined {
-    const known = this.suspects.get(content);
-    return known === undefined ? undefined : this.drop(known, 'ranWhole');
+  /** The request ran to completion, so it didn't cause the crashes that happened beside it. */
+  ranWhole(fingerprint: string): Change | undefined {
+    const known = this.suspects.get(fingerprint);
+    return known === undefined ? undefined : this.clearSuspicion(known, 'ranWhole');
   }
 
-  /** Lets time pass: ends quarantines and old suspicions, and explains what ran beside a culprit. */
+  /**
+   * Advances time: ends quarantines, drops old suspicions and explains crashes by quarantined
+   * requests.
+   */
   tick(now: number): Change[] {
     const all = [...this.suspects.values()];
-    // Chosen before any is let out: each may be what puts another one in doubt.
+    // Selected before any of them is released, as each may be what makes another one doubtful.
     const due = all.flatMap((each) => {
       const reason = this.dueReason(each, now);
       return reason === undefined ? [] : [{ suspect: each, reason }];
     });
     const released = due.map(({ suspect, reason }) => this.release(suspect, reason, now));
-    const old = all
-      .filter((each) => !suspects.isQuarantined(each) && now - suspects.blamedAt(each) > SUSPECT_MS)
-      .map((each) => this.drop(each, 'expired'));
-    return [...released, ...old, ...this.explain(now)];
+    const expired = all
+      .filter(
+        (each) =>
+          !suspects.isQuarantined(each) && now - suspects.lastCrashAt(each) > SUSPECT_EXPIRY_MS,
+      )
+      .map((each) => this.clearSuspicion(each, 'expired'));
+    return [...released, ...expired, ...this.explain(now)];
   }
 
   reports(now: number): suspects.Report[] {
-    return [...this.suspects.values()].map((each) => suspects.reportOf(each, now));
+    return [...this.suspects.values()].map((each) => suspects.toReport(each, now));
   }
 
-  /** A content as it is known here; without endings where it isn't. */
-  report(content: string, now: number): suspects.Report {
-    const known = this.suspects.get(content);
-    return known === undefined ? suspects.nothingOf(content) : suspects.reportOf(known, now);
+  /** State of one request, without crashes where it isn't a suspect. */
+  report(fingerprint: string, now: number): suspects.Report {
+    const known = this.suspects.get(fingerprint);
+    return known === undefined ? suspects.emptyReport(fingerprint) : suspects.toReport(known, now);
   }
 
-  /** Takes a leader's word, which replaces what was known of the content. */
+  /** Applies the leader's report, which replaces the state of that request here. */
   take(report: suspects.Report, now: number): void {
     const known = this.suspects.get(report.content);
-    if (known !== undefined) this.remove(known);
+    if (known !== undefined) this.deleteSuspect(known);
     if (report.endings.length > 0) this.restore(report, now);
   }
 
-  /** Takes a leader's whole copy. */
+  /** Replaces all suspects by the leader's. */
   takeAll(reports: readonly suspects.Report[], now: number): void {
-    [...this.suspects.values()].forEach((each) => this.remove(each));
+    [...this.suspects.values()].forEach((each) => this.deleteSuspect(each));
     reports.forEach((report) => this.restore(report, now));
   }
 
-  /** Adds what another copy knows, for a new leader; the contents that changed. */
+  /** Adds the suspects of another copy, for a new leader; returns what changed. */
   merge(reports: readonly suspects.Report[], now: number): Change[] {
-    return reports.flatMap((told) => {
-      const report = this.withoutAcquitted(told);
+    return reports.flatMap((received) => {
+      const report = this.withoutCleared(received);
       const known = this.suspects.get(report.content);
       if (known === undefined) {
         return report.endings.length === 0
           ? []
-          : [this.changeOf(this.restore(report, now), undefined)];
+          : [this.statusChange(this.restore(report, now), undefined)];
       }
       known.quarantines = Math.max(known.quarantines, report.quarantines);
       return (
         report.endings
-          // Whoever told it has judged whether the request was sent before the end.
+          // The reporter has checked that the request was sent before the crash.
           .map(({ lifetime, isTrial }) => {
             return this.blame(report.content, lifetime, { sentAt: -Infinity, isTrial }, now);
           })
@@ -213,158 +247,178 @@
     });
   }
 
-  /** A follower may not have heard yet of what the content was acquitted of. */
-  private withoutAcquitted(report: suspects.Report): suspects.Report {
+  /**
+   * Removes crashes of which the request was cleared here; a follower may not have received that
+   * yet.
+   */
+  private withoutCleared(report: suspects.Report): suspects.Report {
     const { content } = report;
     const endings = report.endings.filter(({ lifetime }) => {
-      return !this.lifetimes.isAcquitted(content, lifetime);
+      return !this.lifetimes.isCleared(content, lifetime);
     });
     if (endings.length === report.endings.length) return report;
     const quarantinedForMs = endings.length < MOST_ENDINGS ? undefined : report.quarantinedForMs;
     return { ...report, endings, quarantinedForMs };
   }
 
-  private add(content: string, now: number): Suspect {
-    return this.restore(suspects.nothingOf(content), now);
+  private add(fingerprint: string, now: number): Suspect {
+    return this.restore(suspects.emptyReport(fingerprint), now);
   }
 
   private restore(report: suspects.Report, now: number): Suspect {
     if (this.suspects.size >= MOST_SUSPECTS) this.evict(now);
-    const made = suspects.suspectOf(report, now);
-    if (made.totalEndings >= MOST_ENDINGS) made.thirdEndAt = suspects.blamedAt(made);
-    this.suspects.set(made.content, made);
-    made.endings.forEach(({ lifetime, at }) => {
-      this.lifetimes.blame(made.content, lifetime);
-      this.lifetimes.note(lifetime, at);
+    const restored = suspects.fromReport(report, now);
+    if (restored.totalEndings >= MOST_ENDINGS) restored.thirdEndAt = suspects.lastCrashAt(restored);
+    this.suspects.set(restored.content, restored);
+    restored.endings.forEach(({ lifetime, at }) => {
+      this.lifetimes.addSuspect(restored.content, lifetime);
+      this.lifetimes.record(lifetime, at);
     });
-    const length = lengthOf(made.content);
+    const length = bodyLengthOf(restored.content);
     this.lengths.set(length, (this.lengths.get(length) ?? 0) + 1);
-    return made;
+    return restored;
   }
 
-  private remove(suspect: Suspect): void {
+  private deleteSuspect(suspect: Suspect): void {
     const { content, endings } = suspect;
     this.suspects.delete(content);
-    endings.forEach(({ lifetime }) => this.lifetimes.acquit(content, lifetime));
-    const length = lengthOf(content);
-    const left = (this.lengths.get(length) ?? 1) - 1;
-    if (left > 0) this.lengths.set(length, left);
+    endings.forEach(({ lifetime }) => this.lifetimes.removeSuspect(content, lifetime));
+    const length = bodyLengthOf(content);
+    const remaining = (this.lengths.get(length) ?? 1) - 1;
+    if (remaining > 0) this.lengths.set(length, remaining);
     else this.lengths.delete(length);
   }
 
-  private drop(suspect: Suspect, reason: Reason): Change {
+  private clearSuspicion(suspect: Suspect, reason: ClearanceReason): Change {
     const { content, endings } = suspect;
-    this.remove(suspect);
-    endings.forEach(({ lifetime }) => this.lifetimes.noteAcquittal(content, lifetime));
+    this.deleteSuspect(suspect);
+    endings.forEach(({ lifetime }) => this.lifetimes.recordCleared(content, lifetime));
     return { content, standing: 'free', endings: 0, reason };
   }
 
-  /** A lifetime no longer counts against a content. */
-  private acquit(content: string, lifetime: string, reason: Reason): Change {
-    const suspect = this.suspects.get(content) as Suspect;
+  /** The crash of a lifetime no longer counts against a request. */
+  private clearCrash(fingerprint: string, lifetime: string, reason: ClearanceReason): Change {
+    const suspect = this.suspects.get(fingerprint) as Suspect;
     suspect.endings = suspect.endings.filter((each) => each.lifetime !== lifetime);
-    this.lifetimes.acquit(content, lifetime);
-    this.lifetimes.noteAcquittal(content, lifetime);
-    if (suspect.endings.length === 0) return this.drop(suspect, reason);
+    this.lifetimes.removeSuspect(fingerprint, lifetime);
+    this.lifetimes.recordCleared(fingerprint, lifetime);
+    if (suspect.endings.length === 0) return this.clearSuspicion(suspect, reason);
     if (suspects.countOf(suspect) < MOST_ENDINGS) suspect.quarantinedAt = undefined;
-    return this.changeOf(suspect, reason);
+    return this.statusChange(suspect, reason);
   }
 
-  /** Why a quarantine ends now; undefined where it doesn't. */
+  /** Why a quarantine ends now; undefined where it goes on. */
   private dueReason(suspect: Suspect, now: number): 'expired' | 'doubtful' | undefined {
     const { quarantinedAt, doubts } = suspect;
     if (quarantinedAt === undefined) return undefined;
     const lastedMs = now - quarantinedAt;
-    if (lastedMs >= suspects.quarantineMs(suspect)) return 'expired';
-    if (suspect.laterEndings >= MOST_LATER_ENDINGS) return undefined;
-    if (lastedMs < DOUBT_AFTER_MS * 2 ** doubts) return undefined;
+    if (lastedMs >= suspects.quarantineDurationMs(suspect)) return 'expired';
+    if (suspect.laterEndings >= MAX_LATE_CRASHES) return undefined;
+    if (lastedMs < DOUBT_DELAY_MS * 2 ** doubts) return undefined;
     return this.isDoubtful(suspect) ? 'doubtful' : undefined;
   }
 
   private release(suspect: Suspect, reason: 'expired' | 'doubtful', now: number): Change {
     if (reason === 'doubtful') {
       suspect.doubts += 1;
-      // It may never have been a culprit, so it makes no later quarantine longer.
+      // It may never have been a culprit, so this quarantine makes no later one longer.
       suspect.quarantines -= 1;
     }
-    const kept = suspect.endings.slice(-LEFT_AFTER_QUARANTINE);
-    suspect.endings.slice(0, -LEFT_AFTER_QUARANTINE).forEach(({ lifetime }) => {
-      this.lifetimes.acquit(suspect.content, lifetime);
-      this.lifetimes.noteAcquittal(suspect.content, lifetime);
+    const remaining = suspect.endings.slice(-CRASHES_KEPT_ON_RELEASE);
+    suspect.endings.slice(0, -CRASHES_KEPT_ON_RELEASE).forEach(({ lifetime }) => {
+      this.lifetimes.removeSuspect(suspect.content, lifetime);
+      this.lifetimes.recordCleared(suspect.content, lifetime);
       if (reason === 'doubtful') this.noteExplained(lifetime);
     });
-    suspect.endings = kept.map(({ lifetime }) => ({ lifetime, at: now, isTrial: true }));
+    suspect.endings = remaining.map(({ lifetime }) => ({ lifetime, at: now, isTrial: true }));
     suspect.quarantinedAt = undefined;
     suspect.explained.clear();
-    return this.changeOf(suspect, reason);
+    return this.statusChange(suspect, reason);
   }
 
   /**
-   * A content that is let out for doubt may still be the culprit. Without a note, what ended under it would look like the others'
-   * own doing as soon as it no longer counts, and who was beside it each time would stay refused for the whole quarantine.
+   * Notes that a crash of a request released as doubtful may still be that request's fault. Without
+   * the note the crash would look like the fault of the requests beside it as soon as it no longer
+   * counts, and they would stay refused for their whole quarantine.
    */
   private noteExplained(lifetime: string): void {
-    this.lifetimes.blamed(lifetime).forEach((content) => {
+    this.lifetimes.suspectsOf(lifetime).forEach((content) => {
       this.suspects.get(content)?.explained.add(lifetime);
     });
   }
 
   private isDoubtful(suspect: Suspect): boolean {
-    const own = suspect.endings.filter(({ lifetime }) => {
+    const ownCrashes = suspect.endings.filter(({ lifetime }) => {
       if (suspect.explained.has(lifetime) || suspect.shared.has(lifetime)) return false;
-      const others = this.lifetimes.blamed(lifetime).filter((other) => other !== suspect.content);
+      const others = this.lifetimes
+        .suspectsOf(lifetime)
+        .filter((other) => other !== suspect.content);
       return !others.some((other) => this.mayBeCulprit(other));
     });
-    return suspects.countOf({ endings: own }) < LEFT_AFTER_QUARANTINE;
+    return suspects.countOf({ endings: ownCrashes }) < CRASHES_KEPT_ON_RELEASE;
   }
 
-  /** Also one that doubt let out, as its trial is to come, and one that ended two targets, at one moment or not: it may come no more. */
-  private mayBeCulprit(content: string): boolean {
-    const suspect = this.suspects.get(content);
+  /**
+   * Whether a request may have caused crashes. That includes one released as doubtful, whose canary
+   * run is still to come, and one with two crashes, at the same time or not, as it may never come
+   * again.
+   */
+  private mayBeCulprit(fingerprint: string): boolean {
+    const suspect = this.suspects.get(fingerprint);
     if (suspect === undefined) return false;
     if (suspects.isQuarantined(suspect) || suspect.doubts > 0) return true;
     return suspect.endings.length >= MOST_ENDINGS - 1;
   }
 
   /**
-   * What ended under a content in quarantine no longer counts against those that ran beside it once. Whoever was blamed in a trial
-   * as well may be a culprit of its own.
+   * Clears suspects with a single crash of the crashes that a quarantined request explains.
+   * Suspects with a crash in a canary run as well may be culprits of their own.
    */
   private explain(now: number): Change[] {
     const culprits = [...this.suspects.values()].filter(({ quarantinedAt = Infinity }) => {
-      return now - quarantinedAt >= EXPLAINS_AFTER_MS;
+      return now - quarantinedAt >= EXPLANATION_DELAY_MS;
     });
-    return culprits.flatMap((culprit) => this.explainBeside(culprit));
+    return culprits.flatMap((culprit) => this.explainCrashesOf(culprit));
   }
 
-  private explainBeside(culprit: Suspect): Change[] {
+  private explainCrashesOf(culprit: Suspect): Change[] {
     const lifetimes = culprit.endings.map(({ lifetime }) => lifetime);
-    // What is acquitted now may be the culprit, and the one in quarantine was beside it.
+    // A suspect that is cleared here may be the culprit, with the quarantined request only beside
+    // it.
     lifetimes
-      .filter((lifetime) => this.blamedOnce(lifetime).some((each) => this.mayBeCulprit(each)))
+      .filter((lifetime) =>
+        this.singleCrashSuspects(lifetime).some((fingerprint) => this.mayBeCulprit(fingerprint)),
+      )
       .forEach((lifetime) => culprit.shared.add(lifetime));
     return lifetimes.flatMap((lifetime) => {
-      return this.blamedOnce(lifetime).map((each) => this.acquit(each, lifetime, 'explained'));
+      return this.singleCrashSuspects(lifetime).map((fingerprint) =>
+        this.clearCrash(fingerprint, lifetime, 'explained'),
+      );
     });
   }
 
-  /** Contents that an end counts against, and no other one. */
-  private blamedOnce(lifetime: string): string[] {
-    return this.lifetimes.blamed(lifetime).filter((content) => this.count(content) === 1);
+  /** Fingerprints of the suspects that this crash counts against, and no other one. */
+  private singleCrashSuspects(lifetime: string): string[] {
+    return this.lifetimes.suspectsOf(lifetime).filter((content) => this.count(content) === 1);
   }
 
-  /** Makes room: whoever is blamed for least goes first, and of those the one that was blamed longest ago. */
+  /**
+   * Evicts the suspect with the fewest crashes; among equals the one whose last crash is oldest.
+   */
   private evict(now: number): void {
-    const weight = (each: Suspect): number => {
+    const priorityOf = (each: Suspect): number => {
       return (
-        suspects.countOf(each) * SUSPECT_MS - Math.min(SUSPECT_MS, now - suspects.blamedAt(each))
+        suspects.countOf(each) * SUSPECT_EXPIRY_MS -
+        Math.min(SUSPECT_EXPIRY_MS, now - suspects.lastCrashAt(each))
       );
     };
     const all = [...this.suspects.values()];
-    this.remove(all.reduce((least, each) => (weight(each) < weight(least) ? each : least)));
+    this.deleteSuspect(
+      all.reduce((least, each) => (priorityOf(each) < priorityOf(least) ? each : least)),
+    );
   }
 
-  private changeOf(suspect: Suspect, reason: Reason | undefined): Change {
+  private statusChange(suspect: Suspect, reason: ClearanceReason | undefined): Change {
     const { content } = suspect;
     return {
       content,
@@ -375,14 +429,14 @@
   }
 }
 
-/** Counts an end also when it counts no longer against the content. */
-function countEnding(suspect: Suspect, now: number): void {
+/** Counts every crash, including those that later no longer count against the request. */
+function countCrash(suspect: Suspect, now: number): void {
   suspect.totalEndings += 1;
   if (suspect.totalEndings === MOST_ENDINGS) suspect.thirdEndAt = now;
-  if (now > suspect.thirdEndAt + LATER_MS) suspect.laterEndings += 1;
+  if (now > suspect.thirdEndAt + LATE_CRASH_MS) suspect.laterEndings += 1;
 }
 
-/** Contents begin with the length of the body. */
-function lengthOf(content: string): string {
-  return content.slice(0, content.indexOf('-'));
+/** A fingerprint begins with the length of the body. */
+function bodyLengthOf(fingerprint: string): string {
+  return fingerprint.slice(0, fingerprint.indexOf('-'));
 }
--- a/packages/domain/src/registry/liveTargets.ts
+++ b/packages/domain/src/registry/liveTargets.ts
@@ -1,10 +1,10 @@
 /**
- * Targets that aren't gone, by their address and by their service. With thousands of targets, a search through all of them for
- * each announcement kept an entry that takes a whole registry busy for seconds.
+ * Index of the targets that aren't gone, by address and by service. With thousands of targets, a
+ * linear search for each announcement kept an entry that loads a whole registry busy for seconds.
  */
 
-/** What is indexed of a target. */
-export interface Place {
+/** The keys under which a target is indexed. */
+export interface IndexKeys {
   service: string;
   /** HOST:PORT. */
   address: string;
@@ -16,34 +16,37 @@
 
   private readonly byService = new Map<string, Set<T>>();
 
-  /** A target came, moved or went; the order of those that stay where they are doesn't change. */
-  moved(target: T, from: Place | undefined, to: Place | undefined): void {
+  /**
+   * Updates the index for a target that was added, changed or removed. Targets with unchanged keys
+   * keep their order.
+   */
+  reindex(target: T, from: IndexKeys | undefined, to: IndexKeys | undefined): void {
     const before = from?.isGone === false ? from : undefined;
     const after = to?.isGone === false ? to : undefined;
-    move(this.byAddress, target, { from: before?.address, to: after?.address });
-    move(this.byService, target, { from: before?.service, to: after?.service });
+    moveKey(this.byAddress, target, { from: before?.address, to: after?.address });
+    moveKey(this.byService, target, { from: before?.service, to: after?.service });
   }
 
-  at(address: string): T[] {
+  atAddress(address: string): T[] {
     return [...(this.byAddress.get(address) ?? [])];
   }
 
-  of(service: string): T[] {
+  ofService(service: string): T[] {
     return [...(this.byService.get(service) ?? [])];
   }
 }
 
-interface Move {
+interface KeyChange {
   from: string | undefined;
   to: string | undefined;
 }
 
-function move<T>(index: Map<string, Set<T>>, target: T, { from, to }: Move): void {
+function moveKey<T>(index: Map<string, Set<T>>, target: T, { from, to }: KeyChange): void {
   if (from === to) return;
   if (from !== undefined) {
-    const left = index.get(from);
-    left?.delete(target);
-    if (left?.size === 0) index.delete(from);
+    const remaining = index.get(from);
+    remaining?.delete(target);
+    if (remaining?.size === 0) index.delete(from);
   }
   if (to !== undefined) index.set(to, (index.get(to) ?? new Set<T>()).add(target));
 }
--- a/packages/domain/src/registry/registry.ts
+++ b/packages/domain/src/registry/registry.ts
@@ -1,20 +1,20 @@
 /**
- * The registry of targets: who announced itself, where, and whether it is leaving. Announcements reach
- * keepers late, twice and out of order, and copies of the registry meet after partitions, so records of one
- * lifetime are ordered by state first and sequence second: a lifetime that left never returns. A target may start
- * again under its id; its start then tells the new lifetime from the old one.
+ * The registry of targets: address, service and state of each. Announcements reach keepers late,
+ * twice and out of order, and copies of the registry are merged after partitions, so records of one
+ * lifetime are ordered by state first and sequence second: a lifetime that drains or is gone never
+ * becomes ready again. A target may restart under its id; `bornAt` tells the lifetimes apart.
  */
 
 import * as liveTargets from './liveTargets';
 
 export type State = 'ready' | 'draining' | 'gone';
 
-/** What a target says of itself. */
+/** A target's announcement of itself. */
 export interface Announcement {
   id: string;
   /**
-   * When this lifetime of the target began, Unix milliseconds by the target's clock; 0 where it doesn't say. Only
-   * the two of one id are ever compared.
+   * Start time of this lifetime of the target, Unix milliseconds by the target's clock; 0 where the
+   * target doesn't give it. Only start times of the same id are compared.
    */
   bornAt: number;
   service: string;
@@ -26,48 +26,50 @@
   /** Rises with each announcement of the lifetime. */
   sequence: number;
   /**
-   * Whether this comes from the disk of a keeper that was started again, and the target hasn't spoken since. Such a
-   * target may have ended meanwhile, so it is used with care.
+   * Whether the record was loaded from the disk of a restarted keeper, and the target hasn't
+   * announced itself since. It may have gone meanwhile, so such a target is used with care.
    */
   isRemembered?: boolean;
   /**
-   * Whether this end was only concluded from somebody else at the target's address. A later word of its own proves
-   * that wrong; an end that it announced itself stands.
+   * Whether `gone` was only inferred, as another process answered at the target's address. A later
+   * announcement of the target revokes it; a `gone` that the target announced itself is final.
    */
   isPresumed?: boolean;
 }
 
-const RANK: Record<State, number> = { ready: 0, draining: 1, gone: 2 };
+const STATE_RANK: Record<State, number> = { ready: 0, draining: 1, gone: 2 };
 
 /**
- * How long a lifetime that is gone is remembered, milliseconds. An announcement that a partition held up may
- * come after the lifetime ended; partitions that heal later than this are not expected.
+ * How long a lifetime that is gone is kept, milliseconds. A partition may deliver an announcement
+ * after its target is gone; partitions that heal later than this are not expected.
  */
-export const REMEMBER_GONE_MS = 120_000;
+export const GONE_RETENTION_MS = 120_000;
 
 /**
- * A lifetime that was taken for dead, because another one turned up at its address, is alive after all if it
- * announces itself again this long after the first time. A single announcement may have been held up since
- * before its death. Milliseconds; half of the usual pause between announcements.
+ * A lifetime that was presumed dead, as another one announced its address, is alive if it announces
+ * itself again at least this long after the first such announcement. A single announcement may have
+ * been delayed since before its death. Milliseconds; half of the usual interval between
+ * announcements.
  */
 const REVIVE_AFTER_MS = 600;
 
 /**
- * How long a remembered target may stay silent, milliseconds: two of the usual pauses between announcements. One that
- * lives speaks within that, and one that left was told before that it may be used no longer than some seconds more.
+ * How long a target loaded from disk may go without an announcement, milliseconds: two of the usual
+ * intervals. A live one announces itself within that time, and a target that stops is told that it
+ * may be used for some seconds more at most.
  */
-export const REMEMBERED_MS = 2_400;
+export const LOADED_TIMEOUT_MS = 2_400;
 
-/** Before all time: when a lifetime announced itself that is only known from copies. */
+/** Time of the last announcement of a lifetime that is known from copies alone. */
 const NEVER = -Infinity;
 
 interface Entry {
   record: Announcement;
-  /** When something was heard of it last, from whomever. */
+  /** When the last update was received, from the target or a copy. */
   heardAt: number;
-  /** When it announced itself here last; a copy of the registry doesn't say when the target spoke. */
+  /** When it last announced itself here; a copy of the registry doesn't tell that time. */
   spokeAt: number;
-  /** First announcement after it was presumed dead; 0 if none came. */
+  /** When it first announced itself after it was presumed dead; 0 if it didn't. */
   contradictedAt: number;
 }
 
@@ -76,87 +78,98 @@
 
   private readonly live = new liveTargets.LiveTargets<Entry>();
 
-  /** Takes what a target says of itself; the records that changed with it come back. */
+  /** Applies a target's announcement; returns the records that changed. */
   announce(announcement: Announcement, now: number): Announcement[] {
-    const changed = this.takeAnnouncement(announcement, now);
+    const changed = this.applyAnnouncement(announcement, now);
     const entry = this.entries.get(announcement.id);
     if (entry?.record.bornAt === announcement.bornAt) entry.spokeAt = now;
     return changed;
   }
 
-  /** The lifetime ended or announced that it does; `bornAt` where it said which one. */
+  /** The lifetime is gone, or announced that it goes; `bornAt` if it is known which one. */
   depart(id: string, now: number, bornAt = Infinity): Announcement[] {
     const known = this.entries.get(id);
-    if (known === undefined) return [this.keep(unknownEnd(id, bornAt), now).record];
+    if (known === undefined) return [this.store(unknownGone(id, bornAt), now).record];
     if (bornAt < known.record.bornAt) return [];
     const isLater = bornAt !== Infinity && bornAt > known.record.bornAt;
-    const hasEnded = known.record.state === 'gone' && !isLater;
-    const ofLifetime = isLater ? { ...known.record, bornAt } : known.record;
-    this.write(known, { ...ofLifetime, isPresumed: undefined });
-    return hasEnded ? [] : [this.end(known, now)];
+    const wasGone = known.record.state === 'gone' && !isLater;
+    const recordOfLifetime = isLater ? { ...known.record, bornAt } : known.record;
+    this.replaceRecord(known, { ...recordOfLifetime, isPresumed: undefined });
+    return wasGone ? [] : [this.markGone(known, now)];
   }
 
-  /** A lifetime said in an answer that it leaves. What it announced before that and comes later doesn't undo it. */
+  /**
+   * A lifetime announced in a response that it drains. Its earlier announcements that arrive later
+   * don't undo that.
+   */
   leave(id: string, bornAt: number): Announcement[] {
     const known = this.entries.get(id);
     if (known?.record.bornAt !== bornAt || known.record.state !== 'ready') return [];
-    this.write(known, { ...known.record, state: 'draining', isRemembered: undefined });
+    this.replaceRecord(known, { ...known.record, state: 'draining', isRemembered: undefined });
     return [known.record];
   }
 
-  /** Somebody else answered at the address of this lifetime. It may revive by announcing itself. */
+  /**
+   * Another process answered at the address of this lifetime, so it is presumed dead. It is revived
+   * when it announces itself.
+   */
   presumeEnded(id: string, now: number): Announcement[] {
     const known = this.entries.get(id);
     if (known === undefined || known.record.state === 'gone') return [];
-    return [this.presumeEnd(known, now)];
+    return [this.presumeEntryDead(known, now)];
   }
 
   /**
-   * Takes what a disk held when this process started. A lifetime that was leaving or gone stays so; of the others nobody
-   * knows yet whether they live.
+   * Adds the records that were loaded from disk at the start of this process. A lifetime that was
+   * draining or gone stays so; whether the others are alive isn't known yet.
    */
   remember(records: readonly Announcement[], now: number): Announcement[] {
     return records
       .filter(({ id }) => !this.entries.has(id))
       .map((record) => {
         const isRemembered = record.state === 'ready' ? true : undefined;
-        return this.keep({ ...record, isRemembered }, now).record;
+        return this.store({ ...record, isRemembered }, now).record;
       });
   }
 
-  /** Ends remembered targets that were silent for too long since `since`, when whoever calls began to listen. */
+  /**
+   * Marks targets loaded from disk as gone that haven't announced themselves for too long; the wait
+   * begins at `since` at the earliest, when the caller began to receive announcements.
+   */
   endRemembered(now: number, since = -Infinity): Announcement[] {
     return [...this.entries.values()]
       .filter(({ record, heardAt }) => {
-        const isSilent = now - Math.max(heardAt, since) > REMEMBERED_MS;
-        return isOnlyRemembered(record) && record.state !== 'gone' && isSilent;
+        const isTimedOut = now - Math.max(heardAt, since) > LOADED_TIMEOUT_MS;
+        return isLoadedFromDisk(record) && record.state !== 'gone' && isTimedOut;
       })
-      .map((entry) => this.end(entry, now));
+      .map((entry) => this.markGone(entry, now));
   }
 
-  /** Takes over what other copies of the registry know. */
+  /** Merges the records of another copy of the registry. */
   merge(records: readonly Announcement[], now: number): Announcement[] {
-    return this.takeCopies(records, now, false);
+    return this.applyRecords(records, now, false);
   }
 
   /**
-   * Takes over what the leader knows that this copy follows. Which of two lifetimes at one address came later, a copy can't say, but
-   * targets announce themselves to the leader: whatever it has wrong is put right there, and a copy that held on to a lifetime
-   * that the leader never knew would be wrong for good.
+   * Applies an update of the leader. A copy can't tell which of two lifetimes at one address is the
+   * later one, but targets announce themselves to the leader, so its errors are corrected there. A
+   * copy that kept a lifetime that the leader never knew would stay wrong for good.
    */
   follow(records: readonly Announcement[], now: number): Announcement[] {
-    return this.takeCopies(records, now, true);
+    return this.applyRecords(records, now, true);
   }
 
   get(id: string): Announcement | undefined {
     return this.entries.get(id)?.record;
   }
 
-  /** When a lifetime announced itself here last; before all time where it didn't, or is known as gone. */
+  /**
+   * When a lifetime last announced itself here; `-Infinity` where it didn't, or is known as gone.
+   */
   spokeAt({ id, bornAt }: Pick<Announcement, 'id' | 'bornAt'>): number {
     const known = this.entries.get(id);
-    const isIt = known?.record.bornAt === bornAt && known.record.state !== 'gone';
-    return isIt ? known.spokeAt : NEVER;
+    const isSameLifetime = known?.record.bornAt === bornAt && known.record.state !== 'gone';
+    return isSameLifetime ? known.spokeAt : NEVER;
   }
 
   get size(): number {
@@ -168,103 +181,106 @@
   }
 
   /**
-   * What a restart should know. Ends that were only concluded are left out: there such a lifetime could never return, as
-   * the words that prove them wrong may come after the restart.
+   * Records for a restart. Inferred ends are left out: after a restart such a lifetime could never
+   * return, as the announcements that revoke the inference may come later.
    */
   durable(): Announcement[] {
     return [...this.entries.values()]
       .filter((entry) => !isPresumedDead(entry))
       .map(({ record }) => record)
-      .filter((record) => record.state !== 'gone' || !isOnlyRemembered(record));
+      .filter((record) => record.state !== 'gone' || !isLoadedFromDisk(record));
   }
 
-  /** Targets of a service that take new work. */
+  /** Targets of a service that accept new requests. */
   ready(service: string): Announcement[] {
     return this.live
-      .of(service)
+      .ofService(service)
       .map(({ record }) => record)
       .filter(({ state }) => state === 'ready');
   }
 
   /** Whether a target of a service listens at an address. */
   isServed({ service, address }: Pick<Announcement, 'service' | 'address'>): boolean {
-    return this.live.at(address).some(({ record }) => record.service === service);
+    return this.live.atAddress(address).some(({ record }) => record.service === service);
   }
 
-  /** Drops lifetimes that ended long ago. */
+  /** Removes lifetimes that are gone for longer than `GONE_RETENTION_MS`. */
   forget(now: number): void {
     this.entries.forEach(({ record, heardAt }, id) => {
-      if (record.state === 'gone' && now - heardAt > REMEMBER_GONE_MS) this.entries.delete(id);
+      if (record.state === 'gone' && now - heardAt > GONE_RETENTION_MS) this.entries.delete(id);
     });
   }
 
-  private takeAnnouncement(announcement: Announcement, now: number): Announcement[] {
+  private applyAnnouncement(announcement: Announcement, now: number): Announcement[] {
     const known = this.entries.get(announcement.id);
-    if (known === undefined) return this.add(announcement, now);
-    if (announcement.bornAt > known.record.bornAt) return this.startAgain(known, announcement, now);
+    if (known === undefined) return this.addLifetime(announcement, now);
+    if (announcement.bornAt > known.record.bornAt) return this.restart(known, announcement, now);
     if (announcement.bornAt < known.record.bornAt) return [];
     if (isPresumedDead(known)) return this.contradict(known, announcement, now);
     return this.update(known, announcement, now);
   }
 
-  private takeCopies(
+  private applyRecords(
     records: readonly Announcement[],
     now: number,
     isFromLeader: boolean,
   ): Announcement[] {
-    // Ends first: one lifetime's end and its successor at the same address come in one copy, in any order.
-    const ends = records.filter(({ state }) => state === 'gone');
+    // Records of gone lifetimes first: one update may hold such a record and its successor at the
+    // same address, in any order.
+    const goneRecords = records.filter(({ state }) => state === 'gone');
     const others = records.filter(({ state }) => state !== 'gone');
-    return [...ends, ...others].flatMap((record) => {
+    return [...goneRecords, ...others].flatMap((record) => {
       const known = this.entries.get(record.id);
       if (known !== undefined) return this.mergeKnown(known, record, now, isFromLeader);
-      if (record.state === 'gone') return [this.keep(record, now).record];
-      if (!this.isContested(record, isFromLeader)) return this.add(record, now);
-      this.keep({ ...record, state: 'gone', isPresumed: true }, now);
+      if (record.state === 'gone') return [this.store(record, now).record];
+      if (!this.isAddressTaken(record, isFromLeader)) return this.addLifetime(record, now);
+      this.store({ ...record, state: 'gone', isPresumed: true }, now);
       return [];
     });
   }
 
   /**
-   * Whether another lifetime has the address that a copy gives this one. Without the leader's word the one that lives has to
-   * announce itself again. Only a remembered one yields at once.
+   * Whether another lifetime has the address of a record from a copy. Unless the leader sent it,
+   * the lifetime that is alive has to announce itself again; only one loaded from disk gives up the
+   * address at once.
    */
-  private isContested(record: Announcement, isFromLeader: boolean): boolean {
-    const isBelieved = isFromLeader && !isOnlyRemembered(record);
-    if (isBelieved) return false;
-    return this.live.at(record.address).some(({ record: other }) => {
-      return !isOnlyRemembered(other) || isOnlyRemembered(record);
+  private isAddressTaken(record: Announcement, isFromLeader: boolean): boolean {
+    const isTrusted = isFromLeader && !isLoadedFromDisk(record);
+    if (isTrusted) return false;
+    return this.live.atAddress(record.address).some(({ record: other }) => {
+      return !isLoadedFromDisk(other) || isLoadedFromDisk(record);
     });
   }
 
-  private keep(record: Announcement, now: number): Entry {
+  private store(record: Announcement, now: number): Entry {
     const known = this.entries.get(record.id);
     if (known !== undefined) {
       if (record.bornAt !== known.record.bornAt) known.spokeAt = NEVER;
-      this.write(known, record);
+      this.replaceRecord(known, record);
       return Object.assign(known, { heardAt: now, contradictedAt: 0 });
     }
     const entry = { record, heardAt: now, spokeAt: NEVER, contradictedAt: 0 };
     this.entries.set(record.id, entry);
-    this.live.moved(entry, undefined, placeOf(record));
+    this.live.reindex(entry, undefined, indexKeysOf(record));
     return entry;
   }
 
-  private write(entry: Entry, record: Announcement): void {
-    this.live.moved(entry, placeOf(entry.record), placeOf(record));
+  private replaceRecord(entry: Entry, record: Announcement): void {
+    this.live.reindex(entry, indexKeysOf(entry.record), indexKeysOf(record));
     entry.record = record;
   }
 
-  private end(entry: Entry, now: number): Announcement {
-    this.write(entry, { ...entry.record, state: 'gone' });
+  private markGone(entry: Entry, now: number): Announcement {
+    this.replaceRecord(entry, { ...entry.record, state: 'gone' });
     entry.heardAt = now;
     return entry.record;
   }
 
-  private presumeEnd(entry: Entry, now: number): Announcement {
-    this.end(entry, now);
-    // Somebody else's own word ends it, so the end counts also for those who heard it speak since the memory.
-    this.write(entry, { ...entry.record, isPresumed: true, isRemembered: undefined });
+  private presumeEntryDead(entry: Entry, now: number): Announcement {
+    this.markGone(entry, now);
+    // Another target's own announcement replaces it. So this also counts for copies that received
+    // an announcement of it since it was loaded from disk.
+    this.replaceRecord(entry, { ...entry.record, isPresumed: true, isRemembered: undefined });
     entry.contradictedAt = 0;
     return entry.record;
   }
@@ -275,73 +291,78 @@
     now: number,
     isFromLeader: boolean,
   ): Announcement[] {
-    if (record.bornAt > known.record.bornAt) return this.startAgain(known, record, now);
+    if (record.bornAt > known.record.bornAt) return this.restart(known, record, now);
     if (record.bornAt < known.record.bornAt) return [];
-    // Whoever heard it speak has judged whether that was a word held up since before its death.
+    // The copy that received its announcement has checked that it wasn't delayed since before its
+    // death.
     const isRevived =
       isPresumedDead(known) &&
       record.state !== 'gone' &&
-      !isOnlyRemembered(record) &&
+      !isLoadedFromDisk(record) &&
       record.sequence > known.record.sequence &&
-      // A copy that missed the end must not take the address from the one that lives there.
-      (isFromLeader || this.live.at(record.address).length === 0);
-    return isRevived ? this.add(record, now) : this.update(known, record, now);
+      // A copy that missed the end of this lifetime must not take the address from the present one.
+      (isFromLeader || this.live.atAddress(record.address).length === 0);
+    return isRevived ? this.addLifetime(record, now) : this.update(known, record, now);
   }
 
   /**
-   * The target started again under its id: whatever was known of the former lifetime ends with it, also that it left.
-   * Without the end of the old one in between, its dispatches would count against the new one.
+   * The target restarted under its id, so the state of the former lifetime is void, including that
+   * it drained. The former lifetime is reported as gone first; otherwise its dispatches would count
+   * against the new one.
    */
-  private startAgain(known: Entry, announcement: Announcement, now: number): Announcement[] {
-    const ended = known.record.state === 'gone' ? [] : [this.end(known, now)];
-    return [...ended, ...this.add(announcement, now)];
+  private restart(known: Entry, announcement: Announcement, now: number): Announcement[] {
+    const ended = known.record.state === 'gone' ? [] : [this.markGone(known, now)];
+    return [...ended, ...this.addLifetime(announcement, now)];
   }
 
   private update(known: Entry, announcement: Announcement, now: number): Announcement[] {
-    if (isOnlyRemembered(known.record) && !isOnlyRemembered(announcement)) {
+    if (isLoadedFromDisk(known.record) && !isLoadedFromDisk(announcement)) {
       return this.confirm(known, announcement, now);
     }
-    if (isOnlyRemembered(announcement) && !isOnlyRemembered(known.record)) return [];
+    if (isLoadedFromDisk(announcement) && !isLoadedFromDisk(known.record)) return [];
     if (known.record.state !== 'gone') known.heardAt = now;
-    if (RANK[announcement.state] < RANK[known.record.state]) return [];
+    if (STATE_RANK[announcement.state] < STATE_RANK[known.record.state]) return [];
     const sameState = announcement.state === known.record.state;
     if (sameState && announcement.sequence <= known.record.sequence) return [];
     const moved = announcement.address !== known.record.address;
-    this.write(known, announcement);
+    this.replaceRecord(known, announcement);
     return sameState && !moved ? [] : [announcement];
   }
 
-  /** A remembered target speaks, also one that was given up for its silence; what is older than the memory says nothing. */
+  /**
+   * A target loaded from disk announces itself, perhaps after it was given up for not doing so.
+   * Announcements older than the loaded record are ignored.
+   */
   private confirm(known: Entry, announcement: Announcement, now: number): Announcement[] {
     if (announcement.sequence < known.record.sequence) return [];
-    if (known.record.state === 'gone') return this.add(announcement, now);
-    this.keep(announcement, now);
+    if (known.record.state === 'gone') return this.addLifetime(announcement, now);
+    this.store(announcement, now);
     return [announcement];
   }
 
   /**
-   * A new lifetime at an address ends the one that was there: one address serves one target. The dead
-   * one's last announcement may still come; it then finds its lifetime gone.
+   * Adds a lifetime and presumes any other one at its address dead, as one address serves one
+   * target. A late announcement of the dead one finds its lifetime gone.
    */
-  private add(announcement: Announcement, now: number): Announcement[] {
+  private addLifetime(announcement: Announcement, now: number): Announcement[] {
     const ended = this.presumeDead(announcement.address, now);
-    this.keep(announcement, now);
+    this.store(announcement, now);
     return [...ended, announcement];
   }
 
   private presumeDead(address: string, now: number): Announcement[] {
-    return this.live.at(address).map((entry) => this.presumeEnd(entry, now));
+    return this.live.atAddress(address).map((entry) => this.presumeEntryDead(entry, now));
   }
 
   private contradict(known: Entry, announcement: Announcement, now: number): Announcement[] {
     if (announcement.sequence <= known.record.sequence) return [];
     if (known.contradictedAt === 0) known.contradictedAt = now;
     if (now - known.contradictedAt < REVIVE_AFTER_MS) return [];
-    return this.add(announcement, now);
+    return this.addLifetime(announcement, now);
   }
 }
 
-function placeOf({ service, address, state }: Announcement): liveTargets.Place {
+function indexKeysOf({ service, address, state }: Announcement): liveTargets.IndexKeys {
   return { service, address, isGone: state === 'gone' };
 }
 
@@ -349,17 +370,20 @@
   return record.isPresumed === true;
 }
 
-function isOnlyRemembered({ isRemembered }: Announcement): boolean {
+function isLoadedFromDisk({ isRemembered }: Announcement): boolean {
   return isRemembered === true;
 }
 
-/** The end of a lifetime that came before its first announcement; where it didn't say which one, of all under its id. */
-function unknownEnd(id: string, bornAt: number): Announcement {
-  return { ...UNKNOWN, id, bornAt: Math.min(bornAt, Number.MAX_SAFE_INTEGER) };
+/**
+ * Record of a lifetime that was reported gone before its first announcement; covers all lifetimes
+ * of the id if `bornAt` isn't known.
+ */
+function unknownGone(id: string, bornAt: number): Announcement {
+  return { ...UNKNOWN_TARGET, id, bornAt: Math.min(bornAt, Number.MAX_SAFE_INTEGER) };
 }
 
-/** What isn't known of such a lifetime, and a sequence that no announcement of it exceeds. */
-const UNKNOWN: Announcement = {
+/** Placeholder values, with a sequence that no announcement exceeds. */
+const UNKNOWN_TARGET: Announcement = {
   id: '',
   bornAt: 0,
   service: '',
--- a/packages/domain/src/replication/__tests__/replica.test.ts
+++ b/packages/domain/src/replication/__tests__/replica.test.ts
@@ -1,4 +1,7 @@
-/** The replicated log against a naive store, under seeded schedules and in the brief's failures. */
+/**
+ * The replicated log against a simple reference store, under seeded schedules and in particular
+ * failures.
+ */
 import * as chai from 'chai';
 import * as random from '../../shared/random';
 import * as messages from '../messages';
@@ -7,28 +10,28 @@
 
 const { expect } = chai;
 
-/** Seeded schedules in a run; each prints its seed when it fails. */
+/** Seeded schedules per test; a failure prints its seed. */
 const SCHEDULES = 2_000;
 
 function run(seed: number, options: schedule.Options): schedule.Finding | undefined {
-  const made = new schedule.Schedule(seed, options);
-  const found = made.run();
+  const simulation = new schedule.Schedule(seed, options);
+  const found = simulation.run();
   if (found !== undefined) return found;
-  made.heal(3_000);
-  const lost = [...made.acknowledged].find(([command, index]) => {
-    return !made.committed.get(index)?.includes(`"command":"${command}"`);
+  simulation.heal(3_000);
+  const lost = [...simulation.acknowledged].find(([command, index]) => {
+    return !simulation.committed.get(index)?.includes(`"command":"${command}"`);
   });
   if (lost !== undefined) return { seed, problem: `acknowledged ${lost[0]} is lost` };
-  if (made.problem !== '') return { seed, problem: made.problem };
-  const last = made.propose();
-  made.heal(500);
-  const taken = made.acknowledged.has(last);
+  if (simulation.problem !== '') return { seed, problem: simulation.problem };
+  const last = simulation.propose();
+  simulation.heal(500);
+  const taken = simulation.acknowledged.has(last);
   return taken ? undefined : { seed, problem: 'no command taken after everything healed' };
 }
 
 const EAGER_RESTART = { min: 150, max: 200, again: { min: 40, max: 60 } };
 
-/** Of few replicas near each other; the restart's bounds are over its heartbeat. */
+/** For few replicas close to each other; the bounds after a restart exceed the heartbeat. */
 const EAGER = { heartbeat: 120, electionMin: 450, electionMax: 750, restart: EAGER_RESTART };
 
 const RESTART = { min: 250, max: 450, again: { min: 150, max: 300 } };
@@ -45,7 +48,7 @@
     expect(findings).to.deep.equal([]);
   });
 
-  it('keeps them where replicas vote at once after a start, and counts on no lease', () => {
+  it('keeps them where replicas vote at once after a start and no lease is used', () => {
     const timing = { ...replica.DEFAULT_TIMING, restart: { ...RESTART, min: 450, max: 700 } };
     const findings: schedule.Finding[] = [];
     for (let seed = 1; seed <= SCHEDULES / 2; seed++) {
@@ -56,7 +59,7 @@
     expect(findings).to.deep.equal([]);
   });
 
-  it('keeps them where newcomers try every tick and the least of them goes first', () => {
+  it('keeps them where started replicas retry with short delays and the lowest id has priority', () => {
     const findings: schedule.Finding[] = [];
     for (let seed = 1; seed <= SCHEDULES / 2; seed++) {
       const voters = seed % 4 === 0 ? 3 : 5;
@@ -68,56 +71,60 @@
   });
 
   /*
-   * Callers would be refused for a second after a power loss of all VMs. All replicas start again at the same
-   * moment, and none votes before a whole election timeout is over, for a lease that nobody relies on.
+   * Guards against refused requests for a second after a power loss of all VMs: all replicas
+   * restart at the same moment, and none votes before a whole election timeout has passed, for a
+   * lease that nobody relies on.
    */
-  it('elects a leader sooner after a loss of all where no lease is relied on', () => {
-    const wait = (restart: replica.Timing['restart']): number => {
+  it('elects a leader sooner after a restart of all where no lease is used', () => {
+    const measureWait = (restart: replica.Timing['restart']): number => {
       const timing = { ...replica.DEFAULT_TIMING, restart };
       const options = { voters: 5, spares: 0, steps: 0, crash: 0, loss: 0, timing };
-      const made = new schedule.Schedule(3, options);
-      made.heal(3_000);
-      made.restartAll();
+      const simulation = new schedule.Schedule(3, options);
+      simulation.heal(3_000);
+      simulation.restartAll();
       let waited = 0;
-      for (; made.leader() === undefined && waited < 5_000; waited += 10) made.pass(10);
+      for (; simulation.leader() === undefined && waited < 5_000; waited += 10)
+        simulation.advance(10);
       return waited;
     };
-    expect(wait(undefined)).to.be.at.least(800);
-    expect(wait(RESTART)).to.be.at.most(500);
+    expect(measureWait(undefined)).to.be.at.least(800);
+    expect(measureWait(RESTART)).to.be.at.most(500);
   });
 
   /*
-   * Callers were refused for 0.3 s more than needed. Two of five replicas started first and asked for votes before the others
-   * had started; they asked again only after a whole election timeout.
+   * Guards against 0.3 s of refused requests: two of five replicas started first and requested
+   * votes before the others had started, then retried only after a whole election timeout.
    */
-  it('elects a leader soon after the last one needed for a quorum has started', () => {
+  it('elects a leader soon after the last replica needed for a quorum has started', () => {
     const options = { voters: 5, spares: 0, steps: 0, crash: 0, loss: 0 };
     const waits = [1, 2, 3, 4, 5, 6, 7, 8].map((seed) => {
       const timing = { ...replica.DEFAULT_TIMING, restart: RESTART };
-      const made = new schedule.Schedule(seed, { ...options, timing });
-      made.heal(3_000);
-      made.restartInTurn(2, 500);
+      const simulation = new schedule.Schedule(seed, { ...options, timing });
+      simulation.heal(3_000);
+      simulation.restartStaggered(2, 500);
       let waited = 0;
-      for (; made.leader() === undefined && waited < 5_000; waited += 10) made.pass(10);
+      for (; simulation.leader() === undefined && waited < 5_000; waited += 10)
+        simulation.advance(10);
       return waited;
     });
     expect(Math.max(...waits)).to.be.at.most(450);
   });
 
   /*
-   * Callers would be refused for half a second more than needed after a power loss of all VMs. Replicas start one after the
-   * other; those that started first wait for a quorum. When the last one needed is up, a leader must be there at once:
-   * neither the pause between two tries nor a split vote may stand in between. The bounds are a try's pause of
-   * 60 ms, and the six ways of an election at 5 to 25 ms each in this network.
+   * Guards against half a second of refused requests after a power loss of all VMs: the replicas
+   * that start first wait for a quorum, and when it is complete neither the delay between two
+   * attempts nor a split vote may add to the wait. The bounds are one delay of 60 ms and the six
+   * messages of an election at 5 to 25 ms each in this network.
    */
-  it('elects without a split vote once a quorum is up, whoever starts when', () => {
+  it('elects without a split vote once a quorum is up, whatever the order of the starts', () => {
     const options = { voters: 5, spares: 0, steps: 0, crash: 0, loss: 0 };
     const waits = Array.from({ length: 1_000 }, (_each, seed) => {
-      const made = new schedule.Schedule(seed, { ...options, timing: EAGER });
-      made.heal(1_000);
-      made.restartInTurn(2, EAGER_RESTART.max + (seed % 200));
+      const simulation = new schedule.Schedule(seed, { ...options, timing: EAGER });
+      simulation.heal(1_000);
+      simulation.restartStaggered(2, EAGER_RESTART.max + (seed % 200));
       let waited = 0;
-      for (; made.leader() === undefined && waited < 5_000; waited += 10) made.pass(10);
+      for (; simulation.leader() === undefined && waited < 5_000; waited += 10)
+        simulation.advance(10);
       return waited;
     });
     waits.sort((a, b) => a - b);
@@ -126,74 +133,81 @@
   });
 
   /*
-   * Callers would lose the leader that gives them engines, for nothing. Most of the keepers are killed and back at
-   * once, while the leader lives; if they elect among themselves before they have heard of it, it has to step down.
+   * Guards against the loss of a live leader: most keepers are killed and restart at once, and if
+   * they hold an election before the leader's next message arrives, it has to step down.
    */
-  it('leaves a living leader alone when most of its followers start again', () => {
+  it('keeps a live leader when most of its followers restart', () => {
     const options = { voters: 5, spares: 0, steps: 0, crash: 0, loss: 0 };
     const deposed = Array.from({ length: 1_000 }, (_each, seed) => seed).filter((seed) => {
-      const made = new schedule.Schedule(seed, { ...options, timing: EAGER });
-      made.heal(1_000);
-      const before = made.leader()?.id ?? '';
-      const others = [...made.nodes.keys()].filter((id) => id !== before);
-      others.slice(0, 1 + (seed % 3)).forEach((id) => made.restart(id));
-      made.pass(1_500);
-      return made.leader()?.id !== before;
+      const simulation = new schedule.Schedule(seed, { ...options, timing: EAGER });
+      simulation.heal(1_000);
+      const before = simulation.leader()?.id ?? '';
+      const others = [...simulation.nodes.keys()].filter((id) => id !== before);
+      others.slice(0, 1 + (seed % 3)).forEach((id) => simulation.restart(id));
+      simulation.advance(1_500);
+      return simulation.leader()?.id !== before;
     });
     expect(deposed).to.deep.equal([]);
   });
 
   /*
-   * Operators would see accepted settings vanish. A leader is cut off in silence with one follower
-   * dead; it must stop accepting, and what the others accept meanwhile must stand when it returns.
+   * Guards against the loss of accepted settings: a leader is silently cut off with one follower
+   * dead. It must stop accepting changes, and those that the others accept meanwhile must persist
+   * when it returns.
    */
-  it('stops accepting on a leader that is cut off, and loses nothing when it returns', () => {
-    const made = new schedule.Schedule(7, { voters: 3, spares: 0, steps: 0, crash: 0, loss: 0 });
-    made.heal(3_000);
-    const old = made.leader()?.id ?? '';
-    made.isolate(old);
-    made.pass(3_000);
-    const isolated = made.nodes.get(old)?.replica;
+  it('accepts nothing on an isolated leader, and loses nothing when it returns', () => {
+    const simulation = new schedule.Schedule(7, {
+      voters: 3,
+      spares: 0,
+      steps: 0,
+      crash: 0,
+      loss: 0,
+    });
+    simulation.heal(3_000);
+    const old = simulation.leader()?.id ?? '';
+    simulation.isolate(old);
+    simulation.advance(3_000);
+    const isolated = simulation.nodes.get(old)?.replica;
     expect(isolated?.state).to.not.equal('leader');
-    expect(made.leader()?.id).to.not.equal(old);
-    made.propose();
-    made.heal(3_000);
-    made.propose();
-    made.heal(500);
-    expect(made.problem).to.equal('');
-    expect(made.acknowledged.size).to.be.greaterThan(0);
+    expect(simulation.leader()?.id).to.not.equal(old);
+    simulation.propose();
+    simulation.heal(3_000);
+    simulation.propose();
+    simulation.heal(500);
+    expect(simulation.problem).to.equal('');
+    expect(simulation.acknowledged.size).to.be.greaterThan(0);
   });
 
   /*
-   * An operator reads settings from a leader whose successor has already accepted newer ones. The path
-   * between leader and one follower is cut in silence; the other follower, which confirmed the leader's
-   * lease a moment ago, restarts, forgets that, and would help to elect the first.
+   * Guards against stale reads from a leader whose successor has accepted newer settings: the link
+   * between leader and one follower is silently cut, and the other follower, which has just
+   * confirmed the leader's lease, restarts, forgets that, and would help to elect the first.
    */
   [false, true].forEach((restarts) => {
-    it(`lets no second leader in beside a lease, ${restarts ? 'with' : 'without'} restarts`, () => {
+    it(`elects no second leader during a lease, ${restarts ? 'with' : 'without'} restarts`, () => {
       for (let seed = 1; seed <= 20; seed++) {
         const options = { voters: 3, spares: 0, steps: 0, crash: 0, loss: 0 };
-        const made = new schedule.Schedule(seed, options);
-        made.heal(3_000);
-        const leader = made.leader()?.id as string;
-        const [cut, other] = [...made.nodes.keys()].filter((id) => id !== leader) as [
+        const simulation = new schedule.Schedule(seed, options);
+        simulation.heal(3_000);
+        const leader = simulation.leader()?.id as string;
+        const [cut, other] = [...simulation.nodes.keys()].filter((id) => id !== leader) as [
           string,
           string,
         ];
-        made.cutLink(leader, cut);
+        simulation.cutLink(leader, cut);
         for (let round = 0; round < 100; round++) {
-          if (restarts) made.restart(other);
-          made.pass(50);
+          if (restarts) simulation.restart(other);
+          simulation.advance(50);
         }
-        expect(made.problem, `seed ${seed}`).to.equal('');
-        if (!restarts) expect(made.leader()?.id, `seed ${seed}`).to.equal(leader);
+        expect(simulation.problem, `seed ${seed}`).to.equal('');
+        if (!restarts) expect(simulation.leader()?.id, `seed ${seed}`).to.equal(leader);
       }
     });
   });
 
   /*
-   * A change that was told as accepted is replaced: a leader took an entry of an earlier term for
-   * committed because a majority held it, and a replica with a later term overwrote it.
+   * Guards against an accepted change that is replaced: a leader took an entry of an earlier term
+   * for committed because a majority had it, and a replica with a later term overwrote it.
    */
   it('counts an entry of an earlier term as committed only with one of its own', () => {
     const members = ['a', 'b', 'c'].map((id): messages.Member => {
@@ -231,81 +245,92 @@
     expect([tested.state, before, tested.commit]).to.deep.equal(['leader', 0, 2]);
   });
 
-  /** A member that can't vote for what it lacks must not get a vote. */
-  it('refuses to promote a learner that does not hold everything committed', () => {
-    const made = new schedule.Schedule(3, { voters: 3, spares: 1, steps: 0, crash: 0, loss: 0 });
-    made.heal(3_000);
-    made.propose();
-    made.heal(300);
-    const leader = made.leader();
+  /** A member that lacks committed entries must not become a voter. */
+  it('refuses to promote a learner that lacks committed entries', () => {
+    const simulation = new schedule.Schedule(3, {
+      voters: 3,
+      spares: 1,
+      steps: 0,
+      crash: 0,
+      loss: 0,
+    });
+    simulation.heal(3_000);
+    simulation.propose();
+    simulation.heal(300);
+    const leader = simulation.leader();
     const members = leader?.replica?.members ?? [];
     const spare = { id: 's0', address: 's0', dataCentre: 'd', role: 'voter' } as const;
     const now = (leader as unknown as { skew: number }).skew;
-    const asked = leader?.replica?.changeMembers([...members, spare], made.clock + now);
+    const asked = leader?.replica?.changeMembers([...members, spare], simulation.clock + now);
     expect(asked?.refusal).to.equal('notCaughtUp');
   });
 
   /*
-   * A setting is in force and then the one before it is back: an old snapshot, late on its way, was
-   * installed over what the replica had applied since.
+   * Guards against settings that revert: a delayed old snapshot was installed over later applied
+   * state.
    */
-  it('installs no snapshot older than what it applied', () => {
-    const made = new schedule.Schedule(4, { voters: 3, spares: 0, steps: 0, crash: 0, loss: 0 });
-    made.heal(3_000);
+  it('installs no snapshot that is older than its applied state', () => {
+    const simulation = new schedule.Schedule(4, {
+      voters: 3,
+      spares: 0,
+      steps: 0,
+      crash: 0,
+      loss: 0,
+    });
+    simulation.heal(3_000);
     for (let i = 0; i < 3; i++) {
-      made.propose();
-      made.heal(100);
+      simulation.propose();
+      simulation.heal(100);
     }
-    const leader = made.leader();
-    const follower = [...made.nodes.values()].find(({ id }) => id !== leader?.id);
+    const leader = simulation.leader();
+    const follower = [...simulation.nodes.values()].find(({ id }) => id !== leader?.id);
     const snapshot = { index: 1, term: 1, members: leader?.replica?.members ?? [], state: 'old' };
     const effects = follower?.replica?.receive(
       { kind: 'snapshotRequest', from: leader?.id ?? '', term: 9, snapshot, sentAt: 0 },
-      made.clock,
+      simulation.clock,
     );
     expect(effects?.install).to.equal(undefined);
     expect(follower?.replica?.commit).to.be.greaterThan(1);
   });
 
   /*
-   * A VM dies, the system repairs itself with a spare, and right after the repair a second VM is lost.
-   * Had the repair counted as done before the new voter held everything, accepted settings would be
-   * gone with the second VM.
+   * Guards against the loss of accepted settings when a second VM is lost right after a repair: the
+   * repair must not count as done before the new voter has all entries.
    */
   [3, 5].forEach((voters) => {
-    it(`loses nothing when a second VM goes right after a repair of ${voters} voters`, () => {
+    it(`loses nothing when a second VM is lost right after a repair of ${voters} voters`, () => {
       for (let seed = 1; seed <= 40; seed++) {
-        const made = new schedule.Schedule(seed, {
+        const simulation = new schedule.Schedule(seed, {
           voters,
           spares: 1,
           steps: 0,
           crash: 0,
           loss: 0,
         });
-        made.heal(2_500);
+        simulation.heal(2_500);
         for (let i = 0; i < 30; i++) {
-          made.propose();
-          made.heal(30);
+          simulation.propose();
+          simulation.heal(30);
         }
-        made.heal(300);
-        const accepted = made.acknowledged.size;
-        const victims = [...made.nodes.keys()].filter((id) => id !== made.leader()?.id);
-        made.destroy(victims.find((id) => id.startsWith('n')) as string);
+        simulation.heal(300);
+        const accepted = simulation.acknowledged.size;
+        const victims = [...simulation.nodes.keys()].filter((id) => id !== simulation.leader()?.id);
+        simulation.destroy(victims.find((id) => id.startsWith('n')) as string);
         let reason = '';
         for (let round = 0; round < 800 && reason !== 'removeDead'; round++) {
-          reason = made.repairStep(voters, 1_000)?.reason ?? '';
-          made.heal(20);
+          reason = simulation.repairStep(voters, 1_000)?.reason ?? '';
+          simulation.heal(20);
         }
         expect(reason, `seed ${seed}`).to.equal('removeDead');
-        made.heal(200);
-        const second = made.leader()?.id as string;
-        made.destroy(second);
-        made.heal(4_000);
-        const last = made.propose();
-        made.heal(500);
-        expect(made.acknowledged.has(last), `seed ${seed}`).to.equal(true);
-        expect(made.acknowledged.size, `seed ${seed}`).to.equal(accepted + 1);
-        expect(made.problem, `seed ${seed}`).to.equal('');
+        simulation.heal(200);
+        const second = simulation.leader()?.id as string;
+        simulation.destroy(second);
+        simulation.heal(4_000);
+        const last = simulation.propose();
+        simulation.heal(500);
+        expect(simulation.acknowledged.has(last), `seed ${seed}`).to.equal(true);
+        expect(simulation.acknowledged.size, `seed ${seed}`).to.equal(accepted + 1);
+        expect(simulation.problem, `seed ${seed}`).to.equal('');
       }
     });
   });
--- a/packages/domain/src/replication/__tests__/schedule.ts
+++ b/packages/domain/src/replication/__tests__/schedule.ts
@@ -1,6 +1,7 @@
 /**
- * A seeded schedule of replicas, disks and a network, small enough to run thousands of times: steps
- * are ticks, deliveries, losses, duplicates, crashes at a write, partitions, disk losses and proposals.
+ * A seeded simulation of replicas, disks and a network, small enough to run thousands of times. Its
+ * steps are ticks, deliveries, message losses, duplicates, crashes during writes, partitions, disk
+ * losses and proposals.
  */
 import * as shared from '../../shared';
 import * as messages from '../messages';
@@ -21,7 +22,7 @@
   skew: number;
 }
 
-interface Flying {
+interface InFlight {
   from: string;
   to: string;
   message: messages.Message;
@@ -61,15 +62,17 @@
 
   private now = 1_000;
 
-  private flying: Flying[] = [];
+  private inFlight: InFlight[] = [];
 
   private readonly source: shared.random.Random;
 
-  private cut = new Set<string>();
+  private isolated = new Set<string>();
 
   private readonly cutLinks = new Set<string>();
 
-  /** The naive store: what was committed at each index, by the first replica to apply it. */
+  /**
+   * The reference store: the entry committed at each index, by the first replica that applied it.
+   */
   readonly committed = new Map<number, string>();
 
   /** Proposals that were acknowledged, with their index. */
@@ -85,8 +88,8 @@
 
   problem = '';
 
-  /** Once the faults are over, writes no longer crash. */
-  private healing = false;
+  /** Whether the faults are over, so that writes no longer crash. */
+  private isHealing = false;
 
   constructor(
     readonly seed: number,
@@ -109,16 +112,16 @@
     return this.problem === '' ? undefined : { seed: this.seed, problem: this.problem };
   }
 
-  /** Everything heals; then all live replicas must agree and take a new command. */
+  /** Ends all faults; afterwards all live replicas must agree and accept a new command. */
   heal(ms: number): void {
-    this.healing = true;
-    this.cut.clear();
+    this.isHealing = true;
+    this.isolated.clear();
     this.nodes.forEach((node) => this.start(node));
-    this.pass(ms);
+    this.advance(ms);
   }
 
-  /** Lets time pass without new faults; what is cut off stays so. */
-  pass(ms: number): void {
+  /** Advances time without new faults; partitions stay. */
+  advance(ms: number): void {
     for (let t = 0; t < ms && this.problem === ''; t += 10) {
       this.now += 10;
       this.tickAll();
@@ -146,19 +149,19 @@
     const { positions, effects } = node.replica.propose([command], this.nowAt(node));
     const position = positions[0];
     if (position !== undefined) this.pending.set(command, { ...position, node: node.id });
-    this.carryOut(node, effects);
+    this.applyEffects(node, effects);
     return position === undefined ? '' : command;
   }
 
-  /** Takes a VM and its disk away for good. */
+  /** Removes a VM and its disk for good. */
   destroy(id: string): void {
     const node = this.nodes.get(id);
     if (node !== undefined) node.replica = undefined;
     this.nodes.delete(id);
   }
 
-  /** One look of the leader's repair; spares are the nodes in no replica set. */
-  repairStep(size: number, deadAfter: number): repair.Step | undefined {
+  /** One check of the leader's repair; spares are the nodes in no replica set. */
+  repairStep(size: number, deadAfterMs: number): repair.RepairStep | undefined {
     const node = this.leader();
     const leader = node?.replica;
     if (node === undefined || leader === undefined) return undefined;
@@ -173,23 +176,23 @@
     const spares = [...this.nodes.values()]
       .filter(({ id }) => id.startsWith('s'))
       .map(({ id }) => ({ id, address: id, dataCentre: `dc${id}` }));
-    const step = repair.nextStep(leader.members, health, spares, size, deadAfter);
+    const step = repair.nextStep(leader.members, health, spares, size, deadAfterMs);
     if (step === undefined) return undefined;
     const { refusal, effects } = leader.changeMembers(step.members, now);
-    this.carryOut(node, effects);
+    this.applyEffects(node, effects);
     return refusal === undefined ? step : undefined;
   }
 
   isolate(id: string): void {
-    this.cut.add(id);
+    this.isolated.add(id);
   }
 
-  /** Cuts the path between two nodes in silence; both still reach the others. */
+  /** Silently cuts the link between two nodes; both still reach the others. */
   cutLink(a: string, b: string): void {
     this.cutLinks.add([a, b].sort().join());
   }
 
-  /** Ends a process and starts it again at once on its disk. */
+  /** Restarts a process at once with its disk. */
   restart(id: string): void {
     const node = this.nodes.get(id) as Node;
     this.crash(node);
@@ -203,13 +206,16 @@
     this.start(node);
   }
 
-  /** All crash, and what was under way with them; some start at once, the others later. */
-  restartInTurn(first: number, laterMs: number): void {
+  /**
+   * All nodes crash and messages in flight are lost; the `first` ones start at once, the others
+   * later.
+   */
+  restartStaggered(first: number, laterMs: number): void {
     const nodes = [...this.nodes.values()];
     nodes.forEach((node) => this.crash(node));
-    this.flying = [];
+    this.inFlight = [];
     nodes.slice(0, first).forEach((node) => this.start(node));
-    this.pass(laterMs);
+    this.advance(laterMs);
     nodes.forEach((node) => this.start(node));
   }
 
@@ -231,7 +237,7 @@
     return this.now + node.skew;
   }
 
-  /** Two leases at once would let two leaders answer reads as fresh. */
+  /** Two leases at the same time would let two leaders answer reads as fresh. */
   private checkLeases(): void {
     const holders = [...this.nodes.values()].filter((node) => {
       return node.replica?.hasLease(this.nowAt(node));
@@ -243,7 +249,7 @@
     this.checkLeases();
     this.now += Math.floor(this.source.uniform() * 40);
     const choice = this.source.uniform();
-    if (choice < 0.015) this.toggleCut();
+    if (choice < 0.015) this.toggleIsolation();
     else if (choice < 0.025) this.crash(this.pickNode());
     else if (choice < 0.065) this.start(this.pickNode());
     else if (choice < 0.15) this.propose();
@@ -257,12 +263,12 @@
     return shared.random.pick(this.source, [...this.nodes.values()]);
   }
 
-  private toggleCut(): void {
+  private toggleIsolation(): void {
     const { id } = this.pickNode();
-    if (!this.cut.delete(id)) this.cut.add(id);
+    if (!this.isolated.delete(id)) this.isolated.add(id);
   }
 
-  /** All replicas end and start again at the same moment. */
+  /** Restarts all replicas at the same moment. */
   restartAll(): void {
     this.nodes.forEach((node) => this.crash(node));
     this.nodes.forEach((node) => this.start(node));
@@ -273,40 +279,42 @@
   }
 
   private duplicate(): void {
-    if (this.flying.length > 0) this.flying.push(shared.random.pick(this.source, this.flying));
+    if (this.inFlight.length > 0)
+      this.inFlight.push(shared.random.pick(this.source, this.inFlight));
   }
 
   private compact(node: Node): void {
     if (node.replica === undefined) return;
     const { commit } = node.replica;
-    this.carryOut(node, node.replica.compact(commit, [...node.applied]));
+    this.applyEffects(node, node.replica.compact(commit, [...node.applied]));
   }
 
   private tickAll(): void {
     this.nodes.forEach((node) => {
       if (node.replica !== undefined) {
-        this.carryOut(node, node.replica.tick(this.nowAt(node)));
+        this.applyEffects(node, node.replica.tick(this.nowAt(node)));
       }
     });
   }
 
   private deliverDue(loss: number): void {
-    const due = this.flying.filter(({ at }) => at <= this.now);
-    this.flying = this.flying.filter(({ at }) => at > this.now);
+    const due = this.inFlight.filter(({ at }) => at <= this.now);
+    this.inFlight = this.inFlight.filter(({ at }) => at > this.now);
     due.forEach(({ from, to, message }) => {
       const node = this.nodes.get(to);
-      const linked = !this.cutLinks.has([from, to].sort().join());
-      const together = this.cut.has(from) === this.cut.has(to);
-      const lost = !linked || !together || this.source.uniform() < loss;
-      if (lost || node?.replica === undefined) return;
-      this.carryOut(node, node.replica.receive(structuredClone(message), this.nowAt(node)));
+      const isLinked = !this.cutLinks.has([from, to].sort().join());
+      const isSameSide = this.isolated.has(from) === this.isolated.has(to);
+      const isLost = !isLinked || !isSameSide || this.source.uniform() < loss;
+      if (isLost || node?.replica === undefined) return;
+      this.applyEffects(node, node.replica.receive(structuredClone(message), this.nowAt(node)));
     });
   }
 
-  private carryOut(node: Node, effects: messages.Effects): void {
+  private applyEffects(node: Node, effects: messages.Effects): void {
     if (effects.persist.length > 0) {
-      // A crash at a write: either none of the batch is on disk or all of it, and nothing was sent.
-      const crash = !this.healing && this.source.uniform() < this.options.crash;
+      // A crash during a write: either the whole batch is on disk or none of it, and nothing was
+      // sent.
+      const crash = !this.isHealing && this.source.uniform() < this.options.crash;
       const synced = !crash || this.source.uniform() < 0.5;
       if (synced) {
         // A snapshot rewrites the journal from the replica's state, as the daemon does.
@@ -327,7 +335,7 @@
     effects.send.forEach(({ to, message }) => {
       const jitter = this.source.uniform() * LATENCY_MS * 4;
       const at = this.now + LATENCY_MS + jitter;
-      this.flying.push({ from: node.id, to, message: structuredClone(message), at });
+      this.inFlight.push({ from: node.id, to, message: structuredClone(message), at });
     });
     if (effects.install !== undefined) {
       node.applied = new Map(effects.install.state as [number, unknown][]);
--- a/packages/domain/src/settings/directory.ts
+++ b/packages/domain/src/settings/directory.ts
@@ -1,6 +1,6 @@
 /**
- * What the settings in force mean for a request: which organisation a key belongs to, which model
- * or service a name stands for. Built from the subtrees whenever one changes; only reads after that.
+ * Lookups in the active settings: the organisation of a key, the model or service of a name.
+ * Rebuilt from the subtrees when one changes, and read-only after that.
  */
 import * as Option from 'fp-ts/Option';
 import * as document from './document';
@@ -11,7 +11,7 @@
   organisation: document.Organisation;
 }
 
-function allowed(organisations: readonly string[], name: string): boolean {
+function isAllowed(organisations: readonly string[], name: string): boolean {
   return organisations.includes('*') || organisations.includes(name);
 }
 
@@ -23,12 +23,15 @@
 
   private readonly revisions = new Map<string, number>();
 
-  /** `former` lends its documents for subtrees that did not change: reading hundreds takes a while. */
-  constructor(subtrees: readonly tree.Subtree[], former?: Directory) {
+  /**
+   * Reuses the documents of `previous` for unchanged subtrees, as parsing hundreds of subtrees
+   * takes a while.
+   */
+  constructor(subtrees: readonly tree.Subtree[], previous?: Directory) {
     subtrees.forEach(({ name, index, text }) => {
       this.revisions.set(name, index);
-      const same = former?.revisions.get(name) === index;
-      const known = same ? former?.documents.get(name) : undefined;
+      const isUnchanged = previous?.revisions.get(name) === index;
+      const known = isUnchanged ? previous?.documents.get(name) : undefined;
       const content = known ?? document.read(text).unwrapOr(undefined);
       if (content !== undefined) this.add(name, content);
     });
@@ -42,20 +45,20 @@
   model(tenant: Tenant, name: string): Option.Option<document.Model> {
     const models = this.documents.get(tenant.team)?.models ?? [];
     const found = models.find((model) => model.name === name);
-    const open = found !== undefined && allowed(found.organisations, tenant.organisation.name);
-    return open ? Option.some(found) : Option.none;
+    const isOpen = found !== undefined && isAllowed(found.organisations, tenant.organisation.name);
+    return isOpen ? Option.some(found) : Option.none;
   }
 
   models(tenant: Tenant): document.Model[] {
     const models = this.documents.get(tenant.team)?.models ?? [];
-    return models.filter(({ organisations }) => allowed(organisations, tenant.organisation.name));
+    return models.filter(({ organisations }) => isAllowed(organisations, tenant.organisation.name));
   }
 
   service(tenant: Tenant, name: string): Option.Option<document.Service> {
     const services = this.documents.get(tenant.team)?.services ?? [];
     const found = services.find((service) => service.name === name);
-    const open = found !== undefined && allowed(found.organisations, tenant.organisation.name);
-    return open ? Option.some(found) : Option.none;
+    const isOpen = found !== undefined && isAllowed(found.organisations, tenant.organisation.name);
+    return isOpen ? Option.some(found) : Option.none;
   }
 
   /** The operator of `team` whose token has this SHA-256. */
@@ -64,13 +67,13 @@
     return Option.fromNullable(operators.find((operator) => operator.tokenHash === tokenHash));
   }
 
-  /** The teams for which a token with this SHA-256 speaks. */
+  /** The teams that have an operator with this token hash. */
   teamsOf(tokenHash: string): string[] {
     const teams = [...this.documents.keys()];
     return teams.filter((team) => Option.isSome(this.operator(team, tokenHash)));
   }
 
-  /** Every (base, adapter, version) that some team serves. */
+  /** All models that any team serves. */
   wantedModels(): document.Model[] {
     return [...this.documents.values()].flatMap(({ models }) => models);
   }
--- a/packages/domain/src/settings/tree.ts
+++ b/packages/domain/src/settings/tree.ts
@@ -1,17 +1,17 @@
 /**
- * The settings tree: subtrees with revisions, changed by compare-and-set. A change names the
- * revision it was based on and an id; of two operators with equal numbers exactly one wins, and a
- * resend of an id gets the first answer again. All of it is decided when the log entry is applied,
- * so every replica decides alike.
+ * The settings tree: subtrees with revisions, changed by compare-and-set. A change has an id and
+ * the revision on which it is based. Of two changes based on the same revision exactly one is
+ * accepted, and a resend with the same id gets the first answer again. All of this is decided when
+ * the log entry is applied, so all replicas reach the same decisions.
  */
 import * as document from './document';
 import * as schema from './schema';
 
-/** A wish to replace the text of one subtree. An empty text removes it. */
+/** A request to replace the text of one subtree. An empty text removes the subtree. */
 export interface Change {
   id: string;
   subtree: string;
-  /** Revision of the subtree that the author saw; 0 for a new one. */
+  /** Revision of the subtree on which the change is based; 0 for a new subtree. */
   basedOn: number;
   text: string;
   author: string;
@@ -30,7 +30,7 @@
 export interface Conflict {
   kind: 'conflict';
   subtree: string;
-  /** Revision in force, and who made it. */
+  /** Current revision, and its author. */
   revision: number;
   author: string;
   text: string;
@@ -41,7 +41,7 @@
   problems: schema.Problem[];
 }
 
-/** The id was used before for other content. */
+/** The id was used before with other content. */
 export interface Reused {
   kind: 'reused';
   id: string;
@@ -55,27 +55,30 @@
   text: string;
   author: string;
   at: number;
-  /** Log index of the change that made it. */
+  /** Log index of the change that created this revision. */
   index: number;
 }
 
-interface Remembered {
+interface StoredAnswer {
   id: string;
+  /** The change in canonical form, to tell a resend from another use of the id. */
   content: string;
   answer: Answer;
 }
 
 export interface Snapshot {
   subtrees: Subtree[];
+  /** Last revisions of removed subtrees. */
   removed: { name: string; revision: number }[];
-  remembered: Remembered[];
+  /** Answers that are kept for resends. */
+  remembered: StoredAnswer[];
 }
 
 /**
- * How many answers are kept for resends: two and a half days at 8,100 changes a day. An older resend
- * is still harmless: its base revision is stale, so it ends as a conflict and never applies twice.
+ * Answers that are kept for resends: two and a half days at 8,100 changes a day. An older resend is
+ * harmless: its base revision is outdated, so it ends as a conflict and never applies twice.
  */
-export const REMEMBERED_ANSWERS = 20_000;
+export const MAX_STORED_ANSWERS = 20_000;
 
 const SUBTREE_NAME = /^[a-z0-9][a-z0-9-]{0,62}$/;
 
@@ -83,25 +86,31 @@
   return JSON.stringify([change.subtree, change.basedOn, change.text, change.author]);
 }
 
-/** The aggregate. Only `apply` changes it, in log order. */
+/** Replicated state machine of the tree. Only `apply` changes it, in log order. */
 export class Tree {
   private readonly subtrees = new Map<string, Subtree>();
 
-  /** Revisions go on counting after a removal, so that an old base can't match a new subtree. */
+  /**
+   * Last revisions of removed subtrees. Counting continues after a removal, so that an old base
+   * revision can't match a new subtree.
+   */
   private readonly removed = new Map<string, number>();
 
-  private readonly remembered = new Map<string, Remembered>();
+  private readonly answers = new Map<string, StoredAnswer>();
 
-  /** Applies one change; the second value says whether the tree changed. */
+  /** Applies one change; `changed` tells whether the tree changed. */
   apply(change: Change, index: number): { answer: Answer; changed: boolean } {
-    const earlier = this.remembered.get(change.id);
-    if (earlier !== undefined) {
-      const same = earlier.content === contentOf(change);
-      return { answer: same ? earlier.answer : { kind: 'reused', id: change.id }, changed: false };
+    const stored = this.answers.get(change.id);
+    if (stored !== undefined) {
+      const isResend = stored.content === contentOf(change);
+      return {
+        answer: isResend ? stored.answer : { kind: 'reused', id: change.id },
+        changed: false,
+      };
     }
     const answer = this.decide(change, index);
-    this.remember({ id: change.id, content: contentOf(change), answer });
-    if (answer.kind === 'accepted') this.store(change, answer);
+    this.storeAnswer({ id: change.id, content: contentOf(change), answer });
+    if (answer.kind === 'accepted') this.storeSubtree(change, answer);
     return { answer, changed: answer.kind === 'accepted' };
   }
 
@@ -113,25 +122,23 @@
     return [...this.subtrees.values()];
   }
 
-  /** The answer that a resend of `change` would get, if the id is known. */
+  /** The answer to a resend of `change`, if its id is known. */
   answerFor(change: Change): Answer | undefined {
-    const earlier = this.remembered.get(change.id);
-    if (earlier === undefined) return undefined;
-    return earlier.content === contentOf(change)
-      ? earlier.answer
-      : { kind: 'reused', id: change.id };
+    const stored = this.answers.get(change.id);
+    if (stored === undefined) return undefined;
+    return stored.content === contentOf(change) ? stored.answer : { kind: 'reused', id: change.id };
   }
 
   snapshot(): Snapshot {
     const removed = [...this.removed].map(([name, revision]) => ({ name, revision }));
-    return { subtrees: this.list(), removed, remembered: [...this.remembered.values()] };
+    return { subtrees: this.list(), removed, remembered: [...this.answers.values()] };
   }
 
   static restore(snapshot: Snapshot): Tree {
     const tree = new Tree();
     snapshot.subtrees.forEach((subtree) => tree.subtrees.set(subtree.name, subtree));
     snapshot.removed.forEach(({ name, revision }) => tree.removed.set(name, revision));
-    snapshot.remembered.forEach((entry) => tree.remembered.set(entry.id, entry));
+    snapshot.remembered.forEach((entry) => tree.answers.set(entry.id, entry));
     return tree;
   }
 
@@ -147,8 +154,8 @@
     }
     const revision = this.revisionOf(change.subtree);
     if (revision !== change.basedOn) return this.conflict(change.subtree, revision);
-    const read = document.read(change.text);
-    if (read.err) return { kind: 'invalid', problems: read.val };
+    const parsed = document.read(change.text);
+    if (parsed.err) return { kind: 'invalid', problems: parsed.val };
     return { kind: 'accepted', subtree: change.subtree, revision: revision + 1, index };
   }
 
@@ -158,7 +165,7 @@
     return { kind: 'conflict', subtree, revision, author, text: current?.text ?? '' };
   }
 
-  private store(change: Change, { revision, index }: Accepted): void {
+  private storeSubtree(change: Change, { revision, index }: Accepted): void {
     const { subtree: name, text, author, at } = change;
     if (text.trim() === '') {
       this.subtrees.delete(name);
@@ -169,10 +176,10 @@
     this.subtrees.set(name, { name, revision, text, author, at, index });
   }
 
-  private remember(entry: Remembered): void {
-    this.remembered.set(entry.id, entry);
-    if (this.remembered.size <= REMEMBERED_ANSWERS) return;
-    const oldest = this.remembered.keys().next().value;
-    if (oldest !== undefined) this.remembered.delete(oldest);
+  private storeAnswer(entry: StoredAnswer): void {
+    this.answers.set(entry.id, entry);
+    if (this.answers.size <= MAX_STORED_ANSWERS) return;
+    const oldest = this.answers.keys().next().value;
+    if (oldest !== undefined) this.answers.delete(oldest);
   }
 }
