--- a/packages/soak/src/__tests__/checks.test.ts
+++ b/packages/soak/src/__tests__/checks.test.ts
@@ -10,11 +10,14 @@
 
 const PATH = '/unsafe/call';
 
-function answered(status: number, body = ''): observations.Ending {
+function answered(status: number, body = ''): observations.RequestOutcome {
   return { kind: 'answered', status, isSigned: true, body };
 }
 
-function asked(request: string, more: Partial<observations.Asked> = {}): observations.Asked {
+function requestRecord(
+  request: string,
+  more: Partial<observations.RequestRecord> = {},
+): observations.RequestRecord {
   return {
     request,
     kind: 'unsafe',
@@ -29,34 +32,42 @@
   };
 }
 
-function probe(version: number, sentAt: number, status: number): observations.Probe {
-  const base = asked(`p${version}-${sentAt}`, { kind: 'safe', sentAt, endedAt: sentAt + 10 });
+function probeRecord(version: number, sentAt: number, status: number): observations.Probe {
+  const base = requestRecord(`p${version}-${sentAt}`, {
+    kind: 'safe',
+    sentAt,
+    endedAt: sentAt + 10,
+  });
   return { ...base, version, label: '', ending: answered(status) };
 }
 
-function sent(version: number, ackedAt: number | undefined, keys = ['k']): observations.Sent {
+function submittedDocument(
+  version: number,
+  ackedAt: number | undefined,
+  keys = ['k'],
+): observations.SubmittedDocument {
   return { version, label: '', keys, sentAt: (ackedAt ?? 5_000) - 100, ackedAt };
 }
 
 /** A run in which everything was kept, changed by a test. */
-function seen(change: (good: Observations) => void): string[] {
+function brokenPromises(change: (good: Observations) => void): string[] {
   const good = observations.empty();
-  good.sent.push(sent(1, 1_000));
+  good.sent.push(submittedDocument(1, 1_000));
   good.readBack = { version: 1, label: '' };
   good.healedAt = 20_000;
-  good.asked.push(asked('r1'), asked('r2', { sentAt: 30_000, endedAt: 30_100 }));
+  good.asked.push(requestRecord('r1'), requestRecord('r2', { sentAt: 30_000, endedAt: 30_100 }));
   good.ran.push({ request: 'r1', target: 't0-1', at: 10_050 });
   good.lifetimes.push({ target: 't0-1', index: 0 });
-  good.probes.push(probe(1, 9_000, 200));
+  good.probes.push(probeRecord(1, 9_000, 200));
   change(good);
   return checks.violations(good).map(({ promise }) => promise);
 }
 
 /** Copies that the users' pages allow after the third end. */
-const MOST_LATER = 3;
+const MAX_LATER_ARRIVALS = 3;
 
 /** Three targets end under a content by 11.2 s; so many copies of it reach further ones from 14.3 s on, sent by entry 0. */
-function crashing(good: Observations, later: number): void {
+function addCrashes(good: Observations, later: number): void {
   for (let i = 0; i < 3; i++) {
     good.crashed.push({ target: `t9-${i}`, body: 'crash 1', at: 11_000 + 100 * i });
   }
@@ -64,13 +75,16 @@
     const at = 14_300 + 100 * i;
     const request = `r9${i}`;
     const ending = answered(502);
-    good.crashers.push({ ...asked(request, { sentAt: at, endedAt: at, ending }), body: 'crash 1' });
+    good.crashers.push({
+      ...requestRecord(request, { sentAt: at, endedAt: at, ending }),
+      body: 'crash 1',
+    });
     good.ran.push({ request, target: 't0-1', at });
   }
 }
 
 /** Target 0 takes one request a second from 10 s on, told entry 0 so at once, and gets one from it each `everyMs`, told so each time. */
-function limited(good: Observations, everyMs: number): void {
+function addLimitedTarget(good: Observations, everyMs: number): void {
   good.limited.push({ index: 0, perSecond: 1, from: 10_000, until: 20_000 });
   for (let at = 10_000; at < 20_000; at += everyMs) {
     good.got.push({ target: 't0-1', entry: 0, at });
@@ -81,10 +95,10 @@
 describe('soak: checks', () => {
   it('allow a target half more than its limit and some, and all from an entry that was harmed', () => {
     // 11 in 4 s.
-    expect(seen((good) => limited(good, 370))).to.deep.equal([]);
-    expect(seen((good) => limited(good, 350))).to.deep.equal(['overLimit']);
-    const harmed = seen((good) => {
-      limited(good, 100);
+    expect(brokenPromises((good) => addLimitedTarget(good, 370))).to.deep.equal([]);
+    expect(brokenPromises((good) => addLimitedTarget(good, 350))).to.deep.equal(['overLimit']);
+    const harmed = brokenPromises((good) => {
+      addLimitedTarget(good, 100);
       const what = { subject: 'entry', index: 0, what: 'entryCut' } as const;
       good.disturbances.push({ ...what, from: 10_000, until: 20_000 });
     });
@@ -92,9 +106,9 @@
   });
 
   it('allow a few copies after a third end, and all from an entry that is out of touch', () => {
-    expect(seen((good) => crashing(good, MOST_LATER))).to.deep.equal([]);
-    const found = seen((good) => {
-      crashing(good, 9);
+    expect(brokenPromises((good) => addCrashes(good, MAX_LATER_ARRIVALS))).to.deep.equal([]);
+    const found = brokenPromises((good) => {
+      addCrashes(good, 9);
       const what = { subject: 'entry', index: 0, what: 'entryCut' } as const;
       good.disturbances.push({ ...what, from: 13_000, until: 14_000 });
     });
@@ -102,41 +116,44 @@
   });
 
   it('find nothing in a run in which everything was kept', () => {
-    expect(seen(() => undefined)).to.deep.equal([]);
+    expect(brokenPromises(() => undefined)).to.deep.equal([]);
   });
 
-  const breaches: [checks.Breach, (good: Observations) => void][] = [
-    ['wrongAnswer', ({ asked: all }) => all.push(asked('r3', { ending: answered(200, 'other') }))],
+  const violationCases: [checks.PromiseName, (good: Observations) => void][] = [
+    [
+      'wrongAnswer',
+      ({ asked: all }) => all.push(requestRecord('r3', { ending: answered(200, 'other') })),
+    ],
     ['ranTwice', ({ ran }) => ran.push({ request: 'r1', target: 't1-1', at: 10_060 })],
     [
       'falseNotRun',
       ({ asked: all, ran }) => {
-        all.push(asked('r3', { ending: answered(503) }));
+        all.push(requestRecord('r3', { ending: answered(503) }));
         ran.push({ request: 'r3', target: 't0-1', at: 12_000 });
       },
     ],
-    ['hung', ({ asked: all }) => all.push(asked('r3', { ending: { kind: 'hung' } }))],
-    ['denied', ({ asked: all }) => all.push(asked('r3', { ending: answered(401) }))],
+    ['hung', ({ asked: all }) => all.push(requestRecord('r3', { ending: { kind: 'hung' } }))],
+    ['denied', ({ asked: all }) => all.push(requestRecord('r3', { ending: answered(401) }))],
     [
       'wentBack',
       ({ probes, sent: all }) => {
-        all.push(sent(2, undefined));
-        probes.push(probe(2, 8_000, 200));
+        all.push(submittedDocument(2, undefined));
+        probes.push(probeRecord(2, 8_000, 200));
       },
     ],
     [
       'notInForce',
       ({ sent: all, readBack }) => {
-        all.push(sent(2, 6_000));
+        all.push(submittedDocument(2, 6_000));
         Object.assign(readBack as object, { version: 2 });
       },
     ],
-    ['twoContents', ({ probes }) => probes.push({ ...probe(1, 9_000, 200), label: 'b' })],
-    ['lost', ({ sent: all }) => all.push(sent(2, 19_000))],
+    ['twoContents', ({ probes }) => probes.push({ ...probeRecord(1, 9_000, 200), label: 'b' })],
+    ['lost', ({ sent: all }) => all.push(submittedDocument(2, 19_000))],
     [
       'lost',
       ({ sent: all, restartReads, readBack }) => {
-        all.push(sent(2, 6_000), sent(3, 8_900));
+        all.push(submittedDocument(2, 6_000), submittedDocument(3, 8_900));
         restartReads.push({ lostAt: 7_000, document: { version: 1, label: '' } });
         Object.assign(readBack as object, { version: 3 });
       },
@@ -145,7 +162,7 @@
       'revokedKeyRan',
       ({ revoked, ran, asked: all }) => {
         revoked.push({ key: 'old', ackedAt: 1_000 });
-        all.push(asked('r3', { key: 'old', sentAt: 6_100 }));
+        all.push(requestRecord('r3', { key: 'old', sentAt: 6_100 }));
         ran.push({ request: 'r3', target: 't0-1', at: 6_150 });
       },
     ],
@@ -153,17 +170,17 @@
     [
       'cutByStop',
       ({ asked: all, ran, stopped }) => {
-        all.push(asked('r3', { ending: { kind: 'broken' } }));
+        all.push(requestRecord('r3', { ending: { kind: 'broken' } }));
         ran.push({ request: 'r3', target: 't0-1', at: 10_050 });
         stopped.push({ entry: 0, incarnation: 1, from: 9_000, until: 12_000 });
       },
     ],
-    ['crashedOn', (good) => crashing(good, MOST_LATER + 1)],
+    ['crashedOn', (good) => addCrashes(good, MAX_LATER_ARRIVALS + 1)],
     [
       'falseNotRun',
       (good) => {
-        crashing(good, 1);
-        good.crashers.push({ ...asked('r90', { ending: answered(503) }), body: 'crash 1' });
+        addCrashes(good, 1);
+        good.crashers.push({ ...requestRecord('r90', { ending: answered(503) }), body: 'crash 1' });
       },
     ],
     [
@@ -186,18 +203,18 @@
     ],
     [
       'notRecovered',
-      ({ asked: all }) => all.push(asked('r3', { sentAt: 30_000, ending: answered(502) })),
+      ({ asked: all }) => all.push(requestRecord('r3', { sentAt: 30_000, ending: answered(502) })),
     ],
   ];
 
-  breaches.forEach(([promise, change]) => {
+  violationCases.forEach(([promise, change]) => {
     it(`find ${promise}`, () => {
-      expect(seen(change)).to.include(promise);
+      expect(brokenPromises(change)).to.include(promise);
     });
   });
 
   it('allow what can happen to a process that is out of touch', () => {
-    const found = seen(({ probes, asked: all, disturbances, sent: documents }) => {
+    const found = brokenPromises(({ probes, asked: all, disturbances, sent: documents }) => {
       const harm = {
         subject: 'entry',
         index: 0,
@@ -206,10 +223,10 @@
         until: 15_000,
       } as const;
       disturbances.push(harm);
-      documents.push({ ...sent(2, 2_000, ['k', 'new']), label: '' });
-      documents.push(sent(3, 19_500));
-      probes.push(probe(2, 14_000, 404));
-      all.push(asked('r3', { key: 'new', ending: answered(401) }));
+      documents.push({ ...submittedDocument(2, 2_000, ['k', 'new']), label: '' });
+      documents.push(submittedDocument(3, 19_500));
+      probes.push(probeRecord(2, 14_000, 404));
+      all.push(requestRecord('r3', { key: 'new', ending: answered(401) }));
     });
     // Only the document that nobody can read back any more counts.
     expect(found).to.deep.equal(['lost']);
@@ -221,8 +238,8 @@
    */
   it('allow a stop to cut what came right after a freeze, and nothing later', () => {
     const cutAfter = (frozenUntil: number): string[] =>
-      seen(({ asked: all, ran, stopped, disturbances }) => {
-        all.push(asked('r3', { ending: { kind: 'broken' } }));
+      brokenPromises(({ asked: all, ran, stopped, disturbances }) => {
+        all.push(requestRecord('r3', { ending: { kind: 'broken' } }));
         ran.push({ request: 'r3', target: 't0-1', at: 10_050 });
         stopped.push({ entry: 0, incarnation: 1, from: 4_000, until: 12_000 });
         const freeze = { subject: 'entry', index: 0, what: 'entryPause' } as const;
--- a/packages/soak/src/__tests__/schedule.test.ts
+++ b/packages/soak/src/__tests__/schedule.test.ts
@@ -14,13 +14,13 @@
 
 describe('soak: schedule', () => {
   it('draws the same plan from the same seed', () => {
-    expect(schedule.draw(7, 20, SIZE)).to.deep.equal(schedule.draw(7, 20, SIZE));
-    expect(schedule.draw(7, 4, SIZE).steps).toMatchSnapshot();
+    expect(schedule.drawPlan(7, 20, SIZE)).to.deep.equal(schedule.drawPlan(7, 20, SIZE));
+    expect(schedule.drawPlan(7, 4, SIZE).steps).toMatchSnapshot();
   });
 
   it('never takes more than two keepers at once, nor any beside a loss of all', () => {
     for (let seed = 0; seed < 300; seed++) {
-      const { steps } = schedule.draw(seed, 40, SIZE);
+      const { steps } = schedule.drawPlan(seed, 40, SIZE);
       steps.forEach((step, i) => {
         const before = steps.slice(0, i).filter((each) => {
           return each.at + each.forSeconds + LOST > step.at;
@@ -36,7 +36,7 @@
   it('draws every kind sooner or later', () => {
     const drawn = new Set<string>();
     for (let seed = 0; seed < 300; seed++) {
-      schedule.draw(seed, 40, SIZE).steps.forEach(({ kind }) => drawn.add(kind));
+      schedule.drawPlan(seed, 40, SIZE).steps.forEach(({ kind }) => drawn.add(kind));
     }
     expect([...drawn].sort()).toMatchSnapshot();
   });
--- a/packages/soak/src/awakeTime.ts
+++ b/packages/soak/src/awakeTime.ts
@@ -3,30 +3,30 @@
  * arrived meanwhile is read; a caller that counted that time would take an answer that is there for a missing one.
  */
 
-const LOOK_EVERY_MS = 50;
+const SAMPLE_INTERVAL_MS = 50;
 
 /** Most time between two looks that counts, milliseconds. */
-const MOST_PER_LOOK_MS = 2 * LOOK_EVERY_MS;
+const MAX_SAMPLE_MS = 2 * SAMPLE_INTERVAL_MS;
 
 export class AwakeTime {
-  private counted = 0;
+  private awakeMs = 0;
 
-  private lastLookAt: number;
+  private lastSampleAt: number;
 
   constructor(private readonly now: () => number) {
-    this.lastLookAt = now();
-    setInterval(() => this.look(), LOOK_EVERY_MS).unref();
+    this.lastSampleAt = now();
+    setInterval(() => this.sample(), SAMPLE_INTERVAL_MS).unref();
   }
 
   /** Milliseconds since it was made, without those in which nothing ran. */
   get ms(): number {
-    this.look();
-    return this.counted;
+    this.sample();
+    return this.awakeMs;
   }
 
-  private look(): void {
+  private sample(): void {
     const now = this.now();
-    this.counted += Math.min(now - this.lastLookAt, MOST_PER_LOOK_MS);
-    this.lastLookAt = now;
+    this.awakeMs += Math.min(now - this.lastSampleAt, MAX_SAMPLE_MS);
+    this.lastSampleAt = now;
   }
 }
--- a/packages/soak/src/callers.ts
+++ b/packages/soak/src/callers.ts
@@ -11,20 +11,20 @@
 export const HOST = 'soak.example';
 
 /** How long callers wait, milliseconds. */
-const PATIENCE_MS = { safe: 1_500, unsafe: 1_500, stream: 6_000 } as const;
+const CALLER_TIMEOUT_MS = { safe: 1_500, unsafe: 1_500, stream: 6_000 } as const;
 
 /** Time beyond the caller's own after which a request counts as hung, milliseconds. */
-const HANG_MS = 1_500;
+const HANG_GRACE_MS = 1_500;
 
 /** A prompt of this size needs memory on several engines. */
 const LARGE_PROMPT_TOKENS = 420_000;
 const SMALL_PROMPT_TOKENS = 4_000;
-const LARGE_SHARE = 0.05;
+const LARGE_PROMPT_SHARE = 0.05;
 
 /** A new connection is made for some requests; the others use open ones. */
 const NEW_CONNECTION_SHARE = 0.2;
 
-export interface Question {
+export interface CallerRequest {
   entry: fleet.Vm;
   kind: observations.RequestKind;
   path: string;
@@ -33,7 +33,7 @@
 }
 
 /** Body of all requests that don't name one, so that most contents are hot: every caller of a key sends the same. */
-const USUAL_BODY = 'soak';
+const DEFAULT_BODY = 'soak';
 
 export class Callers {
   private readonly agent = new http.Agent({ keepAlive: true, maxSockets: Infinity });
@@ -44,33 +44,49 @@
 
   constructor(private readonly random: domain.shared.random.Random) {}
 
-  async ask({ entry, kind, path, key, body = USUAL_BODY }: Question): Promise<observations.Asked> {
+  async send({
+    entry,
+    kind,
+    path,
+    key,
+    body = DEFAULT_BODY,
+  }: CallerRequest): Promise<observations.RequestRecord> {
     this.count += 1;
     const request = `r${this.count}`;
     const sentAt = Date.now();
     const { incarnation } = entry.process;
-    const ending = await this.send(entry.host, request, { kind, path, key, body });
+    const outcome = await this.exchange(entry.host, request, { kind, path, key, body });
     const endedAt = Date.now();
-    return { request, kind, path, entry: entry.index, incarnation, key, sentAt, endedAt, ending };
+    return {
+      request,
+      kind,
+      path,
+      entry: entry.index,
+      incarnation,
+      key,
+      sentAt,
+      endedAt,
+      ending: outcome,
+    };
   }
 
   close(): void {
     this.agent.destroy();
   }
 
-  private send(
+  private exchange(
     host: string,
     requestId: string,
-    { kind, path, key, body }: Omit<Required<Question>, 'entry'>,
-  ): Promise<observations.Ending> {
-    const isLarge = kind === 'stream' && this.random.uniform() < LARGE_SHARE;
-    const patienceMs = PATIENCE_MS[kind];
+    { kind, path, key, body }: Omit<Required<CallerRequest>, 'entry'>,
+  ): Promise<observations.RequestOutcome> {
+    const isLarge = kind === 'stream' && this.random.uniform() < LARGE_PROMPT_SHARE;
+    const patienceMs = CALLER_TIMEOUT_MS[kind];
     const headers = counterpart.callerHeaders({
       requestId,
       key,
       patienceMs,
       promptTokens: isLarge ? LARGE_PROMPT_TOKENS : SMALL_PROMPT_TOKENS,
-      answerTokens: answers.EVENTS,
+      answerTokens: answers.STREAM_EVENTS,
     });
     const agent = this.random.uniform() < NEW_CONNECTION_SHARE ? false : this.agent;
     return new Promise((resolve) => {
@@ -82,34 +98,34 @@
         headers: { ...headers, host: HOST },
         agent,
       });
-      const hungAt = this.awake.ms + patienceMs + HANG_MS;
-      const watch = (): void => {
-        const leftMs = hungAt - this.awake.ms;
+      const hangDeadlineMs = this.awake.ms + patienceMs + HANG_GRACE_MS;
+      const checkHung = (): void => {
+        const leftMs = hangDeadlineMs - this.awake.ms;
         if (leftMs > 0) {
-          hung = setTimeout(watch, leftMs);
+          hangTimer = setTimeout(checkHung, leftMs);
           return;
         }
         resolve({ kind: 'hung' });
         request.destroy();
       };
-      let hung = setTimeout(watch, patienceMs + HANG_MS);
-      const settle = (ending: observations.Ending): void => {
-        clearTimeout(hung);
-        resolve(ending);
+      let hangTimer = setTimeout(checkHung, patienceMs + HANG_GRACE_MS);
+      const settle = (outcome: observations.RequestOutcome): void => {
+        clearTimeout(hangTimer);
+        resolve(outcome);
       };
       request.on('error', () => settle({ kind: 'broken' }));
       request.on('response', (response) => {
         const chunks: Buffer[] = [];
         response.on('data', (chunk: Buffer) => chunks.push(chunk));
         response.on('error', () => undefined);
-        response.on('close', () => settle(endingOf(response, Buffer.concat(chunks))));
+        response.on('close', () => settle(outcomeOf(response, Buffer.concat(chunks))));
       });
       request.end(body);
     });
   }
 }
 
-function endingOf(response: http.IncomingMessage, body: Buffer): observations.Ending {
+function outcomeOf(response: http.IncomingMessage, body: Buffer): observations.RequestOutcome {
   if (!response.complete) return { kind: 'broken' };
   return {
     kind: 'answered',
--- a/packages/soak/src/checks.ts
+++ b/packages/soak/src/checks.ts
@@ -1,16 +1,16 @@
 /**
- * The promises, checked on what was seen from outside. Those without a time bound hold always; the others hold for
+ * The promises, checked on what was observed from outside. Those without a time bound hold always; the others hold for
  * processes that were in touch, which is said where it matters.
  */
 import * as answers from './answers';
 import * as layout from './layout';
 import type * as observations from './observations';
 
-type Asked = observations.Asked;
+type RequestRecord = observations.RequestRecord;
 type Observations = observations.Observations;
 type Probe = observations.Probe;
 
-export type Breach =
+export type PromiseName =
   /** A success that isn't the caller's whole own answer. */
   | 'wrongAnswer'
   | 'ranTwice'
@@ -19,7 +19,7 @@
   | 'hung'
   /** A proper request refused for its route or key. */
   | 'denied'
-  /** An older version seen after a newer one in the same process. */
+  /** An older version observed after a newer one in the same process. */
   | 'wentBack'
   | 'notInForce'
   /** Two documents with one version both in force. */
@@ -39,73 +39,73 @@
   | 'notRecovered';
 
 export interface Violation {
-  promise: Breach;
+  promise: PromiseName;
   detail: string;
 }
 
 /** A process counts as in touch when nothing was done to it or to the keepers for so long, milliseconds. */
-const CALM_MS = 5_000;
+const UNDISTURBED_MS = 5_000;
 
 /**
  * A planned stop answers for requests that came so long after any other harm, milliseconds: by the users' pages. A process
  * that is frozen when it is to stop wakes with no more than the rest of its time, and doesn't know that.
  */
-const STABLE_MS = 3_000;
+const SETTLING_MS = 3_000;
 
 /** A probe's answer may show a state of some milliseconds before it was sent. */
-const PROBE_SLACK_MS = 500;
+const PROBE_TOLERANCE_MS = 500;
 
 /** The way of a request from an entry to a target. */
-const WAY_MS = 150;
+const TRANSIT_MS = 150;
 
 /** Statuses that promise that a request didn't run. */
-const PROMISES = new Set([408, 421, 429, 503]);
+const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
 
-const DENIALS = new Set([401, 403, 404]);
+const DENIAL_STATUSES = new Set([401, 403, 404]);
 
 /** Share of requests that must be served when everything is well again. */
-const RECOVERED_SHARE = 0.95;
+const MIN_RECOVERED_SHARE = 0.95;
 
 /** How long after the end of all harm that holds, milliseconds. */
-export const RECOVER_MS = 8_000;
+export const RECOVERY_MS = 8_000;
 
-type Check = (seen: Observations) => Violation[];
+type Check = (observed: Observations) => Violation[];
 
 const CHECKS: Check[] = [
   wrongAnswers,
-  runs,
-  hangs,
-  denials,
-  steps,
-  inForce,
-  oneContent,
-  nothingLost,
-  revokedKeys,
-  drainedTargets,
-  plannedStops,
-  crashes,
-  crashersNotRun,
-  limits,
-  backOffs,
-  leavingTargets,
-  memory,
-  recovery,
+  executions,
+  hungRequests,
+  deniedRequests,
+  versionRegressions,
+  staleCatalogues,
+  conflictingDocuments,
+  lostDocuments,
+  revokedKeyRuns,
+  drainedTargetRuns,
+  requestsCutByStops,
+  quarantineBypasses,
+  falselyRefusedCrashers,
+  limitOverruns,
+  backOffBreaches,
+  drainingTargetRuns,
+  leftReservations,
+  unrecoveredService,
 ];
 
-export function violations(seen: Observations): Violation[] {
-  return CHECKS.flatMap((check) => check(seen));
+export function violations(observed: Observations): Violation[] {
+  return CHECKS.flatMap((check) => check(observed));
 }
 
 function wrongAnswers({ asked }: Observations): Violation[] {
   return asked.flatMap(({ request, path, ending }) => {
     if (ending.kind !== 'answered' || ending.status !== 200) return [];
-    if (ending.isSigned && ending.body === answers.whole(request, path)) return [];
+    if (ending.isSigned && ending.body === answers.fullAnswer(request, path)) return [];
     const detail = `${request} ${path} got ${JSON.stringify(ending.body.slice(0, 200))}`;
     return [{ promise: 'wrongAnswer', detail }];
   });
 }
 
-function runs({ asked, ran }: Observations): Violation[] {
+function executions({ asked, ran }: Observations): Violation[] {
   const counts = new Map<string, number>();
   ran.forEach(({ request }) => counts.set(request, (counts.get(request) ?? 0) + 1));
   return asked
@@ -113,50 +113,53 @@
     .flatMap(({ request, ending }): Violation[] => {
       const count = counts.get(request) ?? 0;
       if (count > 1) return [{ promise: 'ranTwice', detail: `${request} ran ${count} times` }];
-      const isPromised = ending.kind === 'answered' && PROMISES.has(ending.status);
-      return isPromised && count > 0
+      const isReportedNotRun = ending.kind === 'answered' && NOT_RUN_STATUSES.has(ending.status);
+      return isReportedNotRun && count > 0
         ? [{ promise: 'falseNotRun', detail: `${request} ran and got ${ending.status}` }]
         : [];
     });
 }
 
-function hangs(seen: Observations): Violation[] {
-  return [...seen.asked, ...seen.crashers]
+function hungRequests(observed: Observations): Violation[] {
+  return [...observed.asked, ...observed.crashers]
     .filter(({ ending }) => ending.kind === 'hung')
-    .filter((each) => !isHarmed(seen, 'entry', each.entry, each.sentAt, each.endedAt))
+    .filter((each) => !isDisturbed(observed, 'entry', each.entry, each.sentAt, each.endedAt))
     .map(({ request, entry }) => ({ promise: 'hung', detail: `${request} at entry ${entry}` }));
 }
 
 /** Base routes are in every document, so an entry may refuse only keys, and those for a document without them. */
-function denials(seen: Observations): Violation[] {
-  return seen.asked.flatMap((asked) => {
+function deniedRequests(observed: Observations): Violation[] {
+  return observed.asked.flatMap((asked) => {
     const { request, key, ending, entry } = asked;
-    if (ending.kind !== 'answered' || !DENIALS.has(ending.status)) return [];
-    const possible = possibleDocuments(seen, asked);
+    if (ending.kind !== 'answered' || !DENIAL_STATUSES.has(ending.status)) return [];
+    const possible = possibleDocuments(observed, asked);
     if (possible.some(({ keys }) => !keys.includes(key))) return [];
     return [{ promise: 'denied', detail: `${request} got ${ending.status} at entry ${entry}` }];
   });
 }
 
 /** Documents that an entry may have in force for a request; one that isn't in touch may have any. */
-function possibleDocuments(seen: Observations, asked: Asked): observations.Sent[] {
-  const sent = seen.sent.filter(({ sentAt }) => sentAt < asked.endedAt);
-  if (!isCalm(seen, asked.entry, asked.sentAt, asked.endedAt)) return sent;
+function possibleDocuments(
+  observed: Observations,
+  asked: RequestRecord,
+): observations.SubmittedDocument[] {
+  const sent = observed.sent.filter(({ sentAt }) => sentAt < asked.endedAt);
+  if (!isUndisturbed(observed, asked.entry, asked.sentAt, asked.endedAt)) return sent;
   const bound = asked.sentAt - layout.BOUNDS.applyMs;
   const settled = sent.filter(({ ackedAt }) => (ackedAt ?? Infinity) < bound);
   const oldest = Math.max(0, ...settled.map(({ version }) => version));
   return sent.filter(({ version }) => version >= oldest);
 }
 
-function isServed({ ending }: Asked): boolean {
+function isServed({ ending }: RequestRecord): boolean {
   return ending.kind === 'answered' && ending.status === 200;
 }
 
-function isUnknown({ ending }: Asked): boolean {
+function isUnknownRoute({ ending }: RequestRecord): boolean {
   return ending.kind === 'answered' && ending.status === 404;
 }
 
-function steps({ probes }: Observations): Violation[] {
+function versionRegressions({ probes }: Observations): Violation[] {
   const served = probes.filter(isServed);
   return served.flatMap((later) => {
     const earlier = served.find(
@@ -164,7 +167,7 @@
         each.entry === later.entry &&
         each.incarnation === later.incarnation &&
         each.version > later.version &&
-        each.endedAt + PROBE_SLACK_MS < later.sentAt,
+        each.endedAt + PROBE_TOLERANCE_MS < later.sentAt,
     );
     if (earlier === undefined) return [];
     const detail = `entry ${later.entry}: ${later.request} saw ${later.version} after ${earlier.version}`;
@@ -172,21 +175,23 @@
   });
 }
 
-function inForce(seen: Observations): Violation[] {
-  return seen.probes.flatMap((probe) => {
+function staleCatalogues(observed: Observations): Violation[] {
+  return observed.probes.flatMap((probe) => {
     const { entry, sentAt, endedAt } = probe;
-    if (!isCalm(seen, entry, sentAt, endedAt)) return [];
+    if (!isUndisturbed(observed, entry, sentAt, endedAt)) return [];
     const bound = sentAt - layout.BOUNDS.applyMs;
-    const newer = seen.sent.find(
+    const newer = observed.sent.find(
       ({ version, ackedAt }) => version > probe.version && (ackedAt ?? Infinity) < bound,
     );
-    if (isServed(probe) && newer !== undefined) return [lateness(probe, 'still served')];
-    return isUnknown(probe) && mustKnow(seen, probe, bound) ? [lateness(probe, 'unknown')] : [];
+    if (isServed(probe) && newer !== undefined) return [staleness(probe, 'still served')];
+    return isUnknownRoute(probe) && isKnownToAll(observed, probe, bound)
+      ? [staleness(probe, 'unknown')]
+      : [];
   });
 }
 
 /** Whether the probed route is in the only document that may be in force. */
-function mustKnow({ sent }: Observations, probe: Probe, bound: number): boolean {
+function isKnownToAll({ sent }: Observations, probe: Probe, bound: number): boolean {
   const isOvertaken = sent.some(({ version, label, sentAt }) => {
     const isOther = version > probe.version || (version === probe.version && label !== probe.label);
     return isOther && sentAt < probe.endedAt;
@@ -197,21 +202,21 @@
   });
 }
 
-function lateness({ entry, version, request }: Probe, what: string): Violation {
+function staleness({ entry, version, request }: Probe, what: string): Violation {
   return { promise: 'notInForce', detail: `entry ${entry}: ${version} ${what} (${request})` };
 }
 
-function oneContent({ probes }: Observations): Violation[] {
+function conflictingDocuments({ probes }: Observations): Violation[] {
   const labels = new Map<number, Set<string>>();
   probes.filter(isServed).forEach(({ version, label }) => {
     labels.set(version, (labels.get(version) ?? new Set()).add(label));
   });
   return [...labels]
-    .filter(([, seen]) => seen.size > 1)
+    .filter(([, served]) => served.size > 1)
     .map(([version]) => ({ promise: 'twoContents', detail: `version ${version}` }));
 }
 
-function nothingLost({ sent, readBack, restartReads }: Observations): Violation[] {
+function lostDocuments({ sent, readBack, restartReads }: Observations): Violation[] {
   const reads = [...restartReads, { lostAt: Infinity, document: readBack }];
   return reads.flatMap(({ lostAt, document }): Violation[] => {
     const acked = sent.filter(({ ackedAt = Infinity }) => ackedAt < lostAt);
@@ -224,7 +229,7 @@
   });
 }
 
-function revokedKeys({ asked, ran, revoked }: Observations): Violation[] {
+function revokedKeyRuns({ asked, ran, revoked }: Observations): Violation[] {
   const all = new Set(ran.map(({ request }) => request));
   return asked.flatMap(({ key, request, sentAt }) => {
     const taken = revoked.find((each) => each.key === key);
@@ -234,168 +239,181 @@
   });
 }
 
-function drainedTargets(seen: Observations): Violation[] {
-  const byRequest = new Map(seen.asked.map((each) => [each.request, each]));
-  return seen.ran.flatMap(({ request, target, at }) => {
-    const drained = seen.drained.find((each) => each.target === target);
+function drainedTargetRuns(observed: Observations): Violation[] {
+  const byRequest = new Map(observed.asked.map((each) => [each.request, each]));
+  return observed.ran.flatMap(({ request, target, at }) => {
+    const drained = observed.drained.find((each) => each.target === target);
     const asked = byRequest.get(request);
     if (drained === undefined || asked === undefined) return [];
-    if (at < drained.at + layout.BOUNDS.drainMs + WAY_MS) return [];
-    if (!isCalm(seen, asked.entry, drained.at, at)) return [];
+    if (at < drained.at + layout.BOUNDS.drainMs + TRANSIT_MS) return [];
+    if (!isUndisturbed(observed, asked.entry, drained.at, at)) return [];
     return [{ promise: 'drainedTargetRan', detail: `${request} at ${target}` }];
   });
 }
 
 /** A request that a stopping entry had passed on must get its whole answer, unless its target was harmed. */
-function plannedStops(seen: Observations): Violation[] {
-  const ran = new Map(seen.ran.map((each) => [each.request, each]));
-  return seen.stopped.flatMap(({ entry, incarnation, from, until }) => {
-    const cut = seen.asked.filter((each) => {
+function requestsCutByStops(observed: Observations): Violation[] {
+  const ran = new Map(observed.ran.map((each) => [each.request, each]));
+  return observed.stopped.flatMap(({ entry, incarnation, from, until }) => {
+    const cut = observed.asked.filter((each) => {
       const isThere = each.entry === entry && each.incarnation === incarnation;
       return isThere && each.ending.kind === 'broken' && each.endedAt > from;
     });
     return cut
-      .filter(({ request }) => ran.has(request) && !isTargetHarmed(seen, ran.get(request)?.target))
-      .filter(({ sentAt }) => !isHarmed(seen, 'entry', entry, sentAt - STABLE_MS, until))
+      .filter(
+        ({ request }) => ran.has(request) && !isTargetDisturbed(observed, ran.get(request)?.target),
+      )
+      .filter(({ sentAt }) => !isDisturbed(observed, 'entry', entry, sentAt - SETTLING_MS, until))
       .map(({ request }) => ({ promise: 'cutByStop', detail: `${request} at entry ${entry}` }));
   });
 }
 
 /** By the users' pages: after three ends, at most three more arrivals from entries in touch, later than the stable window. */
-const MOST_ENDS = 3;
-const MOST_LATER = 3;
+const CRASHES_TO_QUARANTINE = 3;
+const MAX_LATER_ARRIVALS = 3;
 
-function crashes(seen: Observations): Violation[] {
-  const contents = new Set(seen.crashed.map(({ body }) => body));
+function quarantineBypasses(observed: Observations): Violation[] {
+  const contents = new Set(observed.crashed.map(({ body }) => body));
   return [...contents].flatMap((body): Violation[] => {
-    const ends = seen.crashed.filter((each) => each.body === body).sort((a, b) => a.at - b.at);
-    if (ends.length < MOST_ENDS) return [];
-    const known = ends[MOST_ENDS - 1].at + STABLE_MS;
+    const crashes = observed.crashed
+      .filter((each) => each.body === body)
+      .sort((a, b) => a.at - b.at);
+    if (crashes.length < CRASHES_TO_QUARANTINE) return [];
+    const known = crashes[CRASHES_TO_QUARANTINE - 1].at + SETTLING_MS;
     const copies = new Map(
-      seen.crashers.filter((each) => each.body === body).map((each) => [each.request, each]),
+      observed.crashers.filter((each) => each.body === body).map((each) => [each.request, each]),
     );
-    const later = seen.ran.filter(({ request, at }) => {
+    const later = observed.ran.filter(({ request, at }) => {
       const copy = copies.get(request);
-      return copy !== undefined && at > known && isCalm(seen, copy.entry, copy.sentAt, at);
+      return (
+        copy !== undefined && at > known && isUndisturbed(observed, copy.entry, copy.sentAt, at)
+      );
     });
-    if (later.length <= MOST_LATER) return [];
-    const detail = `"${body}" reached ${later.length} targets more; ${ends.length} ended in all`;
+    if (later.length <= MAX_LATER_ARRIVALS) return [];
+    const detail = `"${body}" reached ${later.length} targets more; ${crashes.length} ended in all`;
     return [{ promise: 'crashedOn', detail }];
   });
 }
 
-function crashersNotRun({ crashers, ran }: Observations): Violation[] {
+function falselyRefusedCrashers({ crashers, ran }: Observations): Violation[] {
   const all = new Set(ran.map(({ request }) => request));
   return crashers
-    .filter(({ ending }) => ending.kind === 'answered' && PROMISES.has(ending.status))
+    .filter(({ ending }) => ending.kind === 'answered' && NOT_RUN_STATUSES.has(ending.status))
     .filter(({ request }) => all.has(request))
     .map(({ request }) => ({ promise: 'falseNotRun', detail: `${request} ran and crashed` }));
 }
 
 /** By the users' pages: in each such span at most so many times what a limit allows, and some messages more. */
-const LIMIT_SPAN_MS = 4_000;
-const LIMIT_SHARE = 1.5;
-const LIMIT_MORE = 5;
+const LIMIT_WINDOW_MS = 4_000;
+const LIMIT_FACTOR = 1.5;
+const LIMIT_EXTRA_MESSAGES = 5;
 
 /** An entry must know a limit so long after an answer that named it, milliseconds. */
-const TOLD_MS = 500;
+const REPORT_DELAY_MS = 500;
 
 /** Messages that a target may get after it asked an entry to leave it alone. */
-const MOST_DURING_BACK_OFF = 2;
+const MAX_DURING_BACK_OFF = 2;
 
-function limits(seen: Observations): Violation[] {
-  return seen.limited.flatMap((span): Violation[] => {
+function limitOverruns(observed: Observations): Violation[] {
+  return observed.limited.flatMap((span): Violation[] => {
     const { index, perSecond, from, until } = span;
     const lifetimes = new Set(
-      seen.lifetimes.filter((each) => each.index === index).map(({ target }) => target),
+      observed.lifetimes.filter((each) => each.index === index).map(({ target }) => target),
     );
-    const isIt = ({ target, at }: observations.Exchanged): boolean =>
+    const concernsSpan = ({ target, at }: observations.TargetExchange): boolean =>
       lifetimes.has(target) && at >= from && at <= until;
-    const told = seen.told.filter(isIt);
-    const first = Math.min(...told.map(({ at }) => at));
-    const counted = seen.got
-      .filter((each) => isIt(each) && each.at >= first + STABLE_MS)
-      .filter((each) => mustKeepTo(seen, told, each))
+    const reports = observed.told.filter(concernsSpan);
+    const first = Math.min(...reports.map(({ at }) => at));
+    const counted = observed.got
+      .filter((each) => concernsSpan(each) && each.at >= first + SETTLING_MS)
+      .filter((each) => mustRespectLimit(observed, reports, each))
       .map(({ at }) => at);
     const counts = counted.map((begin) => {
-      return counted.filter((at) => at >= begin && at < begin + LIMIT_SPAN_MS).length;
+      return counted.filter((at) => at >= begin && at < begin + LIMIT_WINDOW_MS).length;
     });
-    const most = Math.max(0, ...counts);
-    const allowed = LIMIT_SHARE * perSecond * (LIMIT_SPAN_MS / 1_000) + LIMIT_MORE;
-    if (most <= allowed) return [];
-    const detail = `target ${index} takes ${perSecond.toFixed(2)} a second and got ${most} in 4 s`;
+    const maxCount = Math.max(0, ...counts);
+    const allowed = LIMIT_FACTOR * perSecond * (LIMIT_WINDOW_MS / 1_000) + LIMIT_EXTRA_MESSAGES;
+    if (maxCount <= allowed) return [];
+    const detail = `target ${index} takes ${perSecond.toFixed(2)} a second and got ${maxCount} in 4 s`;
     return [{ promise: 'overLimit', detail }];
   });
 }
 
 /** Whether an entry was told of a limit and not harmed since. */
-function mustKeepTo(
-  seen: Observations,
-  told: readonly observations.Exchanged[],
-  { entry, at }: observations.Exchanged,
+function mustRespectLimit(
+  observed: Observations,
+  reports: readonly observations.TargetExchange[],
+  { entry, at }: observations.TargetExchange,
 ): boolean {
-  return told.some((each) => {
-    const isTold = each.entry === entry && each.at <= at - TOLD_MS;
-    return isTold && remembers(seen, entry, each.at, at);
+  return reports.some((each) => {
+    const isTold = each.entry === entry && each.at <= at - REPORT_DELAY_MS;
+    return isTold && isUninterrupted(observed, entry, each.at, at);
   });
 }
 
 /** Whether an entry that was told something at `since` must know it yet: it wasn't harmed or stopped meanwhile. */
-function remembers(seen: Observations, entry: number, since: number, at: number): boolean {
+function isUninterrupted(
+  observed: Observations,
+  entry: number,
+  since: number,
+  at: number,
+): boolean {
   const isSince = (each: Record<'from' | 'until', number>): boolean =>
     each.from <= at && each.until >= since;
-  const isStopped = seen.stopped.some((each) => each.entry === entry && isSince(each));
-  const isItself = seen.disturbances.some((each) => {
+  const isStopped = observed.stopped.some((each) => each.entry === entry && isSince(each));
+  const isItself = observed.disturbances.some((each) => {
     return each.subject === 'entry' && each.index === entry && isSince(each);
   });
   return !isStopped && !isItself;
 }
 
-function backOffs(seen: Observations): Violation[] {
-  return seen.turnedAway.flatMap((asked): Violation[] => {
+function backOffBreaches(observed: Observations): Violation[] {
+  return observed.turnedAway.flatMap((asked): Violation[] => {
     const { target, bornAt, entry, at, backOffSeconds = 0 } = asked;
-    const during = seen.got.filter((each) => {
+    const during = observed.got.filter((each) => {
       const isIt = each.target === target && each.bornAt === bornAt && each.entry === entry;
-      const isThen = each.at > at + TOLD_MS && each.at < at + backOffSeconds * 1_000;
-      return isIt && isThen && remembers(seen, entry, at, each.at);
+      const isThen = each.at > at + REPORT_DELAY_MS && each.at < at + backOffSeconds * 1_000;
+      return isIt && isThen && isUninterrupted(observed, entry, at, each.at);
     });
-    if (during.length <= MOST_DURING_BACK_OFF) return [];
+    if (during.length <= MAX_DURING_BACK_OFF) return [];
     const detail = `${target} got ${during.length} from entry ${entry} in ${backOffSeconds} s from ${at}`;
     return [{ promise: 'notLeftAlone', detail }];
   });
 }
 
 /** Requests of callers at targets that had said to the same entry that they leave. */
-function leavingTargets(seen: Observations): Violation[] {
-  const asked = new Map(seen.asked.map((each) => [each.request, each]));
-  return seen.ran.flatMap(({ request, target, bornAt, at }): Violation[] => {
+function drainingTargetRuns(observed: Observations): Violation[] {
+  const asked = new Map(observed.asked.map((each) => [each.request, each]));
+  return observed.ran.flatMap(({ request, target, bornAt, at }): Violation[] => {
     const { entry, sentAt } = asked.get(request) ?? { entry: -1, sentAt: 0 };
-    const isLate = seen.saidLeaving.some((said) => {
+    const isLate = observed.saidLeaving.some((said) => {
       const isIt = said.target === target && said.bornAt === bornAt && said.entry === entry;
       const isThen = said.at < sentAt - layout.BOUNDS.drainMs;
-      return isIt && isThen && remembers(seen, entry, said.at, at);
+      return isIt && isThen && isUninterrupted(observed, entry, said.at, at);
     });
     return isLate ? [{ promise: 'drainedTargetRan', detail: `${request} at ${target}` }] : [];
   });
 }
 
-function memory({ reservationsLeft }: Observations): Violation[] {
+function leftReservations({ reservationsLeft }: Observations): Violation[] {
   const detail = `${reservationsLeft} reservations`;
   return reservationsLeft === 0 ? [] : [{ promise: 'memoryLeft', detail }];
 }
 
-function recovery({ asked, revoked, healedAt }: Observations): Violation[] {
-  const gone = new Set(revoked.map(({ key }) => key));
-  const late = asked.filter(({ sentAt, key }) => sentAt > healedAt + RECOVER_MS && !gone.has(key));
+function unrecoveredService({ asked, revoked, healedAt }: Observations): Violation[] {
+  const revokedKeySet = new Set(revoked.map(({ key }) => key));
+  const late = asked.filter(
+    ({ sentAt, key }) => sentAt > healedAt + RECOVERY_MS && !revokedKeySet.has(key),
+  );
   const served = late.filter(isServed).length;
-  if (late.length > 0 && served >= RECOVERED_SHARE * late.length) return [];
+  if (late.length > 0 && served >= MIN_RECOVERED_SHARE * late.length) return [];
   return [{ promise: 'notRecovered', detail: `${served} of ${late.length} served` }];
 }
 
 /** Whether harm was done to a process, or to all ways, within a span. */
-function isHarmed(
+function isDisturbed(
   { disturbances }: Observations,
-  subject: observations.Subject,
+  subject: observations.DisturbedSubject,
   index: number | undefined,
   from: number,
   until: number,
@@ -407,12 +425,17 @@
   });
 }
 
-function isCalm(seen: Observations, entry: number, from: number, until: number): boolean {
-  const isEntryCalm = !isHarmed(seen, 'entry', entry, from - CALM_MS, until);
-  return isEntryCalm && !isHarmed(seen, 'keeper', undefined, from - CALM_MS, until);
+function isUndisturbed(
+  observed: Observations,
+  entry: number,
+  from: number,
+  until: number,
+): boolean {
+  const isEntryCalm = !isDisturbed(observed, 'entry', entry, from - UNDISTURBED_MS, until);
+  return isEntryCalm && !isDisturbed(observed, 'keeper', undefined, from - UNDISTURBED_MS, until);
 }
 
-function isTargetHarmed(seen: Observations, target: string | undefined): boolean {
-  const index = seen.lifetimes.find((each) => each.target === target)?.index;
-  return seen.disturbances.some((each) => each.subject === 'target' && each.index === index);
+function isTargetDisturbed(observed: Observations, target: string | undefined): boolean {
+  const index = observed.lifetimes.find((each) => each.target === target)?.index;
+  return observed.disturbances.some((each) => each.subject === 'target' && each.index === index);
 }
--- a/packages/soak/src/child.ts
+++ b/packages/soak/src/child.ts
@@ -6,7 +6,7 @@
 export interface Command {
   name: string;
   /** Arguments for Node.js. */
-  words: string[];
+  args: string[];
   environment: Record<string, string>;
   /** Everything that the process writes is appended here. */
   logFile: string;
@@ -18,10 +18,10 @@
  * Processes that run now. A soak that is itself ended must not leave them behind: they would hold the addresses
  * that the next one needs.
  */
-const running = new Set<childProcess.ChildProcess>();
+const liveProcesses = new Set<childProcess.ChildProcess>();
 
 function killAll(): void {
-  running.forEach((each) => each.kill('SIGKILL'));
+  liveProcesses.forEach((each) => each.kill('SIGKILL'));
 }
 
 process.on('exit', killAll);
@@ -43,18 +43,18 @@
 
   start(): void {
     if (this.process !== undefined) return;
-    const { words, environment, logFile, onLine } = this.command;
+    const { args, environment, logFile, onLine } = this.command;
     this.incarnation += 1;
     const log = fs.openSync(logFile, 'a');
-    const started = childProcess.spawn(process.execPath, words, {
+    const started = childProcess.spawn(process.execPath, args, {
       env: { ...environment, PATH: process.env.PATH },
       stdio: ['ignore', onLine === undefined ? log : 'pipe', log],
     });
     fs.closeSync(log);
     this.process = started;
-    running.add(started);
+    liveProcesses.add(started);
     started.once('exit', () => {
-      running.delete(started);
+      liveProcesses.delete(started);
       if (this.process === started) this.process = undefined;
     });
     if (onLine === undefined || started.stdout === null) return;
@@ -69,20 +69,20 @@
   }
 
   /** Resolves when the process has ended; one that outlasts `graceMs` is killed. */
-  async ended(graceMs: number): Promise<void> {
-    const ending = this.process;
-    if (ending === undefined) return;
-    const timer = setTimeout(() => ending.kill('SIGKILL'), graceMs);
+  async exited(graceMs: number): Promise<void> {
+    const exiting = this.process;
+    if (exiting === undefined) return;
+    const timer = setTimeout(() => exiting.kill('SIGKILL'), graceMs);
     await new Promise<void>((resolve) => {
-      if (ending.exitCode !== null || ending.signalCode !== null) resolve();
-      else ending.once('exit', () => resolve());
+      if (exiting.exitCode !== null || exiting.signalCode !== null) resolve();
+      else exiting.once('exit', () => resolve());
     });
     clearTimeout(timer);
-    if (this.process === ending) this.process = undefined;
+    if (this.process === exiting) this.process = undefined;
   }
 
   async kill(): Promise<void> {
     this.signal('SIGKILL');
-    await this.ended(0);
+    await this.exited(0);
   }
 }
--- a/packages/soak/src/controlClient.ts
+++ b/packages/soak/src/controlClient.ts
@@ -3,7 +3,7 @@
 import type { counterpart } from '@celerydrift/platform';
 
 /** Status 0 where no whole answer came within the timeout. */
-export interface Answer {
+export interface ControlAnswer {
   status: number;
   body: string;
 }
@@ -13,20 +13,20 @@
 export function call(
   keeper: string,
   { method, path, body }: counterpart.ControlCall,
-): Promise<Answer> {
+): Promise<ControlAnswer> {
   const [host, port] = keeper.split(':');
   return new Promise((resolve) => {
-    const none = (): void => resolve({ status: 0, body: '' });
+    const resolveUnanswered = (): void => resolve({ status: 0, body: '' });
     const request = http.request({ host, port, method, path, agent: false }, (response) => {
       const chunks: Buffer[] = [];
       response.on('data', (chunk: Buffer) => chunks.push(chunk));
-      response.on('error', none);
+      response.on('error', resolveUnanswered);
       response.on('end', () => {
         resolve({ status: response.statusCode ?? 0, body: Buffer.concat(chunks).toString() });
       });
     });
     request.setTimeout(TIMEOUT_MS, () => request.destroy());
-    request.on('error', none);
+    request.on('error', resolveUnanswered);
     request.end(body);
   });
 }
--- a/packages/soak/src/crashers.ts
+++ b/packages/soak/src/crashingCallers.ts
@@ -11,72 +11,72 @@
 import type * as schedule from './schedule';
 
 /** How long a crashed target is away, milliseconds. */
-const DOWN_MS = 700;
+const DOWNTIME_MS = 700;
 
-const LOOK_MS = 50;
+const POLL_INTERVAL_MS = 50;
 
-export interface Parts {
-  running: fleet.Fleet;
+export interface Dependencies {
+  fleet: fleet.Fleet;
   callers: callers.Callers;
-  seen: observations.Observations;
+  observed: observations.Observations;
   random: domain.shared.random.Random;
   key: () => string;
 }
 
-export class Crashers {
+export class CrashingCallers {
   private count = 0;
 
-  constructor(private readonly parts: Parts) {}
+  constructor(private readonly dependencies: Dependencies) {}
 
   /** Carries out one of a plan; resolves when all its copies have ended and the targets are back. */
-  async carryOut({ forSeconds, kind, pauseSeconds }: schedule.Crashing): Promise<void> {
+  async carryOut({ forSeconds, kind, pauseSeconds }: schedule.CrashingSpan): Promise<void> {
     this.count += 1;
-    const body = `${answers.CRASH_WORD} ${this.count}`;
+    const body = `${answers.CRASH_MARKER} ${this.count}`;
     // The key is a part of the content.
-    const key = this.parts.key();
+    const key = this.dependencies.key();
     const until = Date.now() + forSeconds * 1_000;
     const copies: Promise<void>[] = [];
-    const { random, running } = this.parts;
+    const { random, fleet } = this.dependencies;
     for (let i = this.count; Date.now() < until; i++) {
-      const entry = running.entries[i % running.entries.length];
-      copies.push(this.ask({ entry, kind, path: operator.basePath(kind), key, body }));
-      await operator.pause(domain.shared.random.exponential(random, 1_000 * pauseSeconds));
+      const entry = fleet.entries[i % fleet.entries.length];
+      copies.push(this.send({ entry, kind, path: operator.basePath(kind), key, body }));
+      await operator.sleep(domain.shared.random.exponential(random, 1_000 * pauseSeconds));
     }
     await Promise.all(copies);
-    await this.untilBack();
+    await this.untilTargetsRestart();
   }
 
   /** A target ended under a request. */
-  ended(crashed: observations.Crashed): void {
-    const { seen, running } = this.parts;
-    seen.crashed.push(crashed);
-    const target = running.targets.find(({ lifetime }) => lifetime === crashed.target);
+  onCrash(crash: observations.TargetCrash): void {
+    const { observed, fleet } = this.dependencies;
+    observed.crashed.push(crash);
+    const target = fleet.targets.find(({ lifetime }) => lifetime === crash.target);
     if (target === undefined) return;
     const { index } = target;
     const disturbance: observations.Disturbance = {
       subject: 'target',
       index,
       what: 'crashed',
-      from: crashed.at,
+      from: crash.at,
       until: Infinity,
     };
-    seen.disturbances.push(disturbance);
-    void operator.pause(DOWN_MS).then(() => {
-      running.startTarget(target);
-      seen.lifetimes.push({ target: target.lifetime, index });
+    observed.disturbances.push(disturbance);
+    void operator.sleep(DOWNTIME_MS).then(() => {
+      fleet.startTarget(target);
+      observed.lifetimes.push({ target: target.lifetime, index });
       disturbance.until = Date.now();
     });
   }
 
-  private async ask(question: Required<callers.Question>): Promise<void> {
-    const asked = await this.parts.callers.ask(question);
-    this.parts.seen.crashers.push({ ...asked, body: question.body });
+  private async send(request: Required<callers.CallerRequest>): Promise<void> {
+    const record = await this.dependencies.callers.send(request);
+    this.dependencies.observed.crashers.push({ ...record, body: request.body });
   }
 
-  private async untilBack(): Promise<void> {
-    const { disturbances } = this.parts.seen;
+  private async untilTargetsRestart(): Promise<void> {
+    const { disturbances } = this.dependencies.observed;
     while (disturbances.some(({ what, until }) => what === 'crashed' && until === Infinity)) {
-      await operator.pause(LOOK_MS);
+      await operator.sleep(POLL_INTERVAL_MS);
     }
   }
 }
--- a/packages/soak/src/fleet.ts
+++ b/packages/soak/src/fleet.ts
@@ -15,7 +15,7 @@
   /** Address that the process listens on. */
   host: string;
   /** Address that other processes are told. */
-  forwarded: string;
+  advertisedHost: string;
   settingsFile: string;
   dataFolder: string;
   /** What is harmed in its process, for `runtimeFaults`. */
@@ -27,13 +27,13 @@
 export interface TargetVm {
   index: number;
   host: string;
-  forwarded: string;
+  advertisedHost: string;
   /** Id of the lifetime that runs or ran last. */
   lifetime: string;
   process: child.Child;
   setMode: (mode: targetMain.Mode) => void;
   /** Changes what its answers say of it. */
-  setWords: (words: targetMain.Words) => void;
+  setSelfReport: (changed: targetMain.SelfReport) => void;
 }
 
 export interface Options {
@@ -42,7 +42,7 @@
   program: string;
   network: number;
   layout: layout.Layout;
-  onLine: (line: targetMain.Line) => void;
+  onLine: (line: targetMain.OutputLine) => void;
 }
 
 /** Names of services in the catalogue. */
@@ -69,9 +69,9 @@
     fs.mkdirSync(folder, { recursive: true });
     this.addresses = new layout.Addresses(network);
     const numbers = (count: number): number[] => Array.from({ length: count }, (_, i) => i);
-    this.keepers = numbers(sizes.keepers).map((i) => this.makeVm('keeper', i, i));
-    this.entries = numbers(sizes.entries).map((i) => this.makeVm('entry', i, sizes.keepers + i));
-    this.targets = numbers(sizes.engines + sizes.services).map((i) => this.makeTarget(i));
+    this.keepers = numbers(sizes.keepers).map((i) => this.createVm('keeper', i, i));
+    this.entries = numbers(sizes.entries).map((i) => this.createVm('entry', i, sizes.keepers + i));
+    this.targets = numbers(sizes.engines + sizes.services).map((i) => this.createTarget(i));
   }
 
   get vms(): Vm[] {
@@ -79,17 +79,27 @@
   }
 
   /** Control addresses of all keepers. */
-  get controls(): string[] {
+  get controlAddresses(): string[] {
     return this.keepers.map(({ host }) => `${host}:${layout.PORT.control}`);
   }
 
   async start(): Promise<void> {
-    const ways = [
-      ...this.vms.map(({ forwarded, host }) => ({ forwarded, host, port: layout.PORT.peers })),
-      ...this.targets.map(({ forwarded, host }) => ({ forwarded, host, port: layout.TARGET_PORT })),
+    const forwards = [
+      ...this.vms.map(({ advertisedHost, host }) => ({
+        advertisedHost,
+        host,
+        port: layout.PORT.peers,
+      })),
+      ...this.targets.map(({ advertisedHost, host }) => ({
+        advertisedHost,
+        host,
+        port: layout.TARGET_PORT,
+      })),
     ];
     await Promise.all(
-      ways.map(({ forwarded, host, port }) => this.network.forward(forwarded, host, port)),
+      forwards.map(({ advertisedHost, host, port }) =>
+        this.network.forward(advertisedHost, host, port),
+      ),
     );
     this.vms.forEach((vm) => vm.process.start());
     this.targets.forEach((target) => this.startTarget(target));
@@ -99,9 +109,9 @@
   startTarget(target: TargetVm, keepsId = false): void {
     if (target.process.isRunning) return;
     if (!keepsId) target.lifetime = `t${target.index}-${target.process.incarnation + 1}`;
-    const words = target.process.command.words;
-    const options = JSON.parse(words[1]) as targetMain.Options;
-    words[1] = JSON.stringify({ ...options, id: target.lifetime } satisfies targetMain.Options);
+    const args = target.process.command.args;
+    const options = JSON.parse(args[1]) as targetMain.Options;
+    args[1] = JSON.stringify({ ...options, id: target.lifetime } satisfies targetMain.Options);
     target.process.start();
   }
 
@@ -113,7 +123,7 @@
   }
 
   /** Takes from a keeper's files what no sync has covered, as a power loss may. */
-  losePower({ faultsFile }: Vm): void {
+  discardUnsynced({ faultsFile }: Vm): void {
     const file = runtimeFaults.syncedFile(faultsFile);
     if (!fs.existsSync(file)) return;
     const synced = JSON.parse(fs.readFileSync(file, 'utf8')) as Record<string, number>;
@@ -124,7 +134,7 @@
   }
 
   /** Leaves half a frame at the end of a keeper's journal, as a write does that a power loss cut. */
-  tear(keeper: Vm): void {
+  tearJournal(keeper: Vm): void {
     const journal = path.join(keeper.dataFolder, 'catalogue', 'journal');
     if (fs.existsSync(journal)) fs.appendFileSync(journal, Buffer.from([0, 0, 0, 99, 1, 2, 3]));
   }
@@ -135,7 +145,7 @@
   }
 
   /** Cuts a VM from all other VMs, in one direction or both. */
-  cut(vm: Vm, direction: 'in' | 'out' | 'both'): void {
+  cutLinks(vm: Vm, direction: 'in' | 'out' | 'both'): void {
     this.vms
       .filter((other) => other !== vm)
       .forEach(({ host }) => {
@@ -145,10 +155,10 @@
   }
 
   /** Undoes the cuts of a VM. */
-  mend(vm: Vm): void {
+  restoreLinks(vm: Vm): void {
     this.vms.forEach(({ host }) => {
-      this.network.mend(host, vm.host);
-      this.network.mend(vm.host, host);
+      this.network.restore(host, vm.host);
+      this.network.restore(vm.host, host);
     });
   }
 
@@ -160,7 +170,7 @@
     this.network.close();
   }
 
-  private makeVm(role: Role, index: number, place: number): Vm {
+  private createVm(role: Role, index: number, addressIndex: number): Vm {
     const name = `${role}-${index}`;
     const { folder, program } = this.options;
     const settingsFile = path.join(folder, `${name}.ini`);
@@ -169,20 +179,20 @@
     const setFaults = (faults: runtimeFaults.RuntimeFaults): void =>
       replaceFile(faultsFile, JSON.stringify(faults));
     fs.mkdirSync(dataFolder, { recursive: true });
-    setFaults(runtimeFaults.SOUND);
+    setFaults(runtimeFaults.NO_FAULTS);
     const vm: Vm = {
       role,
       index,
-      host: this.addresses.host('vm', place),
-      forwarded: this.addresses.host('vmForwarded', place),
+      host: this.addresses.host('vm', addressIndex),
+      advertisedHost: this.addresses.host('vmForwarded', addressIndex),
       settingsFile,
       dataFolder,
       faultsFile,
       setFaults,
       process: new child.Child({
         name,
-        words: ['--require', path.join(__dirname, 'runtimeFaults.js'), program, settingsFile],
-        environment: { [runtimeFaults.VARIABLE]: faultsFile },
+        args: ['--require', path.join(__dirname, 'runtimeFaults.js'), program, settingsFile],
+        environment: { [runtimeFaults.FAULTS_FILE_VARIABLE]: faultsFile },
         logFile: path.join(folder, `${name}.log`),
       }),
     };
@@ -212,7 +222,7 @@
       '[listen]',
       ...listeners,
       `peers = ${host}:${PORT.peers}`,
-      `advertised = ${vm.forwarded}:${PORT.peers}`,
+      `advertised = ${vm.advertisedHost}:${PORT.peers}`,
       `source = ${host}`,
       '[keepers]',
       `seeds = ${seeds.join(', ')}`,
@@ -226,40 +236,41 @@
     replaceFile(vm.settingsFile, `${lines.join('\n')}\n`);
   }
 
-  private makeTarget(index: number): TargetVm {
+  private createTarget(index: number): TargetVm {
     const { folder, layout: sizes, onLine } = this.options;
     const isEngine = index < sizes.engines;
     const modeFile = path.join(folder, `target-${index}.mode`);
-    const words: targetMain.Words = {};
+    const selfReport: targetMain.SelfReport = {};
     const wordsFile = path.join(folder, `target-${index}.words`);
     const host = this.addresses.host('target', index);
-    const forwarded = this.addresses.host('targetForwarded', index);
+    const advertisedHost = this.addresses.host('targetForwarded', index);
     const options: targetMain.Options = {
       id: '',
       service: isEngine ? SERVICE.engines : SERVICE.plain,
       dataCentre: DATA_CENTRES[index % DATA_CENTRES.length],
       host,
       port: layout.TARGET_PORT,
-      address: `${forwarded}:${layout.TARGET_PORT}`,
+      address: `${advertisedHost}:${layout.TARGET_PORT}`,
       slots: isEngine ? ENGINE_SLOTS : PLAIN_SLOTS,
       memoryTokens: isEngine ? ENGINE_MEMORY_TOKENS : 0,
-      keepers: this.controls,
+      keepers: this.controlAddresses,
       modeFile,
       wordsFile,
     };
     return {
       index,
       host,
-      forwarded,
+      advertisedHost,
       lifetime: '',
       setMode: (mode) => replaceFile(modeFile, mode),
-      setWords: (changed) => replaceFile(wordsFile, JSON.stringify(Object.assign(words, changed))),
+      setSelfReport: (changed) =>
+        replaceFile(wordsFile, JSON.stringify(Object.assign(selfReport, changed))),
       process: new child.Child({
         name: `target-${index}`,
-        words: [path.join(__dirname, 'targetMain.js'), JSON.stringify(options)],
+        args: [path.join(__dirname, 'targetMain.js'), JSON.stringify(options)],
         environment: {},
         logFile: path.join(folder, `target-${index}.log`),
-        onLine: (line) => onLine(JSON.parse(line) as targetMain.Line),
+        onLine: (line) => onLine(JSON.parse(line) as targetMain.OutputLine),
       }),
     };
   }
--- a/packages/soak/src/forwarder.ts
+++ b/packages/soak/src/forwarder.ts
@@ -7,22 +7,22 @@
 type Direction = 'forth' | 'back';
 
 /** One connection and its continuation to the process behind the forwarder. */
-interface Pair {
+interface ForwardedConnection {
   source: string;
   target: string;
   caller: net.Socket;
   callee: net.Socket;
-  isSilent: boolean;
+  isBlackholed: boolean;
 }
 
 /** Bytes of a way that is cut wait here, as a network would send them again later. */
-const RETRY_MS = 50;
+const CUT_POLL_MS = 50;
 
 export class Network {
   /** Ways that are cut, as SOURCE>TARGET. */
-  private readonly cuts = new Set<string>();
+  private readonly cutLinks = new Set<string>();
 
-  private readonly pairs = new Set<Pair>();
+  private readonly connections = new Set<ForwardedConnection>();
 
   private readonly servers: net.Server[] = [];
 
@@ -41,27 +41,27 @@
   }
 
   cut(source: string, target: string): void {
-    this.cuts.add(`${source}>${target}`);
+    this.cutLinks.add(`${source}>${target}`);
   }
 
-  mend(source: string, target: string): void {
-    this.cuts.delete(`${source}>${target}`);
+  restore(source: string, target: string): void {
+    this.cutLinks.delete(`${source}>${target}`);
   }
 
-  heal(): void {
-    this.cuts.clear();
+  restoreAll(): void {
+    this.cutLinks.clear();
     this.delayMs = 0;
   }
 
   /** Open connections that `hits` picks carry nothing any more and aren't closed either. */
-  silence(hits: () => boolean): void {
-    [...this.pairs].filter(hits).forEach((pair) => {
-      pair.isSilent = true;
+  blackhole(isSelected: () => boolean): void {
+    [...this.connections].filter(isSelected).forEach((connection) => {
+      connection.isBlackholed = true;
     });
   }
 
-  reset(hits: () => boolean): void {
-    [...this.pairs].filter(hits).forEach(({ caller, callee }) => {
+  reset(isSelected: () => boolean): void {
+    [...this.connections].filter(isSelected).forEach(({ caller, callee }) => {
       caller.resetAndDestroy();
       callee.resetAndDestroy();
     });
@@ -69,7 +69,7 @@
 
   close(): void {
     this.servers.forEach((server) => server.close());
-    this.pairs.forEach(({ caller, callee }) => {
+    this.connections.forEach(({ caller, callee }) => {
       caller.destroy();
       callee.destroy();
     });
@@ -86,43 +86,48 @@
       noDelay: true,
     });
     caller.setNoDelay(true);
-    const pair: Pair = { source, target, caller, callee, isSilent: false };
-    this.pairs.add(pair);
-    this.pump(pair, 'forth');
-    this.pump(pair, 'back');
-    caller.once('close', () => this.pairs.delete(pair));
+    const connection: ForwardedConnection = { source, target, caller, callee, isBlackholed: false };
+    this.connections.add(connection);
+    this.relay(connection, 'forth');
+    this.relay(connection, 'back');
+    caller.once('close', () => this.connections.delete(connection));
   }
 
-  private isOpen({ isSilent, source, target }: Pair, direction: Direction): boolean {
-    if (isSilent) return false;
-    const way = direction === 'forth' ? `${source}>${target}` : `${target}>${source}`;
-    return !this.cuts.has(way);
+  private isOpen(
+    { isBlackholed, source, target }: ForwardedConnection,
+    direction: Direction,
+  ): boolean {
+    if (isBlackholed) return false;
+    const link = direction === 'forth' ? `${source}>${target}` : `${target}>${source}`;
+    return !this.cutLinks.has(link);
   }
 
-  private pump(pair: Pair, direction: Direction): void {
+  private relay(connection: ForwardedConnection, direction: Direction): void {
     const [from, to] =
-      direction === 'forth' ? [pair.caller, pair.callee] : [pair.callee, pair.caller];
+      direction === 'forth'
+        ? [connection.caller, connection.callee]
+        : [connection.callee, connection.caller];
     const queue: (() => void)[] = [];
     let isDraining = false;
     const drain = (): void => {
-      if (pair.caller.destroyed && pair.callee.destroyed) return;
-      if (!this.isOpen(pair, direction)) {
-        setTimeout(drain, RETRY_MS);
+      if (connection.caller.destroyed && connection.callee.destroyed) return;
+      if (!this.isOpen(connection, direction)) {
+        setTimeout(drain, CUT_POLL_MS);
         return;
       }
       queue.splice(0).forEach((step) => step());
       isDraining = false;
     };
-    const pass = (step: () => void): void => {
-      queue.push(step);
+    const enqueue = (action: () => void): void => {
+      queue.push(action);
       if (isDraining) return;
       isDraining = true;
       if (this.delayMs > 0) setTimeout(drain, this.delayMs);
       else drain();
     };
-    from.on('data', (bytes: Buffer) => pass(() => to.write(bytes)));
-    from.on('end', () => pass(() => to.end()));
-    from.on('error', () => pass(() => to.resetAndDestroy()));
-    from.on('close', () => pass(() => to.destroy()));
+    from.on('data', (bytes: Buffer) => enqueue(() => to.write(bytes)));
+    from.on('end', () => enqueue(() => to.end()));
+    from.on('error', () => enqueue(() => to.resetAndDestroy()));
+    from.on('close', () => enqueue(() => to.destroy()));
   }
 }
--- a/packages/soak/src/main.ts
+++ b/packages/soak/src/main.ts
@@ -5,7 +5,7 @@
 import type * as layout from './layout';
 import * as run from './run';
 
-interface Words {
+interface CliOptions {
   seed: string;
   seeds: string;
   seconds: string;
@@ -17,42 +17,42 @@
   keep?: boolean;
 }
 
-function whole(name: string, text: string, least: number, most: number): number {
+function parseInteger(name: string, text: string, min: number, max: number): number {
   const number = Number(text);
-  if (Number.isInteger(number) && number >= least && number <= most) return number;
-  process.stderr.write(`soak: --${name} ${text}: give a whole number from ${least} to ${most}\n`);
+  if (Number.isInteger(number) && number >= min && number <= max) return number;
+  process.stderr.write(`soak: --${name} ${text}: give a whole number from ${min} to ${max}\n`);
   process.exit(2);
 }
 
-async function playAll(words: Words): Promise<void> {
-  const first = whole('seed', words.seed, 0, 2 ** 31 - 1);
-  const count = whole('seeds', words.seeds, 1, 1_000);
-  const seconds = whole('seconds', words.seconds, 1, 3_600);
-  const network = whole('network', words.network, 1, 240);
-  const parallel = whole('parallel', words.parallel, 1, 8);
-  if (words.size !== 'small' && words.size !== 'large') {
-    process.stderr.write(`soak: --size ${words.size}: give small or large\n`);
+async function runAll(options: CliOptions): Promise<void> {
+  const first = parseInteger('seed', options.seed, 0, 2 ** 31 - 1);
+  const count = parseInteger('seeds', options.seeds, 1, 1_000);
+  const seconds = parseInteger('seconds', options.seconds, 1, 3_600);
+  const network = parseInteger('network', options.network, 1, 240);
+  const parallel = parseInteger('parallel', options.parallel, 1, 8);
+  if (options.size !== 'small' && options.size !== 'large') {
+    process.stderr.write(`soak: --size ${options.size}: give small or large\n`);
     process.exit(2);
   }
-  const size: layout.Size = words.size;
+  const size: layout.Size = options.size;
   const seeds = Array.from({ length: count }, (_, i) => first + i);
-  const reports: run.Report[] = [];
-  const play = async (own: number): Promise<void> => {
+  const reports: run.SeedReport[] = [];
+  const runSeeds = async (networkNumber: number): Promise<void> => {
     for (let seed = seeds.shift(); seed !== undefined; seed = seeds.shift()) {
-      const folder = path.resolve(words.folder, `seed-${seed}`);
-      const program = path.resolve(words.program);
+      const folder = path.resolve(options.folder, `seed-${seed}`);
+      const program = path.resolve(options.program);
       const report = await run
-        .play({ seed, seconds, size, program, folder, network: own })
-        .catch((error: unknown) => run.notPlayed(seed, folder, error));
+        .runSeed({ seed, seconds, size, program, folder, network: networkNumber })
+        .catch((error: unknown) => run.failedReport(seed, folder, error));
       reports.push(report);
       process.stderr.write(`${JSON.stringify(report)}\n`);
-      const isGood = Object.keys(report.broken).length === 0;
-      if (isGood && words.keep !== true) fs.rmSync(folder, { recursive: true, force: true });
+      const hasPassed = Object.keys(report.broken).length === 0;
+      if (hasPassed && options.keep !== true) fs.rmSync(folder, { recursive: true, force: true });
     }
   };
-  await Promise.all(Array.from({ length: parallel }, (_, i) => play(network + i)));
+  await Promise.all(Array.from({ length: parallel }, (_, i) => runSeeds(network + i)));
   const failed = reports.filter(({ broken }) => Object.keys(broken).length > 0);
-  const sum = (of: (report: run.Report) => number): number =>
+  const sum = (of: (report: run.SeedReport) => number): number =>
     reports.reduce((total, report) => total + of(report), 0);
   const summary = {
     seeds: reports.length,
@@ -83,6 +83,6 @@
     .option('--folder <folder>', 'where failed runs are kept', 'soak-runs')
     .option('--network <n>', "second byte of the first run's addresses in 127/8", '40')
     .option('--keep', 'keeps the folders of good runs too')
-    .action(playAll)
+    .action(runAll)
     .parseAsync([...argv]);
 }
--- a/packages/soak/src/foreignWriter.ts
+++ b/packages/soak/src/malformedAnnouncer.ts
@@ -8,8 +8,8 @@
 
 const FOREIGN_ID = 'foreign';
 
-export class ForeignWriter {
-  private written = 0;
+export class MalformedAnnouncer {
+  private sentCount = 0;
 
   constructor(
     private readonly keepers: readonly string[],
@@ -18,13 +18,13 @@
   ) {}
 
   /** Sends the next announcement, to the next keeper; what it answers doesn't matter. */
-  async write(): Promise<void> {
-    const turn = this.written;
-    this.written += 1;
-    const bodies = this.bodies(this.addresses[turn % this.addresses.length]);
+  async announceNext(): Promise<void> {
+    const number = this.sentCount;
+    this.sentCount += 1;
+    const bodies = this.bodies(this.addresses[number % this.addresses.length]);
     const { method, path } = counterpart.announce(announcement(''));
-    const body = bodies[turn % bodies.length];
-    await controlClient.call(this.keepers[turn % this.keepers.length], { method, path, body });
+    const body = bodies[number % bodies.length];
+    await controlClient.call(this.keepers[number % this.keepers.length], { method, path, body });
   }
 
   private bodies(address: string): string[] {
--- a/packages/soak/src/observations.ts
+++ b/packages/soak/src/observations.ts
@@ -1,7 +1,7 @@
 /** What callers, targets and the operator saw during a run, with the times of the harm that was done. Milliseconds. */
 
 /** How a request ended for its caller. */
-export type Ending =
+export type RequestOutcome =
   /** A whole answer in the protocol. */
   | { kind: 'answered'; status: number; isSigned: boolean; body: string }
   /** The answer broke off, or the connection ended without one. */
@@ -11,7 +11,7 @@
 
 export type RequestKind = 'safe' | 'unsafe' | 'stream';
 
-export interface Asked {
+export interface RequestRecord {
   request: string;
   kind: RequestKind;
   path: string;
@@ -21,29 +21,29 @@
   key: string;
   sentAt: number;
   endedAt: number;
-  ending: Ending;
+  ending: RequestOutcome;
 }
 
 /** A request to a route that only one version of the catalogue has. */
-export interface Probe extends Asked {
+export interface Probe extends RequestRecord {
   version: number;
   /** Which of two documents with that version has the route. */
   label: string;
 }
 
 /** A request under which targets end. */
-export interface Crasher extends Asked {
+export interface CrashingRequest extends RequestRecord {
   body: string;
 }
 
 /** A target that ended under a request with this body. */
-export interface Crashed {
+export interface TargetCrash {
   target: string;
   body: string;
   at: number;
 }
 
-export interface Ran {
+export interface Execution {
   request: string;
   target: string;
   bornAt?: number;
@@ -51,7 +51,7 @@
 }
 
 /** A message that a target got from an entry, or what it said in an answer to that entry. */
-export interface Exchanged {
+export interface TargetExchange {
   target: string;
   /** Tells lifetimes with one id apart. */
   bornAt?: number;
@@ -62,7 +62,7 @@
 }
 
 /** A span in which a target names its limit. */
-export interface LimitedSpan {
+export interface LimitWindow {
   /** Number of the target. */
   index: number;
   perSecond: number;
@@ -72,7 +72,7 @@
 }
 
 /** A document that the operator sent. */
-export interface Sent {
+export interface SubmittedDocument {
   version: number;
   label: string;
   keys: string[];
@@ -82,22 +82,22 @@
 }
 
 /** A key that an acknowledged document no longer has. */
-export interface Revoked {
+export interface RevokedKey {
   key: string;
   ackedAt: number;
 }
 
-export interface Drained {
+export interface DrainedTarget {
   target: string;
   /** When its announcement was acknowledged. */
   at: number;
 }
 
-export type Subject = 'entry' | 'keeper' | 'target' | 'network';
+export type DisturbedSubject = 'entry' | 'keeper' | 'target' | 'network';
 
 /** Harm to one process, or to the ways between all of them. */
 export interface Disturbance {
-  subject: Subject;
+  subject: DisturbedSubject;
   /** Number of the entry, keeper or target. */
   index: number;
   what: string;
@@ -107,7 +107,7 @@
 }
 
 /** A planned stop of an entry. */
-export interface Stopped {
+export interface PlannedStop {
   entry: number;
   incarnation: number;
   from: number;
@@ -115,7 +115,7 @@
 }
 
 /** A document as it is told from others with its version. */
-export interface Document {
+export interface DocumentIdentity {
   version: number;
   label: string;
 }
@@ -123,27 +123,27 @@
 /** Nothing seen yet. */
 export function empty() {
   return {
-    asked: [] as Asked[],
+    asked: [] as RequestRecord[],
     probes: [] as Probe[],
-    crashers: [] as Crasher[],
-    crashed: [] as Crashed[],
-    ran: [] as Ran[],
-    got: [] as Exchanged[],
-    told: [] as Exchanged[],
-    saidLeaving: [] as Exchanged[],
-    turnedAway: [] as Exchanged[],
-    limited: [] as LimitedSpan[],
-    sent: [] as Sent[],
-    revoked: [] as Revoked[],
-    drained: [] as Drained[],
-    stopped: [] as Stopped[],
+    crashers: [] as CrashingRequest[],
+    crashed: [] as TargetCrash[],
+    ran: [] as Execution[],
+    got: [] as TargetExchange[],
+    told: [] as TargetExchange[],
+    saidLeaving: [] as TargetExchange[],
+    turnedAway: [] as TargetExchange[],
+    limited: [] as LimitWindow[],
+    sent: [] as SubmittedDocument[],
+    revoked: [] as RevokedKey[],
+    drained: [] as DrainedTarget[],
+    stopped: [] as PlannedStop[],
     disturbances: [] as Disturbance[],
     /** Lifetime of each target by its number, with the time of its start. */
     lifetimes: [] as { target: string; index: number }[],
     /** Read back after all keepers had lost their power, before the operator sent anything newer. */
-    restartReads: [] as { lostAt: number; document: Document | undefined }[],
+    restartReads: [] as { lostAt: number; document: DocumentIdentity | undefined }[],
     /** The document read back at the end; undefined where no keeper answered. */
-    readBack: undefined as Document | undefined,
+    readBack: undefined as DocumentIdentity | undefined,
     /** Reservations that engines still held at the end. */
     reservationsLeft: 0,
     /** When everything was well again. */
--- a/packages/soak/src/operator.ts
+++ b/packages/soak/src/operator.ts
@@ -13,13 +13,13 @@
 type Catalogue = domain.catalogue.catalogue.Catalogue;
 type Route = domain.catalogue.catalogue.Route;
 
-export const KINDS = ['safe', 'unsafe', 'stream'] as const;
-const PAUSE_MS = 100;
+export const REQUEST_KINDS = ['safe', 'unsafe', 'stream'] as const;
+const RETRY_INTERVAL_MS = 100;
 /** A change without an acknowledgement is given up after so long; it may still come into force. */
-const GIVE_UP_MS = 20_000;
+const CALL_TIMEOUT_MS = 20_000;
 
 /** Versions rise in uneven steps up to this. */
-const LARGEST_STEP = 4;
+const MAX_VERSION_STEP = 4;
 
 const ENGINE: domain.catalogue.catalogue.Engine = {
   slots: fleet.ENGINE_SLOTS,
@@ -66,108 +66,110 @@
   private version = 0;
 
   /** One key after the other is taken away. */
-  private revoking: Promise<void> = Promise.resolve();
+  private pendingRevocation: Promise<void> = Promise.resolve();
 
   /** While nothing may be sent; resolves when that ends. */
-  private silence: Promise<void> = Promise.resolve();
+  private submissionsResumed: Promise<void> = Promise.resolve();
 
   /** Number of the key of each organisation; a new one takes the old one away. */
-  private readonly generations = Array.from({ length: layout.ORGANISATIONS }, () => 1);
+  private readonly keyGenerations = Array.from({ length: layout.ORGANISATIONS }, () => 1);
 
   constructor(
-    private readonly controls: readonly string[],
-    private readonly seen: observations.Observations,
+    private readonly controlAddresses: readonly string[],
+    private readonly observed: observations.Observations,
     private readonly random: domain.shared.random.Random,
   ) {}
 
   /** A key that every document so far has had since it came. */
-  key(): string {
+  currentKey(): string {
     return this.keyOf(domain.shared.random.below(this.random, layout.ORGANISATIONS));
   }
 
   /** The newest documents that may be in force, newest first. */
-  recent(): observations.Sent[] {
-    return this.seen.sent.slice(-3).reverse();
+  recentDocuments(): observations.SubmittedDocument[] {
+    return this.observed.sent.slice(-3).reverse();
   }
 
-  async change(): Promise<void> {
-    this.step();
+  async submitNext(): Promise<void> {
+    this.advanceVersion();
     await this.submit(this.catalogue(this.version, ''), '');
   }
 
   /** Two documents at once, with one version or with two. */
-  async race(isSameVersion: boolean): Promise<void> {
-    this.step();
+  async submitConcurrently(isSameVersion: boolean): Promise<void> {
+    this.advanceVersion();
     const first = this.catalogue(this.version, 'a');
-    if (!isSameVersion) this.step();
+    if (!isSameVersion) this.advanceVersion();
     const second = this.catalogue(this.version, 'b');
     await Promise.all([this.submit(first, 'a'), this.submit(second, 'b')]);
   }
 
   /** Takes a key away from an organisation that gets a new one instead; undefined where nobody acknowledged that. */
-  revoke(index: number): Promise<observations.Revoked | undefined> {
-    const replaced = this.revoking.then(() => this.replaceKey(index % layout.ORGANISATIONS));
-    this.revoking = replaced.then(() => undefined);
+  revokeKey(index: number): Promise<observations.RevokedKey | undefined> {
+    const replaced = this.pendingRevocation.then(() =>
+      this.replaceKey(index % layout.ORGANISATIONS),
+    );
+    this.pendingRevocation = replaced.then(() => undefined);
     return replaced;
   }
 
-  private async replaceKey(organisation: number): Promise<observations.Revoked | undefined> {
+  private async replaceKey(organisation: number): Promise<observations.RevokedKey | undefined> {
     const key = this.keyOf(organisation);
     // Callers go on with the old key for a while; the new one must be in force before they use it.
-    this.step();
+    this.advanceVersion();
     const keys = [key, `${key}+`];
     await this.submit(this.catalogue(this.version, '', new Map([[organisation, keys]])), '');
-    this.generations[organisation] += 1;
-    this.step();
+    this.keyGenerations[organisation] += 1;
+    this.advanceVersion();
     const newKeyOnly = this.catalogue(this.version, '', new Map([[organisation, [`${key}+`]]]));
     const { ackedAt } = await this.submit(newKeyOnly, '');
     if (ackedAt === undefined) return undefined;
     const revoked = { key, ackedAt };
-    this.seen.revoked.push(revoked);
+    this.observed.revoked.push(revoked);
     return revoked;
   }
 
   /** A document that nobody may put in force. */
-  async invalid(): Promise<void> {
-    const broken = this.catalogue(this.version + 1, 'invalid');
-    const routes = [...broken.routes, routeOf('safe', 'safe')];
+  async submitInvalid(): Promise<void> {
+    const valid = this.catalogue(this.version + 1, 'invalid');
+    const routes = [...valid.routes, routeOf('safe', 'safe')];
     const { status } = await controlClient.call(
-      this.anyKeeper(),
-      counterpart.submit({ ...broken, routes }),
+      this.pickKeeper(),
+      counterpart.submit({ ...valid, routes }),
     );
     if (status === 200) throw new Error('an invalid document was acknowledged');
   }
 
   /** Which document the fleet says is the newest. */
-  async readBack(): Promise<observations.Observations['readBack']> {
-    const until = Date.now() + GIVE_UP_MS;
+  async readNewest(): Promise<observations.Observations['readBack']> {
+    const until = Date.now() + CALL_TIMEOUT_MS;
     while (Date.now() < until) {
-      const { status, body } = await controlClient.call(this.anyKeeper(), counterpart.read());
+      const { status, body } = await controlClient.call(this.pickKeeper(), counterpart.read());
       if (status === 200) return identityOf(body);
-      await pause(PAUSE_MS);
+      await sleep(RETRY_INTERVAL_MS);
     }
     return undefined;
   }
 
   /** Sends nothing to keepers while something is done; calls that are under way end by themselves. */
-  async whileSilent<T>(act: () => Promise<T>): Promise<T> {
-    let end = (): void => undefined;
-    this.silence = new Promise((resolve) => {
-      end = resolve;
+  async withSubmissionsPaused<T>(act: () => Promise<T>): Promise<T> {
+    let resume = (): void => undefined;
+    this.submissionsResumed = new Promise((resolve) => {
+      resume = resolve;
     });
     try {
       return await act();
     } finally {
-      end();
+      resume();
     }
   }
 
-  private step(): void {
-    this.version += 1 + domain.shared.random.below(this.random, LARGEST_STEP);
+  private advanceVersion(): void {
+    this.version += 1 + domain.shared.random.below(this.random, MAX_VERSION_STEP);
   }
 
   private keyOf(organisation: number): string {
-    return `k${organisation}${'+'.repeat(this.generations[organisation] - 1)}`;
+    return `k${organisation}${'+'.repeat(this.keyGenerations[organisation] - 1)}`;
   }
 
   private catalogue(
@@ -177,12 +179,15 @@
   ): Catalogue {
     return {
       version,
-      routes: [...KINDS.map((kind) => routeOf(kind, kind)), routeOf(`v${version}${label}`, 'safe')],
+      routes: [
+        ...REQUEST_KINDS.map((kind) => routeOf(kind, kind)),
+        routeOf(`v${version}${label}`, 'safe'),
+      ],
       services: [
         { name: fleet.SERVICE.engines, healthPath: '/', maxConnections: 200, engine: ENGINE },
         { name: fleet.SERVICE.plain, healthPath: '/', maxConnections: 200, engine: undefined },
       ],
-      organisations: this.generations.map((_, i) => {
+      organisations: this.keyGenerations.map((_, i) => {
         return { name: `o${i}`, keys: keys.get(i) ?? [this.keyOf(i)], priority: 1 };
       }),
       limits: {
@@ -194,31 +199,34 @@
     };
   }
 
-  private async submit(catalogue: Catalogue, label: string): Promise<observations.Sent> {
-    const sent: observations.Sent = {
+  private async submit(
+    catalogue: Catalogue,
+    label: string,
+  ): Promise<observations.SubmittedDocument> {
+    const sent: observations.SubmittedDocument = {
       version: catalogue.version,
       label,
       keys: (catalogue.organisations ?? []).flatMap(({ keys }) => keys),
       sentAt: Date.now(),
       ackedAt: undefined,
     };
-    this.seen.sent.push(sent);
+    this.observed.sent.push(sent);
     const call = counterpart.submit(catalogue);
-    const until = Date.now() + GIVE_UP_MS;
+    const until = Date.now() + CALL_TIMEOUT_MS;
     while (Date.now() < until) {
-      await this.silence;
-      const { status } = await controlClient.call(this.anyKeeper(), call);
+      await this.submissionsResumed;
+      const { status } = await controlClient.call(this.pickKeeper(), call);
       if (status === 200) {
         sent.ackedAt = Date.now();
         return sent;
       }
-      await pause(PAUSE_MS);
+      await sleep(RETRY_INTERVAL_MS);
     }
     return sent;
   }
 
-  private anyKeeper(): string {
-    return domain.shared.random.pick(this.random, this.controls);
+  private pickKeeper(): string {
+    return domain.shared.random.pick(this.random, this.controlAddresses);
   }
 }
 
@@ -231,7 +239,7 @@
   return probe && { version, label: probe.name.slice(`v${version}`.length) };
 }
 
-export function pause(ms: number): Promise<void> {
+export function sleep(ms: number): Promise<void> {
   return new Promise((resolve) => {
     setTimeout(resolve, ms);
   });
--- a/packages/soak/src/run.ts
+++ b/packages/soak/src/run.ts
@@ -5,10 +5,10 @@
 import * as answers from './answers';
 import * as callers from './callers';
 import * as checks from './checks';
-import * as crashers from './crashers';
+import * as crashers from './crashingCallers';
 import * as fleet from './fleet';
-import * as foreignWriter from './foreignWriter';
-import * as harm from './harm';
+import * as foreignWriter from './malformedAnnouncer';
+import * as harm from './faultInjector';
 import * as layout from './layout';
 import * as observations from './observations';
 import * as operator from './operator';
@@ -28,7 +28,7 @@
   network: number;
 }
 
-export interface Report {
+export interface SeedReport {
   seed: number;
   steps: number;
   asked: number;
@@ -37,7 +37,7 @@
   /** Contents under which targets ended, copies of them, and targets that ended. */
   crashing: { contents: number; copies: number; ended: number };
   /** Number of violations by promise; empty for a good run. */
-  broken: Partial<Record<checks.Breach | 'notPlayed', number>>;
+  broken: Partial<Record<checks.PromiseName | 'notPlayed', number>>;
   /** The first violations, as the folder of a run on another machine may be lost. */
   violations: checks.Violation[];
   folder: string;
@@ -48,221 +48,225 @@
 
 const START_TIMEOUT_MS = 20_000;
 /** Pause between two announcements of another program, milliseconds. */
-const FOREIGN_EVERY_MS = 300;
+const MALFORMED_ANNOUNCEMENT_INTERVAL_MS = 300;
 
-const LOOK_EVERY_MS = 200;
-const PROBE_EVERY_MS = 250;
+const READY_POLL_MS = 200;
+const PROBE_INTERVAL_MS = 250;
 
 /** Traffic goes on for so long after recovery is due, milliseconds. */
-const LAST_TRAFFIC_MS = 4_000;
+const RECOVERED_TRAFFIC_MS = 4_000;
 
 /** Memory must be free by then after the last request, milliseconds. */
-const FREE_MS = 4_500;
+const RELEASE_TIMEOUT_MS = 4_500;
 
 /** Part of the requests that go on with a key that was taken away. */
-const REVOKED_SHARE = 0.05;
+const REVOKED_KEY_SHARE = 0.05;
 
-class Run {
-  private readonly seen = observations.empty();
+class SoakRun {
+  private readonly observed = observations.empty();
 
   private readonly random: domain.shared.random.Random;
 
-  private readonly running: fleet.Fleet;
+  private readonly fleet: fleet.Fleet;
 
   private readonly operators: operator.Operator;
 
   private readonly callers: callers.Callers;
 
-  private readonly harm: harm.Harm;
+  private readonly faultInjector: harm.FaultInjector;
 
-  private readonly crashers: crashers.Crashers;
+  private readonly crashingCallers: crashers.CrashingCallers;
 
-  private readonly open = new Set<Promise<void>>();
+  private readonly pending = new Set<Promise<void>>();
 
-  private isAsking = true;
+  private isSendingTraffic = true;
 
   constructor(private readonly options: Options) {
     const { seed, folder, program, network, size } = options;
     this.random = domain.shared.random.seeded(seed);
-    this.running = new fleet.Fleet({
+    this.fleet = new fleet.Fleet({
       folder,
       program,
       network,
       layout: layout.LAYOUTS[size],
       onLine: (line) => {
-        if (line.kind === 'ran') this.seen.ran.push(line);
-        else if (line.kind === 'draining') this.seen.drained.push(line);
-        else if (line.kind !== 'crashed') this.exchanged(line);
-        else this.crashers.ended(line);
+        if (line.kind === 'ran') this.observed.ran.push(line);
+        else if (line.kind === 'draining') this.observed.drained.push(line);
+        else if (line.kind !== 'crashed') this.recordExchange(line);
+        else this.crashingCallers.onCrash(line);
       },
     });
-    this.operators = new operator.Operator(this.running.controls, this.seen, this.random);
+    this.operators = new operator.Operator(this.fleet.controlAddresses, this.observed, this.random);
     this.callers = new callers.Callers(this.random);
-    this.crashers = new crashers.Crashers({
-      running: this.running,
+    this.crashingCallers = new crashers.CrashingCallers({
+      fleet: this.fleet,
       callers: this.callers,
-      seen: this.seen,
+      observed: this.observed,
       random: domain.shared.random.independent(seed),
-      key: () => this.operators.key(),
+      key: () => this.operators.currentKey(),
     });
-    this.harm = new harm.Harm(this.running, this.operators, this.seen, () => this.random.uniform());
+    this.faultInjector = new harm.FaultInjector(this.fleet, this.operators, this.observed, () =>
+      this.random.uniform(),
+    );
   }
 
-  async carryOut(plan: schedule.Plan): Promise<observations.Observations> {
+  async execute(plan: schedule.Plan): Promise<observations.Observations> {
     try {
-      await this.running.start();
-      this.running.targets.forEach(({ lifetime, index }) => {
-        this.seen.lifetimes.push({ target: lifetime, index });
+      await this.fleet.start();
+      this.fleet.targets.forEach(({ lifetime, index }) => {
+        this.observed.lifetimes.push({ target: lifetime, index });
       });
-      await this.operators.change();
-      await this.untilServing();
-      this.running.forbidFounding();
-      const traffic = [this.trafficLoop(), this.probeLoop(), this.foreignLoop()];
-      await this.follow(plan);
-      this.harm.heal();
-      this.seen.healedAt = Date.now();
-      await operator.pause(checks.RECOVER_MS + LAST_TRAFFIC_MS);
-      this.isAsking = false;
+      await this.operators.submitNext();
+      await this.untilEntriesServe();
+      this.fleet.forbidFounding();
+      const traffic = [this.trafficLoop(), this.probeLoop(), this.malformedAnnouncementLoop()];
+      await this.executePlan(plan);
+      this.faultInjector.restoreAll();
+      this.observed.healedAt = Date.now();
+      await operator.sleep(checks.RECOVERY_MS + RECOVERED_TRAFFIC_MS);
+      this.isSendingTraffic = false;
       await Promise.all(traffic);
-      await Promise.all(this.open);
-      this.seen.readBack = await this.operators.readBack();
-      await operator.pause(FREE_MS);
-      this.seen.reservationsLeft = await this.reservationsLeft();
-      return this.seen;
+      await Promise.all(this.pending);
+      this.observed.readBack = await this.operators.readNewest();
+      await operator.sleep(RELEASE_TIMEOUT_MS);
+      this.observed.reservationsLeft = await this.reservationsLeft();
+      return this.observed;
     } finally {
       this.callers.close();
-      await this.running.stop();
+      await this.fleet.stop();
     }
   }
 
-  private exchanged({ kind, source, ...rest }: targetMain.Exchange): void {
-    const entry = this.running.entries.findIndex(({ host }) => host === source);
-    this.seen[kind].push({ ...rest, entry });
+  private recordExchange({ kind, source, ...rest }: targetMain.ExchangeLine): void {
+    const entry = this.fleet.entries.findIndex(({ host }) => host === source);
+    this.observed[kind].push({ ...rest, entry });
   }
 
-  private async untilServing(): Promise<void> {
+  private async untilEntriesServe(): Promise<void> {
     const until = Date.now() + START_TIMEOUT_MS;
-    for (const entry of this.running.entries) {
+    for (const entry of this.fleet.entries) {
       while (!(await this.serves(entry))) {
         if (Date.now() > until) throw new Error(`entry ${entry.index} doesn't serve`);
-        await operator.pause(LOOK_EVERY_MS);
+        await operator.sleep(READY_POLL_MS);
       }
     }
   }
 
   private async serves(entry: fleet.Vm): Promise<boolean> {
-    const question = { entry, kind: 'safe', path: operator.basePath('safe'), key: 'k0' } as const;
-    const { ending } = await this.callers.ask(question);
+    const request = { entry, kind: 'safe', path: operator.basePath('safe'), key: 'k0' } as const;
+    const { ending } = await this.callers.send(request);
     return ending.kind === 'answered' && ending.status === 200;
   }
 
-  private async follow(plan: schedule.Plan): Promise<void> {
+  private async executePlan(plan: schedule.Plan): Promise<void> {
     const { steps, crashing, limiting, shedding, isolating, seconds } = plan;
-    const begun = Date.now();
-    const until = async (at: number): Promise<void> =>
-      operator.pause(Math.max(0, begun + at * 1_000 - Date.now()));
-    const each = <T extends { at: number }>(
+    const startedAt = Date.now();
+    const untilSecond = async (at: number): Promise<void> =>
+      operator.sleep(Math.max(0, startedAt + at * 1_000 - Date.now()));
+    const scheduleAll = <T extends { at: number }>(
       drawn: T[],
       carryOut: (one: T) => Promise<void>,
     ): void => {
-      under.push(...drawn.map((one) => until(one.at).then(() => carryOut(one))));
+      started.push(...drawn.map((one) => untilSecond(one.at).then(() => carryOut(one))));
     };
-    const under: Promise<void>[] = [];
-    each(crashing, (one) => this.crashers.carryOut(one));
-    each(limiting, (one) => this.harm.limit(one));
-    each(shedding, (one) => this.harm.shed(one));
-    each(isolating, (one) => {
-      return this.harm.isolate(one, (entry, key) => {
-        this.ask({ entry, kind: 'safe', path: operator.basePath('safe'), key });
+    const started: Promise<void>[] = [];
+    scheduleAll(crashing, (one) => this.crashingCallers.carryOut(one));
+    scheduleAll(limiting, (one) => this.faultInjector.limitRate(one));
+    scheduleAll(shedding, (one) => this.faultInjector.shedLoad(one));
+    scheduleAll(isolating, (one) => {
+      return this.faultInjector.isolate(one, (entry, key) => {
+        this.send({ entry, kind: 'safe', path: operator.basePath('safe'), key });
       });
     });
     for (const step of steps) {
-      await until(step.at);
-      under.push(this.harm.carryOut(step));
+      await untilSecond(step.at);
+      started.push(this.faultInjector.carryOut(step));
     }
-    await until(seconds);
-    await Promise.all(under);
+    await untilSecond(seconds);
+    await Promise.all(started);
   }
 
-  private async foreignLoop(): Promise<void> {
-    const addresses = this.running.targets.map(
-      ({ forwarded }) => `${forwarded}:${layout.TARGET_PORT}`,
+  private async malformedAnnouncementLoop(): Promise<void> {
+    const addresses = this.fleet.targets.map(
+      ({ advertisedHost }) => `${advertisedHost}:${layout.TARGET_PORT}`,
     );
-    const writer = new foreignWriter.ForeignWriter(this.running.controls, addresses);
-    while (this.isAsking) {
-      await writer.write();
-      await operator.pause(FOREIGN_EVERY_MS);
+    const announcer = new foreignWriter.MalformedAnnouncer(this.fleet.controlAddresses, addresses);
+    while (this.isSendingTraffic) {
+      await announcer.announceNext();
+      await operator.sleep(MALFORMED_ANNOUNCEMENT_INTERVAL_MS);
     }
   }
 
   private async trafficLoop(): Promise<void> {
     const meanMs = 1_000 / layout.LAYOUTS[this.options.size].requestsPerSecond;
-    while (this.isAsking) {
-      const kind = domain.shared.random.pick(this.random, operator.KINDS);
-      const entry = domain.shared.random.pick(this.random, this.running.entries);
-      this.ask({ entry, kind, path: operator.basePath(kind), key: this.key() });
-      await operator.pause(domain.shared.random.exponential(this.random, meanMs));
+    while (this.isSendingTraffic) {
+      const kind = domain.shared.random.pick(this.random, operator.REQUEST_KINDS);
+      const entry = domain.shared.random.pick(this.random, this.fleet.entries);
+      this.send({ entry, kind, path: operator.basePath(kind), key: this.pickKey() });
+      await operator.sleep(domain.shared.random.exponential(this.random, meanMs));
     }
   }
 
-  private ask(question: callers.Question): void {
-    const asking = this.callers.ask(question).then((asked) => {
-      this.seen.asked.push(asked);
+  private send(request: callers.CallerRequest): void {
+    const recorded = this.callers.send(request).then((asked) => {
+      this.observed.asked.push(asked);
     });
-    this.track(asking);
+    this.track(recorded);
   }
 
-  private key(): string {
-    const { revoked } = this.seen;
-    const isRevoked = revoked.length > 0 && this.random.uniform() < REVOKED_SHARE;
-    return isRevoked ? domain.shared.random.pick(this.random, revoked).key : this.operators.key();
+  private pickKey(): string {
+    const { revoked } = this.observed;
+    const isRevoked = revoked.length > 0 && this.random.uniform() < REVOKED_KEY_SHARE;
+    return isRevoked
+      ? domain.shared.random.pick(this.random, revoked).key
+      : this.operators.currentKey();
   }
 
   private async probeLoop(): Promise<void> {
-    while (this.isAsking) {
-      const recent = this.operators.recent();
-      this.running.entries.forEach((entry) => {
+    while (this.isSendingTraffic) {
+      const recent = this.operators.recentDocuments();
+      this.fleet.entries.forEach((entry) => {
         const { version, label } = domain.shared.random.pick(this.random, recent);
-        const question = {
+        const request = {
           entry,
           kind: 'safe',
           path: operator.probePath(version, label),
-          key: this.operators.key(),
+          key: this.operators.currentKey(),
         } as const;
         this.track(
-          this.callers.ask(question).then((asked) => {
-            this.seen.probes.push({ ...asked, version, label });
+          this.callers.send(request).then((asked) => {
+            this.observed.probes.push({ ...asked, version, label });
           }),
         );
       });
-      await operator.pause(PROBE_EVERY_MS);
+      await operator.sleep(PROBE_INTERVAL_MS);
     }
   }
 
   private track(work: Promise<void>): void {
-    this.open.add(work);
-    void work.finally(() => this.open.delete(work));
+    this.pending.add(work);
+    void work.finally(() => this.pending.delete(work));
   }
 
   private async reservationsLeft(): Promise<number> {
-    const counts = await Promise.all(this.running.targets.map(({ host }) => reservationsAt(host)));
+    const counts = await Promise.all(this.fleet.targets.map(({ host }) => reservationsOf(host)));
     return counts.reduce((sum, count) => sum + count, 0);
   }
 }
 
-async function reservationsAt(host: string): Promise<number> {
+async function reservationsOf(host: string): Promise<number> {
   const answer = await fetch(`http://${host}:${layout.TARGET_PORT}${answers.STATE_PATH}`);
   return ((await answer.json()) as { reservations: number }).reservations;
 }
 
 /** Plays a seed and writes the plan, what was seen and the violations into the run's folder. */
-export async function play(options: Options): Promise<Report> {
+export async function runSeed(options: Options): Promise<SeedReport> {
   const { seed, seconds, size, folder } = options;
   fs.rmSync(folder, { recursive: true, force: true });
   fs.mkdirSync(folder, { recursive: true });
   const write = (file: string, content: unknown): void =>
     fs.writeFileSync(path.join(folder, file), `${JSON.stringify(content, undefined, 1)}\n`);
-  const plan = schedule.draw(seed, seconds, layout.LAYOUTS[size]);
+  const plan = schedule.drawPlan(seed, seconds, layout.LAYOUTS[size]);
   write('plan.json', plan);
   // A run goes on with the program that it began with, also while another one is built.
   const program = path.join(folder, 'program', path.basename(options.program));
@@ -270,36 +274,36 @@
     recursive: true,
     filter: (source) => source === path.dirname(options.program) || fs.statSync(source).isFile(),
   });
-  const seen = await new Run({ ...options, program }).carryOut(plan);
-  const found = checks.violations(seen);
-  write('seen.json', seen);
-  write('violations.json', found);
-  const broken: Report['broken'] = {};
-  found.forEach(({ promise }) => {
+  const observed = await new SoakRun({ ...options, program }).execute(plan);
+  const violations = checks.violations(observed);
+  write('seen.json', observed);
+  write('violations.json', violations);
+  const broken: SeedReport['broken'] = {};
+  violations.forEach(({ promise }) => {
     broken[promise] = (broken[promise] ?? 0) + 1;
   });
-  const served = seen.asked.filter(({ ending }) => {
+  const served = observed.asked.filter(({ ending }) => {
     return ending.kind === 'answered' && ending.status === 200;
   });
   return {
     seed,
     steps: plan.steps.length,
-    asked: seen.asked.length,
+    asked: observed.asked.length,
     served: served.length,
-    changes: seen.sent.length,
+    changes: observed.sent.length,
     crashing: {
-      contents: new Set(seen.crashers.map(({ body }) => body)).size,
-      copies: seen.crashers.length,
-      ended: seen.crashed.length,
+      contents: new Set(observed.crashers.map(({ body }) => body)).size,
+      copies: observed.crashers.length,
+      ended: observed.crashed.length,
     },
     broken,
-    violations: found.slice(0, REPORTED_VIOLATIONS),
+    violations: violations.slice(0, REPORTED_VIOLATIONS),
     folder,
   };
 }
 
 /** The report of a run that the soak itself couldn't carry out; it counts as failed. */
-export function notPlayed(seed: number, folder: string, error: unknown): Report {
+export function failedReport(seed: number, folder: string, error: unknown): SeedReport {
   fs.writeFileSync(path.join(folder, 'error.txt'), `${String((error as Error).stack ?? error)}\n`);
   const crashing = { contents: 0, copies: 0, ended: 0 };
   const counts = { steps: 0, asked: 0, served: 0, changes: 0, crashing };
--- a/packages/soak/src/runtimeFaults.ts
+++ b/packages/soak/src/runtimeFaults.ts
@@ -14,95 +14,95 @@
 }
 
 /** Names the file. */
-export const VARIABLE = 'CELERYDRIFT_SOAK_FAULTS';
+export const FAULTS_FILE_VARIABLE = 'CELERYDRIFT_SOAK_FAULTS';
 
-export const SOUND: RuntimeFaults = { clockMs: 0, disk: 'sound' };
+export const NO_FAULTS: RuntimeFaults = { clockMs: 0, disk: 'sound' };
 
 /** Where the bytes that are synced stand, beside the file of faults: a table by path. */
 export function syncedFile(faultsFile: string): string {
   return `${faultsFile}.synced`;
 }
 
-const LOOK_EVERY_MS = 50;
+const POLL_INTERVAL_MS = 50;
 
 /** Keeps count of what syncs have covered. */
-class Syncs {
+class SyncedSizes {
   private readonly bytes: Record<string, number> = {};
 
   constructor(private readonly file: string) {}
 
   /** Of a file that was there before, all is on the disk: a power loss took the rest when it came. */
   open(path: string, size: number): void {
-    if (this.bytes[path] === undefined) this.note(path, size);
+    if (this.bytes[path] === undefined) this.record(path, size);
   }
 
-  note(path: string, size: number): void {
+  record(path: string, size: number): void {
     this.bytes[path] = size;
     // Whole at every moment: the process may be killed while it writes.
     fs.writeFileSync(`${this.file}.new`, JSON.stringify(this.bytes));
     fs.renameSync(`${this.file}.new`, this.file);
   }
 
-  move(from: string, to: string): void {
+  rename(from: string, to: string): void {
     if (this.bytes[from] === undefined) return;
-    this.note(to, this.bytes[from]);
+    this.record(to, this.bytes[from]);
     delete this.bytes[from];
   }
 }
 
-function install(file: string): void {
-  let current = SOUND;
-  const look = (): void => {
+function installFaults(file: string): void {
+  let current = NO_FAULTS;
+  const refresh = (): void => {
     try {
       current = JSON.parse(fs.readFileSync(file, 'utf8')) as RuntimeFaults;
     } catch {
       // The soak is writing it; the next look finds it whole.
     }
   };
-  look();
-  setInterval(look, LOOK_EVERY_MS).unref();
+  refresh();
+  setInterval(refresh, POLL_INTERVAL_MS).unref();
   const { now } = Date;
   Date.now = () => now() + current.clockMs;
   const { open } = fs.promises;
-  const syncs = new Syncs(syncedFile(file));
+  const syncedSizes = new SyncedSizes(syncedFile(file));
   fs.promises.open = async (...parameters) => {
     const handle = await open(...parameters);
-    harm(handle, () => current.disk);
+    injectDiskFaults(handle, () => current.disk);
     const path = String(parameters[0]);
     const stat = await handle.stat();
     if (stat.isDirectory()) return handle;
-    syncs.open(path, stat.size);
-    countSyncs(handle, path, syncs);
+    syncedSizes.open(path, stat.size);
+    trackSyncs(handle, path, syncedSizes);
     return handle;
   };
   const { rename } = fs.promises;
   fs.promises.rename = async (from, to) => {
     await rename(from, to);
-    syncs.move(String(from), String(to));
+    syncedSizes.rename(String(from), String(to));
   };
 }
 
-function countSyncs(handle: fs.promises.FileHandle, path: string, syncs: Syncs): void {
-  const counted = (sync: () => Promise<void>) => async () => {
+function trackSyncs(handle: fs.promises.FileHandle, path: string, syncedSizes: SyncedSizes): void {
+  const tracked = (sync: () => Promise<void>) => async () => {
     const { size } = await handle.stat();
     await sync.call(handle);
-    syncs.note(path, size);
+    syncedSizes.record(path, size);
   };
-  handle.datasync = counted(handle.datasync);
-  handle.sync = counted(handle.sync);
+  handle.datasync = tracked(handle.datasync);
+  handle.sync = tracked(handle.sync);
 }
 
-function harm(handle: fs.promises.FileHandle, disk: () => Disk): void {
-  const pass = async (): Promise<void> => {
+function injectDiskFaults(handle: fs.promises.FileHandle, disk: () => Disk): void {
+  const waitWhileStalled = async (): Promise<void> => {
     while (disk() === 'stalled') {
       await new Promise((resolve) => {
-        setTimeout(resolve, LOOK_EVERY_MS);
+        setTimeout(resolve, POLL_INTERVAL_MS);
       });
     }
   };
   const { appendFile, datasync, sync } = handle;
   handle.appendFile = async (data, options) => {
-    await pass();
+    await waitWhileStalled();
     if (disk() !== 'full') return appendFile.call(handle, data, options);
     // A write that a full disk ends midway leaves a torn frame.
     const bytes = Buffer.from(data as Uint8Array);
@@ -110,14 +110,14 @@
     throw Object.assign(new Error('ENOSPC: no space left on device'), { code: 'ENOSPC' });
   };
   handle.datasync = async () => {
-    await pass();
+    await waitWhileStalled();
     await datasync.call(handle);
   };
   handle.sync = async () => {
-    await pass();
+    await waitWhileStalled();
     await sync.call(handle);
   };
 }
 
-const named = process.env[VARIABLE];
-if (named !== undefined) install(named);
+const faultsFileOfProcess = process.env[FAULTS_FILE_VARIABLE];
+if (faultsFileOfProcess !== undefined) installFaults(faultsFileOfProcess);
--- a/packages/soak/src/targetMain.ts
+++ b/packages/soak/src/targetMain.ts
@@ -32,7 +32,7 @@
   wordsFile: string;
 }
 
-export interface Words {
+export interface SelfReport {
   /** Requests a second that it takes; undefined while it isn't in need. */
   limit?: number;
   /** The Retry-After of those that it turns away, seconds; undefined where it turns nobody away. */
@@ -42,30 +42,30 @@
 }
 
 /** A message of whatever kind that it got, or what its answer said; `source` is the sender's IP address. */
-export type Exchange = Omit<observations.Exchanged, 'entry'> & {
+export type ExchangeLine = Omit<observations.TargetExchange, 'entry'> & {
   kind: 'got' | 'told' | 'saidLeaving' | 'turnedAway';
   source: string;
 };
 
 /** A line of its output. */
-export type Line =
-  | Exchange
-  | (observations.Ran & { kind: 'ran'; organisation: string })
+export type OutputLine =
+  | ExchangeLine
+  | (observations.Execution & { kind: 'ran'; organisation: string })
   | { kind: 'draining'; target: string; at: number }
   /** It ends now, under a request with this body. */
   | { kind: 'crashed'; target: string; body: string; at: number };
 
-const ANNOUNCE_EVERY_MS = 500;
+const ANNOUNCE_INTERVAL_MS = 500;
 /** A target that leaves serves on for so long after the acknowledgement. */
-const DRAIN_MS = 3_000;
-const CALL_MS = 20;
-const EVENT_MS = 30;
+const DRAIN_DELAY_MS = 3_000;
+const RESPONSE_DELAY_MS = 20;
+const EVENT_INTERVAL_MS = 30;
 /** Part of the requests that a target turns away which asks its senders to leave it alone. */
-const TURNED_AWAY_SHARE = 0.5;
+const REJECTED_SHARE = 0.5;
 /** How long a request that crashes its target runs there. */
-const CRASH_MS = 20;
+const CRASH_DELAY_MS = 20;
 
-class Target {
+class StandInTarget {
   private state: 'ready' | 'draining' = 'ready';
 
   private sequence = 0;
@@ -89,10 +89,10 @@
     const announce = (): void => {
       void this.announce();
     };
-    setInterval(announce, ANNOUNCE_EVERY_MS);
+    setInterval(announce, ANNOUNCE_INTERVAL_MS);
     announce();
     process.on('SIGTERM', () => {
-      void this.leave();
+      void this.drain();
     });
   }
 
@@ -103,16 +103,16 @@
       response.end(JSON.stringify({ reservations: this.reservations.size }));
       return;
     }
-    this.note('got', request);
+    this.reportExchange('got', request);
     const order = counterpart.memoryOrder(path, body);
     if (order !== undefined) {
-      response.writeHead(this.obey(order)).end('{"free":0}');
+      response.writeHead(this.applyMemoryOrder(order)).end('{"free":0}');
       return;
     }
     this.run(request, response, path, body);
   }
 
-  private obey(order: counterpart.MemoryOrder): number {
+  private applyMemoryOrder(order: counterpart.MemoryOrder): number {
     if (order.kind === 'release') {
       this.reservations.delete(order.reservation);
       return 200;
@@ -147,64 +147,88 @@
     const { id, slots } = this.options;
     if (target !== id || this.running >= slots) {
       const status = target === id ? 503 : 421;
-      const refusal = { ...this.answerTo(request), requestId, notRun: true };
+      const refusal = { ...this.selfReportFields(request), requestId, notRun: true };
       response.writeHead(status, counterpart.answerHeaders(refusal)).end();
       return;
     }
-    const { backOffSeconds } = this.words();
-    if (backOffSeconds !== undefined && Math.random() < TURNED_AWAY_SHARE) {
-      this.note('turnedAway', request, backOffSeconds);
-      const refusal = { ...this.answerTo(request), requestId, notRun: true, backOffSeconds };
+    const { backOffSeconds } = this.selfReport();
+    if (backOffSeconds !== undefined && Math.random() < REJECTED_SHARE) {
+      this.reportExchange('turnedAway', request, backOffSeconds);
+      const refusal = {
+        ...this.selfReportFields(request),
+        requestId,
+        notRun: true,
+        backOffSeconds,
+      };
       response.writeHead(503, counterpart.answerHeaders(refusal)).end();
       return;
     }
     const { bornAt } = this;
-    say({ kind: 'ran', request: requestId, target: id, bornAt, organisation, at: Date.now() });
+    printLine({
+      kind: 'ran',
+      request: requestId,
+      target: id,
+      bornAt,
+      organisation,
+      at: Date.now(),
+    });
     this.running += 1;
     response.once('close', () => {
       this.running -= 1;
     });
-    if (body.startsWith(answers.CRASH_WORD)) {
-      setTimeout(() => this.crash(body), CRASH_MS);
+    if (body.startsWith(answers.CRASH_MARKER)) {
+      setTimeout(() => this.crash(body), CRASH_DELAY_MS);
       return;
     }
     const mode = this.mode();
     if (mode === 'mute') return;
     const named = mode === 'crossed' ? `${requestId}x` : requestId;
-    const headers = counterpart.answerHeaders({ ...this.answerTo(request), requestId: named });
+    const headers = counterpart.answerHeaders({
+      ...this.selfReportFields(request),
+      requestId: named,
+    });
     if (mode === 'failing') response.writeHead(500, headers).end('failed');
-    else if (path.includes(answers.STREAM_WORD)) {
-      this.stream(response, headers, named, resumeAfter, mode === 'cutting');
-    } else this.call(response, headers, answers.callBody(named, path), mode);
+    else if (path.includes(answers.STREAM_MARKER)) {
+      this.sendStream(response, headers, named, resumeAfter, mode === 'cutting');
+    } else this.sendResponse(response, headers, answers.callBody(named, path), mode);
   }
 
   /** What its answer says of it, also of its limit. */
-  private answerTo(
+  private selfReportFields(
     request: http.IncomingMessage,
   ): Pick<counterpart.TargetAnswer, 'target' | 'limit' | 'isLeaving'> {
     const target = this.options.id;
-    const { limit, isLeaving } = this.words();
-    if (limit !== undefined) this.note('told', request);
-    if (isLeaving === true) this.note('saidLeaving', request);
+    const { limit, isLeaving } = this.selfReport();
+    if (limit !== undefined) this.reportExchange('told', request);
+    if (isLeaving === true) this.reportExchange('saidLeaving', request);
     return { target, limit, isLeaving };
   }
 
-  private words(): Words {
-    return JSON.parse(this.read(this.options.wordsFile) || '{}') as Words;
+  private selfReport(): SelfReport {
+    return JSON.parse(this.read(this.options.wordsFile) || '{}') as SelfReport;
   }
 
-  private note(kind: Exchange['kind'], from: http.IncomingMessage, backOffSeconds?: number): void {
-    const { socket } = from;
+  private reportExchange(
+    kind: ExchangeLine['kind'],
+    request: http.IncomingMessage,
+    backOffSeconds?: number,
+  ): void {
+    const { socket } = request;
     const about = { target: this.options.id, bornAt: this.bornAt, at: Date.now() };
-    say({ kind, ...about, source: socket.remoteAddress ?? '', backOffSeconds });
+    printLine({ kind, ...about, source: socket.remoteAddress ?? '', backOffSeconds });
   }
 
   private crash(body: string): void {
-    say({ kind: 'crashed', target: this.options.id, body, at: Date.now() });
+    printLine({ kind: 'crashed', target: this.options.id, body, at: Date.now() });
     process.kill(process.pid, 'SIGKILL');
   }
 
-  private call(response: http.ServerResponse, headers: string[], body: string, mode: Mode): void {
+  private sendResponse(
+    response: http.ServerResponse,
+    headers: string[],
+    body: string,
+    mode: Mode,
+  ): void {
     setTimeout(() => {
       response.writeHead(200, [...headers, 'content-length', String(body.length)]);
       if (mode === 'cutting') {
@@ -216,10 +240,10 @@
       response.end(body, () => {
         if (mode === 'extra') socket?.write('HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nno');
       });
-    }, CALL_MS);
+    }, RESPONSE_DELAY_MS);
   }
 
-  private stream(
+  private sendStream(
     response: http.ServerResponse,
     headers: string[],
     requestId: string,
@@ -229,7 +253,7 @@
     response.writeHead(200, [...headers, 'content-type', 'text/event-stream']);
     let next = resumeAfter + 1;
     const timer = setInterval(() => {
-      const event = answers.event(requestId, next);
+      const event = answers.streamEvent(requestId, next);
       if (isCut && next === 3) {
         response.write(event.slice(0, 5));
         setTimeout(() => response.destroy(), 1);
@@ -237,8 +261,8 @@
       }
       response.write(event);
       next += 1;
-      if (next > answers.EVENTS) response.end();
-    }, EVENT_MS);
+      if (next > answers.STREAM_EVENTS) response.end();
+    }, EVENT_INTERVAL_MS);
     response.once('close', () => clearInterval(timer));
   }
 
@@ -260,11 +284,11 @@
     const { id, service, address, dataCentre, slots } = this.options;
     const { state, sequence, bornAt } = this;
     const about = { id, bornAt, service, address, dataCentre, slots };
-    return this.tell(counterpart.announce({ ...about, state, sequence }));
+    return this.callKeepers(counterpart.announce({ ...about, state, sequence }));
   }
 
   /** Sends a call to one keeper after the other until one acknowledges it. */
-  private async tell(call: counterpart.ControlCall): Promise<boolean> {
+  private async callKeepers(call: counterpart.ControlCall): Promise<boolean> {
     const { keepers } = this.options;
     const first = Math.floor(Math.random() * keepers.length);
     for (let i = 0; i < keepers.length; i++) {
@@ -275,20 +299,20 @@
     return false;
   }
 
-  private async leave(): Promise<void> {
+  private async drain(): Promise<void> {
     this.state = 'draining';
     const { id } = this.options;
     const { bornAt } = this;
-    if (await this.announce()) say({ kind: 'draining', target: id, at: Date.now() });
+    if (await this.announce()) printLine({ kind: 'draining', target: id, at: Date.now() });
     setTimeout(() => {
-      void this.tell(counterpart.depart({ id, bornAt })).then(() => process.exit(0));
-    }, DRAIN_MS);
+      void this.callKeepers(counterpart.depart({ id, bornAt })).then(() => process.exit(0));
+    }, DRAIN_DELAY_MS);
   }
 }
 
 /** Standard output is a pipe, which Node.js writes synchronously: a line said before a kill is there. */
-function say(line: Line): void {
+function printLine(line: OutputLine): void {
   process.stdout.write(`${JSON.stringify(line)}\n`);
 }
 
-new Target(JSON.parse(process.argv[2]) as Options).start();
+new StandInTarget(JSON.parse(process.argv[2]) as Options).start();
