--- a/packages/check/src/__tests__/check.test.ts
+++ b/packages/check/src/__tests__/check.test.ts
@@ -11,13 +11,13 @@
 
 /** Counts up by one or three; seven is wrong. */
 const COUNTER: explorer.Model<{ sum: number }, number> = {
-  begin: () => ({ sum: 0 }),
-  events: () => [1, 3],
-  play: (world, by) => {
-    world.sum += by;
+  initialState: () => ({ sum: 0 }),
+  enabledEvents: () => [1, 3],
+  apply: (state, by) => {
+    state.sum += by;
   },
   fingerprint: ({ sum }) => String(sum),
-  problem: (replay) => (replay().sum === 7 ? 'seven' : undefined),
+  findViolation: (replay) => (replay().sum === 7 ? 'seven' : undefined),
   describe: (by) => `+${by}`,
 };
 
@@ -33,7 +33,7 @@
   it('shortens what it draws', () => {
     const eleven = {
       ...COUNTER,
-      problem: (replay: () => { sum: number }) => {
+      findViolation: (replay: () => { sum: number }) => {
         return replay().sum >= 11 ? 'eleven or more' : undefined;
       },
     };
@@ -44,7 +44,7 @@
 });
 
 /** A quarantine with some of its rules replaced. */
-function broken(rules: object): Quarantine {
+function newBrokenQuarantine(rules: object): Quarantine {
   return Object.assign(new domain.quarantine.quarantine.Quarantine(), rules);
 }
 
@@ -55,7 +55,7 @@
   doubts: number;
 }
 
-function wasConvicted(this: { suspects: Map<string, Suspect> }, content: string): boolean {
+function wasQuarantined(this: { suspects: Map<string, Suspect> }, content: string): boolean {
   const suspect = this.suspects.get(content);
   return suspect !== undefined && (suspect.quarantinedAt !== undefined || suspect.doubts > 0);
 }
@@ -63,26 +63,34 @@
 function hasTwoCounted(this: { suspects: Map<string, Suspect> }, content: string): boolean {
   const suspect = this.suspects.get(content);
   if (suspect === undefined) return false;
-  return wasConvicted.call(this, content) || domain.quarantine.suspect.countOf(suspect) >= 2;
+  return wasQuarantined.call(this, content) || domain.quarantine.suspect.countOf(suspect) >= 2;
 }
 
-function isDueSoon({ quarantinedAt }: Suspect, now: number): 'doubtful' | undefined {
+function doubtfulAfterTwoSeconds({ quarantinedAt }: Suspect, now: number): 'doubtful' | undefined {
   return quarantinedAt !== undefined && now - quarantinedAt >= 2_000 ? 'doubtful' : undefined;
 }
 
 function quarantineModel(
-  make: () => Quarantine,
-  isApart: boolean,
-): explorer.Model<models.quarantineModel.World, models.quarantineModel.Event> {
-  return models.quarantineModel.quarantineModel({ culprits: 1, innocents: 1, isApart, make });
+  newQuarantine: () => Quarantine,
+  areSuspectsIsolated: boolean,
+): explorer.Model<models.quarantineModel.State, models.quarantineModel.Event> {
+  return models.quarantineModel.quarantineModel({
+    culprits: 1,
+    innocents: 1,
+    areSuspectsIsolated,
+    newQuarantine,
+  });
 }
 
 describe('quarantine, checked', () => {
-  [true, false].forEach((isApart) => {
-    const where = isApart ? 'under a leader' : 'without a leader';
+  [true, false].forEach((areSuspectsIsolated) => {
+    const where = areSuspectsIsolated ? 'under a leader' : 'without a leader';
     it(`serves what is innocent and stops what is not, in all orders of five events ${where}`, () => {
-      const make = (): Quarantine => new domain.quarantine.quarantine.Quarantine();
-      const { finding, ...counts } = explorer.explore(quarantineModel(make, isApart), 5);
+      const newQuarantine = (): Quarantine => new domain.quarantine.quarantine.Quarantine();
+      const { finding, ...counts } = explorer.explore(
+        quarantineModel(newQuarantine, areSuspectsIsolated),
+        5,
+      );
       expect(finding).to.equal(undefined);
       expect(counts).toMatchSnapshot();
     });
@@ -90,21 +98,21 @@
 
   const versions: [string, object][] = [
     ['nothing is ever in doubt', { isDoubtful: () => false }],
-    ['only what was convicted explains ends', { mayBeCulprit: wasConvicted }],
+    ['only what was convicted explains ends', { mayBeCulprit: wasQuarantined }],
     ['only counted ends make a possible culprit', { mayBeCulprit: hasTwoCounted }],
     ['nothing of a doubted content goes on explaining', { noteExplained: () => undefined }],
-    ['doubt returns every two seconds', { dueReason: isDueSoon }],
+    ['doubt returns every two seconds', { dueReason: doubtfulAfterTwoSeconds }],
     ['nothing is ever refused', { standing: () => 'suspected' }],
   ];
 
   versions.forEach(([what, rules]) => {
     it(`finds the version in which ${what}`, () => {
-      const stories = [true, false].map((isApart) => {
-        const model = quarantineModel(() => broken(rules), isApart);
+      const findings = [true, false].map((areSuspectsIsolated) => {
+        const model = quarantineModel(() => newBrokenQuarantine(rules), areSuspectsIsolated);
         return explorer.explore(model, 5).finding;
       });
-      expect(stories).toMatchSnapshot();
-      expect(stories.some((story) => story !== undefined)).to.equal(true);
+      expect(findings).toMatchSnapshot();
+      expect(findings.some((finding) => finding !== undefined)).to.equal(true);
     });
   });
 });
@@ -114,9 +122,9 @@
 }
 
 /** A registry whose methods are replaced by what `change` makes of it. */
-function brokenRegistry(change: (made: Registry) => object): Registry {
-  const made = newRegistry();
-  return Object.assign(made, change(made));
+function newBrokenRegistry(change: (registry: Registry) => object): Registry {
+  const registry = newRegistry();
+  return Object.assign(registry, change(registry));
 }
 
 describe('registry, checked', () => {
@@ -129,12 +137,15 @@
     expect(counts).toMatchSnapshot();
   });
 
-  const versions: [string, (made: Registry) => object][] = [
-    ['a leader counts no more than others', (made) => ({ follow: made.merge.bind(made) })],
+  const versions: [string, (registry: Registry) => object][] = [
+    [
+      'a leader counts no more than others',
+      (registry) => ({ follow: registry.merge.bind(registry) }),
+    ],
     [
       'it does not matter which lifetime leaves',
-      (made) => {
-        const depart = made.depart.bind(made);
+      (registry) => {
+        const depart = registry.depart.bind(registry);
         return { depart: (id: string, now: number) => depart(id, now) };
       },
     ],
@@ -144,7 +155,7 @@
 
   versions.forEach(([what, change]) => {
     it(`finds the version in which ${what}`, () => {
-      const model = models.registryModel.registryModel(() => brokenRegistry(change));
+      const model = models.registryModel.registryModel(() => newBrokenRegistry(change));
       const { finding } = explorer.explore(model, 6);
       expect(finding).toMatchSnapshot();
       expect(finding).not.to.equal(undefined);
--- a/packages/check/src/explorer.ts
+++ b/packages/check/src/explorer.ts
@@ -5,16 +5,16 @@
  */
 import * as domain from '@celerydrift/domain';
 
-export interface Model<World, Event> {
-  /** A world in which nothing has happened. */
-  begin: () => World;
+export interface Model<State, Event> {
+  /** A state in which nothing has happened. */
+  initialState: () => State;
   /** What may happen next. */
-  events: (world: World) => Event[];
-  play: (world: World, event: Event) => void;
+  enabledEvents: (state: State) => Event[];
+  apply: (state: State, event: Event) => void;
   /** The same text for worlds that can't be told apart by what comes. */
-  fingerprint: (world: World) => string;
+  fingerprint: (state: State) => string;
   /** What is wrong; undefined for nothing. `replay` makes further worlds in the same state, to be used up. */
-  problem: (replay: () => World) => string | undefined;
+  findViolation: (replay: () => State) => string | undefined;
   describe: (event: Event) => string;
 }
 
@@ -32,36 +32,36 @@
   finding: Finding | undefined;
 }
 
-function replayed<World, Event>(model: Model<World, Event>, story: readonly Event[]): World {
-  const world = model.begin();
-  story.forEach((event) => model.play(world, event));
-  return world;
+function replayTrace<State, Event>(model: Model<State, Event>, trace: readonly Event[]): State {
+  const state = model.initialState();
+  trace.forEach((event) => model.apply(state, event));
+  return state;
 }
 
-function findingOf<World, Event>(
-  model: Model<World, Event>,
-  story: readonly Event[],
+function checkTrace<State, Event>(
+  model: Model<State, Event>,
+  trace: readonly Event[],
 ): Finding | undefined {
-  const problem = model.problem(() => replayed(model, story));
-  return problem === undefined ? undefined : { problem, story: story.map(model.describe) };
+  const problem = model.findViolation(() => replayTrace(model, trace));
+  return problem === undefined ? undefined : { problem, story: trace.map(model.describe) };
 }
 
 /** Plays all orders of at most `depth` events. */
-export function explore<World, Event>(model: Model<World, Event>, depth: number): Exploration {
-  const known = new Set([model.fingerprint(model.begin())]);
+export function explore<State, Event>(model: Model<State, Event>, depth: number): Exploration {
+  const known = new Set([model.fingerprint(model.initialState())]);
   let frontier: Event[][] = [[]];
   let steps = 0;
   for (let level = 0; level < depth; level++) {
     const next: Event[][] = [];
-    for (const story of frontier) {
-      for (const event of model.events(replayed(model, story))) {
-        const longer = [...story, event];
-        const fingerprint = model.fingerprint(replayed(model, longer));
+    for (const trace of frontier) {
+      for (const event of model.enabledEvents(replayTrace(model, trace))) {
+        const longer = [...trace, event];
+        const fingerprint = model.fingerprint(replayTrace(model, longer));
         steps += 1;
         if (!known.has(fingerprint)) {
           known.add(fingerprint);
           next.push(longer);
-          const finding = findingOf(model, longer);
+          const finding = checkTrace(model, longer);
           if (finding !== undefined) return { states: known.size, steps, finding };
         }
       }
@@ -71,7 +71,7 @@
   return { states: known.size, steps, finding: undefined };
 }
 
-export interface Walks {
+export interface RandomWalks {
   seed: number;
   count: number;
   /** Events of each. */
@@ -79,48 +79,51 @@
 }
 
 /** Plays stories that are drawn at random; each is checked at its end. A finding's story is shortened as far as it goes. */
-export function walk<World, Event>(
-  model: Model<World, Event>,
-  { seed, count, length }: Walks,
+export function walk<State, Event>(
+  model: Model<State, Event>,
+  { seed, count, length }: RandomWalks,
 ): Exploration {
   let steps = 0;
   for (let i = 0; i < count; i++) {
     const random = domain.shared.random.independent(seed + i);
-    const world = model.begin();
-    const story: Event[] = [];
+    const state = model.initialState();
+    const trace: Event[] = [];
     for (let step = 0; step < length; step++) {
-      const events = model.events(world);
+      const events = model.enabledEvents(state);
       if (events.length === 0) break;
       const event = domain.shared.random.pick(random, events);
-      model.play(world, event);
-      story.push(event);
+      model.apply(state, event);
+      trace.push(event);
     }
-    steps += story.length;
-    const finding = findingOf(model, story);
+    steps += trace.length;
+    const finding = checkTrace(model, trace);
     if (finding !== undefined) {
-      return { states: i + 1, steps, finding: findingOf(model, shortened(model, story)) };
+      return { states: i + 1, steps, finding: checkTrace(model, shrink(model, trace)) };
     }
   }
   return { states: count, steps, finding: undefined };
 }
 
 /** Leaves out events one by one as long as the rest still shows a problem. */
-function shortened<World, Event>(
-  model: Model<World, Event>,
-  story: readonly Event[],
+function shrink<State, Event>(
+  model: Model<State, Event>,
+  trace: readonly Event[],
 ): readonly Event[] {
-  const shorter = story
-    .map((_event, left) => story.filter((_each, i) => i !== left))
-    .find((each) => isPlayable(model, each) && findingOf(model, each) !== undefined);
-  return shorter === undefined ? story : shortened(model, shorter);
+  const shorter = trace
+    .map((_event, left) => trace.filter((_each, i) => i !== left))
+    .find((each) => isFeasible(model, each) && checkTrace(model, each) !== undefined);
+  return shorter === undefined ? trace : shrink(model, shorter);
 }
 
 /** Whether each event may happen where it stands in the story. */
-function isPlayable<World, Event>(model: Model<World, Event>, story: readonly Event[]): boolean {
-  const world = model.begin();
-  return story.every((event) => {
-    const may = model.events(world).map(model.describe).includes(model.describe(event));
-    if (may) model.play(world, event);
-    return may;
+function isFeasible<State, Event>(model: Model<State, Event>, trace: readonly Event[]): boolean {
+  const state = model.initialState();
+  return trace.every((event) => {
+    const isEnabled = model
+      .enabledEvents(state)
+      .map(model.describe)
+      .includes(model.describe(event));
+    if (isEnabled) model.apply(state, event);
+    return isEnabled;
   });
 }
--- a/packages/check/src/main.ts
+++ b/packages/check/src/main.ts
@@ -6,66 +6,85 @@
 
 const { quarantineModel } = models.quarantineModel;
 
-const make = (): domain.quarantine.quarantine.Quarantine =>
+const newQuarantine = (): domain.quarantine.quarantine.Quarantine =>
   new domain.quarantine.quarantine.Quarantine();
 
 /** How each model is explored. */
 const MODELS = {
-  quarantine: exploration(quarantineModel({ culprits: 1, innocents: 2, isApart: true, make })),
-  quarantineOfTwo: exploration(quarantineModel({ culprits: 2, innocents: 1, isApart: true, make })),
-  quarantineWithoutLeader: exploration(
-    quarantineModel({ culprits: 2, innocents: 1, isApart: false, make }),
+  quarantine: exploreModel(
+    quarantineModel({
+      culprits: 1,
+      innocents: 2,
+      areSuspectsIsolated: true,
+      newQuarantine,
+    }),
   ),
-  registry: exploration(
+  quarantineOfTwo: exploreModel(
+    quarantineModel({
+      culprits: 2,
+      innocents: 1,
+      areSuspectsIsolated: true,
+      newQuarantine,
+    }),
+  ),
+  quarantineWithoutLeader: exploreModel(
+    quarantineModel({
+      culprits: 2,
+      innocents: 1,
+      areSuspectsIsolated: false,
+      newQuarantine,
+    }),
+  ),
+  registry: exploreModel(
     models.registryModel.registryModel(() => new domain.registry.registry.Registry()),
   ),
 };
 
-type Explore = (depth: number, walks: explorer.Walks) => Counts;
+type Explore = (depth: number, walks: explorer.RandomWalks) => Counts;
 
 interface Counts extends explorer.Exploration {
   walks: number;
 }
 
 /** All orders up to a depth, and where these break nothing, stories that are drawn. */
-function exploration<World, Event>(model: explorer.Model<World, Event>): Explore {
+function exploreModel<State, Event>(model: explorer.Model<State, Event>): Explore {
   return (depth, walks) => {
-    const all = explorer.explore(model, depth);
-    if (all.finding !== undefined) return { ...all, walks: 0 };
-    const drawn = explorer.walk(model, walks);
-    return { ...all, walks: drawn.states, finding: drawn.finding };
+    const exhaustive = explorer.explore(model, depth);
+    if (exhaustive.finding !== undefined) return { ...exhaustive, walks: 0 };
+    const sampled = explorer.walk(model, walks);
+    return { ...exhaustive, walks: sampled.states, finding: sampled.finding };
   };
 }
 
-function exploreOf(name: string): Explore {
+function findModel(name: string): Explore {
   if (name in MODELS) return MODELS[name as keyof typeof MODELS];
   process.stderr.write(`check: no model ${name}; give one of ${Object.keys(MODELS).join(', ')}\n`);
   return process.exit(2);
 }
 
-interface Words {
+interface CliOptions {
   depth: string;
   walks: string;
   length: string;
   seed: string;
 }
 
-function whole(name: string, text: string, most: number): number {
+function parseInteger(name: string, text: string, max: number): number {
   const number = Number(text);
-  if (Number.isInteger(number) && number >= 0 && number <= most) return number;
-  process.stderr.write(`check: --${name} ${text}: give a whole number from 0 to ${most}\n`);
+  if (Number.isInteger(number) && number >= 0 && number <= max) return number;
+  process.stderr.write(`check: --${name} ${text}: give a whole number from 0 to ${max}\n`);
   process.exit(2);
 }
 
-function check(name: string, words: Words): void {
-  const explore = exploreOf(name);
-  const depth = whole('depth', words.depth, 30);
-  const seed = whole('seed', words.seed, 2 ** 31 - 1);
-  const count = whole('walks', words.walks, 1e9);
-  const length = whole('length', words.length, 1_000);
-  const begun = performance.now();
+function check(name: string, options: CliOptions): void {
+  const explore = findModel(name);
+  const depth = parseInteger('depth', options.depth, 30);
+  const seed = parseInteger('seed', options.seed, 2 ** 31 - 1);
+  const count = parseInteger('walks', options.walks, 1e9);
+  const length = parseInteger('length', options.length, 1_000);
+  const startedAt = performance.now();
   const counts = explore(depth, { seed, count, length });
-  const seconds = Math.round((performance.now() - begun) / 100) / 10;
+  const seconds = Math.round((performance.now() - startedAt) / 100) / 10;
   process.stdout.write(`${JSON.stringify({ model: name, depth, ...counts, seconds })}\n`);
   process.exit(counts.finding === undefined ? 0 : 1);
 }
--- a/packages/check/src/models/registryModel.ts
+++ b/packages/check/src/models/registryModel.ts
@@ -19,35 +19,35 @@
 
 export type Event =
   | { kind: 'start'; id: string }
-  /** The living target announces itself; `how` far that goes. */
-  | { kind: 'speak'; how: 'everywhere' | 'leaderOnly' | 'heldUp' }
+  /** The running target announces itself; `how` far that goes. */
+  | { kind: 'announce'; how: 'everywhere' | 'leaderOnly' | 'delayed' }
   /** An announcement that was held up reaches the leader. */
-  | { kind: 'arrive'; sequence: number }
+  | { kind: 'deliver'; sequence: number }
   /** It ends without a word. */
   | { kind: 'crash' }
   /** It announces that it leaves, and ends; the leader acknowledged that. */
-  | { kind: 'leave' }
+  | { kind: 'depart' }
   /** An entry met another lifetime at the address of one that the leader has in use. */
   | { kind: 'contradict'; id: string }
   /** The other copy gets all that the leader has. */
-  | { kind: 'copy' }
+  | { kind: 'replicate' }
   /** The leader gets all that the other copy has. */
-  | { kind: 'tell' }
-  /** The other keeper leads from now on; `isTold` whether it got the former leader's copy first. */
-  | { kind: 'lead'; isTold: boolean }
+  | { kind: 'merge' }
+  /** The other keeper leads from now on; `isCaughtUp` whether it got the former leader's copy first. */
+  | { kind: 'changeLeader'; isCaughtUp: boolean }
   | { kind: 'wait'; ms: number };
 
-export interface World {
+export interface State {
   registries: Registry[];
   leader: number;
   now: number;
-  living: Lifetime | undefined;
-  births: number;
+  running: Lifetime | undefined;
+  startCount: number;
   /** Rises with each announcement of whichever lifetime. */
   sequence: number;
-  heldUp: Announcement[];
+  delayed: Announcement[];
   /** Lifetimes that left in order, and the copies that know of it. */
-  left: { lifetime: Lifetime; known: Set<number> }[];
+  departures: { lifetime: Lifetime; known: Set<number> }[];
 }
 
 const IDS = ['a', 'b'] as const;
@@ -61,131 +61,131 @@
 const SETTLING_ANNOUNCEMENTS = 3;
 
 /** Fields of a registry that hold a moment. */
-const TIMES = new Set(['heardAt', 'spokeAt', 'contradictedAt']);
+const TIME_FIELDS = new Set(['heardAt', 'spokeAt', 'contradictedAt']);
 
-const MOST_HELD_UP = 2;
-const MOST_BIRTHS = 3;
+const MAX_DELAYED = 2;
+const MAX_STARTS = 3;
 
-export function registryModel(make: () => Registry): explorer.Model<World, Event> {
+export function registryModel(newRegistry: () => Registry): explorer.Model<State, Event> {
   return {
-    begin: () => ({
-      registries: [make(), make()],
+    initialState: () => ({
+      registries: [newRegistry(), newRegistry()],
       leader: 0,
       now: 0,
-      living: undefined,
-      births: 0,
+      running: undefined,
+      startCount: 0,
       sequence: 0,
-      heldUp: [],
-      left: [],
+      delayed: [],
+      departures: [],
     }),
-    events: eventsOf,
-    play,
-    fingerprint: ({ now, sequence, ...rest }) => fingerprint.fingerprintOf(rest, now, TIMES),
-    problem: (replay) => problemNow(replay()) ?? problemSettled(replay()),
+    enabledEvents: eventsOf,
+    apply,
+    fingerprint: ({ now, sequence, ...rest }) => fingerprint.fingerprintOf(rest, now, TIME_FIELDS),
+    findViolation: (replay) => invariantViolation(replay()) ?? convergenceViolation(replay()),
     describe,
   };
 }
 
-function eventsOf(world: World): Event[] {
-  const { living, births, heldUp } = world;
-  const starts = births < MOST_BIRTHS ? IDS.map((id): Event => ({ kind: 'start', id })) : [];
-  const ofLiving: Event[] = [
-    { kind: 'speak', how: 'everywhere' },
-    { kind: 'speak', how: 'leaderOnly' },
-    ...(heldUp.length < MOST_HELD_UP ? [{ kind: 'speak', how: 'heldUp' } as const] : []),
+function eventsOf(state: State): Event[] {
+  const { running, startCount, delayed } = state;
+  const starts = startCount < MAX_STARTS ? IDS.map((id): Event => ({ kind: 'start', id })) : [];
+  const ofRunning: Event[] = [
+    { kind: 'announce', how: 'everywhere' },
+    { kind: 'announce', how: 'leaderOnly' },
+    ...(delayed.length < MAX_DELAYED ? [{ kind: 'announce', how: 'delayed' } as const] : []),
     { kind: 'crash' },
-    { kind: 'leave' },
+    { kind: 'depart' },
   ];
-  const contradicted = living === undefined ? [] : wrongly(world, living);
+  const contradicted = running === undefined ? [] : wronglyInUse(state, running);
   return [
-    ...(living === undefined ? starts : ofLiving),
-    ...heldUp.map(({ sequence }): Event => ({ kind: 'arrive', sequence })),
+    ...(running === undefined ? starts : ofRunning),
+    ...delayed.map(({ sequence }): Event => ({ kind: 'deliver', sequence })),
     ...contradicted.map((id): Event => ({ kind: 'contradict', id })),
-    { kind: 'copy' },
-    { kind: 'tell' },
-    { kind: 'lead', isTold: true },
-    { kind: 'lead', isTold: false },
+    { kind: 'replicate' },
+    { kind: 'merge' },
+    { kind: 'changeLeader', isCaughtUp: true },
+    { kind: 'changeLeader', isCaughtUp: false },
     { kind: 'wait', ms: ANNOUNCE_EVERY_MS },
   ];
 }
 
 /** Ids that the leader has in use at the address though another lifetime is there. */
-function wrongly({ registries, leader }: World, living: Lifetime): string[] {
+function wronglyInUse({ registries, leader }: State, running: Lifetime): string[] {
   return inUse(registries[leader])
-    .filter((record) => !isOf(living, record) && record.id !== living.id)
+    .filter((record) => !isSameLifetime(running, record) && record.id !== running.id)
     .map(({ id }) => id);
 }
 
-function play(world: World, event: Event): void {
-  const { registries, now } = world;
-  const leader = registries[world.leader];
-  const other = 1 - world.leader;
+function apply(state: State, event: Event): void {
+  const { registries, now } = state;
+  const leader = registries[state.leader];
+  const other = 1 - state.leader;
   if (event.kind === 'start') {
-    world.births += 1;
-    world.living = { id: event.id, bornAt: world.births };
-  } else if (event.kind === 'speak') speak(world, event.how);
-  else if (event.kind === 'arrive') arrive(world, event.sequence);
-  else if (event.kind === 'crash') world.living = undefined;
-  else if (event.kind === 'leave') leave(world);
+    state.startCount += 1;
+    state.running = { id: event.id, bornAt: state.startCount };
+  } else if (event.kind === 'announce') announce(state, event.how);
+  else if (event.kind === 'deliver') deliver(state, event.sequence);
+  else if (event.kind === 'crash') state.running = undefined;
+  else if (event.kind === 'depart') depart(state);
   else if (event.kind === 'contradict') {
     registries[other].follow(leader.presumeEnded(event.id, now), now);
-  } else if (event.kind === 'copy') copy(world, world.leader, other);
-  else if (event.kind === 'tell') tell(world);
-  else if (event.kind === 'lead') {
-    if (event.isTold) copy(world, world.leader, other);
-    world.leader = other;
-  } else world.now += event.ms;
+  } else if (event.kind === 'replicate') replicate(state, state.leader, other);
+  else if (event.kind === 'merge') mergeIntoLeader(state);
+  else if (event.kind === 'changeLeader') {
+    if (event.isCaughtUp) replicate(state, state.leader, other);
+    state.leader = other;
+  } else state.now += event.ms;
 }
 
-function wordOf(world: World, { id, bornAt }: Lifetime): Announcement {
-  world.sequence += 1;
-  const { sequence } = world;
+function newAnnouncement(state: State, { id, bornAt }: Lifetime): Announcement {
+  state.sequence += 1;
+  const { sequence } = state;
   const place = { service: 's', address: ADDRESS, dataCentre: 'd', slots: 1 };
   return { id, bornAt, ...place, state: 'ready', sequence };
 }
 
-function speak(world: World, how: 'everywhere' | 'leaderOnly' | 'heldUp'): void {
-  const { registries, leader, now, living } = world;
-  if (living === undefined) return;
-  const word = wordOf(world, living);
-  if (how === 'heldUp') {
-    world.heldUp.push(word);
+function announce(state: State, how: 'everywhere' | 'leaderOnly' | 'delayed'): void {
+  const { registries, leader, now, running } = state;
+  if (running === undefined) return;
+  const announcement = newAnnouncement(state, running);
+  if (how === 'delayed') {
+    state.delayed.push(announcement);
     return;
   }
-  const changed = registries[leader].announce(word, now);
+  const changed = registries[leader].announce(announcement, now);
   if (how === 'everywhere') registries[1 - leader].follow(changed, now);
 }
 
-function arrive(world: World, sequence: number): void {
-  const { registries, leader, now } = world;
-  const word = world.heldUp.find((each) => each.sequence === sequence);
-  world.heldUp = world.heldUp.filter((each) => each !== word);
-  if (word !== undefined)
-    registries[1 - leader].follow(registries[leader].announce(word, now), now);
+function deliver(state: State, sequence: number): void {
+  const { registries, leader, now } = state;
+  const announcement = state.delayed.find((each) => each.sequence === sequence);
+  state.delayed = state.delayed.filter((each) => each !== announcement);
+  if (announcement !== undefined)
+    registries[1 - leader].follow(registries[leader].announce(announcement, now), now);
 }
 
-function leave(world: World): void {
-  const { registries, leader, now, living } = world;
-  if (living === undefined) return;
-  registries[leader].depart(living.id, now, living.bornAt);
-  world.left.push({ lifetime: living, known: new Set([leader]) });
-  world.living = undefined;
+function depart(state: State): void {
+  const { registries, leader, now, running } = state;
+  if (running === undefined) return;
+  registries[leader].depart(running.id, now, running.bornAt);
+  state.departures.push({ lifetime: running, known: new Set([leader]) });
+  state.running = undefined;
 }
 
-function copy(world: World, from: number, to: number): void {
-  const { registries, now } = world;
+function replicate(state: State, from: number, to: number): void {
+  const { registries, now } = state;
   registries[to].follow(registries[from].records(), now);
-  world.left.filter(({ known }) => known.has(from)).forEach(({ known }) => known.add(to));
+  state.departures.filter(({ known }) => known.has(from)).forEach(({ known }) => known.add(to));
 }
 
-function tell({ registries, leader, now, left }: World): void {
+function mergeIntoLeader({ registries, leader, now, departures }: State): void {
   const other = 1 - leader;
   const changed = registries[leader].merge(registries[other].records(), now);
   registries[other].follow(changed, now);
-  left.filter(({ known }) => known.has(other)).forEach(({ known }) => known.add(leader));
+  departures.filter(({ known }) => known.has(other)).forEach(({ known }) => known.add(leader));
 }
 
-function isOf({ id, bornAt }: Lifetime, record: Lifetime): boolean {
+function isSameLifetime({ id, bornAt }: Lifetime, record: Lifetime): boolean {
   return id === record.id && bornAt === record.bornAt;
 }
 
@@ -193,52 +193,54 @@
   return registry.records().filter(({ state }) => state !== 'gone');
 }
 
-function problemNow({ registries, left }: World): string | undefined {
+function invariantViolation({ registries, departures }: State): string | undefined {
   const problems = registries.map((registry, i) => {
     const used = inUse(registry);
-    if (used.length > 1) return `copy ${i} has ${used.map(named).join(' and ')} in use`;
-    const known = left.filter(({ known: copies }) => copies.has(i));
-    const returned = used.find((record) => known.some(({ lifetime }) => isOf(lifetime, record)));
-    return returned && `copy ${i} has ${named(returned)} in use, which left`;
+    if (used.length > 1) return `copy ${i} has ${used.map(nameOf).join(' and ')} in use`;
+    const known = departures.filter(({ known: copies }) => copies.has(i));
+    const returned = used.find((record) =>
+      known.some(({ lifetime }) => isSameLifetime(lifetime, record)),
+    );
+    return returned && `copy ${i} has ${nameOf(returned)} in use, which left`;
   });
   return problems.find((problem) => problem !== undefined);
 }
 
-/** The living target goes on announcing itself, and the other copy hears of the leader. */
-function problemSettled(world: World): string | undefined {
-  const { living, registries } = world;
-  if (living === undefined) return undefined;
+/** The running target goes on announcing itself, and the other copy hears of the leader. */
+function convergenceViolation(state: State): string | undefined {
+  const { running, registries } = state;
+  if (running === undefined) return undefined;
   for (let i = 0; i < SETTLING_ANNOUNCEMENTS; i++) {
-    world.now += ANNOUNCE_EVERY_MS;
-    speak(world, 'everywhere');
-    copy(world, world.leader, 1 - world.leader);
+    state.now += ANNOUNCE_EVERY_MS;
+    announce(state, 'everywhere');
+    replicate(state, state.leader, 1 - state.leader);
   }
   const lacking = registries.findIndex((registry) => {
-    return !inUse(registry).some((record) => isOf(living, record));
+    return !inUse(registry).some((record) => isSameLifetime(running, record));
   });
-  if (lacking === -1) return problemNow(world);
-  return `copy ${lacking} hasn't ${named(living)} in use, which has announced itself ${SETTLING_ANNOUNCEMENTS} times`;
+  if (lacking === -1) return invariantViolation(state);
+  return `copy ${lacking} hasn't ${nameOf(running)} in use, which has announced itself ${SETTLING_ANNOUNCEMENTS} times`;
 }
 
-function named({ id, bornAt }: Lifetime): string {
+function nameOf({ id, bornAt }: Lifetime): string {
   return `${id}/${bornAt}`;
 }
 
 function describe(event: Event): string {
   if (event.kind === 'start') return `a target starts as ${event.id}`;
-  if (event.kind === 'arrive') return 'an announcement that was held up arrives';
+  if (event.kind === 'deliver') return 'an announcement that was held up arrives';
   if (event.kind === 'contradict') return `an entry meets another lifetime in place of ${event.id}`;
-  if (event.kind === 'lead')
-    return `the other keeper leads, ${event.isTold ? '' : 'not '}told of all`;
+  if (event.kind === 'changeLeader')
+    return `the other keeper leads, ${event.isCaughtUp ? '' : 'not '}told of all`;
   if (event.kind === 'wait') return `${event.ms} ms pass`;
-  if (event.kind === 'copy') return 'the other copy gets all';
-  if (event.kind === 'tell') return 'the leader gets all that the other copy has';
+  if (event.kind === 'replicate') return 'the other copy gets all';
+  if (event.kind === 'merge') return 'the leader gets all that the other copy has';
   if (event.kind === 'crash') return 'the target crashes';
-  if (event.kind === 'leave') return 'the target leaves in order';
+  if (event.kind === 'depart') return 'the target leaves in order';
   const heard = {
     everywhere: 'heard everywhere',
     leaderOnly: 'heard by the leader',
-    heldUp: 'held up',
+    delayed: 'held up',
   };
   return `the target announces itself, ${heard[event.how]}`;
 }
