--- a/packages/soak/src/__tests__/schedule.test.ts
+++ b/packages/soak/src/__tests__/schedule.test.ts
@@ -1,4 +1,4 @@
-/** Plans follow from their seed and stay within what a fleet must bear. */
+/** Plans are reproducible from their seed and stay within the faults that a fleet tolerates. */
 import * as chai from 'chai';
 import * as layout from '../layout';
 import * as schedule from '../schedule';
@@ -7,7 +7,7 @@
 
 const SIZE = layout.LAYOUTS.small;
 
-/** Seconds within which a keeper counts as lost. */
+/** A keeper still counts as lost this long after its fault, seconds. */
 const LOST = 5;
 
 const LOSES_KEEPER = /^keeper(Kill|Pause|Cut|Wipe|Tear)|^disk/;
@@ -18,7 +18,7 @@
     expect(schedule.drawPlan(7, 4, SIZE).steps).toMatchSnapshot();
   });
 
-  it('never takes more than two keepers at once, nor any beside a loss of all', () => {
+  it('never disturbs more than two keepers at once, nor any during a fault of all', () => {
     for (let seed = 0; seed < 300; seed++) {
       const { steps } = schedule.drawPlan(seed, 40, SIZE);
       steps.forEach((step, i) => {
--- a/packages/soak/src/faultInjector.ts
+++ b/packages/soak/src/faultInjector.ts
@@ -1,4 +1,4 @@
-/** Carries out the steps of a plan on a fleet, and notes from when to when each harms what. */
+/** Carries out the steps of a plan on a fleet, and records which process each step disturbs and for how long. */
 import type * as fleet from './fleet';
 import type * as forwarder from './forwarder';
 import type * as observations from './observations';
@@ -11,19 +11,19 @@
 
 const GRAY_MODES: targetMain.Mode[] = ['failing', 'mute', 'cutting', 'crossed', 'extra'];
 
-/** Ways of a VM that a cut takes; both more often. */
+/** Directions in which a VM is cut off; `both` is listed twice so that it is drawn more often. */
 const CUT_DIRECTIONS = ['in', 'out', 'both', 'both'] as const;
 
-/** Pause before a process that ended is started again, milliseconds. */
+/** Delay before a process that exited is started again. */
 const RESTART_DELAY_MS = 300;
 
-/** Longest time for a planned stop; the process is killed then. */
+/** A process that hasn't exited this long after SIGTERM is killed. */
 const STOP_TIMEOUT_MS = 8_000;
 
-/** Part of the killed targets that start again under the id that they had. */
+/** Share of killed targets that restart with the same id. */
 const SAME_ID_SHARE = 0.4;
 
-/** Part of the losses of all keepers in which some of them lose their disks too, as many as the settings tolerate. */
+/** Share of power losses of all keepers in which as many as the fleet tolerates lose their disks too. */
 const WIPE_SHARE = 0.5;
 const WIPED_KEEPERS = 2;
 
@@ -32,10 +32,10 @@
 const CLOCK_STEP_MS = 3_000;
 const NETWORK_DELAY_MS = 60;
 
-/** Pause between two requests with a key that was taken away, milliseconds. */
+/** Interval between requests with a revoked key to an isolated entry. */
 const REVOKED_KEY_INTERVAL_MS = 100;
 
-/** A process needs so long after its start to be of use again, milliseconds. */
+/** How long a process takes after its start to serve again. */
 const WARM_UP_MS = 1_000;
 
 export class FaultInjector {
@@ -46,12 +46,12 @@
     private readonly random: () => number,
   ) {}
 
-  /** Starts a step; resolves when it is over. */
+  /** Carries out a step; resolves when it is over. */
   carryOut(step: Step): Promise<void> {
     return this.actions[step.kind](step);
   }
 
-  /** What each kind of step does. */
+  /** Actions by kind of step. */
   private readonly actions: Record<schedule.StepKind, (step: Step) => Promise<void>> = {
     entryKill: (step) => this.disturbVm(this.entry(step), step, (vm) => this.powerCycle(vm, 0)),
     entryStop: (step) => this.stopEntry(this.entry(step)),
@@ -102,7 +102,7 @@
     },
   };
 
-  /** Targets in need name a limit for a while. */
+  /** Makes targets report a rate limit for a while. */
   async limitRate({ targets, perSecond, forSeconds }: schedule.LimitingSpan): Promise<void> {
     const spans = targets.map((index) => {
       this.fleet.targets[index].setSelfReport({ limit: perSecond });
@@ -116,7 +116,10 @@
     });
   }
 
-  /** Targets turn requests away and ask to be left alone, but for one that says it leaves, and does so at the end. */
+  /**
+   * Makes targets reject requests with `Retry-After` for a while. The first one instead reports that it is draining,
+   * and drains at the end.
+   */
   async shedLoad({ targets, backOffSeconds, forSeconds }: schedule.SheddingSpan): Promise<void> {
     const sheddingTargets = targets.map((index) => this.fleet.targets[index]);
     sheddingTargets.forEach((target, i) =>
@@ -129,7 +132,7 @@
     await Promise.all(sheddingTargets.slice(0, 1).map((target) => this.drainTarget(target)));
   }
 
-  /** Cuts an entry off, sets its time of day back, and takes a key away; resolves when the entry is back. */
+  /** Isolates an entry, sets its wall clock back, and revokes a key; resolves when the entry is connected again. */
   async isolate(
     { index, organisation, forSeconds }: schedule.IsolationSpan,
     sendRequest: (entry: fleet.Vm, key: string) => void,
@@ -150,7 +153,7 @@
     endDisturbance();
   }
 
-  /** Ends everything that lasts, and starts what is down. */
+  /** Ends all faults and starts all processes that are down. */
   restoreAll(): void {
     const { network, vms, targets } = this.fleet;
     network.restoreAll();
@@ -240,14 +243,17 @@
     await operator.sleep(WARM_UP_MS);
   }
 
-  /** A keeper loses power for a while; `meanwhile` harms its disk. */
+  /** Simulates a power loss of a keeper; `meanwhile` damages its disk. */
   private powerCycleKeeper(step: Step, meanwhile?: (vm: fleet.Vm) => void): Promise<void> {
     return this.disturbVm(this.keeper(step), step, (vm) =>
       this.powerCycle(vm, durationMs(step), meanwhile),
     );
   }
 
-  /** What was acknowledged before must be there after it, so it is read before newer documents hide a loss. */
+  /**
+   * Simulates a power loss of all keepers, and possibly of entries. Documents that were acknowledged before must
+   * survive it; the newest one is read back before later submissions can hide a loss.
+   */
   private async powerCycleAll(vms: readonly fleet.Vm[], step: Step): Promise<void> {
     const wiped = this.fleet.keepers.slice(0, step.variant < WIPE_SHARE ? WIPED_KEEPERS : 0);
     const wipe = (vm: fleet.Vm): void => {
@@ -307,7 +313,7 @@
   }
 }
 
-/** How long a step lasts, milliseconds. */
+/** Duration of a step in milliseconds. */
 function durationMs({ forSeconds }: Step): number {
   return forSeconds * 1_000;
 }
--- a/packages/soak/src/index.ts
+++ b/packages/soak/src/index.ts
@@ -1,4 +1,4 @@
-/** The fault soak as a library, for its tests. */
+/** Public modules of the soak test, exported for its tests. */
 export * as checks from './checks';
 export * as run from './run';
 export * as schedule from './schedule';
--- a/packages/soak/src/main.ts
+++ b/packages/soak/src/main.ts
@@ -1,4 +1,7 @@
-/** `npm run soak -- --seed N`: plays seeds; the last line is one JSON object with counts. */
+/**
+ * Command line of the soak test (`npm run soak -- --seed N`). Runs a range of seeds, writes one JSON report per seed to
+ * standard error and a JSON summary as the last line of standard output.
+ */
 import * as fs from 'node:fs';
 import * as path from 'node:path';
 import * as commander from 'commander';
@@ -20,7 +23,7 @@
 function parseInteger(name: string, text: string, min: number, max: number): number {
   const number = Number(text);
   if (Number.isInteger(number) && number >= min && number <= max) return number;
-  process.stderr.write(`soak: --${name} ${text}: give a whole number from ${min} to ${max}\n`);
+  process.stderr.write(`soak: --${name} ${text}: expected an integer from ${min} to ${max}\n`);
   process.exit(2);
 }
 
@@ -31,7 +34,7 @@
   const network = parseInteger('network', options.network, 1, 240);
   const parallel = parseInteger('parallel', options.parallel, 1, 8);
   if (options.size !== 'small' && options.size !== 'large') {
-    process.stderr.write(`soak: --size ${options.size}: give small or large\n`);
+    process.stderr.write(`soak: --size ${options.size}: expected small or large\n`);
     process.exit(2);
   }
   const size: layout.Size = options.size;
@@ -73,16 +76,22 @@
 
 export async function main(argv: readonly string[]): Promise<void> {
   await new commander.Command('soak')
-    .description('Real processes, faults from outside, promises checked while they run.')
+    .description(
+      'Runs real processes under injected faults and checks the guarantees of the fleet.',
+    )
     .option('--seed <n>', 'first seed', '1')
-    .option('--seeds <n>', 'how many seeds, one after the other', '1')
-    .option('--seconds <n>', 'how long harm is done in a run', '20')
-    .option('--parallel <n>', 'runs at the same time', '1')
+    .option('--seeds <n>', 'number of consecutive seeds', '1')
+    .option('--seconds <n>', 'duration of the fault schedule in each run', '20')
+    .option('--parallel <n>', 'number of concurrent runs', '1')
     .option('--size <size>', 'small or large', 'small')
-    .option('--program <file>', 'program that runs on the VMs', 'target/celerydrift.js')
-    .option('--folder <folder>', 'where failed runs are kept', 'soak-runs')
-    .option('--network <n>', "second byte of the first run's addresses in 127/8", '40')
-    .option('--keep', 'keeps the folders of good runs too')
+    .option(
+      '--program <file>',
+      'program that the keeper and entry processes run',
+      'target/celerydrift.js',
+    )
+    .option('--folder <folder>', 'folder that keeps the files of failed runs', 'soak-runs')
+    .option('--network <n>', "second byte of the first run's loopback addresses (127/8)", '40')
+    .option('--keep', 'also keep the folders of runs that passed')
     .action(runAll)
     .parseAsync([...argv]);
 }
--- a/packages/soak/src/run.ts
+++ b/packages/soak/src/run.ts
@@ -1,4 +1,7 @@
-/** One soak run: starts a fleet, carries out a plan under traffic, heals everything, and checks the promises. */
+/**
+ * One soak run: starts a fleet, injects the faults of a plan while callers send requests, ends all faults, and checks
+ * the guarantees against what was observed.
+ */
 import * as fs from 'node:fs';
 import * as path from 'node:path';
 import * as domain from '@celerydrift/domain';
@@ -17,14 +20,14 @@
 
 export interface Options {
   seed: number;
-  /** How long harm is done, seconds. */
+  /** Duration of the fault schedule, seconds. */
   seconds: number;
   size: layout.Size;
-  /** Program that runs on the VMs. */
+  /** Program that the keeper and entry processes run. */
   program: string;
-  /** Everything of the run is kept here. */
+  /** Folder for all files of the run. */
   folder: string;
-  /** Second byte of the run's addresses, 1 to 254; runs at the same time need different ones. */
+  /** Second byte of the run's loopback addresses, 1 to 254; concurrent runs need different ones. */
   network: number;
 }
 
@@ -34,32 +37,31 @@
   asked: number;
   served: number;
   changes: number;
-  /** Contents under which targets ended, copies of them, and targets that ended. */
+  /** Distinct request bodies that crash targets, requests sent with them, and target processes that crashed. */
   crashing: { contents: number; copies: number; ended: number };
-  /** Number of violations by promise; empty for a good run. */
+  /** Number of violations per promise; empty for a run that passed. */
   broken: Partial<Record<checks.PromiseName | 'notPlayed', number>>;
-  /** The first violations, as the folder of a run on another machine may be lost. */
+  /** The first violations; included because the folder of a run on another machine may be lost. */
   violations: checks.Violation[];
   folder: string;
 }
 
-/** So many violations of a run are in its report; its folder has all. */
+/** Maximum number of violations in a report; `violations.json` in the run's folder has all of them. */
 const REPORTED_VIOLATIONS = 5;
 
 const START_TIMEOUT_MS = 20_000;
-/** Pause between two announcements of another program, milliseconds. */
 const MALFORMED_ANNOUNCEMENT_INTERVAL_MS = 300;
 
 const READY_POLL_MS = 200;
 const PROBE_INTERVAL_MS = 250;
 
-/** Traffic goes on for so long after recovery is due, milliseconds. */
+/** How long traffic continues after the fleet must have recovered, which `notRecovered` is measured on. */
 const RECOVERED_TRAFFIC_MS = 4_000;
 
-/** Memory must be free by then after the last request, milliseconds. */
+/** Targets must have released all memory reservations this long after the last request. */
 const RELEASE_TIMEOUT_MS = 4_500;
 
-/** Part of the requests that go on with a key that was taken away. */
+/** Share of requests that use a revoked key. */
 const REVOKED_KEY_SHARE = 0.05;
 
 class SoakRun {
@@ -146,7 +148,8 @@
     const until = Date.now() + START_TIMEOUT_MS;
     for (const entry of this.fleet.entries) {
       while (!(await this.serves(entry))) {
-        if (Date.now() > until) throw new Error(`entry ${entry.index} doesn't serve`);
+        if (Date.now() > until)
+          throw new Error(`entry ${entry.index} did not serve a request in time`);
         await operator.sleep(READY_POLL_MS);
       }
     }
@@ -259,7 +262,7 @@
   return ((await answer.json()) as { reservations: number }).reservations;
 }
 
-/** Plays a seed and writes the plan, what was seen and the violations into the run's folder. */
+/** Runs one seed and writes the plan, the observations and the violations to the run's folder. */
 export async function runSeed(options: Options): Promise<SeedReport> {
   const { seed, seconds, size, folder } = options;
   fs.rmSync(folder, { recursive: true, force: true });
@@ -268,7 +271,7 @@
     fs.writeFileSync(path.join(folder, file), `${JSON.stringify(content, undefined, 1)}\n`);
   const plan = schedule.drawPlan(seed, seconds, layout.LAYOUTS[size]);
   write('plan.json', plan);
-  // A run goes on with the program that it began with, also while another one is built.
+  // Runs a copy of the program, so that a build during the run doesn't replace it.
   const program = path.join(folder, 'program', path.basename(options.program));
   fs.cpSync(path.dirname(options.program), path.dirname(program), {
     recursive: true,
@@ -302,7 +305,7 @@
   };
 }
 
-/** The report of a run that the soak itself couldn't carry out; it counts as failed. */
+/** Report of a run that the soak test itself couldn't carry out; it counts as failed. */
 export function failedReport(seed: number, folder: string, error: unknown): SeedReport {
   fs.writeFileSync(path.join(folder, 'error.txt'), `${String((error as Error).stack ?? error)}\n`);
   const crashing = { contents: 0, copies: 0, ended: 0 };
--- a/packages/soak/src/schedule.ts
+++ b/packages/soak/src/schedule.ts
@@ -1,4 +1,7 @@
-/** What is done to a fleet in one run, from a seed: harm in series and overlapping with changes and planned stops. */
+/**
+ * Draws the plan of a run from a seed: faults, configuration changes and planned stops, one after the other and
+ * overlapping.
+ */
 import * as domain from '@celerydrift/domain';
 import * as layout from './layout';
 import type * as observations from './observations';
@@ -33,17 +36,17 @@
 
 export interface Step {
   kind: StepKind;
-  /** Seconds from the beginning of traffic. */
+  /** Start, in seconds since traffic began. */
   at: number;
-  /** How long it lasts, seconds, where it does. */
+  /** Duration in seconds, for kinds that have one. */
   forSeconds: number;
-  /** Number of the process that it is done to. */
+  /** Index of the affected process. */
   index: number;
-  /** For a choice within a kind: a number in [0, 1). */
+  /** Number in [0, 1) that selects a variant of the kind. */
   variant: number;
 }
 
-/** How often a kind is drawn against the others. What is planned comes more often than what is harmful. */
+/** Relative frequency of each kind. Planned operations are drawn more often than faults. */
 const WEIGHTS: Record<StepKind, number> = {
   entryKill: 2,
   entryStop: 4,
@@ -73,7 +76,7 @@
   reload: 1,
 };
 
-/** Harm to keepers: at most so many may be lost at once, by the settings. */
+/** Maximum number of keepers that may be unavailable at once; equals `tolerated-losses` in the keepers' settings. */
 const MAX_LOST_KEEPERS = 2;
 
 const KEEPER_FAULTS = new Set<StepKind>([
@@ -86,51 +89,54 @@
   'diskStall',
 ]);
 
-/** Everything at once; keepers must not be harmed otherwise around it. */
+/** Faults of all keepers at once; they never overlap with other keeper faults. */
 const ALL_KEEPER_FAULTS = new Set<StepKind>(['keepersKill', 'fleetKill']);
 
-/** A keeper counts as lost for so long after it is back, seconds: it has to catch up and to vote again. */
+/** How long a restarted keeper still counts as unavailable: it has to catch up with the log before it votes again. */
 const CATCH_UP_SECONDS = 5;
 
 const MEAN_STEP_INTERVAL_SECONDS = 0.8;
-/** Longer than the lease of an entry, so that one that is cut off must notice by itself. */
+/** Longer than an entry's lease, so that an isolated entry has to detect the expiry by itself. */
 const MAX_DURATION_SECONDS = 8;
 const MIN_DURATION_SECONDS = 0.5;
 
-/** A request under which targets end, sent again and again. */
+/** A period in which copies of a request that crashes its target are sent. */
 export interface CrashingSpan {
   at: number;
   forSeconds: number;
   kind: observations.RequestKind;
-  /** Mean pause between two copies, seconds; much shorter and longer than a copy takes to end its target. */
+  /** Mean interval between two copies, seconds; from well below to well above the time that a crash takes. */
   pauseSeconds: number;
 }
 
-/** Targets in need that name a limit in their answers. */
+/** A period in which overloaded targets report a rate limit in their responses. */
 export interface LimitingSpan {
   at: number;
   forSeconds: number;
-  /** Numbers of the targets. */
+  /** Indexes of the targets. */
   targets: number[];
-  /** Requests a second that each takes from the whole fleet. */
+  /** Requests per second that each target accepts from the whole fleet. */
   perSecond: number;
 }
 
 /**
- * An entry is cut off from all other VMs, its time of day goes back, and a key is taken away, all at once: only a lease that
- * is measured by a clock that nobody steps ends the key there in time.
+ * A period in which an entry is isolated from all other VMs, its wall clock is set back, and an API key is revoked,
+ * all at once. The entry stops accepting the key in time only if it measures its lease with a monotonic clock.
  */
 export interface IsolationSpan {
   at: number;
-  /** Longer than the bound on a revoked key. */
+  /** Longer than the time within which a revoked key must be rejected. */
   forSeconds: number;
-  /** Number of the entry. */
+  /** Index of the entry. */
   index: number;
-  /** Number of the organisation whose key is taken away. */
+  /** Index of the organisation whose key is revoked. */
   organisation: number;
 }
 
-/** Targets that turn requests away and ask their senders to leave them alone; the first one says that it leaves. */
+/**
+ * A period in which targets reject requests with `Retry-After`; the first target reports in its responses that it is
+ * draining instead.
+ */
 export type SheddingSpan = Omit<LimitingSpan, 'perSecond'> & { backOffSeconds: number };
 
 export interface Plan {
@@ -153,7 +159,10 @@
   return least + (most - least) * random.uniform();
 }
 
-/** Spans with pauses between them, drawn apart from the steps, so that the steps of a seed stay what they are. */
+/**
+ * Draws periods at random intervals. They have a random source of their own, so that the steps of a seed don't depend
+ * on them.
+ */
 function drawSpans<T>(
   { seed, seconds, meanPause, minGap }: Record<'seed' | 'seconds' | 'meanPause' | 'minGap', number>,
   drawSpan: (random: Random, at: number) => T,
@@ -179,13 +188,16 @@
   });
 }
 
-/** Added to the seed for draws apart from the steps and from requests that crash targets. */
+/**
+ * The offsets are added to the seed, so that rate limits, load shedding and isolation are drawn independently of each
+ * other, of the steps and of crashing requests.
+ */
 const LIMITING_SEED_OFFSET = 1_000_003;
 const MEAN_LIMITING_INTERVAL_SECONDS = 3;
-/** A limit holds from some seconds after it is named, in spans of some seconds. */
+/** Longer than the few seconds after which a limit must hold and the few seconds over which it is measured. */
 const LIMITING_SECONDS = { least: 8, most: 20 } as const;
 const LIMIT_PER_SECOND = { least: 0.3, most: 5 } as const;
-/** Part of the targets that are in need at once, at most. */
+/** Maximum share of targets that report a limit at once. */
 const MAX_LIMITED_SHARE = 0.8;
 
 function drawLimiting(seed: number, seconds: number, targets: number): LimitingSpan[] {
@@ -201,7 +213,6 @@
 
 const SHEDDING_SEED_OFFSET = 3_000_003;
 
-/** Added to the seed for draws apart from all others. */
 const ISOLATION_SEED_OFFSET = 2_000_003;
 const MEAN_ISOLATION_INTERVAL_SECONDS = 6;
 const ISOLATION_SECONDS = 10;
@@ -227,7 +238,7 @@
   return (drawn ?? kinds[0])[0];
 }
 
-/** Number of processes that a kind picks one of. */
+/** Number of processes that a step of this kind chooses from. */
 function candidateCount(
   kind: StepKind,
   { keepers, entries, engines, services }: layout.Layout,
@@ -238,7 +249,7 @@
   return entries;
 }
 
-/** Whether a step would take more keepers than the fleet tolerates. */
+/** Whether a step would make more keepers unavailable than the fleet tolerates. */
 function exceedsTolerance(step: Step, steps: readonly Step[]): boolean {
   const isOnKeepers = (each: Step): boolean =>
     KEEPER_FAULTS.has(each.kind) || ALL_KEEPER_FAULTS.has(each.kind);
