--- a/packages/soak/src/__tests__/awakeTime.test.ts
+++ b/packages/soak/src/__tests__/awakeTime.test.ts
@@ -1,12 +1,12 @@
-/** What counts as time in which a caller could have read its answer. */
+/** Tests which time counts towards the timeouts of callers. */
 import * as chai from 'chai';
 import * as awakeTime from '../awakeTime';
 
 const { expect } = chai;
 
 describe('soak: awake time', () => {
-  /** Guards against answers taken for missing that came while the soak itself stood still. */
-  it('leaves out time in which the process stood still', () => {
+  /** Guards against responses reported as missing that arrived while the soak test itself was stalled. */
+  it('excludes time in which the process was stalled', () => {
     let now = 0;
     const made = new awakeTime.AwakeTime(() => now);
     const read = [50, 100, 2_953, 3_003].map((at) => {
--- a/packages/soak/src/__tests__/checks.test.ts
+++ b/packages/soak/src/__tests__/checks.test.ts
@@ -1,4 +1,4 @@
-/** Each promise is found broken where it is, and none where it isn't. */
+/** Each check detects the violation of its guarantee, and reports none where it holds. */
 import * as chai from 'chai';
 import * as answers from '../answers';
 import * as checks from '../checks';
@@ -49,7 +49,7 @@
   return { version, label: '', keys, sentAt: (ackedAt ?? 5_000) - 100, ackedAt };
 }
 
-/** A run in which everything was kept, changed by a test. */
+/** Names of the violated guarantees in a run without violations that `change` modifies. */
 function brokenPromises(change: (good: Observations) => void): string[] {
   const good = observations.empty();
   good.sent.push(submittedDocument(1, 1_000));
@@ -63,10 +63,12 @@
   return checks.violations(good).map(({ promise }) => promise);
 }
 
-/** Copies that the users' pages allow after the third end. */
+/** Copies that may reach further targets after the third crash. */
 const MAX_LATER_ARRIVALS = 3;
 
-/** Three targets end under a content by 11.2 s; so many copies of it reach further ones from 14.3 s on, sent by entry 0. */
+/**
+ * Three targets crash by 11.2 s; `later` copies of the request reach further targets from 14.3 s on, sent by entry 0.
+ */
 function addCrashes(good: Observations, later: number): void {
   for (let i = 0; i < 3; i++) {
     good.crashed.push({ target: `t9-${i}`, body: 'crash 1', at: 11_000 + 100 * i });
@@ -83,7 +85,10 @@
   }
 }
 
-/** Target 0 takes one request a second from 10 s on, told entry 0 so at once, and gets one from it each `everyMs`, told so each time. */
+/**
+ * Target 0 limits entry 0 to one request per second from 10 s on, gets one every `everyMs`, and reports the limit
+ * each time.
+ */
 function addLimitedTarget(good: Observations, everyMs: number): void {
   good.limited.push({ index: 0, perSecond: 1, from: 10_000, until: 20_000 });
   for (let at = 10_000; at < 20_000; at += everyMs) {
@@ -93,8 +98,8 @@
 }
 
 describe('soak: checks', () => {
-  it('allow a target half more than its limit and some, and all from an entry that was harmed', () => {
-    // 11 in 4 s.
+  it('allow one and a half times a limit and a few messages more, and any number from a disturbed entry', () => {
+    // The allowed maximum is 11 messages in 4 s.
     expect(brokenPromises((good) => addLimitedTarget(good, 370))).to.deep.equal([]);
     expect(brokenPromises((good) => addLimitedTarget(good, 350))).to.deep.equal(['overLimit']);
     const harmed = brokenPromises((good) => {
@@ -105,7 +110,7 @@
     expect(harmed).to.deep.equal([]);
   });
 
-  it('allow a few copies after a third end, and all from an entry that is out of touch', () => {
+  it('allow a few copies after the third crash, and any number from a disturbed entry', () => {
     expect(brokenPromises((good) => addCrashes(good, MAX_LATER_ARRIVALS))).to.deep.equal([]);
     const found = brokenPromises((good) => {
       addCrashes(good, 9);
@@ -115,7 +120,7 @@
     expect(found).to.deep.equal([]);
   });
 
-  it('find nothing in a run in which everything was kept', () => {
+  it('find nothing in a run without violations', () => {
     expect(brokenPromises(() => undefined)).to.deep.equal([]);
   });
 
@@ -213,7 +218,7 @@
     });
   });
 
-  it('allow what can happen to a process that is out of touch', () => {
+  it('allow what may happen to a disturbed process', () => {
     const found = brokenPromises(({ probes, asked: all, disturbances, sent: documents }) => {
       const harm = {
         subject: 'entry',
@@ -228,15 +233,16 @@
       probes.push(probeRecord(2, 14_000, 404));
       all.push(requestRecord('r3', { key: 'new', ending: answered(401) }));
     });
-    // Only the document that nobody can read back any more counts.
+    // Only the document that can't be read back is a violation.
     expect(found).to.deep.equal(['lost']);
   });
 
   /*
-   * Three streams were cut by a planned stop. Their entry had been frozen when it was told to stop and woke 5.8 s
-   * later; 2.2 s after that its time was over and it was killed. Right before a stop that isn't counted; longer before it is.
+   * Guards against blaming a planned stop for a freeze: an entry that was frozen when it got the signal resumed 5.8 s
+   * later, had 2.2 s of its stop timeout left and was killed with three open streams. Requests sent within the
+   * settling time after a freeze don't count; later ones do.
    */
-  it('allow a stop to cut what came right after a freeze, and nothing later', () => {
+  it('allow a stop to truncate responses to requests sent right after a freeze, but not to later ones', () => {
     const cutAfter = (frozenUntil: number): string[] =>
       brokenPromises(({ asked: all, ran, stopped, disturbances }) => {
         all.push(requestRecord('r3', { ending: { kind: 'broken' } }));
--- a/packages/soak/src/checks.ts
+++ b/packages/soak/src/checks.ts
@@ -1,6 +1,6 @@
 /**
- * The promises, checked on what was observed from outside. Those without a time bound hold always; the others hold for
- * processes that were in touch, which is said where it matters.
+ * Checks the guarantees of the fleet against what was observed from outside. Guarantees without a time bound always
+ * hold; those with one hold only for processes that weren't disturbed, which each check takes into account.
  */
 import * as answers from './answers';
 import * as layout from './layout';
@@ -11,31 +11,39 @@
 type Probe = observations.Probe;
 
 export type PromiseName =
-  /** A success that isn't the caller's whole own answer. */
+  /** A successful response that isn't the complete response to the caller's own request. */
   | 'wrongAnswer'
+  /** A request that must run at most once ran more than once. */
   | 'ranTwice'
-  /** Told that it didn't run, though it did. */
+  /** A request that ran was answered with a status that guarantees that it didn't. */
   | 'falseNotRun'
+  /** A request had no outcome well after its caller's timeout. */
   | 'hung'
-  /** A proper request refused for its route or key. */
+  /** A request with a valid route and key was rejected for one of them. */
   | 'denied'
-  /** An older version observed after a newer one in the same process. */
+  /** A process served an older version of the catalogue after a newer one. */
   | 'wentBack'
+  /** A document wasn't in force within the bound after its acknowledgement. */
   | 'notInForce'
-  /** Two documents with one version both in force. */
+  /** Two documents with the same version were both in force. */
   | 'twoContents'
-  /** An acknowledged document is gone at the end. */
+  /** An acknowledged document was missing from what was read back. */
   | 'lost'
+  /** A request with a revoked key ran after the bound. */
   | 'revokedKeyRan'
+  /** A target ran a request after the bound on draining targets. */
   | 'drainedTargetRan'
+  /** A planned stop truncated the response to a request that the entry had accepted. */
   | 'cutByStop'
-  /** A request under which three targets had ended went on reaching targets. */
+  /** A request that had crashed three targets kept reaching further ones. */
   | 'crashedOn'
-  /** A target got more than it had said that it takes. */
+  /** A target got more messages than the limit it reported. */
   | 'overLimit'
-  /** A target that asked an entry to leave it alone got more from it. */
+  /** An entry kept sending to a target during the back-off that it had requested. */
   | 'notLeftAlone'
+  /** Engines still held memory reservations at the end. */
   | 'memoryLeft'
+  /** Too few requests succeeded after all faults had ended. */
   | 'notRecovered';
 
 export interface Violation {
@@ -43,30 +51,31 @@
   detail: string;
 }
 
-/** A process counts as in touch when nothing was done to it or to the keepers for so long, milliseconds. */
+/** An entry counts as undisturbed when neither it nor any keeper had a fault for this long. */
 const UNDISTURBED_MS = 5_000;
 
 /**
- * A planned stop answers for requests that came so long after any other harm, milliseconds: by the users' pages. A process
- * that is frozen when it is to stop wakes with no more than the rest of its time, and doesn't know that.
+ * A planned stop guarantees the responses only to requests sent this long after any other fault. A process that is
+ * frozen when it is told to stop resumes with only the remainder of its stop timeout, and can't know that. Quarantines
+ * and limits must also hold after this time.
  */
 const SETTLING_MS = 3_000;
 
-/** A probe's answer may show a state of some milliseconds before it was sent. */
+/** The response to a probe may reflect the state this long before the probe was sent. */
 const PROBE_TOLERANCE_MS = 500;
 
-/** The way of a request from an entry to a target. */
+/** Maximum transit time of a request from an entry to a target. */
 const TRANSIT_MS = 150;
 
-/** Statuses that promise that a request didn't run. */
+/** Statuses that guarantee that a request didn't run. */
 const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
 
 const DENIAL_STATUSES = new Set([401, 403, 404]);
 
-/** Share of requests that must be served when everything is well again. */
+/** Share of requests that must succeed after recovery. */
 const MIN_RECOVERED_SHARE = 0.95;
 
-/** How long after the end of all harm that holds, milliseconds. */
+/** The fleet must have recovered this long after all faults ended. */
 export const RECOVERY_MS = 8_000;
 
 type Check = (observed: Observations) => Violation[];
@@ -100,7 +109,7 @@
   return asked.flatMap(({ request, path, ending }) => {
     if (ending.kind !== 'answered' || ending.status !== 200) return [];
     if (ending.isSigned && ending.body === answers.fullAnswer(request, path)) return [];
-    const detail = `${request} ${path} got ${JSON.stringify(ending.body.slice(0, 200))}`;
+    const detail = `${request} ${path} received ${JSON.stringify(ending.body.slice(0, 200))}`;
     return [{ promise: 'wrongAnswer', detail }];
   });
 }
@@ -115,7 +124,7 @@
       if (count > 1) return [{ promise: 'ranTwice', detail: `${request} ran ${count} times` }];
       const isReportedNotRun = ending.kind === 'answered' && NOT_RUN_STATUSES.has(ending.status);
       return isReportedNotRun && count > 0
-        ? [{ promise: 'falseNotRun', detail: `${request} ran and got ${ending.status}` }]
+        ? [{ promise: 'falseNotRun', detail: `${request} ran and received ${ending.status}` }]
         : [];
     });
 }
@@ -127,18 +136,25 @@
     .map(({ request, entry }) => ({ promise: 'hung', detail: `${request} at entry ${entry}` }));
 }
 
-/** Base routes are in every document, so an entry may refuse only keys, and those for a document without them. */
+/**
+ * Base routes are in every document. An entry may therefore reject a request only for its key, and only if a document
+ * that may be in force doesn't contain that key.
+ */
 function deniedRequests(observed: Observations): Violation[] {
   return observed.asked.flatMap((asked) => {
     const { request, key, ending, entry } = asked;
     if (ending.kind !== 'answered' || !DENIAL_STATUSES.has(ending.status)) return [];
     const possible = possibleDocuments(observed, asked);
     if (possible.some(({ keys }) => !keys.includes(key))) return [];
-    return [{ promise: 'denied', detail: `${request} got ${ending.status} at entry ${entry}` }];
+    return [
+      { promise: 'denied', detail: `${request} received ${ending.status} at entry ${entry}` },
+    ];
   });
 }
 
-/** Documents that an entry may have in force for a request; one that isn't in touch may have any. */
+/**
+ * Documents that an entry may have in force for a request. A disturbed entry may have any document submitted so far.
+ */
 function possibleDocuments(
   observed: Observations,
   asked: RequestRecord,
@@ -170,7 +186,7 @@
         each.endedAt + PROBE_TOLERANCE_MS < later.sentAt,
     );
     if (earlier === undefined) return [];
-    const detail = `entry ${later.entry}: ${later.request} saw ${later.version} after ${earlier.version}`;
+    const detail = `entry ${later.entry}: ${later.request} was served by ${later.version} after ${earlier.version}`;
     return [{ promise: 'wentBack', detail }];
   });
 }
@@ -190,7 +206,7 @@
   });
 }
 
-/** Whether the probed route is in the only document that may be in force. */
+/** Whether the probed document is acknowledged and the only one that may be in force. */
 function isKnownToAll({ sent }: Observations, probe: Probe, bound: number): boolean {
   const isOvertaken = sent.some(({ version, label, sentAt }) => {
     const isOther = version > probe.version || (version === probe.version && label !== probe.label);
@@ -224,7 +240,7 @@
     if (document === undefined) return [{ promise: 'lost', detail: 'no document read back' }];
     const { version, label } = document;
     const isSent = sent.some((each) => each.version === version && each.label === label);
-    const detail = `${version}${label} read, ${newest} acked`;
+    const detail = `read back ${version}${label}, ${newest} was acknowledged`;
     return version >= newest && isSent ? [] : [{ promise: 'lost', detail }];
   });
 }
@@ -251,7 +267,7 @@
   });
 }
 
-/** A request that a stopping entry had passed on must get its whole answer, unless its target was harmed. */
+/** A request that a stopping entry had forwarded must get its complete response, unless its target was disturbed. */
 function requestsCutByStops(observed: Observations): Violation[] {
   const ran = new Map(observed.ran.map((each) => [each.request, each]));
   return observed.stopped.flatMap(({ entry, incarnation, from, until }) => {
@@ -268,7 +284,9 @@
   });
 }
 
-/** By the users' pages: after three ends, at most three more arrivals from entries in touch, later than the stable window. */
+/**
+ * After three crashes and the settling time, a request may reach at most three more targets from undisturbed entries.
+ */
 const CRASHES_TO_QUARANTINE = 3;
 const MAX_LATER_ARRIVALS = 3;
 
@@ -290,7 +308,7 @@
       );
     });
     if (later.length <= MAX_LATER_ARRIVALS) return [];
-    const detail = `"${body}" reached ${later.length} targets more; ${crashes.length} ended in all`;
+    const detail = `"${body}" reached ${later.length} further targets; ${crashes.length} crashed in total`;
     return [{ promise: 'crashedOn', detail }];
   });
 }
@@ -300,18 +318,21 @@
   return crashers
     .filter(({ ending }) => ending.kind === 'answered' && NOT_RUN_STATUSES.has(ending.status))
     .filter(({ request }) => all.has(request))
-    .map(({ request }) => ({ promise: 'falseNotRun', detail: `${request} ran and crashed` }));
+    .map(({ request }) => ({
+      promise: 'falseNotRun',
+      detail: `${request} ran, crashed its target and was reported as not run`,
+    }));
 }
 
-/** By the users' pages: in each such span at most so many times what a limit allows, and some messages more. */
+/** In each window of this length, a target may get at most the limit times a factor, plus a few messages. */
 const LIMIT_WINDOW_MS = 4_000;
 const LIMIT_FACTOR = 1.5;
 const LIMIT_EXTRA_MESSAGES = 5;
 
-/** An entry must know a limit so long after an answer that named it, milliseconds. */
+/** An entry must respect what a target reports this long after the response that reported it. */
 const REPORT_DELAY_MS = 500;
 
-/** Messages that a target may get after it asked an entry to leave it alone. */
+/** Messages that an entry may send to a target during the back-off that it requested. */
 const MAX_DURING_BACK_OFF = 2;
 
 function limitOverruns(observed: Observations): Violation[] {
@@ -334,12 +355,12 @@
     const maxCount = Math.max(0, ...counts);
     const allowed = LIMIT_FACTOR * perSecond * (LIMIT_WINDOW_MS / 1_000) + LIMIT_EXTRA_MESSAGES;
     if (maxCount <= allowed) return [];
-    const detail = `target ${index} takes ${perSecond.toFixed(2)} a second and got ${maxCount} in 4 s`;
+    const detail = `target ${index}: limit ${perSecond.toFixed(2)} per second, ${maxCount} messages in 4 s`;
     return [{ promise: 'overLimit', detail }];
   });
 }
 
-/** Whether an entry was told of a limit and not harmed since. */
+/** Whether an entry had received a limit and has neither stopped nor been disturbed since. */
 function mustRespectLimit(
   observed: Observations,
   reports: readonly observations.TargetExchange[],
@@ -351,7 +372,9 @@
   });
 }
 
-/** Whether an entry that was told something at `since` must know it yet: it wasn't harmed or stopped meanwhile. */
+/**
+ * Whether an entry still knows at `at` what it received at `since`: it neither stopped nor was disturbed in between.
+ */
 function isUninterrupted(
   observed: Observations,
   entry: number,
@@ -376,12 +399,12 @@
       return isIt && isThen && isUninterrupted(observed, entry, at, each.at);
     });
     if (during.length <= MAX_DURING_BACK_OFF) return [];
-    const detail = `${target} got ${during.length} from entry ${entry} in ${backOffSeconds} s from ${at}`;
+    const detail = `${target}: ${during.length} messages from entry ${entry} in a back-off of ${backOffSeconds} s from ${at}`;
     return [{ promise: 'notLeftAlone', detail }];
   });
 }
 
-/** Requests of callers at targets that had said to the same entry that they leave. */
+/** Requests that ran on targets which had reported to the same entry that they were draining. */
 function drainingTargetRuns(observed: Observations): Violation[] {
   const asked = new Map(observed.asked.map((each) => [each.request, each]));
   return observed.ran.flatMap(({ request, target, bornAt, at }): Violation[] => {
@@ -396,7 +419,7 @@
 }
 
 function leftReservations({ reservationsLeft }: Observations): Violation[] {
-  const detail = `${reservationsLeft} reservations`;
+  const detail = `${reservationsLeft} reservations left`;
   return reservationsLeft === 0 ? [] : [{ promise: 'memoryLeft', detail }];
 }
 
@@ -410,7 +433,7 @@
   return [{ promise: 'notRecovered', detail: `${served} of ${late.length} served` }];
 }
 
-/** Whether harm was done to a process, or to all ways, within a span. */
+/** Whether a process, or the whole network, had a fault within a period. */
 function isDisturbed(
   { disturbances }: Observations,
   subject: observations.DisturbedSubject,
--- a/packages/soak/src/observations.ts
+++ b/packages/soak/src/observations.ts
@@ -1,12 +1,15 @@
-/** What callers, targets and the operator saw during a run, with the times of the harm that was done. Milliseconds. */
+/**
+ * What callers, targets and the operator observe during a run, and when which fault was active. All times are in
+ * milliseconds. The fields are written to `seen.json` under their own names.
+ */
 
-/** How a request ended for its caller. */
+/** Outcome of a request for its caller. */
 export type RequestOutcome =
-  /** A whole answer in the protocol. */
+  /** A complete HTTP response; `isSigned` if it carries the signature header of the target that produced it. */
   | { kind: 'answered'; status: number; isSigned: boolean; body: string }
-  /** The answer broke off, or the connection ended without one. */
+  /** The response was truncated, or the connection closed without one. */
   | { kind: 'broken' }
-  /** No answer, well after the caller's time was over. */
+  /** No response well after the caller's timeout. */
   | { kind: 'hung' };
 
 export type RequestKind = 'safe' | 'unsafe' | 'stream';
@@ -15,7 +18,7 @@
   request: string;
   kind: RequestKind;
   path: string;
-  /** Entry that took it, and that entry's incarnation when it was sent. */
+  /** Index of the entry it was sent to, and that entry's incarnation at that time. */
   entry: number;
   incarnation: number;
   key: string;
@@ -24,19 +27,19 @@
   ending: RequestOutcome;
 }
 
-/** A request to a route that only one version of the catalogue has. */
+/** A request to a route that exists in only one document of the catalogue. */
 export interface Probe extends RequestRecord {
   version: number;
-  /** Which of two documents with that version has the route. */
+  /** Tells apart documents that were submitted concurrently with the same version. */
   label: string;
 }
 
-/** A request under which targets end. */
+/** A request that crashes the target that runs it. */
 export interface CrashingRequest extends RequestRecord {
   body: string;
 }
 
-/** A target that ended under a request with this body. */
+/** The crash of a target while it ran a request with this body. */
 export interface TargetCrash {
   target: string;
   body: string;
@@ -50,38 +53,38 @@
   at: number;
 }
 
-/** A message that a target got from an entry, or what it said in an answer to that entry. */
+/** A message that a target received from an entry, or a report in the target's response to that entry. */
 export interface TargetExchange {
   target: string;
-  /** Tells lifetimes with one id apart. */
+  /** Start time of the target process; distinguishes lifetimes with the same id. */
   bornAt?: number;
   entry: number;
   at: number;
-  /** For how long it is to be left alone, where it asked for that. */
+  /** The back-off period that the target requested, if any. */
   backOffSeconds?: number;
 }
 
-/** A span in which a target names its limit. */
+/** A period in which a target reports a rate limit. */
 export interface LimitWindow {
-  /** Number of the target. */
+  /** Index of the target. */
   index: number;
   perSecond: number;
   from: number;
-  /** Infinite while it lasts. */
+  /** Infinity while the period lasts. */
   until: number;
 }
 
-/** A document that the operator sent. */
+/** A catalogue document that the operator submitted. */
 export interface SubmittedDocument {
   version: number;
   label: string;
   keys: string[];
   sentAt: number;
-  /** Undefined while no acknowledgement came. */
+  /** Undefined until a keeper acknowledges it. */
   ackedAt: number | undefined;
 }
 
-/** A key that an acknowledged document no longer has. */
+/** An API key that an acknowledged document no longer contains. */
 export interface RevokedKey {
   key: string;
   ackedAt: number;
@@ -89,20 +92,20 @@
 
 export interface DrainedTarget {
   target: string;
-  /** When its announcement was acknowledged. */
+  /** When a keeper acknowledged the announcement that the target is draining. */
   at: number;
 }
 
 export type DisturbedSubject = 'entry' | 'keeper' | 'target' | 'network';
 
-/** Harm to one process, or to the ways between all of them. */
+/** A fault of one process, or of the network between all processes. */
 export interface Disturbance {
   subject: DisturbedSubject;
-  /** Number of the entry, keeper or target. */
+  /** Index of the entry, keeper or target. */
   index: number;
   what: string;
   from: number;
-  /** Infinite while it lasts. */
+  /** Infinity while the fault lasts. */
   until: number;
 }
 
@@ -114,13 +117,13 @@
   until: number;
 }
 
-/** A document as it is told from others with its version. */
+/** Identifies a catalogue document; the label tells apart documents with the same version. */
 export interface DocumentIdentity {
   version: number;
   label: string;
 }
 
-/** Nothing seen yet. */
+/** Observations at the start of a run. */
 export function empty() {
   return {
     asked: [] as RequestRecord[],
@@ -138,15 +141,15 @@
     drained: [] as DrainedTarget[],
     stopped: [] as PlannedStop[],
     disturbances: [] as Disturbance[],
-    /** Lifetime of each target by its number, with the time of its start. */
+    /** Ids that each target, by index, has run under. */
     lifetimes: [] as { target: string; index: number }[],
-    /** Read back after all keepers had lost their power, before the operator sent anything newer. */
+    /** Documents read back after a power loss of all keepers, before the operator submitted newer ones. */
     restartReads: [] as { lostAt: number; document: DocumentIdentity | undefined }[],
-    /** The document read back at the end; undefined where no keeper answered. */
+    /** Newest document read back at the end; undefined if no keeper answered. */
     readBack: undefined as DocumentIdentity | undefined,
-    /** Reservations that engines still held at the end. */
+    /** Memory reservations that engines still held at the end. */
     reservationsLeft: 0,
-    /** When everything was well again. */
+    /** When all faults had ended. */
     healedAt: Infinity,
   };
 }
