--- a/packages/soak/src/answers.ts
+++ b/packages/soak/src/answers.ts
@@ -1,12 +1,12 @@
-/** What a stand-in target answers to a request; known from the request alone, so that a caller can check it. */
+/** Responses of stand-in targets. They follow from the request alone, so that callers can verify them. */
 
-/** Events of a whole stream. */
+/** Number of events in a complete stream. */
 export const STREAM_EVENTS = 8;
 
-/** A path with this word gets a stream. */
+/** Requests whose path contains this get a stream. */
 export const STREAM_MARKER = 'stream';
 
-/** Where a stand-in tells its state. */
+/** Path at which a stand-in reports the number of its memory reservations. */
 export const STATE_PATH = '/state';
 
 export function callBody(request: string, path: string): string {
@@ -21,10 +21,10 @@
   return Array.from({ length: STREAM_EVENTS }, (_, i) => streamEvent(request, i + 1)).join('');
 }
 
-/** The whole answer to a request. */
+/** The complete response body for a request. */
 export function fullAnswer(request: string, path: string): string {
   return path.includes(STREAM_MARKER) ? streamBody(request) : callBody(request, path);
 }
 
-/** The body of a request begins with this where targets are to end when they begin to run it. */
+/** Requests whose body begins with this crash the target that runs them. */
 export const CRASH_MARKER = 'crash';
--- a/packages/soak/src/awakeTime.ts
+++ b/packages/soak/src/awakeTime.ts
@@ -1,11 +1,12 @@
 /**
- * How long this process has been able to read answers. On a machine that stands still for seconds, timers fire before what
- * arrived meanwhile is read; a caller that counted that time would take an answer that is there for a missing one.
+ * Measures how long this process has been able to read responses. When a machine stalls for seconds, expired timers
+ * fire before data that arrived in the meantime is read. A caller whose timeout included the stall would report a
+ * response that has arrived as missing.
  */
 
 const SAMPLE_INTERVAL_MS = 50;
 
-/** Most time between two looks that counts, milliseconds. */
+/** Time between two samples counts up to this; the rest is a stall. */
 const MAX_SAMPLE_MS = 2 * SAMPLE_INTERVAL_MS;
 
 export class AwakeTime {
@@ -18,7 +19,7 @@
     setInterval(() => this.sample(), SAMPLE_INTERVAL_MS).unref();
   }
 
-  /** Milliseconds since it was made, without those in which nothing ran. */
+  /** Milliseconds since construction, without stalls of the process. */
   get ms(): number {
     this.sample();
     return this.awakeMs;
--- a/packages/soak/src/callers.ts
+++ b/packages/soak/src/callers.ts
@@ -1,4 +1,4 @@
-/** Callers: requests to entries over connections that stay open, and exactly how each one ended. */
+/** Sends callers' requests to entries, mostly over kept-alive connections, and records the exact outcome of each. */
 import * as http from 'node:http';
 import * as domain from '@celerydrift/domain';
 import { counterpart } from '@celerydrift/platform';
@@ -10,10 +10,10 @@
 
 export const HOST = 'soak.example';
 
-/** How long callers wait, milliseconds. */
+/** Timeout that callers state in their requests, milliseconds. */
 const CALLER_TIMEOUT_MS = { safe: 1_500, unsafe: 1_500, stream: 6_000 } as const;
 
-/** Time beyond the caller's own after which a request counts as hung, milliseconds. */
+/** A request without an outcome this long after the caller's timeout counts as hung. */
 const HANG_GRACE_MS = 1_500;
 
 /** A prompt of this size needs memory on several engines. */
@@ -21,7 +21,7 @@
 const SMALL_PROMPT_TOKENS = 4_000;
 const LARGE_PROMPT_SHARE = 0.05;
 
-/** A new connection is made for some requests; the others use open ones. */
+/** Share of requests that open a new connection instead of reusing one. */
 const NEW_CONNECTION_SHARE = 0.2;
 
 export interface CallerRequest {
@@ -32,7 +32,10 @@
   body?: string;
 }
 
-/** Body of all requests that don't name one, so that most contents are hot: every caller of a key sends the same. */
+/**
+ * Body of all requests that don't specify one. Callers with the same key therefore send identical requests, so that
+ * most request fingerprints recur often.
+ */
 const DEFAULT_BODY = 'soak';
 
 export class Callers {
--- a/packages/soak/src/child.ts
+++ b/packages/soak/src/child.ts
@@ -1,4 +1,4 @@
-/** One process that the soak started. Only these are ever signalled, by their ids. */
+/** A child process of the soak test. Only processes started here are ever signalled, by their ids. */
 import * as childProcess from 'node:child_process';
 import * as fs from 'node:fs';
 import * as readline from 'node:readline';
@@ -8,15 +8,15 @@
   /** Arguments for Node.js. */
   args: string[];
   environment: Record<string, string>;
-  /** Everything that the process writes is appended here. */
+  /** Standard output and standard error are appended to this file. */
   logFile: string;
-  /** Called for each line of its standard output. */
+  /** Called with each line of standard output. */
   onLine?: (line: string) => void;
 }
 
 /**
- * Processes that run now. A soak that is itself ended must not leave them behind: they would hold the addresses
- * that the next one needs.
+ * Running child processes. They are killed when the soak test exits, since they would otherwise keep the addresses
+ * that the next run needs.
  */
 const liveProcesses = new Set<childProcess.ChildProcess>();
 
@@ -32,7 +32,7 @@
 export class Child {
   private process: childProcess.ChildProcess | undefined;
 
-  /** Counts starts; a process that was started again is another incarnation. */
+  /** Number of starts so far; each start is a new incarnation. */
   incarnation = 0;
 
   constructor(readonly command: Command) {}
@@ -68,7 +68,7 @@
     this.process?.kill(name);
   }
 
-  /** Resolves when the process has ended; one that outlasts `graceMs` is killed. */
+  /** Resolves when the process has exited; kills it after `graceMs`. */
   async exited(graceMs: number): Promise<void> {
     const exiting = this.process;
     if (exiting === undefined) return;
--- a/packages/soak/src/controlClient.ts
+++ b/packages/soak/src/controlClient.ts
@@ -1,8 +1,8 @@
-/** One call of a target or the operator to one keeper. */
+/** Sends one control call of a target or the operator to one keeper. */
 import * as http from 'node:http';
 import type { counterpart } from '@celerydrift/platform';
 
-/** Status 0 where no whole answer came within the timeout. */
+/** Response of a keeper; status 0 if no complete one arrived within the timeout. */
 export interface ControlAnswer {
   status: number;
   body: string;
--- a/packages/soak/src/crashingCallers.ts
+++ b/packages/soak/src/crashingCallers.ts
@@ -1,6 +1,6 @@
 /**
- * Callers whose requests crash each target that runs them. They send copies of one content at one entry after the other, as fast
- * as the plan says and whatever they hear; targets that ended are started again as new lifetimes.
+ * Callers whose requests crash every target that runs them. They send copies of one request to the entries in turn,
+ * at the plan's rate and regardless of the responses. Crashed targets are restarted as new lifetimes.
  */
 import * as domain from '@celerydrift/domain';
 import * as answers from './answers';
@@ -10,7 +10,7 @@
 import * as operator from './operator';
 import type * as schedule from './schedule';
 
-/** How long a crashed target is away, milliseconds. */
+/** Delay before a crashed target is restarted. */
 const DOWNTIME_MS = 700;
 
 const POLL_INTERVAL_MS = 50;
@@ -28,11 +28,11 @@
 
   constructor(private readonly dependencies: Dependencies) {}
 
-  /** Carries out one of a plan; resolves when all its copies have ended and the targets are back. */
+  /** Sends the copies of one planned period; resolves when all have an outcome and no crashed target is down. */
   async carryOut({ forSeconds, kind, pauseSeconds }: schedule.CrashingSpan): Promise<void> {
     this.count += 1;
     const body = `${answers.CRASH_MARKER} ${this.count}`;
-    // The key is a part of the content.
+    // The key is part of the request fingerprint, so all copies use the same one.
     const key = this.dependencies.key();
     const until = Date.now() + forSeconds * 1_000;
     const copies: Promise<void>[] = [];
@@ -46,7 +46,7 @@
     await this.untilTargetsRestart();
   }
 
-  /** A target ended under a request. */
+  /** Records the crash of a target and restarts it after a delay. */
   onCrash(crash: observations.TargetCrash): void {
     const { observed, fleet } = this.dependencies;
     observed.crashed.push(crash);
--- a/packages/soak/src/fleet.ts
+++ b/packages/soak/src/fleet.ts
@@ -1,4 +1,4 @@
-/** The processes of one run: keepers, entries and targets, their settings, files and forwarders. */
+/** The processes of one run (keepers, entries and targets) with their settings, files and forwarders. */
 import * as fs from 'node:fs';
 import * as path from 'node:path';
 import * as child from './child';
@@ -14,11 +14,11 @@
   index: number;
   /** Address that the process listens on. */
   host: string;
-  /** Address that other processes are told. */
+  /** Address of the forwarder, which other processes connect to. */
   advertisedHost: string;
   settingsFile: string;
   dataFolder: string;
-  /** What is harmed in its process, for `runtimeFaults`. */
+  /** File with the current faults of the process, read by `runtimeFaults`. */
   faultsFile: string;
   process: child.Child;
   setFaults: (faults: runtimeFaults.RuntimeFaults) => void;
@@ -28,17 +28,17 @@
   index: number;
   host: string;
   advertisedHost: string;
-  /** Id of the lifetime that runs or ran last. */
+  /** Id under which the target runs or last ran. */
   lifetime: string;
   process: child.Child;
   setMode: (mode: targetMain.Mode) => void;
-  /** Changes what its answers say of it. */
+  /** Changes what the target reports about itself in its responses. */
   setSelfReport: (changed: targetMain.SelfReport) => void;
 }
 
 export interface Options {
   folder: string;
-  /** Program that runs on each VM, a file for Node.js. */
+  /** Program of the keepers and entries, a file for Node.js. */
   program: string;
   network: number;
   layout: layout.Layout;
@@ -105,7 +105,7 @@
     this.targets.forEach((target) => this.startTarget(target));
   }
 
-  /** Starts a target as a new lifetime, under a new id or the one that it had. */
+  /** Starts a new lifetime of a target, with a new id or its previous one. */
   startTarget(target: TargetVm, keepsId = false): void {
     if (target.process.isRunning) return;
     if (!keepsId) target.lifetime = `t${target.index}-${target.process.incarnation + 1}`;
@@ -115,14 +115,14 @@
     target.process.start();
   }
 
-  /** Empties a keeper's folder: what its disk held is gone. It must not found a fleet again. */
+  /** Empties a keeper's data folder, as the loss of its disk does. The keeper must not found a fleet afterwards. */
   wipe(keeper: Vm): void {
     fs.rmSync(runtimeFaults.syncedFile(keeper.faultsFile), { force: true });
     fs.rmSync(keeper.dataFolder, { recursive: true, force: true });
     fs.mkdirSync(keeper.dataFolder, { recursive: true });
   }
 
-  /** Takes from a keeper's files what no sync has covered, as a power loss may. */
+  /** Truncates a VM's files to what has been synced to disk, as a power loss may. */
   discardUnsynced({ faultsFile }: Vm): void {
     const file = runtimeFaults.syncedFile(faultsFile);
     if (!fs.existsSync(file)) return;
@@ -133,18 +133,18 @@
       .forEach(([name, bytes]) => fs.truncateSync(name, bytes));
   }
 
-  /** Leaves half a frame at the end of a keeper's journal, as a write does that a power loss cut. */
+  /** Appends an incomplete frame to a keeper's journal, as a write interrupted by a power loss leaves it. */
   tearJournal(keeper: Vm): void {
     const journal = path.join(keeper.dataFolder, 'catalogue', 'journal');
     if (fs.existsSync(journal)) fs.appendFileSync(journal, Buffer.from([0, 0, 0, 99, 1, 2, 3]));
   }
 
-  /** From now on no start founds a fleet. */
+  /** Prevents keepers that start later from founding a fleet. */
   forbidFounding(): void {
     this.keepers.forEach((vm) => this.writeSettings(vm, false));
   }
 
-  /** Cuts a VM from all other VMs, in one direction or both. */
+  /** Cuts the links between a VM and all other VMs, in one direction or both. */
   cutLinks(vm: Vm, direction: 'in' | 'out' | 'both'): void {
     this.vms
       .filter((other) => other !== vm)
@@ -154,7 +154,7 @@
       });
   }
 
-  /** Undoes the cuts of a VM. */
+  /** Restores all links of a VM. */
   restoreLinks(vm: Vm): void {
     this.vms.forEach(({ host }) => {
       this.network.restore(host, vm.host);
@@ -162,7 +162,7 @@
     });
   }
 
-  /** Ends every process that was started here, by its id. */
+  /** Kills all processes of the run and closes the forwarders. */
   async stop(): Promise<void> {
     const all = [...this.vms, ...this.targets].map(({ process: each }) => each);
     all.forEach((each) => each.signal('SIGCONT'));
@@ -276,7 +276,7 @@
   }
 }
 
-/** Readers see the old or the new content, never a part of it. */
+/** Replaces a file atomically: readers see the old or the new content. */
 function replaceFile(file: string, content: string): void {
   fs.writeFileSync(`${file}.new`, content);
   fs.renameSync(`${file}.new`, file);
--- a/packages/soak/src/forwarder.ts
+++ b/packages/soak/src/forwarder.ts
@@ -1,12 +1,13 @@
 /**
- * Loopback forwarders between the processes: connections through them can be delayed, reset, cut in one or both
- * directions, or silenced for good. Who calls is told by the source address, as each process binds its own.
+ * TCP forwarders on loopback addresses between the processes of a run. Connections through them can be delayed,
+ * reset, cut in one or both directions, or blackholed permanently. The source address identifies the calling process,
+ * since each process binds its own.
  */
 import * as net from 'node:net';
 
 type Direction = 'forth' | 'back';
 
-/** One connection and its continuation to the process behind the forwarder. */
+/** A connection to the forwarder and the one it opens to the process behind it. */
 interface ForwardedConnection {
   source: string;
   target: string;
@@ -15,11 +16,11 @@
   isBlackholed: boolean;
 }
 
-/** Bytes of a way that is cut wait here, as a network would send them again later. */
+/** How often a cut link is checked. Its bytes are held until it is restored, as TCP would retransmit them. */
 const CUT_POLL_MS = 50;
 
 export class Network {
-  /** Ways that are cut, as SOURCE>TARGET. */
+  /** Links that are cut, as SOURCE>TARGET. */
   private readonly cutLinks = new Set<string>();
 
   private readonly connections = new Set<ForwardedConnection>();
@@ -28,7 +29,7 @@
 
   delayMs = 0;
 
-  /** Listens at `forwarded` for what goes to `target`, on the same port. */
+  /** Listens at `forwarded` and forwards connections to the same port of `target`. */
   async forward(forwarded: string, target: string, port: number): Promise<void> {
     const server = net.createServer({ allowHalfOpen: true }, (caller) => {
       this.accept(caller, target, port);
@@ -53,7 +54,7 @@
     this.delayMs = 0;
   }
 
-  /** Open connections that `hits` picks carry nothing any more and aren't closed either. */
+  /** Stops all delivery on the selected open connections without closing them. */
   blackhole(isSelected: () => boolean): void {
     [...this.connections].filter(isSelected).forEach((connection) => {
       connection.isBlackholed = true;
@@ -77,7 +78,7 @@
 
   private accept(caller: net.Socket, target: string, port: number): void {
     const source = caller.remoteAddress ?? '';
-    // The callee, too, tells by the address who calls.
+    // Keeps the caller's address as the source, as the callee identifies callers by it too.
     const callee = net.connect({
       host: target,
       port,
--- a/packages/soak/src/layout.ts
+++ b/packages/soak/src/layout.ts
@@ -1,6 +1,6 @@
 /**
- * Addresses and sizes of a soaked fleet. Every VM and target has two loopback addresses: one it listens on, and
- * one that others are told, where a forwarder stands that can harm the way between them.
+ * Addresses and sizes of a fleet under test. Every VM and target has two loopback addresses: the one it listens on,
+ * and an advertised one, where a forwarder listens that can inject network faults.
  */
 
 export type Size = 'small' | 'large';
@@ -10,11 +10,11 @@
   entries: number;
   engines: number;
   services: number;
-  /** Callers' requests a second. */
+  /** Requests of callers per second. */
   requestsPerSecond: number;
 }
 
-/** `small` is the usual size, two dozen processes; `large` goes towards the machine's limits. */
+/** `small` (17 processes) is the default; `large` (101 processes) approaches the limits of one machine. */
 export const LAYOUTS: Record<Size, Layout> = {
   small: { keepers: 5, entries: 3, engines: 6, services: 3, requestsPerSecond: 40 },
   large: { keepers: 5, entries: 30, engines: 60, services: 6, requestsPerSecond: 120 },
@@ -22,15 +22,15 @@
 
 export const PORT = { peers: 7_000, callers: 7_001, readiness: 7_002, control: 7_003 } as const;
 
-/** Organisations whose callers send requests. */
+/** Number of organisations whose callers send requests. */
 export const ORGANISATIONS = 3;
 
 export const TARGET_PORT = 7_100;
 
-/** Third byte of an address in 127/8. */
+/** Third byte of a loopback address. */
 const GROUP = { vm: 1, vmForwarded: 2, target: 3, targetForwarded: 4 } as const;
 
-/** Runs beside each other on one machine take different networks. */
+/** Loopback addresses of one run; concurrent runs on one machine use different networks. */
 export class Addresses {
   constructor(private readonly network: number) {}
 
@@ -39,5 +39,5 @@
   }
 }
 
-/** Bounds that the fleet is given and held to, milliseconds; those of the deployments. */
+/** Bounds that the fleet is configured with and checked against, the same as in deployments. */
 export const BOUNDS = { revokeMs: 5_000, drainMs: 2_000, applyMs: 2_000, stopMs: 8_000 } as const;
--- a/packages/soak/src/malformedAnnouncer.ts
+++ b/packages/soak/src/malformedAnnouncer.ts
@@ -1,6 +1,7 @@
 /**
- * Another program that writes announcements, of its own kind: fields missing or of another type, an unknown service at a
- * sound target's address, bytes that can't be read. None of it names a target; the others must hold.
+ * Sends malformed announcements, as an incompatible program might: missing fields, fields of a wrong type, an unknown
+ * service at the address of a working target, and bytes that can't be parsed. None of them may register a target or
+ * affect the others.
  */
 import { counterpart } from '@celerydrift/platform';
 import type * as domain from '@celerydrift/domain';
@@ -13,11 +14,11 @@
 
   constructor(
     private readonly keepers: readonly string[],
-    /** HOST:PORT of sound targets. */
+    /** HOST:PORT of working targets. */
     private readonly addresses: readonly string[],
   ) {}
 
-  /** Sends the next announcement, to the next keeper; what it answers doesn't matter. */
+  /** Sends the next announcement to the next keeper and ignores the response. */
   async announceNext(): Promise<void> {
     const number = this.sentCount;
     this.sentCount += 1;
--- a/packages/soak/src/operator.ts
+++ b/packages/soak/src/operator.ts
@@ -1,6 +1,7 @@
 /**
- * The operator: whole documents with rising versions, sent again to any keeper until one acknowledges them. Each
- * version has a route of its own, so that a probe of it shows which document an entry has in force.
+ * The operator submits complete catalogue documents with increasing versions, and retries with any keeper until one
+ * acknowledges them. Each document has a route of its own, so that a probe of that route shows which one an entry has
+ * in force.
  */
 import * as domain from '@celerydrift/domain';
 import { control, counterpart } from '@celerydrift/platform';
@@ -15,10 +16,10 @@
 
 export const REQUEST_KINDS = ['safe', 'unsafe', 'stream'] as const;
 const RETRY_INTERVAL_MS = 100;
-/** A change without an acknowledgement is given up after so long; it may still come into force. */
+/** Calls are no longer retried after this. A document that wasn't acknowledged by then may still come into force. */
 const CALL_TIMEOUT_MS = 20_000;
 
-/** Versions rise in uneven steps up to this. */
+/** Versions increase by a random step up to this. */
 const MAX_VERSION_STEP = 4;
 
 const ENGINE: domain.catalogue.catalogue.Engine = {
@@ -54,7 +55,7 @@
     objectiveMs: isStream ? 500 : 200,
     priority: 1,
     shares: [{ service: isStream ? fleet.SERVICE.engines : fleet.SERVICE.plain, weight: 1 }],
-    // Calls that run once may also be sent again, where it is certain that they didn't run.
+    // Also for requests that must run at most once: they are retried only if they certainly didn't run.
     maxAttempts: 3,
     isPublic: false,
     isResumable: isStream,
@@ -65,13 +66,13 @@
 export class Operator {
   private version = 0;
 
-  /** One key after the other is taken away. */
+  /** Resolves when the latest revocation is done; keys are revoked one at a time. */
   private pendingRevocation: Promise<void> = Promise.resolve();
 
-  /** While nothing may be sent; resolves when that ends. */
+  /** Pending while submissions are paused. */
   private submissionsResumed: Promise<void> = Promise.resolve();
 
-  /** Number of the key of each organisation; a new one takes the old one away. */
+  /** Generation of each organisation's key; a new generation replaces the previous one. */
   private readonly keyGenerations = Array.from({ length: layout.ORGANISATIONS }, () => 1);
 
   constructor(
@@ -80,12 +81,12 @@
     private readonly random: domain.shared.random.Random,
   ) {}
 
-  /** A key that every document so far has had since it came. */
+  /** A random organisation's key that every document has contained since it was introduced. */
   currentKey(): string {
     return this.keyOf(domain.shared.random.below(this.random, layout.ORGANISATIONS));
   }
 
-  /** The newest documents that may be in force, newest first. */
+  /** The last documents that were submitted, newest first. */
   recentDocuments(): observations.SubmittedDocument[] {
     return this.observed.sent.slice(-3).reverse();
   }
@@ -95,7 +96,7 @@
     await this.submit(this.catalogue(this.version, ''), '');
   }
 
-  /** Two documents at once, with one version or with two. */
+  /** Submits two documents concurrently, with the same version or with two. */
   async submitConcurrently(isSameVersion: boolean): Promise<void> {
     this.advanceVersion();
     const first = this.catalogue(this.version, 'a');
@@ -104,7 +105,7 @@
     await Promise.all([this.submit(first, 'a'), this.submit(second, 'b')]);
   }
 
-  /** Takes a key away from an organisation that gets a new one instead; undefined where nobody acknowledged that. */
+  /** Replaces an organisation's key; resolves with the revoked one, or undefined if no keeper acknowledged that. */
   revokeKey(index: number): Promise<observations.RevokedKey | undefined> {
     const replaced = this.pendingRevocation.then(() =>
       this.replaceKey(index % layout.ORGANISATIONS),
@@ -115,7 +116,7 @@
 
   private async replaceKey(organisation: number): Promise<observations.RevokedKey | undefined> {
     const key = this.keyOf(organisation);
-    // Callers go on with the old key for a while; the new one must be in force before they use it.
+    // Both keys are valid for a while, so that the new one is in force before callers use it.
     this.advanceVersion();
     const keys = [key, `${key}+`];
     await this.submit(this.catalogue(this.version, '', new Map([[organisation, keys]])), '');
@@ -129,7 +130,7 @@
     return revoked;
   }
 
-  /** A document that nobody may put in force. */
+  /** Submits an invalid document, which no keeper may acknowledge. */
   async submitInvalid(): Promise<void> {
     const valid = this.catalogue(this.version + 1, 'invalid');
     const routes = [...valid.routes, routeOf('safe', 'safe')];
@@ -140,7 +141,7 @@
     if (status === 200) throw new Error('an invalid document was acknowledged');
   }
 
-  /** Which document the fleet says is the newest. */
+  /** Reads back the newest document; undefined if no keeper answers in time. */
   async readNewest(): Promise<observations.Observations['readBack']> {
     const until = Date.now() + CALL_TIMEOUT_MS;
     while (Date.now() < until) {
@@ -151,7 +152,7 @@
     return undefined;
   }
 
-  /** Sends nothing to keepers while something is done; calls that are under way end by themselves. */
+  /** Pauses submissions while `act` runs; calls that are already in progress complete. */
   async withSubmissionsPaused<T>(act: () => Promise<T>): Promise<T> {
     let resume = (): void => undefined;
     this.submissionsResumed = new Promise((resolve) => {
@@ -230,7 +231,7 @@
   }
 }
 
-/** The version and label that a document's probe route names. */
+/** The version and label that a document's probe route contains. */
 function identityOf(body: string): { version: number; label: string } | undefined {
   const decoded = new control.Control().catalogue(Buffer.from(body));
   if (decoded.err) return undefined;
--- a/packages/soak/src/runtimeFaults.ts
+++ b/packages/soak/src/runtimeFaults.ts
@@ -1,44 +1,44 @@
 /**
- * Loaded into each VM's process before the program: a time of day that can be stepped, and a disk that can be full
- * or stalled. What holds at the moment stands in a file that the soak writes. Beside it stands how many bytes of each
- * file a sync has covered, as a power loss keeps no more.
+ * Preloaded into the process of each VM to inject faults: a stepped wall clock and a full or stalled disk. The current
+ * faults are in a file that the soak test writes. A second file beside it records how many bytes of each file have been
+ * synced, since a power loss preserves no more than these.
  */
 import * as fs from 'node:fs';
 
 export type Disk = 'sound' | 'full' | 'stalled';
 
 export interface RuntimeFaults {
-  /** Added to the time of day, milliseconds. */
+  /** Offset of the wall clock, milliseconds. */
   clockMs: number;
   disk: Disk;
 }
 
-/** Names the file. */
+/** Environment variable that contains the path of the faults file. */
 export const FAULTS_FILE_VARIABLE = 'CELERYDRIFT_SOAK_FAULTS';
 
 export const NO_FAULTS: RuntimeFaults = { clockMs: 0, disk: 'sound' };
 
-/** Where the bytes that are synced stand, beside the file of faults: a table by path. */
+/** File that maps paths to their synced sizes, beside the faults file. */
 export function syncedFile(faultsFile: string): string {
   return `${faultsFile}.synced`;
 }
 
 const POLL_INTERVAL_MS = 50;
 
-/** Keeps count of what syncs have covered. */
+/** Records the size up to which each file has been synced. */
 class SyncedSizes {
   private readonly bytes: Record<string, number> = {};
 
   constructor(private readonly file: string) {}
 
-  /** Of a file that was there before, all is on the disk: a power loss took the rest when it came. */
+  /** A file that existed before counts as synced in full, since a power loss has already truncated it. */
   open(path: string, size: number): void {
     if (this.bytes[path] === undefined) this.record(path, size);
   }
 
   record(path: string, size: number): void {
     this.bytes[path] = size;
-    // Whole at every moment: the process may be killed while it writes.
+    // Written atomically, as the process may be killed at any time.
     fs.writeFileSync(`${this.file}.new`, JSON.stringify(this.bytes));
     fs.renameSync(`${this.file}.new`, this.file);
   }
@@ -56,7 +56,7 @@
     try {
       current = JSON.parse(fs.readFileSync(file, 'utf8')) as RuntimeFaults;
     } catch {
-      // The soak is writing it; the next look finds it whole.
+      // The file can't be read right now; the next poll reads it again.
     }
   };
   refresh();
@@ -104,7 +104,7 @@
   handle.appendFile = async (data, options) => {
     await waitWhileStalled();
     if (disk() !== 'full') return appendFile.call(handle, data, options);
-    // A write that a full disk ends midway leaves a torn frame.
+    // A full disk interrupts the write halfway and leaves an incomplete frame.
     const bytes = Buffer.from(data as Uint8Array);
     await appendFile.call(handle, bytes.subarray(0, bytes.length / 2));
     throw Object.assign(new Error('ENOSPC: no space left on device'), { code: 'ENOSPC' });
--- a/packages/soak/src/targetMain.ts
+++ b/packages/soak/src/targetMain.ts
@@ -1,7 +1,7 @@
 /**
- * A stand-in target in a process of its own: an engine or a plain service. Says on standard output what it ran, before it
- * answers, and which of its announcements were acknowledged. Its answers follow from the request's id, so that a
- * caller knows whether it got its own, and all of it.
+ * A stand-in target in a process of its own: an engine or a plain service. It reports on standard output each request
+ * that it runs, before it responds, and the acknowledgement of its draining announcement. Its responses follow from
+ * the request id, so that callers can verify that they got their own response and all of it.
  */
 import * as fs from 'node:fs';
 import * as http from 'node:http';
@@ -10,7 +10,7 @@
 import * as controlClient from './controlClient';
 import type * as observations from './observations';
 
-/** How a target behaves; `sound` in all but grey times. */
+/** Behaviour of a target; all modes but `sound` are gray failures. */
 export type Mode = 'sound' | 'failing' | 'mute' | 'cutting' | 'crossed' | 'extra';
 
 export interface Options {
@@ -19,50 +19,51 @@
   dataCentre: string;
   host: string;
   port: number;
-  /** HOST:PORT that it announces. */
+  /** Announced HOST:PORT. */
   address: string;
   slots: number;
-  /** Tokens of memory; 0 for a plain service. */
+  /** Memory in tokens; 0 for a plain service. */
   memoryTokens: number;
   /** Control addresses of keepers. */
   keepers: string[];
-  /** Holds the mode of the moment. */
+  /** File that contains the current `Mode`. */
   modeFile: string;
-  /** Holds what its answers say of it at the moment, as `Words`. */
+  /** File that contains the current `SelfReport`. */
   wordsFile: string;
 }
 
+/** What the responses of a target report about it. */
 export interface SelfReport {
-  /** Requests a second that it takes; undefined while it isn't in need. */
+  /** Accepted requests per second; undefined while it reports no limit. */
   limit?: number;
-  /** The Retry-After of those that it turns away, seconds; undefined where it turns nobody away. */
+  /** `Retry-After` of rejected requests, seconds; undefined while it rejects none. */
   backOffSeconds?: number;
-  /** Whether it says that it leaves, though it announces itself as ready. */
+  /** Whether responses report that it is draining, although its announcements say `ready`. */
   isLeaving?: boolean;
 }
 
-/** A message of whatever kind that it got, or what its answer said; `source` is the sender's IP address. */
+/** A message that the target received, or a report in its response; `source` is the sender's IP address. */
 export type ExchangeLine = Omit<observations.TargetExchange, 'entry'> & {
   kind: 'got' | 'told' | 'saidLeaving' | 'turnedAway';
   source: string;
 };
 
-/** A line of its output. */
+/** A line on standard output. */
 export type OutputLine =
   | ExchangeLine
   | (observations.Execution & { kind: 'ran'; organisation: string })
   | { kind: 'draining'; target: string; at: number }
-  /** It ends now, under a request with this body. */
+  /** The target is about to crash, while running a request with this body. */
   | { kind: 'crashed'; target: string; body: string; at: number };
 
 const ANNOUNCE_INTERVAL_MS = 500;
-/** A target that leaves serves on for so long after the acknowledgement. */
+/** How long a draining target serves after the acknowledgement. */
 const DRAIN_DELAY_MS = 3_000;
 const RESPONSE_DELAY_MS = 20;
 const EVENT_INTERVAL_MS = 30;
-/** Part of the requests that a target turns away which asks its senders to leave it alone. */
+/** Share of requests that a target rejects while it requests back-off. */
 const REJECTED_SHARE = 0.5;
-/** How long a request that crashes its target runs there. */
+/** How long a crashing request runs before the target crashes. */
 const CRASH_DELAY_MS = 20;
 
 class StandInTarget {
@@ -193,7 +194,7 @@
     } else this.sendResponse(response, headers, answers.callBody(named, path), mode);
   }
 
-  /** What its answer says of it, also of its limit. */
+  /** Response fields that report the target's state, also reported on standard output. */
   private selfReportFields(
     request: http.IncomingMessage,
   ): Pick<counterpart.TargetAnswer, 'target' | 'limit' | 'isLeaving'> {
@@ -270,7 +271,7 @@
     return (this.read(this.options.modeFile) || 'sound') as Mode;
   }
 
-  /** A file's content; empty where there is none. */
+  /** Content of a file; empty if it doesn't exist. */
   private read(file: string): string {
     try {
       return fs.readFileSync(file, 'utf8');
@@ -287,7 +288,7 @@
     return this.callKeepers(counterpart.announce({ ...about, state, sequence }));
   }
 
-  /** Sends a call to one keeper after the other until one acknowledges it. */
+  /** Sends a call to the keepers in turn until one acknowledges it. */
   private async callKeepers(call: counterpart.ControlCall): Promise<boolean> {
     const { keepers } = this.options;
     const first = Math.floor(Math.random() * keepers.length);
@@ -310,7 +311,7 @@
   }
 }
 
-/** Standard output is a pipe, which Node.js writes synchronously: a line said before a kill is there. */
+/** Standard output is a pipe, which Node.js writes synchronously, so lines written before a kill aren't lost. */
 function printLine(line: OutputLine): void {
   process.stdout.write(`${JSON.stringify(line)}\n`);
 }
