--- a/packages/check/src/__tests__/check.test.ts
+++ b/packages/check/src/__tests__/check.test.ts
@@ -1,4 +1,6 @@
-/** The explorer finds the shortest story; models find nothing in the domain's code, and each broken version of a rule. */
+/**
+ * The explorer finds shortest counterexamples; the models find none in the domain's code and one in each broken rule.
+ */
 import * as chai from 'chai';
 import * as domain from '@celerydrift/domain';
 import * as explorer from '../explorer';
@@ -9,7 +11,7 @@
 type Quarantine = domain.quarantine.quarantine.Quarantine;
 type Registry = domain.registry.registry.Registry;
 
-/** Counts up by one or three; seven is wrong. */
+/** A counter that increases by one or three; a sum of seven is a violation. */
 const COUNTER: explorer.Model<{ sum: number }, number> = {
   initialState: () => ({ sum: 0 }),
   enabledEvents: () => [1, 3],
@@ -22,7 +24,7 @@
 };
 
 describe('explorer', () => {
-  it('finds a shortest story, and counts states that differ once', () => {
+  it('finds a shortest counterexample and counts equal states once', () => {
     expect(explorer.explore(COUNTER, 2)).to.deep.equal({ states: 6, steps: 6, finding: undefined });
     expect(explorer.explore(COUNTER, 3).finding).to.deep.equal({
       problem: 'seven',
@@ -30,7 +32,7 @@
     });
   });
 
-  it('shortens what it draws', () => {
+  it('shrinks the counterexample of a random walk', () => {
     const eleven = {
       ...COUNTER,
       findViolation: (replay: () => { sum: number }) => {
@@ -48,7 +50,7 @@
   return Object.assign(new domain.quarantine.quarantine.Quarantine(), rules);
 }
 
-/** The parts of a suspect that these versions look at. */
+/** Fields of a suspect that the broken rules use. */
 interface Suspect {
   endings: { lifetime: string; at: number; isTrial: boolean }[];
   quarantinedAt: number | undefined;
@@ -85,7 +87,7 @@
 describe('quarantine, checked', () => {
   [true, false].forEach((areSuspectsIsolated) => {
     const where = areSuspectsIsolated ? 'under a leader' : 'without a leader';
-    it(`serves what is innocent and stops what is not, in all orders of five events ${where}`, () => {
+    it(`serves innocent requests and stops culprits, in all sequences of five events ${where}`, () => {
       const newQuarantine = (): Quarantine => new domain.quarantine.quarantine.Quarantine();
       const { finding, ...counts } = explorer.explore(
         quarantineModel(newQuarantine, areSuspectsIsolated),
@@ -97,12 +99,15 @@
   });
 
   const versions: [string, object][] = [
-    ['nothing is ever in doubt', { isDoubtful: () => false }],
-    ['only what was convicted explains ends', { mayBeCulprit: wasQuarantined }],
-    ['only counted ends make a possible culprit', { mayBeCulprit: hasTwoCounted }],
-    ['nothing of a doubted content goes on explaining', { noteExplained: () => undefined }],
-    ['doubt returns every two seconds', { dueReason: doubtfulAfterTwoSeconds }],
-    ['nothing is ever refused', { standing: () => 'suspected' }],
+    ['no quarantine is ever doubtful', { isDoubtful: () => false }],
+    ['only quarantined contents explain crashes', { mayBeCulprit: wasQuarantined }],
+    ['only counted crashes make a possible culprit', { mayBeCulprit: hasTwoCounted }],
+    ['crashes of a doubtful content no longer explain others', { noteExplained: () => undefined }],
+    [
+      'every quarantine is ended as doubtful after two seconds',
+      { dueReason: doubtfulAfterTwoSeconds },
+    ],
+    ['quarantined contents count as suspected', { standing: () => 'suspected' }],
   ];
 
   versions.forEach(([what, rules]) => {
@@ -121,14 +126,14 @@
   return new domain.registry.registry.Registry();
 }
 
-/** A registry whose methods are replaced by what `change` makes of it. */
+/** A registry with the methods replaced that `change` returns. */
 function newBrokenRegistry(change: (registry: Registry) => object): Registry {
   const registry = newRegistry();
   return Object.assign(registry, change(registry));
 }
 
 describe('registry, checked', () => {
-  it('has one lifetime at an address, the living one once it speaks, in all orders of six events', () => {
+  it('has one lifetime at an address, the running one once it announces itself, in all sequences of six events', () => {
     const { finding, ...counts } = explorer.explore(
       models.registryModel.registryModel(newRegistry),
       6,
@@ -139,18 +144,21 @@
 
   const versions: [string, (registry: Registry) => object][] = [
     [
-      'a leader counts no more than others',
+      'the records of a leader take no precedence',
       (registry) => ({ follow: registry.merge.bind(registry) }),
     ],
     [
-      'it does not matter which lifetime leaves',
+      'a departure ends any lifetime with the id',
       (registry) => {
         const depart = registry.depart.bind(registry);
         return { depart: (id: string, now: number) => depart(id, now) };
       },
     ],
-    ['a lifetime that was wrongly taken for dead stays so', () => ({ contradict: () => [] })],
-    ['a new lifetime ends no other at its address', () => ({ presumeDead: () => [] })],
+    ['a lifetime that was wrongly presumed dead stays dead', () => ({ contradict: () => [] })],
+    [
+      'a new lifetime does not end the previous one at its address',
+      () => ({ presumeDead: () => [] }),
+    ],
   ];
 
   versions.forEach(([what, change]) => {
--- a/packages/check/src/explorer.ts
+++ b/packages/check/src/explorer.ts
@@ -1,33 +1,38 @@
 /**
- * Explores what a model may come to. All orders of its events are played up to a depth, shortest first, so that the first
- * story that breaks a promise is also a shortest one; beyond that depth stories are drawn at random from a seed. The code under
- * test keeps its state in objects that can't be copied, so each state is reached by playing its story from the beginning.
+ * Explores the reachable states of a model. All sequences of events up to a depth are applied breadth-first, so that
+ * the first counterexample is a shortest one. Longer sequences are sampled by random walks from a seed. The code
+ * under test keeps its state in objects that can't be copied, so each state is reached by replaying its trace from
+ * the initial state.
  */
 import * as domain from '@celerydrift/domain';
 
 export interface Model<State, Event> {
-  /** A state in which nothing has happened. */
+  /** Creates the state before any event. */
   initialState: () => State;
-  /** What may happen next. */
+  /** Events that may happen next. */
   enabledEvents: (state: State) => Event[];
   apply: (state: State, event: Event) => void;
-  /** The same text for worlds that can't be told apart by what comes. */
+  /** Equal for states with the same future behaviour. */
   fingerprint: (state: State) => string;
-  /** What is wrong; undefined for nothing. `replay` makes further worlds in the same state, to be used up. */
+  /**
+   * Describes a violated property; undefined if there is none. `replay` creates copies of the state that may be
+   * modified.
+   */
   findViolation: (replay: () => State) => string | undefined;
   describe: (event: Event) => string;
 }
 
+/** A violated property with its counterexample. */
 export interface Finding {
   problem: string;
-  /** The events that led to it, in order. */
+  /** Descriptions of the events that led to the violation, in order. */
   story: string[];
 }
 
 export interface Exploration {
-  /** States that differ, the first one included. */
+  /** Number of distinct states, including the initial one. */
   states: number;
-  /** Events that were played on them. */
+  /** Number of events that were applied. */
   steps: number;
   finding: Finding | undefined;
 }
@@ -46,7 +51,7 @@
   return problem === undefined ? undefined : { problem, story: trace.map(model.describe) };
 }
 
-/** Plays all orders of at most `depth` events. */
+/** Applies all sequences of at most `depth` events. */
 export function explore<State, Event>(model: Model<State, Event>, depth: number): Exploration {
   const known = new Set([model.fingerprint(model.initialState())]);
   let frontier: Event[][] = [[]];
@@ -74,11 +79,11 @@
 export interface RandomWalks {
   seed: number;
   count: number;
-  /** Events of each. */
+  /** Number of events in each walk. */
   length: number;
 }
 
-/** Plays stories that are drawn at random; each is checked at its end. A finding's story is shortened as far as it goes. */
+/** Runs random walks and checks the state at the end of each. The trace of a finding is shrunk to a minimal one. */
 export function walk<State, Event>(
   model: Model<State, Event>,
   { seed, count, length }: RandomWalks,
@@ -104,7 +109,7 @@
   return { states: count, steps, finding: undefined };
 }
 
-/** Leaves out events one by one as long as the rest still shows a problem. */
+/** Removes events one by one as long as the rest still violates a property. */
 function shrink<State, Event>(
   model: Model<State, Event>,
   trace: readonly Event[],
@@ -115,7 +120,7 @@
   return shorter === undefined ? trace : shrink(model, shorter);
 }
 
-/** Whether each event may happen where it stands in the story. */
+/** Whether each event of a trace is enabled in the state in which it is applied. */
 function isFeasible<State, Event>(model: Model<State, Event>, trace: readonly Event[]): boolean {
   const state = model.initialState();
   return trace.every((event) => {
--- a/packages/check/src/fingerprint.ts
+++ b/packages/check/src/fingerprint.ts
@@ -1,6 +1,6 @@
-/** What an object of the domain knows, as text: its maps and sets as lists, and the times in it as ages. */
+/** Serialises domain objects as text: maps and sets as lists, and times as ages. */
 
-/** Worlds that differ only in when they are have one text; `times` are the fields that hold a moment. */
+/** States that differ only by a shift in time have the same fingerprint; `times` are the fields that contain a time. */
 export function fingerprintOf(object: unknown, now: number, times: ReadonlySet<string>): string {
   return JSON.stringify(object, (key, value: unknown) => {
     if (value instanceof Map || value instanceof Set) return [...value] as unknown[];
--- a/packages/check/src/index.ts
+++ b/packages/check/src/index.ts
@@ -1,3 +1,3 @@
-/** Model checking as a library, for its tests. */
+/** Public modules of the model checker, exported for its tests. */
 export * as explorer from './explorer';
 export * as models from './models';
--- a/packages/check/src/main.ts
+++ b/packages/check/src/main.ts
@@ -1,4 +1,7 @@
-/** `npm run check -- MODEL`: explores a model; the last line is one JSON object with counts and, where one broke, the story. */
+/**
+ * Command line of the model checker (`npm run check -- MODEL`). Its last line of output is a JSON object with the
+ * number of states and events and, if a property is violated, the counterexample.
+ */
 import * as domain from '@celerydrift/domain';
 import * as commander from 'commander';
 import * as explorer from './explorer';
@@ -9,7 +12,7 @@
 const newQuarantine = (): domain.quarantine.quarantine.Quarantine =>
   new domain.quarantine.quarantine.Quarantine();
 
-/** How each model is explored. */
+/** Exploration of each model, by name. */
 const MODELS = {
   quarantine: exploreModel(
     quarantineModel({
@@ -46,7 +49,7 @@
   walks: number;
 }
 
-/** All orders up to a depth, and where these break nothing, stories that are drawn. */
+/** Explores all sequences of events up to a depth, and if these violate nothing, random walks. */
 function exploreModel<State, Event>(model: explorer.Model<State, Event>): Explore {
   return (depth, walks) => {
     const exhaustive = explorer.explore(model, depth);
@@ -58,7 +61,9 @@
 
 function findModel(name: string): Explore {
   if (name in MODELS) return MODELS[name as keyof typeof MODELS];
-  process.stderr.write(`check: no model ${name}; give one of ${Object.keys(MODELS).join(', ')}\n`);
+  process.stderr.write(
+    `check: unknown model ${name}; expected one of ${Object.keys(MODELS).join(', ')}\n`,
+  );
   return process.exit(2);
 }
 
@@ -72,7 +77,7 @@
 function parseInteger(name: string, text: string, max: number): number {
   const number = Number(text);
   if (Number.isInteger(number) && number >= 0 && number <= max) return number;
-  process.stderr.write(`check: --${name} ${text}: give a whole number from 0 to ${max}\n`);
+  process.stderr.write(`check: --${name} ${text}: expected an integer from 0 to ${max}\n`);
   process.exit(2);
 }
 
@@ -91,12 +96,14 @@
 
 export function main(argv: readonly string[]): void {
   new commander.Command('check')
-    .description('Plays all orders of events of a model up to a depth, and random ones beyond it.')
+    .description(
+      'Explores all sequences of events of a model up to a depth, and random walks beyond it.',
+    )
     .argument('<model>', Object.keys(MODELS).join(', '))
-    .option('--depth <n>', 'events of the longest story', '5')
-    .option('--walks <n>', 'stories that are drawn at random after that', '0')
-    .option('--length <n>', 'events of each of these', '12')
-    .option('--seed <n>', 'seed of the first', '1')
+    .option('--depth <n>', 'maximum number of events in a sequence', '5')
+    .option('--walks <n>', 'number of random walks after that', '0')
+    .option('--length <n>', 'number of events in each walk', '12')
+    .option('--seed <n>', 'seed of the first walk', '1')
     .action(check)
     .parse([...argv]);
 }
--- a/packages/check/src/models/quarantineModel.ts
+++ b/packages/check/src/models/quarantineModel.ts
@@ -1,7 +1,9 @@
 /**
- * Requests under which targets end, beside innocent ones that many callers send. Targets crash under culprits and, once, for
- * another reason; whatever they ran is blamed. Two promises: once all harm is over, innocent contents are served again within
- * the time in which a fleet must recover; and a culprit that goes on coming reaches few targets after its third.
+ * Models the quarantine with culprits, which are requests that crash their target, and innocent requests that many
+ * callers send. Targets crash while running culprits and, once, for another reason; everything that they ran is
+ * reported. Checks two properties: innocent requests are served again within the recovery time after the last crash,
+ * and a culprit that keeps arriving reaches few targets after its third crash. A content identifies requests that are
+ * alike (their fingerprint).
  */
 import * as domain from '@celerydrift/domain';
 import type * as explorer from '../explorer';
@@ -10,26 +12,27 @@
 type Quarantine = domain.quarantine.quarantine.Quarantine;
 
 export type Event =
-  /** Targets end at one moment while each runs these contents; `isCrash` where one of them is the cause. */
+  /** Targets terminate at the same time while each runs these contents; `isCrash` if one of them is the cause. */
   | { kind: 'terminate'; contents: readonly string[]; isCrash: boolean; targets: number }
-  /** An innocent request runs to its end. */
+  /** An innocent request completes. */
   | { kind: 'complete'; content: string }
   | { kind: 'wait'; ms: number };
 
 export interface State {
   quarantine: Quarantine;
   now: number;
-  /** Targets that ended. */
+  /** Number of targets that terminated. */
   crashedTargets: number;
-  /** Ends that no content caused. */
+  /** Number of terminations that no content caused. */
   powerLosses: number;
-  /** When targets ended under each content. */
+  /** When targets terminated while running each content. */
   arrivals: Map<string, number[]>;
-  /** What each target that ended had run, by lifetime. */
+  /** Contents that each terminated target was running, by lifetime. */
   ran: Map<string, readonly string[]>;
   /**
-   * Whether an innocent content was convicted while a culprit beside it had ended one target only as the only culprit there:
-   * nothing tells that end from chance, and the innocent's three look like its own.
+   * Whether an innocent content was quarantined although a culprit ran beside it that crashed at most one target as
+   * the only culprit there. That crash can't be told from chance, and the innocent content's three crashes look like
+   * its own.
    */
   isAmbiguous: boolean;
 }
@@ -37,33 +40,35 @@
 export interface Scope {
   culprits: number;
   innocents: number;
-  /** Whether suspects run apart from each other, as under a leader. */
+  /** Whether suspects run on separate targets, as a leader ensures. */
   areSuspectsIsolated: boolean;
-  /** What is checked. */
+  /** Creates the implementation under test. */
   newQuarantine: () => Quarantine;
 }
 
-/** Waits that differ: until a quarantine explains ends for others, and until a doubtful one ends. */
+/** Long enough for a quarantine to explain crashes of other contents, and for a doubtful quarantine to end. */
 const WAITS_MS = [600, 2_000] as const;
 
 const MAX_POWER_LOSSES = 1;
 
-/** Targets that copies of one request end at one moment. */
+/** Number of targets that copies of one request terminate at the same time. */
 const SIMULTANEOUS_CRASHES = [1, 2];
 
-/** After the last harm all must be served again within so long, milliseconds. */
+/** All innocent requests must be served again this long after the last event. */
 const RECOVERY_MS = 8_000;
 
-/** After the third end, and so long, at most so many further arrivals. */
+/** From this long after its third crash on, a culprit may reach at most this many further targets. */
 const SETTLING_MS = 3_000;
 const MAX_LATER_ARRIVALS = 3;
 
-/** How long culprits are watched, milliseconds; the shortest quarantine lasts longer than what follows a doubt. */
+/**
+ * How long culprits are observed. Covers what follows a doubtful quarantine; the shortest full quarantine is longer.
+ */
 const OBSERVATION_MS = 30_000;
 
 const TICK_MS = 200;
 
-/** Fields of a quarantine that hold a moment. */
+/** Fields of a quarantine that contain a time. */
 const TIME_FIELDS = new Set(['at', 'quarantinedAt']);
 
 export function quarantineModel({
@@ -77,7 +82,7 @@
   const culpritContents = names('culprit', culprits);
   const innocentContents = names('innocent', innocents);
 
-  /** Under a leader suspects run apart from each other, and one run of each at a time. */
+  /** Under a leader, suspects run on separate targets and one run of each at a time. */
   const mayRun = ({ quarantine }: State, contents: readonly string[], targets = 1): boolean => {
     const statuses = contents.map((content) => quarantine.standing(content));
     const suspects = statuses.filter((standing) => standing === 'suspected').length;
@@ -85,7 +90,7 @@
     return !statuses.includes('quarantined') && (!areSuspectsIsolated || suspects <= maxSuspects);
   };
 
-  /** An innocent content is asked for all the time; each run that it is allowed goes to its end. */
+  /** Innocent contents are requested all the time; each run that the quarantine permits completes. */
   const runInnocents = ({ quarantine }: State): void => {
     innocentContents
       .filter((content) => quarantine.standing(content) !== 'quarantined')
@@ -103,7 +108,7 @@
     );
   };
 
-  /** Each culprit comes again and again, alone; `areInnocentsAsked` also lets innocent requests run meanwhile. */
+  /** Each culprit is requested repeatedly, alone; with `doInnocentsRun`, innocent requests complete in between. */
   const laterArrivals = (state: State, doInnocentsRun: boolean): number => {
     const until = state.now + OBSERVATION_MS;
     while (state.now < until) {
@@ -181,7 +186,7 @@
       const refused = replay().isAmbiguous ? [] : quarantinedInnocents(replay());
       if (refused.length > 0)
         return `${refused.join(', ')} refused ${RECOVERY_MS} ms after all harm`;
-      // Entries without a leader can't keep suspects apart, and aren't in touch.
+      // Without a leader, entries can't run suspects on separate targets and aren't held to this property.
       if (!areSuspectsIsolated) return undefined;
       const later = Math.max(laterArrivals(replay(), true), laterArrivals(replay(), false));
       if (later <= MAX_LATER_ARRIVALS) return undefined;
@@ -223,7 +228,10 @@
   }
 }
 
-/** Whether an innocent content is convicted with an end of a culprit that ended no other target as the only culprit there. */
+/**
+ * Whether an innocent content is quarantined for a crash of a culprit that crashed no other target as the only
+ * culprit.
+ */
 function isAmbiguousFor(
   { quarantine, ran }: State,
   innocent: string,
@@ -242,7 +250,7 @@
   });
 }
 
-/** All subsets but the empty one. */
+/** All non-empty subsets. */
 function subsets<T>(of: readonly T[]): T[][] {
   return of
     .reduce<T[][]>((all, each) => [...all, ...all.map((some) => [...some, each])], [[]])
--- a/packages/check/src/models/registryModel.ts
+++ b/packages/check/src/models/registryModel.ts
@@ -1,8 +1,9 @@
 /**
- * Two copies of the registry and one address, at which targets start, announce themselves, crash, leave and start again, under
- * the same id or another one. Announcements are held up and come late, copies miss changes, leadership moves. Promises: no copy
- * ever has two lifetimes in use at the address, and none that left in order; and once the target that lives there has announced
- * itself a few times to a leader that the other copy hears, both have it and no other.
+ * Models two replicas of the registry and one address, at which targets start, announce themselves, crash, depart and
+ * restart, under the same id or another one. Announcements are delayed, replicas miss changes, and the leader
+ * changes. Checks two properties: no replica ever has two lifetimes in use at the address, nor one that has departed;
+ * and once the running target has announced itself a few times to a leader that the other replica follows, both have
+ * it in use and no other.
  */
 import * as domain from '@celerydrift/domain';
 import type * as explorer from '../explorer';
@@ -11,7 +12,7 @@
 type Registry = domain.registry.registry.Registry;
 type Announcement = domain.registry.registry.Announcement;
 
-/** A lifetime by its id and birth. */
+/** A lifetime of a target, identified by its id and start time. */
 interface Lifetime {
   id: string;
   bornAt: number;
@@ -19,21 +20,21 @@
 
 export type Event =
   | { kind: 'start'; id: string }
-  /** The running target announces itself; `how` far that goes. */
+  /** The running target announces itself; `how` tells which replicas receive that. */
   | { kind: 'announce'; how: 'everywhere' | 'leaderOnly' | 'delayed' }
-  /** An announcement that was held up reaches the leader. */
+  /** A delayed announcement reaches the leader and then the other replica. */
   | { kind: 'deliver'; sequence: number }
-  /** It ends without a word. */
+  /** The target terminates without an announcement. */
   | { kind: 'crash' }
-  /** It announces that it leaves, and ends; the leader acknowledged that. */
+  /** The target departs, which the leader acknowledges, and terminates. */
   | { kind: 'depart' }
-  /** An entry met another lifetime at the address of one that the leader has in use. */
+  /** An entry reached another lifetime at the address of one that the leader has in use. */
   | { kind: 'contradict'; id: string }
-  /** The other copy gets all that the leader has. */
+  /** The other replica receives all records of the leader. */
   | { kind: 'replicate' }
-  /** The leader gets all that the other copy has. */
+  /** The leader merges all records of the other replica. */
   | { kind: 'merge' }
-  /** The other keeper leads from now on; `isCaughtUp` whether it got the former leader's copy first. */
+  /** The other keeper becomes the leader; `isCaughtUp` if it received the former leader's records before. */
   | { kind: 'changeLeader'; isCaughtUp: boolean }
   | { kind: 'wait'; ms: number };
 
@@ -43,10 +44,10 @@
   now: number;
   running: Lifetime | undefined;
   startCount: number;
-  /** Rises with each announcement of whichever lifetime. */
+  /** Increases with each announcement of any lifetime. */
   sequence: number;
   delayed: Announcement[];
-  /** Lifetimes that left in order, and the copies that know of it. */
+  /** Lifetimes that departed, and the replicas that know of it. */
   departures: { lifetime: Lifetime; known: Set<number> }[];
 }
 
@@ -54,13 +55,13 @@
 
 const ADDRESS = '10.0.0.1:80';
 
-/** Targets announce themselves this often, milliseconds. */
+/** Interval between two announcements of a target. */
 const ANNOUNCE_EVERY_MS = 1_200;
 
-/** A target that lives is known everywhere after so many announcements. */
+/** A running target is in use everywhere after this many announcements. */
 const SETTLING_ANNOUNCEMENTS = 3;
 
-/** Fields of a registry that hold a moment. */
+/** Fields of a registry that contain a time. */
 const TIME_FIELDS = new Set(['heardAt', 'spokeAt', 'contradictedAt']);
 
 const MAX_DELAYED = 2;
@@ -109,7 +110,7 @@
   ];
 }
 
-/** Ids that the leader has in use at the address though another lifetime is there. */
+/** Ids that the leader has in use at the address although another lifetime runs there. */
 function wronglyInUse({ registries, leader }: State, running: Lifetime): string[] {
   return inUse(registries[leader])
     .filter((record) => !isSameLifetime(running, record) && record.id !== running.id)
@@ -206,7 +207,7 @@
   return problems.find((problem) => problem !== undefined);
 }
 
-/** The running target goes on announcing itself, and the other copy hears of the leader. */
+/** Lets the running target keep announcing itself and the leader replicate, and checks that both replicas converge. */
 function convergenceViolation(state: State): string | undefined {
   const { running, registries } = state;
   if (running === undefined) return undefined;
