--- a/packages/soak/src/__tests__/checks.test.ts
+++ b/packages/soak/src/__tests__/checks.test.ts
@@ -102,20 +102,20 @@
     // The allowed maximum is 11 messages in 4 s.
     expect(brokenPromises((good) => addLimitedTarget(good, 370))).to.deep.equal([]);
     expect(brokenPromises((good) => addLimitedTarget(good, 350))).to.deep.equal(['overLimit']);
-    const harmed = brokenPromises((good) => {
+    const disturbed = brokenPromises((good) => {
       addLimitedTarget(good, 100);
-      const what = { subject: 'entry', index: 0, what: 'entryCut' } as const;
-      good.disturbances.push({ ...what, from: 10_000, until: 20_000 });
+      const disturbance = { subject: 'entry', index: 0, what: 'entryCut' } as const;
+      good.disturbances.push({ ...disturbance, from: 10_000, until: 20_000 });
     });
-    expect(harmed).to.deep.equal([]);
+    expect(disturbed).to.deep.equal([]);
   });
 
   it('allow a few copies after the third crash, and any number from a disturbed entry', () => {
     expect(brokenPromises((good) => addCrashes(good, MAX_LATER_ARRIVALS))).to.deep.equal([]);
     const found = brokenPromises((good) => {
       addCrashes(good, 9);
-      const what = { subject: 'entry', index: 0, what: 'entryCut' } as const;
-      good.disturbances.push({ ...what, from: 13_000, until: 14_000 });
+      const disturbance = { subject: 'entry', index: 0, what: 'entryCut' } as const;
+      good.disturbances.push({ ...disturbance, from: 13_000, until: 14_000 });
     });
     expect(found).to.deep.equal([]);
   });
@@ -191,9 +191,9 @@
     [
       'notLeftAlone',
       ({ got, turnedAway }) => {
-        const way = { target: 't0-1', entry: 0 };
-        turnedAway.push({ ...way, at: 10_000, backOffSeconds: 2 });
-        got.push(...[10_600, 11_200, 11_900].map((at) => ({ ...way, at })));
+        const exchange = { target: 't0-1', entry: 0 };
+        turnedAway.push({ ...exchange, at: 10_000, backOffSeconds: 2 });
+        got.push(...[10_600, 11_200, 11_900].map((at) => ({ ...exchange, at })));
       },
     ],
     [
@@ -220,14 +220,14 @@
 
   it('allow what may happen to a disturbed process', () => {
     const found = brokenPromises(({ probes, asked: all, disturbances, sent: documents }) => {
-      const harm = {
+      const disturbance = {
         subject: 'entry',
         index: 0,
         what: 'entryCut',
         from: 0,
         until: 15_000,
       } as const;
-      disturbances.push(harm);
+      disturbances.push(disturbance);
       documents.push({ ...submittedDocument(2, 2_000, ['k', 'new']), label: '' });
       documents.push(submittedDocument(3, 19_500));
       probes.push(probeRecord(2, 14_000, 404));
--- a/packages/soak/src/__tests__/schedule.test.ts
+++ b/packages/soak/src/__tests__/schedule.test.ts
@@ -5,29 +5,29 @@
 
 const { expect } = chai;
 
-const SIZE = layout.LAYOUTS.small;
+const LAYOUT = layout.LAYOUTS.small;
 
 /** A keeper still counts as lost this long after its fault, seconds. */
-const LOST = 5;
+const LOST_SECONDS = 5;
 
-const LOSES_KEEPER = /^keeper(Kill|Pause|Cut|Wipe|Tear)|^disk/;
+const KEEPER_FAULT = /^keeper(Kill|Pause|Cut|Wipe|Tear)|^disk/;
 
 describe('soak: schedule', () => {
   it('draws the same plan from the same seed', () => {
-    expect(schedule.drawPlan(7, 20, SIZE)).to.deep.equal(schedule.drawPlan(7, 20, SIZE));
-    expect(schedule.drawPlan(7, 4, SIZE).steps).toMatchSnapshot();
+    expect(schedule.drawPlan(7, 20, LAYOUT)).to.deep.equal(schedule.drawPlan(7, 20, LAYOUT));
+    expect(schedule.drawPlan(7, 4, LAYOUT).steps).toMatchSnapshot();
   });
 
   it('never disturbs more than two keepers at once, nor any during a fault of all', () => {
     for (let seed = 0; seed < 300; seed++) {
-      const { steps } = schedule.drawPlan(seed, 40, SIZE);
+      const { steps } = schedule.drawPlan(seed, 40, LAYOUT);
       steps.forEach((step, i) => {
-        const before = steps.slice(0, i).filter((each) => {
-          return each.at + each.forSeconds + LOST > step.at;
+        const active = steps.slice(0, i).filter((each) => {
+          return each.at + each.forSeconds + LOST_SECONDS > step.at;
         });
-        const lost = before.filter(({ kind }) => LOSES_KEEPER.test(kind)).length;
-        const all = before.filter(({ kind }) => /^(keepers|fleet)Kill/.test(kind)).length;
-        if (LOSES_KEEPER.test(step.kind)) expect(lost + 2 * all).to.be.at.most(1);
+        const lost = active.filter(({ kind }) => KEEPER_FAULT.test(kind)).length;
+        const all = active.filter(({ kind }) => /^(keepers|fleet)Kill/.test(kind)).length;
+        if (KEEPER_FAULT.test(step.kind)) expect(lost + 2 * all).to.be.at.most(1);
         if (/^(keepers|fleet)Kill/.test(step.kind)) expect(lost + all).to.equal(0);
       });
     }
@@ -36,7 +36,7 @@
   it('draws every kind sooner or later', () => {
     const drawn = new Set<string>();
     for (let seed = 0; seed < 300; seed++) {
-      schedule.drawPlan(seed, 40, SIZE).steps.forEach(({ kind }) => drawn.add(kind));
+      schedule.drawPlan(seed, 40, LAYOUT).steps.forEach(({ kind }) => drawn.add(kind));
     }
     expect([...drawn].sort()).toMatchSnapshot();
   });
--- a/packages/soak/src/checks.ts
+++ b/packages/soak/src/checks.ts
@@ -200,14 +200,14 @@
       ({ version, ackedAt }) => version > probe.version && (ackedAt ?? Infinity) < bound,
     );
     if (isServed(probe) && newer !== undefined) return [staleness(probe, 'still served')];
-    return isUnknownRoute(probe) && isKnownToAll(observed, probe, bound)
+    return isUnknownRoute(probe) && mustBeInForce(observed, probe, bound)
       ? [staleness(probe, 'unknown')]
       : [];
   });
 }
 
 /** Whether the probed document is acknowledged and the only one that may be in force. */
-function isKnownToAll({ sent }: Observations, probe: Probe, bound: number): boolean {
+function mustBeInForce({ sent }: Observations, probe: Probe, bound: number): boolean {
   const isOvertaken = sent.some(({ version, label, sentAt }) => {
     const isOther = version > probe.version || (version === probe.version && label !== probe.label);
     return isOther && sentAt < probe.endedAt;
@@ -248,8 +248,8 @@
 function revokedKeyRuns({ asked, ran, revoked }: Observations): Violation[] {
   const all = new Set(ran.map(({ request }) => request));
   return asked.flatMap(({ key, request, sentAt }) => {
-    const taken = revoked.find((each) => each.key === key);
-    const isLate = taken !== undefined && sentAt > taken.ackedAt + layout.BOUNDS.revokeMs;
+    const revocation = revoked.find((each) => each.key === key);
+    const isLate = revocation !== undefined && sentAt > revocation.ackedAt + layout.BOUNDS.revokeMs;
     if (!isLate || !all.has(request)) return [];
     return [{ promise: 'revokedKeyRan', detail: `${request} with ${key}` }];
   });
@@ -272,8 +272,8 @@
   const ran = new Map(observed.ran.map((each) => [each.request, each]));
   return observed.stopped.flatMap(({ entry, incarnation, from, until }) => {
     const cut = observed.asked.filter((each) => {
-      const isThere = each.entry === entry && each.incarnation === incarnation;
-      return isThere && each.ending.kind === 'broken' && each.endedAt > from;
+      const isSameProcess = each.entry === entry && each.incarnation === incarnation;
+      return isSameProcess && each.ending.kind === 'broken' && each.endedAt > from;
     });
     return cut
       .filter(
@@ -344,9 +344,9 @@
     const concernsSpan = ({ target, at }: observations.TargetExchange): boolean =>
       lifetimes.has(target) && at >= from && at <= until;
     const reports = observed.told.filter(concernsSpan);
-    const first = Math.min(...reports.map(({ at }) => at));
+    const firstReportAt = Math.min(...reports.map(({ at }) => at));
     const counted = observed.got
-      .filter((each) => concernsSpan(each) && each.at >= first + SETTLING_MS)
+      .filter((each) => concernsSpan(each) && each.at >= firstReportAt + SETTLING_MS)
       .filter((each) => mustRespectLimit(observed, reports, each))
       .map(({ at }) => at);
     const counts = counted.map((begin) => {
@@ -367,8 +367,8 @@
   { entry, at }: observations.TargetExchange,
 ): boolean {
   return reports.some((each) => {
-    const isTold = each.entry === entry && each.at <= at - REPORT_DELAY_MS;
-    return isTold && isUninterrupted(observed, entry, each.at, at);
+    const isReported = each.entry === entry && each.at <= at - REPORT_DELAY_MS;
+    return isReported && isUninterrupted(observed, entry, each.at, at);
   });
 }
 
@@ -381,22 +381,23 @@
   since: number,
   at: number,
 ): boolean {
-  const isSince = (each: Record<'from' | 'until', number>): boolean =>
+  const overlaps = (each: Record<'from' | 'until', number>): boolean =>
     each.from <= at && each.until >= since;
-  const isStopped = observed.stopped.some((each) => each.entry === entry && isSince(each));
-  const isItself = observed.disturbances.some((each) => {
-    return each.subject === 'entry' && each.index === entry && isSince(each);
+  const isStopped = observed.stopped.some((each) => each.entry === entry && overlaps(each));
+  const isEntryDisturbed = observed.disturbances.some((each) => {
+    return each.subject === 'entry' && each.index === entry && overlaps(each);
   });
-  return !isStopped && !isItself;
+  return !isStopped && !isEntryDisturbed;
 }
 
 function backOffBreaches(observed: Observations): Violation[] {
-  return observed.turnedAway.flatMap((asked): Violation[] => {
-    const { target, bornAt, entry, at, backOffSeconds = 0 } = asked;
+  return observed.turnedAway.flatMap((rejection): Violation[] => {
+    const { target, bornAt, entry, at, backOffSeconds = 0 } = rejection;
     const during = observed.got.filter((each) => {
-      const isIt = each.target === target && each.bornAt === bornAt && each.entry === entry;
-      const isThen = each.at > at + REPORT_DELAY_MS && each.at < at + backOffSeconds * 1_000;
-      return isIt && isThen && isUninterrupted(observed, entry, at, each.at);
+      const isSamePair = each.target === target && each.bornAt === bornAt && each.entry === entry;
+      const isDuringBackOff =
+        each.at > at + REPORT_DELAY_MS && each.at < at + backOffSeconds * 1_000;
+      return isSamePair && isDuringBackOff && isUninterrupted(observed, entry, at, each.at);
     });
     if (during.length <= MAX_DURING_BACK_OFF) return [];
     const detail = `${target}: ${during.length} messages from entry ${entry} in a back-off of ${backOffSeconds} s from ${at}`;
@@ -409,10 +410,11 @@
   const asked = new Map(observed.asked.map((each) => [each.request, each]));
   return observed.ran.flatMap(({ request, target, bornAt, at }): Violation[] => {
     const { entry, sentAt } = asked.get(request) ?? { entry: -1, sentAt: 0 };
-    const isLate = observed.saidLeaving.some((said) => {
-      const isIt = said.target === target && said.bornAt === bornAt && said.entry === entry;
-      const isThen = said.at < sentAt - layout.BOUNDS.drainMs;
-      return isIt && isThen && isUninterrupted(observed, entry, said.at, at);
+    const isLate = observed.saidLeaving.some((report) => {
+      const isSamePair =
+        report.target === target && report.bornAt === bornAt && report.entry === entry;
+      const isPastBound = report.at < sentAt - layout.BOUNDS.drainMs;
+      return isSamePair && isPastBound && isUninterrupted(observed, entry, report.at, at);
     });
     return isLate ? [{ promise: 'drainedTargetRan', detail: `${request} at ${target}` }] : [];
   });
@@ -443,8 +445,8 @@
 ): boolean {
   return disturbances.some((each) => {
     const isOverlapping = each.from <= until && each.until >= from;
-    const isIt = each.subject === subject && (index === undefined || each.index === index);
-    return isOverlapping && (isIt || each.subject === 'network');
+    const isSubject = each.subject === subject && (index === undefined || each.index === index);
+    return isOverlapping && (isSubject || each.subject === 'network');
   });
 }
 
--- a/packages/soak/src/forwarder.ts
+++ b/packages/soak/src/forwarder.ts
@@ -5,7 +5,7 @@
  */
 import * as net from 'node:net';
 
-type Direction = 'forth' | 'back';
+type Direction = 'forward' | 'backward';
 
 /** A connection to the forwarder and the one it opens to the process behind it. */
 interface ForwardedConnection {
@@ -89,8 +89,8 @@
     caller.setNoDelay(true);
     const connection: ForwardedConnection = { source, target, caller, callee, isBlackholed: false };
     this.connections.add(connection);
-    this.relay(connection, 'forth');
-    this.relay(connection, 'back');
+    this.relay(connection, 'forward');
+    this.relay(connection, 'backward');
     caller.once('close', () => this.connections.delete(connection));
   }
 
@@ -99,13 +99,13 @@
     direction: Direction,
   ): boolean {
     if (isBlackholed) return false;
-    const link = direction === 'forth' ? `${source}>${target}` : `${target}>${source}`;
+    const link = direction === 'forward' ? `${source}>${target}` : `${target}>${source}`;
     return !this.cutLinks.has(link);
   }
 
   private relay(connection: ForwardedConnection, direction: Direction): void {
     const [from, to] =
-      direction === 'forth'
+      direction === 'forward'
         ? [connection.caller, connection.callee]
         : [connection.callee, connection.caller];
     const queue: (() => void)[] = [];
--- a/packages/soak/src/run.ts
+++ b/packages/soak/src/run.ts
@@ -8,10 +8,10 @@
 import * as answers from './answers';
 import * as callers from './callers';
 import * as checks from './checks';
-import * as crashers from './crashingCallers';
+import * as crashingCallers from './crashingCallers';
 import * as fleet from './fleet';
-import * as foreignWriter from './malformedAnnouncer';
-import * as harm from './faultInjector';
+import * as malformedAnnouncer from './malformedAnnouncer';
+import * as faultInjector from './faultInjector';
 import * as layout from './layout';
 import * as observations from './observations';
 import * as operator from './operator';
@@ -75,9 +75,9 @@
 
   private readonly callers: callers.Callers;
 
-  private readonly faultInjector: harm.FaultInjector;
+  private readonly faultInjector: faultInjector.FaultInjector;
 
-  private readonly crashingCallers: crashers.CrashingCallers;
+  private readonly crashingCallers: crashingCallers.CrashingCallers;
 
   private readonly pending = new Set<Promise<void>>();
 
@@ -100,15 +100,18 @@
     });
     this.operators = new operator.Operator(this.fleet.controlAddresses, this.observed, this.random);
     this.callers = new callers.Callers(this.random);
-    this.crashingCallers = new crashers.CrashingCallers({
+    this.crashingCallers = new crashingCallers.CrashingCallers({
       fleet: this.fleet,
       callers: this.callers,
       observed: this.observed,
       random: domain.shared.random.independent(seed),
       key: () => this.operators.currentKey(),
     });
-    this.faultInjector = new harm.FaultInjector(this.fleet, this.operators, this.observed, () =>
-      this.random.uniform(),
+    this.faultInjector = new faultInjector.FaultInjector(
+      this.fleet,
+      this.operators,
+      this.observed,
+      () => this.random.uniform(),
     );
   }
 
@@ -167,17 +170,17 @@
     const untilSecond = async (at: number): Promise<void> =>
       operator.sleep(Math.max(0, startedAt + at * 1_000 - Date.now()));
     const scheduleAll = <T extends { at: number }>(
-      drawn: T[],
-      carryOut: (one: T) => Promise<void>,
+      planned: T[],
+      carryOut: (span: T) => Promise<void>,
     ): void => {
-      started.push(...drawn.map((one) => untilSecond(one.at).then(() => carryOut(one))));
+      started.push(...planned.map((span) => untilSecond(span.at).then(() => carryOut(span))));
     };
     const started: Promise<void>[] = [];
-    scheduleAll(crashing, (one) => this.crashingCallers.carryOut(one));
-    scheduleAll(limiting, (one) => this.faultInjector.limitRate(one));
-    scheduleAll(shedding, (one) => this.faultInjector.shedLoad(one));
-    scheduleAll(isolating, (one) => {
-      return this.faultInjector.isolate(one, (entry, key) => {
+    scheduleAll(crashing, (span) => this.crashingCallers.carryOut(span));
+    scheduleAll(limiting, (span) => this.faultInjector.limitRate(span));
+    scheduleAll(shedding, (span) => this.faultInjector.shedLoad(span));
+    scheduleAll(isolating, (span) => {
+      return this.faultInjector.isolate(span, (entry, key) => {
         this.send({ entry, kind: 'safe', path: operator.basePath('safe'), key });
       });
     });
@@ -193,7 +196,10 @@
     const addresses = this.fleet.targets.map(
       ({ advertisedHost }) => `${advertisedHost}:${layout.TARGET_PORT}`,
     );
-    const announcer = new foreignWriter.MalformedAnnouncer(this.fleet.controlAddresses, addresses);
+    const announcer = new malformedAnnouncer.MalformedAnnouncer(
+      this.fleet.controlAddresses,
+      addresses,
+    );
     while (this.isSendingTraffic) {
       await announcer.announceNext();
       await operator.sleep(MALFORMED_ANNOUNCEMENT_INTERVAL_MS);
--- a/packages/soak/src/schedule.ts
+++ b/packages/soak/src/schedule.ts
@@ -151,12 +151,12 @@
 
 const CRASHING_REQUEST_KINDS: readonly observations.RequestKind[] = ['stream', 'safe', 'unsafe'];
 const MEAN_CRASHING_INTERVAL_SECONDS = 4;
-const COPY_INTERVAL_SECONDS = { least: 0.01, most: 0.5 } as const;
+const COPY_INTERVAL_SECONDS = { min: 0.01, max: 0.5 } as const;
 
 type Random = domain.shared.random.Random;
 
-function uniformBetween(random: Random, { least, most }: Record<'least' | 'most', number>): number {
-  return least + (most - least) * random.uniform();
+function uniformBetween(random: Random, { min, max }: Record<'min' | 'max', number>): number {
+  return min + (max - min) * random.uniform();
 }
 
 /**
@@ -179,12 +179,12 @@
   const meanPause = MEAN_CRASHING_INTERVAL_SECONDS;
   return drawSpans({ seed, seconds, meanPause, minGap: 0 }, (random, at) => {
     const forSeconds = uniformBetween(random, {
-      least: MIN_DURATION_SECONDS,
-      most: MAX_DURATION_SECONDS,
+      min: MIN_DURATION_SECONDS,
+      max: MAX_DURATION_SECONDS,
     });
     const kind = domain.shared.random.pick(random, CRASHING_REQUEST_KINDS);
-    const { least, most } = COPY_INTERVAL_SECONDS;
-    return { at, forSeconds, kind, pauseSeconds: least + (most - least) * random.uniform() ** 2 };
+    const { min, max } = COPY_INTERVAL_SECONDS;
+    return { at, forSeconds, kind, pauseSeconds: min + (max - min) * random.uniform() ** 2 };
   });
 }
 
@@ -195,15 +195,15 @@
 const LIMITING_SEED_OFFSET = 1_000_003;
 const MEAN_LIMITING_INTERVAL_SECONDS = 3;
 /** Longer than the few seconds after which a limit must hold and the few seconds over which it is measured. */
-const LIMITING_SECONDS = { least: 8, most: 20 } as const;
-const LIMIT_PER_SECOND = { least: 0.3, most: 5 } as const;
+const LIMITING_SECONDS = { min: 8, max: 20 } as const;
+const LIMIT_PER_SECOND = { min: 0.3, max: 5 } as const;
 /** Maximum share of targets that report a limit at once. */
 const MAX_LIMITED_SHARE = 0.8;
 
 function drawLimiting(seed: number, seconds: number, targets: number): LimitingSpan[] {
   const numbers = Array.from({ length: targets }, (_, i) => i);
   const meanPause = MEAN_LIMITING_INTERVAL_SECONDS;
-  return drawSpans({ seed, seconds, meanPause, minGap: LIMITING_SECONDS.most }, (random, at) => {
+  return drawSpans({ seed, seconds, meanPause, minGap: LIMITING_SECONDS.max }, (random, at) => {
     const count = Math.ceil(MAX_LIMITED_SHARE * random.uniform() * targets);
     const forSeconds = uniformBetween(random, LIMITING_SECONDS);
     const drawn = domain.shared.random.shuffled(random, numbers).slice(0, count);
--- a/packages/soak/src/targetMain.ts
+++ b/packages/soak/src/targetMain.ts
@@ -119,8 +119,8 @@
       return 200;
     }
     this.expire();
-    const held = [...this.reservations].filter(([id]) => id !== order.reservation);
-    const used = held.reduce((sum, [, { tokens }]) => sum + tokens, 0);
+    const others = [...this.reservations].filter(([id]) => id !== order.reservation);
+    const used = others.reduce((sum, [, { tokens }]) => sum + tokens, 0);
     if (used + order.tokens > this.options.memoryTokens) return 409;
     const expiresAt = performance.now() + order.holdMs;
     this.reservations.set(order.reservation, { tokens: order.tokens, expiresAt });
@@ -183,15 +183,15 @@
     }
     const mode = this.mode();
     if (mode === 'mute') return;
-    const named = mode === 'crossed' ? `${requestId}x` : requestId;
+    const responseId = mode === 'crossed' ? `${requestId}x` : requestId;
     const headers = counterpart.answerHeaders({
       ...this.selfReportFields(request),
-      requestId: named,
+      requestId: responseId,
     });
     if (mode === 'failing') response.writeHead(500, headers).end('failed');
     else if (path.includes(answers.STREAM_MARKER)) {
-      this.sendStream(response, headers, named, resumeAfter, mode === 'cutting');
-    } else this.sendResponse(response, headers, answers.callBody(named, path), mode);
+      this.sendStream(response, headers, responseId, resumeAfter, mode === 'cutting');
+    } else this.sendResponse(response, headers, answers.callBody(responseId, path), mode);
   }
 
   /** Response fields that report the target's state, also reported on standard output. */
