--- a/packages/check/src/__tests__/check.test.ts
+++ b/packages/check/src/__tests__/check.test.ts
@@ -1,4 +1,6 @@
-/** The explorer finds the shortest story; models find nothing in the domain's code, and each broken version of a rule. */
+/**
+ * The explorer finds shortest counterexamples; the models find none in the domain's code and one in each broken rule.
+ */
 import * as chai from 'chai';
 import * as domain from '@celerydrift/domain';
 import * as explorer from '../explorer';
@@ -9,20 +11,20 @@
 type Quarantine = domain.quarantine.quarantine.Quarantine;
 type Registry = domain.registry.registry.Registry;
 
-/** Counts up by one or three; seven is wrong. */
+/** A counter that increases by one or three; a sum of seven is a violation. */
 const COUNTER: explorer.Model<{ sum: number }, number> = {
-  begin: () => ({ sum: 0 }),
-  events: () => [1, 3],
-  play: (world, by) => {
-    world.sum += by;
+  initialState: () => ({ sum: 0 }),
+  enabledEvents: () => [1, 3],
+  apply: (state, by) => {
+    state.sum += by;
   },
   fingerprint: ({ sum }) => String(sum),
-  problem: (replay) => (replay().sum === 7 ? 'seven' : undefined),
+  findViolation: (replay) => (replay().sum === 7 ? 'seven' : undefined),
   describe: (by) => `+${by}`,
 };
 
 describe('explorer', () => {
-  it('finds a shortest story, and counts states that differ once', () => {
+  it('finds a shortest counterexample and counts equal states once', () => {
     expect(explorer.explore(COUNTER, 2)).to.deep.equal({ states: 6, steps: 6, finding: undefined });
     expect(explorer.explore(COUNTER, 3).finding).to.deep.equal({
       problem: 'seven',
@@ -30,10 +32,10 @@
     });
   });
 
-  it('shortens what it draws', () => {
+  it('shrinks the counterexample of a random walk', () => {
     const eleven = {
       ...COUNTER,
-      problem: (replay: () => { sum: number }) => {
+      findViolation: (replay: () => { sum: number }) => {
         return replay().sum >= 11 ? 'eleven or more' : undefined;
       },
     };
@@ -44,18 +46,18 @@
 });
 
 /** A quarantine with some of its rules replaced. */
-function broken(rules: object): Quarantine {
+function newBrokenQuarantine(rules: object): Quarantine {
   return Object.assign(new domain.quarantine.quarantine.Quarantine(), rules);
 }
 
-/** The parts of a suspect that these versions look at. */
+/** Fields of a suspect that the broken rules use. */
 interface Suspect {
   endings: { lifetime: string; at: number; isTrial: boolean }[];
   quarantinedAt: number | undefined;
   doubts: number;
 }
 
-function wasConvicted(this: { suspects: Map<string, Suspect> }, content: string): boolean {
+function wasQuarantined(this: { suspects: Map<string, Suspect> }, content: string): boolean {
   const suspect = this.suspects.get(content);
   return suspect !== undefined && (suspect.quarantinedAt !== undefined || suspect.doubts > 0);
 }
@@ -63,48 +65,59 @@
 function hasTwoCounted(this: { suspects: Map<string, Suspect> }, content: string): boolean {
   const suspect = this.suspects.get(content);
   if (suspect === undefined) return false;
-  return wasConvicted.call(this, content) || domain.quarantine.suspect.countOf(suspect) >= 2;
+  return wasQuarantined.call(this, content) || domain.quarantine.suspect.countOf(suspect) >= 2;
 }
 
-function isDueSoon({ quarantinedAt }: Suspect, now: number): 'doubtful' | undefined {
+function doubtfulAfterTwoSeconds({ quarantinedAt }: Suspect, now: number): 'doubtful' | undefined {
   return quarantinedAt !== undefined && now - quarantinedAt >= 2_000 ? 'doubtful' : undefined;
 }
 
 function quarantineModel(
-  make: () => Quarantine,
-  isApart: boolean,
-): explorer.Model<models.quarantineModel.World, models.quarantineModel.Event> {
-  return models.quarantineModel.quarantineModel({ culprits: 1, innocents: 1, isApart, make });
+  newQuarantine: () => Quarantine,
+  areSuspectsIsolated: boolean,
+): explorer.Model<models.quarantineModel.State, models.quarantineModel.Event> {
+  return models.quarantineModel.quarantineModel({
+    culprits: 1,
+    innocents: 1,
+    areSuspectsIsolated,
+    newQuarantine,
+  });
 }
 
 describe('quarantine, checked', () => {
-  [true, false].forEach((isApart) => {
-    const where = isApart ? 'under a leader' : 'without a leader';
-    it(`serves what is innocent and stops what is not, in all orders of five events ${where}`, () => {
-      const make = (): Quarantine => new domain.quarantine.quarantine.Quarantine();
-      const { finding, ...counts } = explorer.explore(quarantineModel(make, isApart), 5);
+  [true, false].forEach((areSuspectsIsolated) => {
+    const where = areSuspectsIsolated ? 'under a leader' : 'without a leader';
+    it(`serves innocent requests and stops culprits, in all sequences of five events ${where}`, () => {
+      const newQuarantine = (): Quarantine => new domain.quarantine.quarantine.Quarantine();
+      const { finding, ...counts } = explorer.explore(
+        quarantineModel(newQuarantine, areSuspectsIsolated),
+        5,
+      );
       expect(finding).to.equal(undefined);
       expect(counts).toMatchSnapshot();
     });
   });
 
   const versions: [string, object][] = [
-    ['nothing is ever in doubt', { isDoubtful: () => false }],
-    ['only what was convicted explains ends', { mayBeCulprit: wasConvicted }],
-    ['only counted ends make a possible culprit', { mayBeCulprit: hasTwoCounted }],
-    ['nothing of a doubted content goes on explaining', { noteExplained: () => undefined }],
-    ['doubt returns every two seconds', { dueReason: isDueSoon }],
-    ['nothing is ever refused', { standing: () => 'suspected' }],
+    ['no quarantine is ever doubtful', { isDoubtful: () => false }],
+    ['only quarantined contents explain crashes', { mayBeCulprit: wasQuarantined }],
+    ['only counted crashes make a possible culprit', { mayBeCulprit: hasTwoCounted }],
+    ['crashes of a doubtful content no longer explain others', { noteExplained: () => undefined }],
+    [
+      'every quarantine is ended as doubtful after two seconds',
+      { dueReason: doubtfulAfterTwoSeconds },
+    ],
+    ['quarantined contents count as suspected', { standing: () => 'suspected' }],
   ];
 
   versions.forEach(([what, rules]) => {
     it(`finds the version in which ${what}`, () => {
-      const stories = [true, false].map((isApart) => {
-        const model = quarantineModel(() => broken(rules), isApart);
+      const findings = [true, false].map((areSuspectsIsolated) => {
+        const model = quarantineModel(() => newBrokenQuarantine(rules), areSuspectsIsolated);
         return explorer.explore(model, 5).finding;
       });
-      expect(stories).toMatchSnapshot();
-      expect(stories.some((story) => story !== undefined)).to.equal(true);
+      expect(findings).toMatchSnapshot();
+      expect(findings.some((finding) => finding !== undefined)).to.equal(true);
     });
   });
 });
@@ -113,14 +126,14 @@
   return new domain.registry.registry.Registry();
 }
 
-/** A registry whose methods are replaced by what `change` makes of it. */
-function brokenRegistry(change: (made: Registry) => object): Registry {
-  const made = newRegistry();
-  return Object.assign(made, change(made));
+/** A registry with the methods replaced that `change` returns. */
+function newBrokenRegistry(change: (registry: Registry) => object): Registry {
+  const registry = newRegistry();
+  return Object.assign(registry, change(registry));
 }
 
 describe('registry, checked', () => {
-  it('has one lifetime at an address, the living one once it speaks, in all orders of six events', () => {
+  it('has one lifetime at an address, the running one once it announces itself, in all sequences of six events', () => {
     const { finding, ...counts } = explorer.explore(
       models.registryModel.registryModel(newRegistry),
       6,
@@ -129,22 +142,28 @@
     expect(counts).toMatchSnapshot();
   });
 
-  const versions: [string, (made: Registry) => object][] = [
-    ['a leader counts no more than others', (made) => ({ follow: made.merge.bind(made) })],
+  const versions: [string, (registry: Registry) => object][] = [
     [
-      'it does not matter which lifetime leaves',
-      (made) => {
-        const depart = made.depart.bind(made);
+      'the records of a leader take no precedence',
+      (registry) => ({ follow: registry.merge.bind(registry) }),
+    ],
+    [
+      'a departure ends any lifetime with the id',
+      (registry) => {
+        const depart = registry.depart.bind(registry);
         return { depart: (id: string, now: number) => depart(id, now) };
       },
     ],
-    ['a lifetime that was wrongly taken for dead stays so', () => ({ contradict: () => [] })],
-    ['a new lifetime ends no other at its address', () => ({ presumeDead: () => [] })],
+    ['a lifetime that was wrongly presumed dead stays dead', () => ({ contradict: () => [] })],
+    [
+      'a new lifetime does not end the previous one at its address',
+      () => ({ presumeDead: () => [] }),
+    ],
   ];
 
   versions.forEach(([what, change]) => {
     it(`finds the version in which ${what}`, () => {
-      const model = models.registryModel.registryModel(() => brokenRegistry(change));
+      const model = models.registryModel.registryModel(() => newBrokenRegistry(change));
       const { finding } = explorer.explore(model, 6);
       expect(finding).toMatchSnapshot();
       expect(finding).not.to.equal(undefined);
--- a/packages/check/src/explorer.ts
+++ b/packages/check/src/explorer.ts
@@ -1,67 +1,72 @@
 /**
- * Explores what a model may come to. All orders of its events are played up to a depth, shortest first, so that the first
- * story that breaks a promise is also a shortest one; beyond that depth stories are drawn at random from a seed. The code under
- * test keeps its state in objects that can't be copied, so each state is reached by playing its story from the beginning.
+ * Explores the reachable states of a model. All sequences of events up to a depth are applied breadth-first, so that
+ * the first counterexample is a shortest one. Longer sequences are sampled by random walks from a seed. The code
+ * under test keeps its state in objects that can't be copied, so each state is reached by replaying its trace from
+ * the initial state.
  */
 import * as domain from '@celerydrift/domain';
 
-export interface Model<World, Event> {
-  /** A world in which nothing has happened. */
-  begin: () => World;
-  /** What may happen next. */
-  events: (world: World) => Event[];
-  play: (world: World, event: Event) => void;
-  /** The same text for worlds that can't be told apart by what comes. */
-  fingerprint: (world: World) => string;
-  /** What is wrong; undefined for nothing. `replay` makes further worlds in the same state, to be used up. */
-  problem: (replay: () => World) => string | undefined;
+export interface Model<State, Event> {
+  /** Creates the state before any event. */
+  initialState: () => State;
+  /** Events that may happen next. */
+  enabledEvents: (state: State) => Event[];
+  apply: (state: State, event: Event) => void;
+  /** Equal for states with the same future behaviour. */
+  fingerprint: (state: State) => string;
+  /**
+   * Describes a violated property; undefined if there is none. `replay` creates copies of the state that may be
+   * modified.
+   */
+  findViolation: (replay: () => State) => string | undefined;
   describe: (event: Event) => string;
 }
 
+/** A violated property with its counterexample. */
 export interface Finding {
   problem: string;
-  /** The events that led to it, in order. */
+  /** Descriptions of the events that led to the violation, in order. */
   story: string[];
 }
 
 export interface Exploration {
-  /** States that differ, the first one included. */
+  /** Number of distinct states, including the initial one. */
   states: number;
-  /** Events that were played on them. */
+  /** Number of events that were applied. */
   steps: number;
   finding: Finding | undefined;
 }
 
-function replayed<World, Event>(model: Model<World, Event>, story: readonly Event[]): World {
-  const world = model.begin();
-  story.forEach((event) => model.play(world, event));
-  return world;
+function replayTrace<State, Event>(model: Model<State, Event>, trace: readonly Event[]): State {
+  const state = model.initialState();
+  trace.forEach((event) => model.apply(state, event));
+  return state;
 }
 
-function findingOf<World, Event>(
-  model: Model<World, Event>,
-  story: readonly Event[],
+function checkTrace<State, Event>(
+  model: Model<State, Event>,
+  trace: readonly Event[],
 ): Finding | undefined {
-  const problem = model.problem(() => replayed(model, story));
-  return problem === undefined ? undefined : { problem, story: story.map(model.describe) };
+  const problem = model.findViolation(() => replayTrace(model, trace));
+  return problem === undefined ? undefined : { problem, story: trace.map(model.describe) };
 }
 
-/** Plays all orders of at most `depth` events. */
-export function explore<World, Event>(model: Model<World, Event>, depth: number): Exploration {
-  const known = new Set([model.fingerprint(model.begin())]);
+/** Applies all sequences of at most `depth` events. */
+export function explore<State, Event>(model: Model<State, Event>, depth: number): Exploration {
+  const known = new Set([model.fingerprint(model.initialState())]);
   let frontier: Event[][] = [[]];
   let steps = 0;
   for (let level = 0; level < depth; level++) {
     const next: Event[][] = [];
-    for (const story of frontier) {
-      for (const event of model.events(replayed(model, story))) {
-        const longer = [...story, event];
-        const fingerprint = model.fingerprint(replayed(model, longer));
+    for (const trace of frontier) {
+      for (const event of model.enabledEvents(replayTrace(model, trace))) {
+        const longer = [...trace, event];
+        const fingerprint = model.fingerprint(replayTrace(model, longer));
         steps += 1;
         if (!known.has(fingerprint)) {
           known.add(fingerprint);
           next.push(longer);
-          const finding = findingOf(model, longer);
+          const finding = checkTrace(model, longer);
           if (finding !== undefined) return { states: known.size, steps, finding };
         }
       }
@@ -71,56 +76,59 @@
   return { states: known.size, steps, finding: undefined };
 }
 
-export interface Walks {
+export interface RandomWalks {
   seed: number;
   count: number;
-  /** Events of each. */
+  /** Number of events in each walk. */
   length: number;
 }
 
-/** Plays stories that are drawn at random; each is checked at its end. A finding's story is shortened as far as it goes. */
-export function walk<World, Event>(
-  model: Model<World, Event>,
-  { seed, count, length }: Walks,
+/** Runs random walks and checks the state at the end of each. The trace of a finding is shrunk to a minimal one. */
+export function walk<State, Event>(
+  model: Model<State, Event>,
+  { seed, count, length }: RandomWalks,
 ): Exploration {
   let steps = 0;
   for (let i = 0; i < count; i++) {
     const random = domain.shared.random.independent(seed + i);
-    const world = model.begin();
-    const story: Event[] = [];
+    const state = model.initialState();
+    const trace: Event[] = [];
     for (let step = 0; step < length; step++) {
-      const events = model.events(world);
+      const events = model.enabledEvents(state);
       if (events.length === 0) break;
       const event = domain.shared.random.pick(random, events);
-      model.play(world, event);
-      story.push(event);
+      model.apply(state, event);
+      trace.push(event);
     }
-    steps += story.length;
-    const finding = findingOf(model, story);
+    steps += trace.length;
+    const finding = checkTrace(model, trace);
     if (finding !== undefined) {
-      return { states: i + 1, steps, finding: findingOf(model, shortened(model, story)) };
+      return { states: i + 1, steps, finding: checkTrace(model, shrink(model, trace)) };
     }
   }
   return { states: count, steps, finding: undefined };
 }
 
-/** Leaves out events one by one as long as the rest still shows a problem. */
-function shortened<World, Event>(
-  model: Model<World, Event>,
-  story: readonly Event[],
+/** Removes events one by one as long as the rest still violates a property. */
+function shrink<State, Event>(
+  model: Model<State, Event>,
+  trace: readonly Event[],
 ): readonly Event[] {
-  const shorter = story
-    .map((_event, left) => story.filter((_each, i) => i !== left))
-    .find((each) => isPlayable(model, each) && findingOf(model, each) !== undefined);
-  return shorter === undefined ? story : shortened(model, shorter);
+  const shorter = trace
+    .map((_event, left) => trace.filter((_each, i) => i !== left))
+    .find((each) => isFeasible(model, each) && checkTrace(model, each) !== undefined);
+  return shorter === undefined ? trace : shrink(model, shorter);
 }
 
-/** Whether each event may happen where it stands in the story. */
-function isPlayable<World, Event>(model: Model<World, Event>, story: readonly Event[]): boolean {
-  const world = model.begin();
-  return story.every((event) => {
-    const may = model.events(world).map(model.describe).includes(model.describe(event));
-    if (may) model.play(world, event);
-    return may;
+/** Whether each event of a trace is enabled in the state in which it is applied. */
+function isFeasible<State, Event>(model: Model<State, Event>, trace: readonly Event[]): boolean {
+  const state = model.initialState();
+  return trace.every((event) => {
+    const isEnabled = model
+      .enabledEvents(state)
+      .map(model.describe)
+      .includes(model.describe(event));
+    if (isEnabled) model.apply(state, event);
+    return isEnabled;
   });
 }
--- a/packages/soak/src/checks.ts
+++ b/packages/soak/src/checks.ts
@@ -1,111 +1,120 @@
 /**
- * The promises, checked on what was seen from outside. Those without a time bound hold always; the others hold for
- * processes that were in touch, which is said where it matters.
+ * Checks the guarantees of the fleet against what was observed from outside. Guarantees without a time bound always
+ * hold; those with one hold only for processes that weren't disturbed, which each check takes into account.
  */
 import * as answers from './answers';
 import * as layout from './layout';
 import type * as observations from './observations';
 
-type Asked = observations.Asked;
+type RequestRecord = observations.RequestRecord;
 type Observations = observations.Observations;
 type Probe = observations.Probe;
 
-export type Breach =
-  /** A success that isn't the caller's whole own answer. */
+export type PromiseName =
+  /** A successful response that isn't the complete response to the caller's own request. */
   | 'wrongAnswer'
+  /** A request that must run at most once ran more than once. */
   | 'ranTwice'
-  /** Told that it didn't run, though it did. */
+  /** A request that ran was answered with a status that guarantees that it didn't. */
   | 'falseNotRun'
+  /** A request had no outcome well after its caller's timeout. */
   | 'hung'
-  /** A proper request refused for its route or key. */
+  /** A request with a valid route and key was rejected for one of them. */
   | 'denied'
-  /** An older version seen after a newer one in the same process. */
+  /** A process served an older version of the catalogue after a newer one. */
   | 'wentBack'
+  /** A document wasn't in force within the bound after its acknowledgement. */
   | 'notInForce'
-  /** Two documents with one version both in force. */
+  /** Two documents with the same version were both in force. */
   | 'twoContents'
-  /** An acknowledged document is gone at the end. */
+  /** An acknowledged document was missing from what was read back. */
   | 'lost'
+  /** A request with a revoked key ran after the bound. */
   | 'revokedKeyRan'
+  /** A target ran a request after the bound on draining targets. */
   | 'drainedTargetRan'
+  /** A planned stop truncated the response to a request that the entry had accepted. */
   | 'cutByStop'
-  /** A request under which three targets had ended went on reaching targets. */
+  /** A request that had crashed three targets kept reaching further ones. */
   | 'crashedOn'
-  /** A target got more than it had said that it takes. */
+  /** A target got more messages than the limit it reported. */
   | 'overLimit'
-  /** A target that asked an entry to leave it alone got more from it. */
+  /** An entry kept sending to a target during the back-off that it had requested. */
   | 'notLeftAlone'
+  /** Engines still held memory reservations at the end. */
   | 'memoryLeft'
+  /** Too few requests succeeded after all faults had ended. */
   | 'notRecovered';
 
 export interface Violation {
-  promise: Breach;
+  promise: PromiseName;
   detail: string;
 }
 
-/** A process counts as in touch when nothing was done to it or to the keepers for so long, milliseconds. */
-const CALM_MS = 5_000;
+/** An entry counts as undisturbed when neither it nor any keeper had a fault for this long. */
+const UNDISTURBED_MS = 5_000;
 
 /**
- * A planned stop answers for requests that came so long after any other harm, milliseconds: by the users' pages. A process
- * that is frozen when it is to stop wakes with no more than the rest of its time, and doesn't know that.
+ * A planned stop guarantees the responses only to requests sent this long after any other fault. A process that is
+ * frozen when it is told to stop resumes with only the remainder of its stop timeout, and can't know that. Quarantines
+ * and limits must also hold after this time.
  */
-const STABLE_MS = 3_000;
+const SETTLING_MS = 3_000;
 
-/** A probe's answer may show a state of some milliseconds before it was sent. */
-const PROBE_SLACK_MS = 500;
+/** The response to a probe may reflect the state this long before the probe was sent. */
+const PROBE_TOLERANCE_MS = 500;
 
-/** The way of a request from an entry to a target. */
-const WAY_MS = 150;
+/** Maximum transit time of a request from an entry to a target. */
+const TRANSIT_MS = 150;
 
-/** Statuses that promise that a request didn't run. */
-const PROMISES = new Set([408, 421, 429, 503]);
+/** Statuses that guarantee that a request didn't run. */
+const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
 
-const DENIALS = new Set([401, 403, 404]);
+const DENIAL_STATUSES = new Set([401, 403, 404]);
 
-/** Share of requests that must be served when everything is well again. */
-const RECOVERED_SHARE = 0.95;
+/** Share of requests that must succeed after recovery. */
+const MIN_RECOVERED_SHARE = 0.95;
 
-/** How long after the end of all harm that holds, milliseconds. */
-export const RECOVER_MS = 8_000;
+/** The fleet must have recovered this long after all faults ended. */
+export const RECOVERY_MS = 8_000;
 
-type Check = (seen: Observations) => Violation[];
+type Check = (observed: Observations) => Violation[];
 
 const CHECKS: Check[] = [
   wrongAnswers,
-  runs,
-  hangs,
-  denials,
-  steps,
-  inForce,
-  oneContent,
-  nothingLost,
-  revokedKeys,
-  drainedTargets,
-  plannedStops,
-  crashes,
-  crashersNotRun,
-  limits,
-  backOffs,
-  leavingTargets,
-  memory,
-  recovery,
+  executions,
+  hungRequests,
+  deniedRequests,
+  versionRegressions,
+  staleCatalogues,
+  conflictingDocuments,
+  lostDocuments,
+  revokedKeyRuns,
+  drainedTargetRuns,
+  requestsCutByStops,
+  quarantineBypasses,
+  falselyRefusedCrashers,
+  limitOverruns,
+  backOffBreaches,
+  drainingTargetRuns,
+  leftReservations,
+  unrecoveredService,
 ];
 
-export function violations(seen: Observations): Violation[] {
-  return CHECKS.flatMap((check) => check(seen));
+export function violations(observed: Observations): Violation[] {
+  return CHECKS.flatMap((check) => check(observed));
 }
 
 function wrongAnswers({ asked }: Observations): Violation[] {
   return asked.flatMap(({ request, path, ending }) => {
     if (ending.kind !== 'answered' || ending.status !== 200) return [];
-    if (ending.isSigned && ending.body === answers.whole(request, path)) return [];
-    const detail = `${request} ${path} got ${JSON.stringify(ending.body.slice(0, 200))}`;
+    if (ending.isSigned && ending.body === answers.fullAnswer(request, path)) return [];
+    const detail = `${request} ${path} received ${JSON.stringify(ending.body.slice(0, 200))}`;
     return [{ promise: 'wrongAnswer', detail }];
   });
 }
 
-function runs({ asked, ran }: Observations): Violation[] {
+function executions({ asked, ran }: Observations): Violation[] {
   const counts = new Map<string, number>();
   ran.forEach(({ request }) => counts.set(request, (counts.get(request) ?? 0) + 1));
   return asked
@@ -113,50 +122,60 @@
     .flatMap(({ request, ending }): Violation[] => {
       const count = counts.get(request) ?? 0;
       if (count > 1) return [{ promise: 'ranTwice', detail: `${request} ran ${count} times` }];
-      const isPromised = ending.kind === 'answered' && PROMISES.has(ending.status);
-      return isPromised && count > 0
-        ? [{ promise: 'falseNotRun', detail: `${request} ran and got ${ending.status}` }]
+      const isReportedNotRun = ending.kind === 'answered' && NOT_RUN_STATUSES.has(ending.status);
+      return isReportedNotRun && count > 0
+        ? [{ promise: 'falseNotRun', detail: `${request} ran and received ${ending.status}` }]
         : [];
     });
 }
 
-function hangs(seen: Observations): Violation[] {
-  return [...seen.asked, ...seen.crashers]
+function hungRequests(observed: Observations): Violation[] {
+  return [...observed.asked, ...observed.crashers]
     .filter(({ ending }) => ending.kind === 'hung')
-    .filter((each) => !isHarmed(seen, 'entry', each.entry, each.sentAt, each.endedAt))
+    .filter((each) => !isDisturbed(observed, 'entry', each.entry, each.sentAt, each.endedAt))
     .map(({ request, entry }) => ({ promise: 'hung', detail: `${request} at entry ${entry}` }));
 }
 
-/** Base routes are in every document, so an entry may refuse only keys, and those for a document without them. */
-function denials(seen: Observations): Violation[] {
-  return seen.asked.flatMap((asked) => {
+/**
+ * Base routes are in every document. An entry may therefore reject a request only for its key, and only if a document
+ * that may be in force doesn't contain that key.
+ */
+function deniedRequests(observed: Observations): Violation[] {
+  return observed.asked.flatMap((asked) => {
     const { request, key, ending, entry } = asked;
-    if (ending.kind !== 'answered' || !DENIALS.has(ending.status)) return [];
-    const possible = possibleDocuments(seen, asked);
+    if (ending.kind !== 'answered' || !DENIAL_STATUSES.has(ending.status)) return [];
+    const possible = possibleDocuments(observed, asked);
     if (possible.some(({ keys }) => !keys.includes(key))) return [];
-    return [{ promise: 'denied', detail: `${request} got ${ending.status} at entry ${entry}` }];
+    return [
+      { promise: 'denied', detail: `${request} received ${ending.status} at entry ${entry}` },
+    ];
   });
 }
 
-/** Documents that an entry may have in force for a request; one that isn't in touch may have any. */
-function possibleDocuments(seen: Observations, asked: Asked): observations.Sent[] {
-  const sent = seen.sent.filter(({ sentAt }) => sentAt < asked.endedAt);
-  if (!isCalm(seen, asked.entry, asked.sentAt, asked.endedAt)) return sent;
+/**
+ * Documents that an entry may have in force for a request. A disturbed entry may have any document submitted so far.
+ */
+function possibleDocuments(
+  observed: Observations,
+  asked: RequestRecord,
+): observations.SubmittedDocument[] {
+  const sent = observed.sent.filter(({ sentAt }) => sentAt < asked.endedAt);
+  if (!isUndisturbed(observed, asked.entry, asked.sentAt, asked.endedAt)) return sent;
   const bound = asked.sentAt - layout.BOUNDS.applyMs;
   const settled = sent.filter(({ ackedAt }) => (ackedAt ?? Infinity) < bound);
   const oldest = Math.max(0, ...settled.map(({ version }) => version));
   return sent.filter(({ version }) => version >= oldest);
 }
 
-function isServed({ ending }: Asked): boolean {
+function isServed({ ending }: RequestRecord): boolean {
   return ending.kind === 'answered' && ending.status === 200;
 }
 
-function isUnknown({ ending }: Asked): boolean {
+function isUnknownRoute({ ending }: RequestRecord): boolean {
   return ending.kind === 'answered' && ending.status === 404;
 }
 
-function steps({ probes }: Observations): Violation[] {
+function versionRegressions({ probes }: Observations): Violation[] {
   const served = probes.filter(isServed);
   return served.flatMap((later) => {
     const earlier = served.find(
@@ -164,29 +183,31 @@
         each.entry === later.entry &&
         each.incarnation === later.incarnation &&
         each.version > later.version &&
-        each.endedAt + PROBE_SLACK_MS < later.sentAt,
+        each.endedAt + PROBE_TOLERANCE_MS < later.sentAt,
     );
     if (earlier === undefined) return [];
-    const detail = `entry ${later.entry}: ${later.request} saw ${later.version} after ${earlier.version}`;
+    const detail = `entry ${later.entry}: ${later.request} was served by ${later.version} after ${earlier.version}`;
     return [{ promise: 'wentBack', detail }];
   });
 }
 
-function inForce(seen: Observations): Violation[] {
-  return seen.probes.flatMap((probe) => {
+function staleCatalogues(observed: Observations): Violation[] {
+  return observed.probes.flatMap((probe) => {
     const { entry, sentAt, endedAt } = probe;
-    if (!isCalm(seen, entry, sentAt, endedAt)) return [];
+    if (!isUndisturbed(observed, entry, sentAt, endedAt)) return [];
     const bound = sentAt - layout.BOUNDS.applyMs;
-    const newer = seen.sent.find(
+    const newer = observed.sent.find(
       ({ version, ackedAt }) => version > probe.version && (ackedAt ?? Infinity) < bound,
     );
-    if (isServed(probe) && newer !== undefined) return [lateness(probe, 'still served')];
-    return isUnknown(probe) && mustKnow(seen, probe, bound) ? [lateness(probe, 'unknown')] : [];
+    if (isServed(probe) && newer !== undefined) return [staleness(probe, 'still served')];
+    return isUnknownRoute(probe) && mustBeInForce(observed, probe, bound)
+      ? [staleness(probe, 'unknown')]
+      : [];
   });
 }
 
-/** Whether the probed route is in the only document that may be in force. */
-function mustKnow({ sent }: Observations, probe: Probe, bound: number): boolean {
+/** Whether the probed document is acknowledged and the only one that may be in force. */
+function mustBeInForce({ sent }: Observations, probe: Probe, bound: number): boolean {
   const isOvertaken = sent.some(({ version, label, sentAt }) => {
     const isOther = version > probe.version || (version === probe.version && label !== probe.label);
     return isOther && sentAt < probe.endedAt;
@@ -197,21 +218,21 @@
   });
 }
 
-function lateness({ entry, version, request }: Probe, what: string): Violation {
+function staleness({ entry, version, request }: Probe, what: string): Violation {
   return { promise: 'notInForce', detail: `entry ${entry}: ${version} ${what} (${request})` };
 }
 
-function oneContent({ probes }: Observations): Violation[] {
+function conflictingDocuments({ probes }: Observations): Violation[] {
   const labels = new Map<number, Set<string>>();
   probes.filter(isServed).forEach(({ version, label }) => {
     labels.set(version, (labels.get(version) ?? new Set()).add(label));
   });
   return [...labels]
-    .filter(([, seen]) => seen.size > 1)
+    .filter(([, served]) => served.size > 1)
     .map(([version]) => ({ promise: 'twoContents', detail: `version ${version}` }));
 }
 
-function nothingLost({ sent, readBack, restartReads }: Observations): Violation[] {
+function lostDocuments({ sent, readBack, restartReads }: Observations): Violation[] {
   const reads = [...restartReads, { lostAt: Infinity, document: readBack }];
   return reads.flatMap(({ lostAt, document }): Violation[] => {
     const acked = sent.filter(({ ackedAt = Infinity }) => ackedAt < lostAt);
@@ -219,200 +240,227 @@
     if (document === undefined) return [{ promise: 'lost', detail: 'no document read back' }];
     const { version, label } = document;
     const isSent = sent.some((each) => each.version === version && each.label === label);
-    const detail = `${version}${label} read, ${newest} acked`;
+    const detail = `read back ${version}${label}, ${newest} was acknowledged`;
     return version >= newest && isSent ? [] : [{ promise: 'lost', detail }];
   });
 }
 
-function revokedKeys({ asked, ran, revoked }: Observations): Violation[] {
+function revokedKeyRuns({ asked, ran, revoked }: Observations): Violation[] {
   const all = new Set(ran.map(({ request }) => request));
   return asked.flatMap(({ key, request, sentAt }) => {
-    const taken = revoked.find((each) => each.key === key);
-    const isLate = taken !== undefined && sentAt > taken.ackedAt + layout.BOUNDS.revokeMs;
+    const revocation = revoked.find((each) => each.key === key);
+    const isLate = revocation !== undefined && sentAt > revocation.ackedAt + layout.BOUNDS.revokeMs;
     if (!isLate || !all.has(request)) return [];
     return [{ promise: 'revokedKeyRan', detail: `${request} with ${key}` }];
   });
 }
 
-function drainedTargets(seen: Observations): Violation[] {
-  const byRequest = new Map(seen.asked.map((each) => [each.request, each]));
-  return seen.ran.flatMap(({ request, target, at }) => {
-    const drained = seen.drained.find((each) => each.target === target);
+function drainedTargetRuns(observed: Observations): Violation[] {
+  const byRequest = new Map(observed.asked.map((each) => [each.request, each]));
+  return observed.ran.flatMap(({ request, target, at }) => {
+    const drained = observed.drained.find((each) => each.target === target);
     const asked = byRequest.get(request);
     if (drained === undefined || asked === undefined) return [];
-    if (at < drained.at + layout.BOUNDS.drainMs + WAY_MS) return [];
-    if (!isCalm(seen, asked.entry, drained.at, at)) return [];
+    if (at < drained.at + layout.BOUNDS.drainMs + TRANSIT_MS) return [];
+    if (!isUndisturbed(observed, asked.entry, drained.at, at)) return [];
     return [{ promise: 'drainedTargetRan', detail: `${request} at ${target}` }];
   });
 }
 
-/** A request that a stopping entry had passed on must get its whole answer, unless its target was harmed. */
-function plannedStops(seen: Observations): Violation[] {
-  const ran = new Map(seen.ran.map((each) => [each.request, each]));
-  return seen.stopped.flatMap(({ entry, incarnation, from, until }) => {
-    const cut = seen.asked.filter((each) => {
-      const isThere = each.entry === entry && each.incarnation === incarnation;
-      return isThere && each.ending.kind === 'broken' && each.endedAt > from;
+/** A request that a stopping entry had forwarded must get its complete response, unless its target was disturbed. */
+function requestsCutByStops(observed: Observations): Violation[] {
+  const ran = new Map(observed.ran.map((each) => [each.request, each]));
+  return observed.stopped.flatMap(({ entry, incarnation, from, until }) => {
+    const cut = observed.asked.filter((each) => {
+      const isSameProcess = each.entry === entry && each.incarnation === incarnation;
+      return isSameProcess && each.ending.kind === 'broken' && each.endedAt > from;
     });
     return cut
-      .filter(({ request }) => ran.has(request) && !isTargetHarmed(seen, ran.get(request)?.target))
-      .filter(({ sentAt }) => !isHarmed(seen, 'entry', entry, sentAt - STABLE_MS, until))
+      .filter(
+        ({ request }) => ran.has(request) && !isTargetDisturbed(observed, ran.get(request)?.target),
+      )
+      .filter(({ sentAt }) => !isDisturbed(observed, 'entry', entry, sentAt - SETTLING_MS, until))
       .map(({ request }) => ({ promise: 'cutByStop', detail: `${request} at entry ${entry}` }));
   });
 }
 
-/** By the users' pages: after three ends, at most three more arrivals from entries in touch, later than the stable window. */
-const MOST_ENDS = 3;
-const MOST_LATER = 3;
+/**
+ * After three crashes and the settling time, a request may reach at most three more targets from undisturbed entries.
+ */
+const CRASHES_TO_QUARANTINE = 3;
+const MAX_LATER_ARRIVALS = 3;
 
-function crashes(seen: Observations): Violation[] {
-  const contents = new Set(seen.crashed.map(({ body }) => body));
+function quarantineBypasses(observed: Observations): Violation[] {
+  const contents = new Set(observed.crashed.map(({ body }) => body));
   return [...contents].flatMap((body): Violation[] => {
-    const ends = seen.crashed.filter((each) => each.body === body).sort((a, b) => a.at - b.at);
-    if (ends.length < MOST_ENDS) return [];
-    const known = ends[MOST_ENDS - 1].at + STABLE_MS;
+    const crashes = observed.crashed
+      .filter((each) => each.body === body)
+      .sort((a, b) => a.at - b.at);
+    if (crashes.length < CRASHES_TO_QUARANTINE) return [];
+    const known = crashes[CRASHES_TO_QUARANTINE - 1].at + SETTLING_MS;
     const copies = new Map(
-      seen.crashers.filter((each) => each.body === body).map((each) => [each.request, each]),
+      observed.crashers.filter((each) => each.body === body).map((each) => [each.request, each]),
     );
-    const later = seen.ran.filter(({ request, at }) => {
+    const later = observed.ran.filter(({ request, at }) => {
       const copy = copies.get(request);
-      return copy !== undefined && at > known && isCalm(seen, copy.entry, copy.sentAt, at);
+      return (
+        copy !== undefined && at > known && isUndisturbed(observed, copy.entry, copy.sentAt, at)
+      );
     });
-    if (later.length <= MOST_LATER) return [];
-    const detail = `"${body}" reached ${later.length} targets more; ${ends.length} ended in all`;
+    if (later.length <= MAX_LATER_ARRIVALS) return [];
+    const detail = `"${body}" reached ${later.length} further targets; ${crashes.length} crashed in total`;
     return [{ promise: 'crashedOn', detail }];
   });
 }
 
-function crashersNotRun({ crashers, ran }: Observations): Violation[] {
+function falselyRefusedCrashers({ crashers, ran }: Observations): Violation[] {
   const all = new Set(ran.map(({ request }) => request));
   return crashers
-    .filter(({ ending }) => ending.kind === 'answered' && PROMISES.has(ending.status))
+    .filter(({ ending }) => ending.kind === 'answered' && NOT_RUN_STATUSES.has(ending.status))
     .filter(({ request }) => all.has(request))
-    .map(({ request }) => ({ promise: 'falseNotRun', detail: `${request} ran and crashed` }));
+    .map(({ request }) => ({
+      promise: 'falseNotRun',
+      detail: `${request} ran, crashed its target and was reported as not run`,
+    }));
 }
 
-/** By the users' pages: in each such span at most so many times what a limit allows, and some messages more. */
-const LIMIT_SPAN_MS = 4_000;
-const LIMIT_SHARE = 1.5;
-const LIMIT_MORE = 5;
+/** In each window of this length, a target may get at most the limit times a factor, plus a few messages. */
+const LIMIT_WINDOW_MS = 4_000;
+const LIMIT_FACTOR = 1.5;
+const LIMIT_EXTRA_MESSAGES = 5;
 
-/** An entry must know a limit so long after an answer that named it, milliseconds. */
-const TOLD_MS = 500;
+/** An entry must respect what a target reports this long after the response that reported it. */
+const REPORT_DELAY_MS = 500;
 
-/** Messages that a target may get after it asked an entry to leave it alone. */
-const MOST_DURING_BACK_OFF = 2;
+/** Messages that an entry may send to a target during the back-off that it requested. */
+const MAX_DURING_BACK_OFF = 2;
 
-function limits(seen: Observations): Violation[] {
-  return seen.limited.flatMap((span): Violation[] => {
+function limitOverruns(observed: Observations): Violation[] {
+  return observed.limited.flatMap((span): Violation[] => {
     const { index, perSecond, from, until } = span;
     const lifetimes = new Set(
-      seen.lifetimes.filter((each) => each.index === index).map(({ target }) => target),
+      observed.lifetimes.filter((each) => each.index === index).map(({ target }) => target),
     );
-    const isIt = ({ target, at }: observations.Exchanged): boolean =>
+    const concernsSpan = ({ target, at }: observations.TargetExchange): boolean =>
       lifetimes.has(target) && at >= from && at <= until;
-    const told = seen.told.filter(isIt);
-    const first = Math.min(...told.map(({ at }) => at));
-    const counted = seen.got
-      .filter((each) => isIt(each) && each.at >= first + STABLE_MS)
-      .filter((each) => mustKeepTo(seen, told, each))
+    const reports = observed.told.filter(concernsSpan);
+    const firstReportAt = Math.min(...reports.map(({ at }) => at));
+    const counted = observed.got
+      .filter((each) => concernsSpan(each) && each.at >= firstReportAt + SETTLING_MS)
+      .filter((each) => mustRespectLimit(observed, reports, each))
       .map(({ at }) => at);
     const counts = counted.map((begin) => {
-      return counted.filter((at) => at >= begin && at < begin + LIMIT_SPAN_MS).length;
+      return counted.filter((at) => at >= begin && at < begin + LIMIT_WINDOW_MS).length;
     });
-    const most = Math.max(0, ...counts);
-    const allowed = LIMIT_SHARE * perSecond * (LIMIT_SPAN_MS / 1_000) + LIMIT_MORE;
-    if (most <= allowed) return [];
-    const detail = `target ${index} takes ${perSecond.toFixed(2)} a second and got ${most} in 4 s`;
+    const maxCount = Math.max(0, ...counts);
+    const allowed = LIMIT_FACTOR * perSecond * (LIMIT_WINDOW_MS / 1_000) + LIMIT_EXTRA_MESSAGES;
+    if (maxCount <= allowed) return [];
+    const detail = `target ${index}: limit ${perSecond.toFixed(2)} per second, ${maxCount} messages in 4 s`;
     return [{ promise: 'overLimit', detail }];
   });
 }
 
-/** Whether an entry was told of a limit and not harmed since. */
-function mustKeepTo(
-  seen: Observations,
-  told: readonly observations.Exchanged[],
-  { entry, at }: observations.Exchanged,
+/** Whether an entry had received a limit and has neither stopped nor been disturbed since. */
+function mustRespectLimit(
+  observed: Observations,
+  reports: readonly observations.TargetExchange[],
+  { entry, at }: observations.TargetExchange,
 ): boolean {
-  return told.some((each) => {
-    const isTold = each.entry === entry && each.at <= at - TOLD_MS;
-    return isTold && remembers(seen, entry, each.at, at);
+  return reports.some((each) => {
+    const isReported = each.entry === entry && each.at <= at - REPORT_DELAY_MS;
+    return isReported && isUninterrupted(observed, entry, each.at, at);
   });
 }
 
-/** Whether an entry that was told something at `since` must know it yet: it wasn't harmed or stopped meanwhile. */
-function remembers(seen: Observations, entry: number, since: number, at: number): boolean {
-  const isSince = (each: Record<'from' | 'until', number>): boolean =>
+/**
+ * Whether an entry still knows at `at` what it received at `since`: it neither stopped nor was disturbed in between.
+ */
+function isUninterrupted(
+  observed: Observations,
+  entry: number,
+  since: number,
+  at: number,
+): boolean {
+  const overlaps = (each: Record<'from' | 'until', number>): boolean =>
     each.from <= at && each.until >= since;
-  const isStopped = seen.stopped.some((each) => each.entry === entry && isSince(each));
-  const isItself = seen.disturbances.some((each) => {
-    return each.subject === 'entry' && each.index === entry && isSince(each);
+  const isStopped = observed.stopped.some((each) => each.entry === entry && overlaps(each));
+  const isEntryDisturbed = observed.disturbances.some((each) => {
+    return each.subject === 'entry' && each.index === entry && overlaps(each);
   });
-  return !isStopped && !isItself;
+  return !isStopped && !isEntryDisturbed;
 }
 
-function backOffs(seen: Observations): Violation[] {
-  return seen.turnedAway.flatMap((asked): Violation[] => {
-    const { target, bornAt, entry, at, backOffSeconds = 0 } = asked;
-    const during = seen.got.filter((each) => {
-      const isIt = each.target === target && each.bornAt === bornAt && each.entry === entry;
-      const isThen = each.at > at + TOLD_MS && each.at < at + backOffSeconds * 1_000;
-      return isIt && isThen && remembers(seen, entry, at, each.at);
+function backOffBreaches(observed: Observations): Violation[] {
+  return observed.turnedAway.flatMap((rejection): Violation[] => {
+    const { target, bornAt, entry, at, backOffSeconds = 0 } = rejection;
+    const during = observed.got.filter((each) => {
+      const isSamePair = each.target === target && each.bornAt === bornAt && each.entry === entry;
+      const isDuringBackOff =
+        each.at > at + REPORT_DELAY_MS && each.at < at + backOffSeconds * 1_000;
+      return isSamePair && isDuringBackOff && isUninterrupted(observed, entry, at, each.at);
     });
-    if (during.length <= MOST_DURING_BACK_OFF) return [];
-    const detail = `${target} got ${during.length} from entry ${entry} in ${backOffSeconds} s from ${at}`;
+    if (during.length <= MAX_DURING_BACK_OFF) return [];
+    const detail = `${target}: ${during.length} messages from entry ${entry} in a back-off of ${backOffSeconds} s from ${at}`;
     return [{ promise: 'notLeftAlone', detail }];
   });
 }
 
-/** Requests of callers at targets that had said to the same entry that they leave. */
-function leavingTargets(seen: Observations): Violation[] {
-  const asked = new Map(seen.asked.map((each) => [each.request, each]));
-  return seen.ran.flatMap(({ request, target, bornAt, at }): Violation[] => {
+/** Requests that ran on targets which had reported to the same entry that they were draining. */
+function drainingTargetRuns(observed: Observations): Violation[] {
+  const asked = new Map(observed.asked.map((each) => [each.request, each]));
+  return observed.ran.flatMap(({ request, target, bornAt, at }): Violation[] => {
     const { entry, sentAt } = asked.get(request) ?? { entry: -1, sentAt: 0 };
-    const isLate = seen.saidLeaving.some((said) => {
-      const isIt = said.target === target && said.bornAt === bornAt && said.entry === entry;
-      const isThen = said.at < sentAt - layout.BOUNDS.drainMs;
-      return isIt && isThen && remembers(seen, entry, said.at, at);
+    const isLate = observed.saidLeaving.some((report) => {
+      const isSamePair =
+        report.target === target && report.bornAt === bornAt && report.entry === entry;
+      const isPastBound = report.at < sentAt - layout.BOUNDS.drainMs;
+      return isSamePair && isPastBound && isUninterrupted(observed, entry, report.at, at);
     });
     return isLate ? [{ promise: 'drainedTargetRan', detail: `${request} at ${target}` }] : [];
   });
 }
 
-function memory({ reservationsLeft }: Observations): Violation[] {
-  const detail = `${reservationsLeft} reservations`;
+function leftReservations({ reservationsLeft }: Observations): Violation[] {
+  const detail = `${reservationsLeft} reservations left`;
   return reservationsLeft === 0 ? [] : [{ promise: 'memoryLeft', detail }];
 }
 
-function recovery({ asked, revoked, healedAt }: Observations): Violation[] {
-  const gone = new Set(revoked.map(({ key }) => key));
-  const late = asked.filter(({ sentAt, key }) => sentAt > healedAt + RECOVER_MS && !gone.has(key));
+function unrecoveredService({ asked, revoked, healedAt }: Observations): Violation[] {
+  const revokedKeySet = new Set(revoked.map(({ key }) => key));
+  const late = asked.filter(
+    ({ sentAt, key }) => sentAt > healedAt + RECOVERY_MS && !revokedKeySet.has(key),
+  );
   const served = late.filter(isServed).length;
-  if (late.length > 0 && served >= RECOVERED_SHARE * late.length) return [];
+  if (late.length > 0 && served >= MIN_RECOVERED_SHARE * late.length) return [];
   return [{ promise: 'notRecovered', detail: `${served} of ${late.length} served` }];
 }
 
-/** Whether harm was done to a process, or to all ways, within a span. */
-function isHarmed(
+/** Whether a process, or the whole network, had a fault within a period. */
+function isDisturbed(
   { disturbances }: Observations,
-  subject: observations.Subject,
+  subject: observations.DisturbedSubject,
   index: number | undefined,
   from: number,
   until: number,
 ): boolean {
   return disturbances.some((each) => {
     const isOverlapping = each.from <= until && each.until >= from;
-    const isIt = each.subject === subject && (index === undefined || each.index === index);
-    return isOverlapping && (isIt || each.subject === 'network');
+    const isSubject = each.subject === subject && (index === undefined || each.index === index);
+    return isOverlapping && (isSubject || each.subject === 'network');
   });
 }
 
-function isCalm(seen: Observations, entry: number, from: number, until: number): boolean {
-  const isEntryCalm = !isHarmed(seen, 'entry', entry, from - CALM_MS, until);
-  return isEntryCalm && !isHarmed(seen, 'keeper', undefined, from - CALM_MS, until);
+function isUndisturbed(
+  observed: Observations,
+  entry: number,
+  from: number,
+  until: number,
+): boolean {
+  const isEntryCalm = !isDisturbed(observed, 'entry', entry, from - UNDISTURBED_MS, until);
+  return isEntryCalm && !isDisturbed(observed, 'keeper', undefined, from - UNDISTURBED_MS, until);
 }
 
-function isTargetHarmed(seen: Observations, target: string | undefined): boolean {
-  const index = seen.lifetimes.find((each) => each.target === target)?.index;
-  return seen.disturbances.some((each) => each.subject === 'target' && each.index === index);
+function isTargetDisturbed(observed: Observations, target: string | undefined): boolean {
+  const index = observed.lifetimes.find((each) => each.target === target)?.index;
+  return observed.disturbances.some((each) => each.subject === 'target' && each.index === index);
 }
--- a/packages/soak/src/child.ts
+++ b/packages/soak/src/child.ts
@@ -1,4 +1,4 @@
-/** One process that the soak started. Only these are ever signalled, by their ids. */
+/** A child process of the soak test. Only processes started here are ever signalled, by their ids. */
 import * as childProcess from 'node:child_process';
 import * as fs from 'node:fs';
 import * as readline from 'node:readline';
@@ -6,22 +6,22 @@
 export interface Command {
   name: string;
   /** Arguments for Node.js. */
-  words: string[];
+  args: string[];
   environment: Record<string, string>;
-  /** Everything that the process writes is appended here. */
+  /** Standard output and standard error are appended to this file. */
   logFile: string;
-  /** Called for each line of its standard output. */
+  /** Called with each line of standard output. */
   onLine?: (line: string) => void;
 }
 
 /**
- * Processes that run now. A soak that is itself ended must not leave them behind: they would hold the addresses
- * that the next one needs.
+ * Running child processes. They are killed when the soak test exits, since they would otherwise keep the addresses
+ * that the next run needs.
  */
-const running = new Set<childProcess.ChildProcess>();
+const liveProcesses = new Set<childProcess.ChildProcess>();
 
 function killAll(): void {
-  running.forEach((each) => each.kill('SIGKILL'));
+  liveProcesses.forEach((each) => each.kill('SIGKILL'));
 }
 
 process.on('exit', killAll);
@@ -32,7 +32,7 @@
 export class Child {
   private process: childProcess.ChildProcess | undefined;
 
-  /** Counts starts; a process that was started again is another incarnation. */
+  /** Number of starts so far; each start is a new incarnation. */
   incarnation = 0;
 
   constructor(readonly command: Command) {}
@@ -43,18 +43,18 @@
 
   start(): void {
     if (this.process !== undefined) return;
-    const { words, environment, logFile, onLine } = this.command;
+    const { args, environment, logFile, onLine } = this.command;
     this.incarnation += 1;
     const log = fs.openSync(logFile, 'a');
-    const started = childProcess.spawn(process.execPath, words, {
+    const started = childProcess.spawn(process.execPath, args, {
       env: { ...environment, PATH: process.env.PATH },
       stdio: ['ignore', onLine === undefined ? log : 'pipe', log],
     });
     fs.closeSync(log);
     this.process = started;
-    running.add(started);
+    liveProcesses.add(started);
     started.once('exit', () => {
-      running.delete(started);
+      liveProcesses.delete(started);
       if (this.process === started) this.process = undefined;
     });
     if (onLine === undefined || started.stdout === null) return;
@@ -68,21 +68,21 @@
     this.process?.kill(name);
   }
 
-  /** Resolves when the process has ended; one that outlasts `graceMs` is killed. */
-  async ended(graceMs: number): Promise<void> {
-    const ending = this.process;
-    if (ending === undefined) return;
-    const timer = setTimeout(() => ending.kill('SIGKILL'), graceMs);
+  /** Resolves when the process has exited; kills it after `graceMs`. */
+  async exited(graceMs: number): Promise<void> {
+    const exiting = this.process;
+    if (exiting === undefined) return;
+    const timer = setTimeout(() => exiting.kill('SIGKILL'), graceMs);
     await new Promise<void>((resolve) => {
-      if (ending.exitCode !== null || ending.signalCode !== null) resolve();
-      else ending.once('exit', () => resolve());
+      if (exiting.exitCode !== null || exiting.signalCode !== null) resolve();
+      else exiting.once('exit', () => resolve());
     });
     clearTimeout(timer);
-    if (this.process === ending) this.process = undefined;
+    if (this.process === exiting) this.process = undefined;
   }
 
   async kill(): Promise<void> {
     this.signal('SIGKILL');
-    await this.ended(0);
+    await this.exited(0);
   }
 }
--- a/packages/soak/src/fleet.ts
+++ b/packages/soak/src/fleet.ts
@@ -1,4 +1,4 @@
-/** The processes of one run: keepers, entries and targets, their settings, files and forwarders. */
+/** The processes of one run (keepers, entries and targets) with their settings, files and forwarders. */
 import * as fs from 'node:fs';
 import * as path from 'node:path';
 import * as child from './child';
@@ -14,11 +14,11 @@
   index: number;
   /** Address that the process listens on. */
   host: string;
-  /** Address that other processes are told. */
-  forwarded: string;
+  /** Address of the forwarder, which other processes connect to. */
+  advertisedHost: string;
   settingsFile: string;
   dataFolder: string;
-  /** What is harmed in its process, for `runtimeFaults`. */
+  /** File with the current faults of the process, read by `runtimeFaults`. */
   faultsFile: string;
   process: child.Child;
   setFaults: (faults: runtimeFaults.RuntimeFaults) => void;
@@ -27,22 +27,22 @@
 export interface TargetVm {
   index: number;
   host: string;
-  forwarded: string;
-  /** Id of the lifetime that runs or ran last. */
+  advertisedHost: string;
+  /** Id under which the target runs or last ran. */
   lifetime: string;
   process: child.Child;
   setMode: (mode: targetMain.Mode) => void;
-  /** Changes what its answers say of it. */
-  setWords: (words: targetMain.Words) => void;
+  /** Changes what the target reports about itself in its responses. */
+  setSelfReport: (changed: targetMain.SelfReport) => void;
 }
 
 export interface Options {
   folder: string;
-  /** Program that runs on each VM, a file for Node.js. */
+  /** Program of the keepers and entries, a file for Node.js. */
   program: string;
   network: number;
   layout: layout.Layout;
-  onLine: (line: targetMain.Line) => void;
+  onLine: (line: targetMain.OutputLine) => void;
 }
 
 /** Names of services in the catalogue. */
@@ -69,9 +69,9 @@
     fs.mkdirSync(folder, { recursive: true });
     this.addresses = new layout.Addresses(network);
     const numbers = (count: number): number[] => Array.from({ length: count }, (_, i) => i);
-    this.keepers = numbers(sizes.keepers).map((i) => this.makeVm('keeper', i, i));
-    this.entries = numbers(sizes.entries).map((i) => this.makeVm('entry', i, sizes.keepers + i));
-    this.targets = numbers(sizes.engines + sizes.services).map((i) => this.makeTarget(i));
+    this.keepers = numbers(sizes.keepers).map((i) => this.createVm('keeper', i, i));
+    this.entries = numbers(sizes.entries).map((i) => this.createVm('entry', i, sizes.keepers + i));
+    this.targets = numbers(sizes.engines + sizes.services).map((i) => this.createTarget(i));
   }
 
   get vms(): Vm[] {
@@ -79,41 +79,51 @@
   }
 
   /** Control addresses of all keepers. */
-  get controls(): string[] {
+  get controlAddresses(): string[] {
     return this.keepers.map(({ host }) => `${host}:${layout.PORT.control}`);
   }
 
   async start(): Promise<void> {
-    const ways = [
-      ...this.vms.map(({ forwarded, host }) => ({ forwarded, host, port: layout.PORT.peers })),
-      ...this.targets.map(({ forwarded, host }) => ({ forwarded, host, port: layout.TARGET_PORT })),
+    const forwards = [
+      ...this.vms.map(({ advertisedHost, host }) => ({
+        advertisedHost,
+        host,
+        port: layout.PORT.peers,
+      })),
+      ...this.targets.map(({ advertisedHost, host }) => ({
+        advertisedHost,
+        host,
+        port: layout.TARGET_PORT,
+      })),
     ];
     await Promise.all(
-      ways.map(({ forwarded, host, port }) => this.network.forward(forwarded, host, port)),
+      forwards.map(({ advertisedHost, host, port }) =>
+        this.network.forward(advertisedHost, host, port),
+      ),
     );
     this.vms.forEach((vm) => vm.process.start());
     this.targets.forEach((target) => this.startTarget(target));
   }
 
-  /** Starts a target as a new lifetime, under a new id or the one that it had. */
+  /** Starts a new lifetime of a target, with a new id or its previous one. */
   startTarget(target: TargetVm, keepsId = false): void {
     if (target.process.isRunning) return;
     if (!keepsId) target.lifetime = `t${target.index}-${target.process.incarnation + 1}`;
-    const words = target.process.command.words;
-    const options = JSON.parse(words[1]) as targetMain.Options;
-    words[1] = JSON.stringify({ ...options, id: target.lifetime } satisfies targetMain.Options);
+    const args = target.process.command.args;
+    const options = JSON.parse(args[1]) as targetMain.Options;
+    args[1] = JSON.stringify({ ...options, id: target.lifetime } satisfies targetMain.Options);
     target.process.start();
   }
 
-  /** Empties a keeper's folder: what its disk held is gone. It must not found a fleet again. */
+  /** Empties a keeper's data folder, as the loss of its disk does. The keeper must not found a fleet afterwards. */
   wipe(keeper: Vm): void {
     fs.rmSync(runtimeFaults.syncedFile(keeper.faultsFile), { force: true });
     fs.rmSync(keeper.dataFolder, { recursive: true, force: true });
     fs.mkdirSync(keeper.dataFolder, { recursive: true });
   }
 
-  /** Takes from a keeper's files what no sync has covered, as a power loss may. */
-  losePower({ faultsFile }: Vm): void {
+  /** Truncates a VM's files to what has been synced to disk, as a power loss may. */
+  discardUnsynced({ faultsFile }: Vm): void {
     const file = runtimeFaults.syncedFile(faultsFile);
     if (!fs.existsSync(file)) return;
     const synced = JSON.parse(fs.readFileSync(file, 'utf8')) as Record<string, number>;
@@ -123,19 +133,19 @@
       .forEach(([name, bytes]) => fs.truncateSync(name, bytes));
   }
 
-  /** Leaves half a frame at the end of a keeper's journal, as a write does that a power loss cut. */
-  tear(keeper: Vm): void {
+  /** Appends an incomplete frame to a keeper's journal, as a write interrupted by a power loss leaves it. */
+  tearJournal(keeper: Vm): void {
     const journal = path.join(keeper.dataFolder, 'catalogue', 'journal');
     if (fs.existsSync(journal)) fs.appendFileSync(journal, Buffer.from([0, 0, 0, 99, 1, 2, 3]));
   }
 
-  /** From now on no start founds a fleet. */
+  /** Prevents keepers that start later from founding a fleet. */
   forbidFounding(): void {
     this.keepers.forEach((vm) => this.writeSettings(vm, false));
   }
 
-  /** Cuts a VM from all other VMs, in one direction or both. */
-  cut(vm: Vm, direction: 'in' | 'out' | 'both'): void {
+  /** Cuts the links between a VM and all other VMs, in one direction or both. */
+  cutLinks(vm: Vm, direction: 'in' | 'out' | 'both'): void {
     this.vms
       .filter((other) => other !== vm)
       .forEach(({ host }) => {
@@ -144,15 +154,15 @@
       });
   }
 
-  /** Undoes the cuts of a VM. */
-  mend(vm: Vm): void {
+  /** Restores all links of a VM. */
+  restoreLinks(vm: Vm): void {
     this.vms.forEach(({ host }) => {
-      this.network.mend(host, vm.host);
-      this.network.mend(vm.host, host);
+      this.network.restore(host, vm.host);
+      this.network.restore(vm.host, host);
     });
   }
 
-  /** Ends every process that was started here, by its id. */
+  /** Kills all processes of the run and closes the forwarders. */
   async stop(): Promise<void> {
     const all = [...this.vms, ...this.targets].map(({ process: each }) => each);
     all.forEach((each) => each.signal('SIGCONT'));
@@ -160,7 +170,7 @@
     this.network.close();
   }
 
-  private makeVm(role: Role, index: number, place: number): Vm {
+  private createVm(role: Role, index: number, addressIndex: number): Vm {
     const name = `${role}-${index}`;
     const { folder, program } = this.options;
     const settingsFile = path.join(folder, `${name}.ini`);
@@ -169,20 +179,20 @@
     const setFaults = (faults: runtimeFaults.RuntimeFaults): void =>
       replaceFile(faultsFile, JSON.stringify(faults));
     fs.mkdirSync(dataFolder, { recursive: true });
-    setFaults(runtimeFaults.SOUND);
+    setFaults(runtimeFaults.NO_FAULTS);
     const vm: Vm = {
       role,
       index,
-      host: this.addresses.host('vm', place),
-      forwarded: this.addresses.host('vmForwarded', place),
+      host: this.addresses.host('vm', addressIndex),
+      advertisedHost: this.addresses.host('vmForwarded', addressIndex),
       settingsFile,
       dataFolder,
       faultsFile,
       setFaults,
       process: new child.Child({
         name,
-        words: ['--require', path.join(__dirname, 'runtimeFaults.js'), program, settingsFile],
-        environment: { [runtimeFaults.VARIABLE]: faultsFile },
+        args: ['--require', path.join(__dirname, 'runtimeFaults.js'), program, settingsFile],
+        environment: { [runtimeFaults.FAULTS_FILE_VARIABLE]: faultsFile },
         logFile: path.join(folder, `${name}.log`),
       }),
     };
@@ -212,7 +222,7 @@
       '[listen]',
       ...listeners,
       `peers = ${host}:${PORT.peers}`,
-      `advertised = ${vm.forwarded}:${PORT.peers}`,
+      `advertised = ${vm.advertisedHost}:${PORT.peers}`,
       `source = ${host}`,
       '[keepers]',
       `seeds = ${seeds.join(', ')}`,
@@ -226,46 +236,47 @@
     replaceFile(vm.settingsFile, `${lines.join('\n')}\n`);
   }
 
-  private makeTarget(index: number): TargetVm {
+  private createTarget(index: number): TargetVm {
     const { folder, layout: sizes, onLine } = this.options;
     const isEngine = index < sizes.engines;
     const modeFile = path.join(folder, `target-${index}.mode`);
-    const words: targetMain.Words = {};
+    const selfReport: targetMain.SelfReport = {};
     const wordsFile = path.join(folder, `target-${index}.words`);
     const host = this.addresses.host('target', index);
-    const forwarded = this.addresses.host('targetForwarded', index);
+    const advertisedHost = this.addresses.host('targetForwarded', index);
     const options: targetMain.Options = {
       id: '',
       service: isEngine ? SERVICE.engines : SERVICE.plain,
       dataCentre: DATA_CENTRES[index % DATA_CENTRES.length],
       host,
       port: layout.TARGET_PORT,
-      address: `${forwarded}:${layout.TARGET_PORT}`,
+      address: `${advertisedHost}:${layout.TARGET_PORT}`,
       slots: isEngine ? ENGINE_SLOTS : PLAIN_SLOTS,
       memoryTokens: isEngine ? ENGINE_MEMORY_TOKENS : 0,
-      keepers: this.controls,
+      keepers: this.controlAddresses,
       modeFile,
       wordsFile,
     };
     return {
       index,
       host,
-      forwarded,
+      advertisedHost,
       lifetime: '',
       setMode: (mode) => replaceFile(modeFile, mode),
-      setWords: (changed) => replaceFile(wordsFile, JSON.stringify(Object.assign(words, changed))),
+      setSelfReport: (changed) =>
+        replaceFile(wordsFile, JSON.stringify(Object.assign(selfReport, changed))),
       process: new child.Child({
         name: `target-${index}`,
-        words: [path.join(__dirname, 'targetMain.js'), JSON.stringify(options)],
+        args: [path.join(__dirname, 'targetMain.js'), JSON.stringify(options)],
         environment: {},
         logFile: path.join(folder, `target-${index}.log`),
-        onLine: (line) => onLine(JSON.parse(line) as targetMain.Line),
+        onLine: (line) => onLine(JSON.parse(line) as targetMain.OutputLine),
       }),
     };
   }
 }
 
-/** Readers see the old or the new content, never a part of it. */
+/** Replaces a file atomically: readers see the old or the new content. */
 function replaceFile(file: string, content: string): void {
   fs.writeFileSync(`${file}.new`, content);
   fs.renameSync(`${file}.new`, file);
--- a/packages/soak/src/foreignWriter.ts
+++ b/packages/soak/src/malformedAnnouncer.ts
@@ -1,6 +1,7 @@
 /**
- * Another program that writes announcements, of its own kind: fields missing or of another type, an unknown service at a
- * sound target's address, bytes that can't be read. None of it names a target; the others must hold.
+ * Sends malformed announcements, as an incompatible program might: missing fields, fields of a wrong type, an unknown
+ * service at the address of a working target, and bytes that can't be parsed. None of them may register a target or
+ * affect the others.
  */
 import { counterpart } from '@celerydrift/platform';
 import type * as domain from '@celerydrift/domain';
@@ -8,23 +9,23 @@
 
 const FOREIGN_ID = 'foreign';
 
-export class ForeignWriter {
-  private written = 0;
+export class MalformedAnnouncer {
+  private sentCount = 0;
 
   constructor(
     private readonly keepers: readonly string[],
-    /** HOST:PORT of sound targets. */
+    /** HOST:PORT of working targets. */
     private readonly addresses: readonly string[],
   ) {}
 
-  /** Sends the next announcement, to the next keeper; what it answers doesn't matter. */
-  async write(): Promise<void> {
-    const turn = this.written;
-    this.written += 1;
-    const bodies = this.bodies(this.addresses[turn % this.addresses.length]);
+  /** Sends the next announcement to the next keeper and ignores the response. */
+  async announceNext(): Promise<void> {
+    const number = this.sentCount;
+    this.sentCount += 1;
+    const bodies = this.bodies(this.addresses[number % this.addresses.length]);
     const { method, path } = counterpart.announce(announcement(''));
-    const body = bodies[turn % bodies.length];
-    await controlClient.call(this.keepers[turn % this.keepers.length], { method, path, body });
+    const body = bodies[number % bodies.length];
+    await controlClient.call(this.keepers[number % this.keepers.length], { method, path, body });
   }
 
   private bodies(address: string): string[] {
