--- a/packages/daemon/src/entry/__tests__/__fixtures__/bench.ts
+++ b/packages/daemon/src/entry/__tests__/__fixtures__/bench.ts
@@ -6,11 +6,11 @@
 import type * as protocols from '../../../edges/protocols';
 import * as ports from '../../../__tests__/__fixtures__/ports';
 import * as observer from '../../../observability/observer';
-import type * as chooser from '../../chooser';
-import * as crashWatch from '../../crashWatch';
+import type * as targetSelector from '../../targetSelector';
+import * as quarantineClient from '../../quarantineClient';
 import * as exchange from '../../exchange';
 import * as ingress from '../../ingress';
-import * as lifeChecks from '../../lifeChecks';
+import * as livenessProbes from '../../livenessProbes';
 import * as peerClient from '../../../rpc/peerClient';
 import * as targetClient from '../../targetClient';
 import * as targetSignals from '../../targetSignals';
@@ -60,11 +60,11 @@
 };
 
 /** A gate that lets every message pass. */
-export const OPEN_GATE: targetClient.Gate = {
+export const PERMISSIVE_GATE: targetClient.AdmissionGate = {
   admit: () => ({ answered: () => undefined, ended: () => undefined }),
 };
 
-export type Behaviour = (request: string, socket: net.Socket) => void;
+export type TargetBehaviour = (request: string, socket: net.Socket) => void;
 
 export interface Reply {
   status: number;
@@ -118,21 +118,21 @@
   return (server.address() as net.AddressInfo).port;
 }
 
-export class Bench {
+export class TestHarness {
   /** Callers' requests that targets saw. */
-  readonly seen: string[] = [];
+  readonly received: string[] = [];
 
   /** How often targets were asked whether they live. */
-  questions = 0;
+  probes = 0;
 
   /** What was asked of the chooser. */
-  readonly wishes: chooser.Wish[] = [];
+  readonly placementRequests: targetSelector.PlacementRequest[] = [];
 
   /** How placements ended. */
-  readonly endings: string[] = [];
+  readonly outcomes: string[] = [];
 
   /** How long the chooser takes, milliseconds. */
-  chooseMs = 0;
+  placementDelayMs = 0;
 
   isFresh = true;
 
@@ -144,7 +144,7 @@
 
   private readonly servers: net.Server[] = [];
 
-  private readonly crashes: crashWatch.CrashWatch;
+  private readonly crashes: quarantineClient.QuarantineClient;
 
   private readonly registry = new domain.registry.registry.Registry();
 
@@ -160,7 +160,7 @@
     const limits = {
       answered: () => undefined,
       spent: () => undefined,
-      mayCheck: async () => true,
+      mayProbe: async () => true,
     };
     const { registry } = this;
     const client = new peerClient.PeerClient('secret', undefined, observe);
@@ -173,14 +173,14 @@
       now: clock.steady,
     });
     this.targets = new targetClient.TargetClient({ protocol: PROTOCOL, gate: this.signals });
-    const checks = new lifeChecks.LifeChecks({
+    const checks = new livenessProbes.LivenessProbes({
       protocol: PROTOCOL,
       limits,
       gate: this.signals,
       observer: observe,
       source: undefined,
     });
-    this.crashes = new crashWatch.CrashWatch({
+    this.crashes = new quarantineClient.QuarantineClient({
       name: 'e0',
       holding: {
         quarantine: new domain.quarantine.quarantine.Quarantine(),
@@ -188,21 +188,21 @@
       },
       link: { leader: '' },
       client,
-      lifeChecks: checks,
+      liveness: checks,
       observer: observe,
       now: clock.steady,
     });
-    const services: exchange.Services = {
+    const services: exchange.Dependencies = {
       protocol: PROTOCOL,
-      chooser: {
-        choose: (wish: chooser.Wish) => this.choose(wish),
-        closedForMs: () => 0,
-      } as unknown as chooser.Chooser,
+      selector: {
+        choose: (wish: targetSelector.PlacementRequest) => this.choose(wish),
+        unavailableForMs: () => 0,
+      } as unknown as targetSelector.TargetSelector,
       targets: this.targets,
-      lifeChecks: checks,
+      liveness: checks,
       limits,
       signals: this.signals,
-      crashes: this.crashes,
+      quarantine: this.crashes,
       budgets,
       observer: observe,
       random: domain.shared.random.seeded(1),
@@ -221,16 +221,16 @@
   }
 
   /** Targets are tried in the order of their behaviours. */
-  static async start(...behaviours: Behaviour[]): Promise<Bench> {
+  static async start(...behaviours: TargetBehaviour[]): Promise<TestHarness> {
     const addresses: string[] = [];
-    const made = new Bench(addresses);
+    const made = new TestHarness(addresses);
     for (const behave of behaviours) {
       const server = net.createServer((socket) => {
         socket.on('error', () => undefined);
         socket.on('data', (data) => {
           const text = data.toString();
-          if (text.includes(REPORT_PATH)) made.questions += 1;
-          else made.seen.push(text);
+          if (text.includes(REPORT_PATH)) made.probes += 1;
+          else made.received.push(text);
           behave(text, socket);
         });
       });
@@ -259,7 +259,7 @@
   }
 
   /** A request to a route; `leaveAfterMs` closes the connection then. */
-  async ask(
+  async send(
     path: string,
     headers: http.OutgoingHttpHeaders = {},
     body = '',
@@ -292,17 +292,17 @@
     });
   }
 
-  private async choose(wish: chooser.Wish): Promise<chooser.Choice> {
-    this.wishes.push(wish);
-    const again = wish.writers?.[0];
-    const excluded = new Set([...wish.excluded, ...this.signals.closed('app')]);
+  private async choose(request: targetSelector.PlacementRequest): Promise<targetSelector.Choice> {
+    this.placementRequests.push(request);
+    const again = request.writers?.[0];
+    const excluded = new Set([...request.excluded, ...this.signals.unavailable('app')]);
     const index = again === undefined ? excluded.size : Number(again.slice(1));
-    await clock.pause(this.chooseMs);
+    await clock.pause(this.placementDelayMs);
     const address = this.addresses[index];
     if (address === undefined) return { kind: 'noPlace', retryAfterMs: 250 };
     const placement = { target: `t${index}`, address, helpers: [], firstTokenMs: 0 };
     const release = (ending: string): void => {
-      this.endings.push(ending);
+      this.outcomes.push(ending);
     };
     return { kind: 'placed', placement, release };
   }
@@ -315,7 +315,7 @@
 }
 
 /** The head of a signed stream. */
-export const STREAM =
+export const STREAM_HEAD =
   'HTTP/1.1 200 OK\r\nid: r1\r\nsigned: 1\r\nTransfer-Encoding: chunked\r\n\r\n';
 
 /** Chunks of a stream. */
--- a/packages/daemon/src/entry/__tests__/exchange.test.ts
+++ b/packages/daemon/src/entry/__tests__/exchange.test.ts
@@ -2,22 +2,22 @@
 import * as net from 'node:net';
 import * as chai from 'chai';
 import * as clock from '../../clock';
-import * as bench from './__fixtures__/bench';
+import * as harness from './__fixtures__/bench';
 
 const { expect } = chai;
 
-const WHOLE: bench.Behaviour = (_request, socket) => socket.write(bench.answer('whole'));
+const WHOLE: harness.TargetBehaviour = (_request, socket) => socket.write(harness.answer('whole'));
 
 describe('exchange', () => {
-  let made: bench.Bench;
+  let made: harness.TestHarness;
 
   afterEach(() => made.stop());
 
   it('passes an answer on unchanged', async () => {
-    made = await bench.Bench.start(WHOLE);
-    const reply = await made.ask('/unsafe/1', {}, 'body');
+    made = await harness.TestHarness.start(WHOLE);
+    const reply = await made.send('/unsafe/1', {}, 'body');
     expect([reply.status, reply.body, reply.headers.signed]).to.deep.equal([200, 'whole', '1']);
-    expect(made.endings).to.deep.equal(['done']);
+    expect(made.outcomes).to.deep.equal(['done']);
   });
 
   /*
@@ -25,16 +25,16 @@
    * whether it ran, so it is neither sent again nor answered with a status that promises it did not run.
    */
   it('never repeats an unsafe call that may have run, and promises nothing', async () => {
-    made = await bench.Bench.start((_request, socket) => socket.resetAndDestroy(), WHOLE);
-    const reply = await made.ask('/unsafe/1');
-    expect([reply.status, made.seen.length]).to.deep.equal([502, 1]);
+    made = await harness.TestHarness.start((_request, socket) => socket.resetAndDestroy(), WHOLE);
+    const reply = await made.send('/unsafe/1');
+    expect([reply.status, made.received.length]).to.deep.equal([502, 1]);
   });
 
   it('says that an unsafe call did not run where the target says so', async () => {
-    const refuse = bench.answer('', 503, 'not-run: 1\r\n');
-    made = await bench.Bench.start((_request, socket) => socket.write(refuse), WHOLE);
-    const reply = await made.ask('/unsafe/1');
-    expect([reply.status, made.seen.length]).to.deep.equal([503, 1]);
+    const refuse = harness.answer('', 503, 'not-run: 1\r\n');
+    made = await harness.TestHarness.start((_request, socket) => socket.write(refuse), WHOLE);
+    const reply = await made.send('/unsafe/1');
+    expect([reply.status, made.received.length]).to.deep.equal([503, 1]);
     expect(Number(reply.headers['retry-after'])).to.be.greaterThan(0);
   });
 
@@ -43,8 +43,10 @@
    * run the request.
    */
   it("doesn't pass on a promise that the target didn't make", async () => {
-    made = await bench.Bench.start((_request, socket) => socket.write(bench.answer('', 503)));
-    expect((await made.ask('/unsafe/1')).status).to.equal(502);
+    made = await harness.TestHarness.start((_request, socket) =>
+      socket.write(harness.answer('', 503)),
+    );
+    expect((await made.send('/unsafe/1')).status).to.equal(502);
   });
 
   /*
@@ -52,10 +54,10 @@
    * refused the connection, and the only attempt of a call that runs once was spent on it.
    */
   it("takes another target for a call that runs once where one can't be reached", async () => {
-    made = await bench.Bench.start(WHOLE, WHOLE);
+    made = await harness.TestHarness.start(WHOLE, WHOLE);
     await made.crash(0);
-    const reply = await made.ask('/unsafe/1');
-    expect([reply.body, made.seen.length, made.endings]).to.deep.equal([
+    const reply = await made.send('/unsafe/1');
+    expect([reply.body, made.received.length, made.outcomes]).to.deep.equal([
       'whole',
       1,
       ['unreachable', 'done'],
@@ -67,56 +69,56 @@
    * died; a route allows two targets, but one that refused may be asked again.
    */
   it('asks a target again that refused, where no further one is allowed', async () => {
-    const refuse = bench.answer('', 503, 'not-run: 1\r\n');
+    const refuse = harness.answer('', 503, 'not-run: 1\r\n');
     let asked = 0;
-    const secondTime: bench.Behaviour = (_request, socket) => {
+    const secondTime: harness.TargetBehaviour = (_request, socket) => {
       asked += 1;
-      socket.write(asked === 1 ? refuse : bench.answer('whole'));
+      socket.write(asked === 1 ? refuse : harness.answer('whole'));
     };
-    made = await bench.Bench.start(secondTime, (_request, socket) => socket.write(refuse));
-    const reply = await made.ask('/safe/1');
-    expect([reply.body, made.endings]).to.deep.equal(['whole', ['full', 'full', 'done']]);
-    expect(made.wishes[2].writers).to.deep.equal(['t0', 't1']);
+    made = await harness.TestHarness.start(secondTime, (_request, socket) => socket.write(refuse));
+    const reply = await made.send('/safe/1');
+    expect([reply.body, made.outcomes]).to.deep.equal(['whole', ['full', 'full', 'done']]);
+    expect(made.placementRequests[2].writers).to.deep.equal(['t0', 't1']);
   });
 
   /** Guards against a stream that is given up at the first target that can't be reached, though another one is there. */
   it('goes on with a stream past a target that can not be reached, or that turns it away', async () => {
-    const cut: bench.Behaviour = (_request, socket) => {
-      socket.write(bench.STREAM + bench.chunk('id: 1\ndata: a\n\n'));
+    const cut: harness.TargetBehaviour = (_request, socket) => {
+      socket.write(harness.STREAM_HEAD + harness.chunk('id: 1\ndata: a\n\n'));
       setTimeout(() => socket.resetAndDestroy(), 50);
     };
-    const rest: bench.Behaviour = (_request, socket) =>
-      socket.write(bench.STREAM + bench.chunk('id: 2\ndata: b\n\n') + bench.LAST_CHUNK);
-    made = await bench.Bench.start(cut, WHOLE, rest);
+    const rest: harness.TargetBehaviour = (_request, socket) =>
+      socket.write(harness.STREAM_HEAD + harness.chunk('id: 2\ndata: b\n\n') + harness.LAST_CHUNK);
+    made = await harness.TestHarness.start(cut, WHOLE, rest);
     await made.crash(1);
     const whole = ['id: 1\ndata: a\n\nid: 2\ndata: b\n\n', true];
-    const reply = await made.ask('/streaming/1');
+    const reply = await made.send('/streaming/1');
     expect([reply.body, reply.isWhole]).to.deep.equal(whole);
     made.stop();
 
-    const refuse = bench.answer('', 503, 'not-run: 1\r\n');
+    const refuse = harness.answer('', 503, 'not-run: 1\r\n');
     let asked = 0;
-    const secondTime: bench.Behaviour = (request, socket) => {
+    const secondTime: harness.TargetBehaviour = (request, socket) => {
       asked += 1;
       if (asked === 1) socket.write(refuse);
       else rest(request, socket);
     };
-    made = await bench.Bench.start(cut, secondTime);
-    const again = await made.ask('/streaming/1');
+    made = await harness.TestHarness.start(cut, secondTime);
+    const again = await made.send('/streaming/1');
     expect([again.body, again.isWhole]).to.deep.equal(whole);
   });
 
   /** Guards against a request that was placed before its target asked this VM to back off, and is sent after it. */
   it('goes elsewhere where its target wants nothing more by the time it is sent', async () => {
-    const refuse = bench.answer('', 503, 'not-run: 1\r\nback-off: 2000\r\n');
-    made = await bench.Bench.start((_request, socket) => socket.write(refuse), WHOLE);
-    made.chooseMs = 60;
-    const first = made.ask('/unsafe/1');
+    const refuse = harness.answer('', 503, 'not-run: 1\r\nback-off: 2000\r\n');
+    made = await harness.TestHarness.start((_request, socket) => socket.write(refuse), WHOLE);
+    made.placementDelayMs = 60;
+    const first = made.send('/unsafe/1');
     await clock.pause(40);
-    const second = made.ask('/unsafe/1');
+    const second = made.send('/unsafe/1');
     expect([(await first).status, (await second).body]).to.deep.equal([503, 'whole']);
-    expect(made.endings).to.deep.equal(['full', 'cancelled', 'done']);
-    expect(made.seen.length).to.equal(2);
+    expect(made.outcomes).to.deep.equal(['full', 'cancelled', 'done']);
+    expect(made.received.length).to.equal(2);
   });
 
   /*
@@ -124,17 +126,17 @@
    * so was taken for a full server, and nobody was told.
    */
   it('says which lifetime was gone when another one answered', async () => {
-    const other = bench.answer('', 421, 'not-run: 1\r\n');
-    made = await bench.Bench.start((_request, socket) => socket.write(other), WHOLE);
-    await made.ask('/safe/1');
-    expect(made.endings).to.deep.equal(['replaced', 'done']);
+    const other = harness.answer('', 421, 'not-run: 1\r\n');
+    made = await harness.TestHarness.start((_request, socket) => socket.write(other), WHOLE);
+    await made.send('/safe/1');
+    expect(made.outcomes).to.deep.equal(['replaced', 'done']);
   });
 
   it("goes on to a few targets at most that can't be reached", async () => {
-    made = await bench.Bench.start(WHOLE, WHOLE, WHOLE, WHOLE, WHOLE);
+    made = await harness.TestHarness.start(WHOLE, WHOLE, WHOLE, WHOLE, WHOLE);
     for (let i = 0; i < 4; i++) await made.crash(i);
-    expect((await made.ask('/unsafe/1')).status).to.equal(503);
-    expect(made.endings.length).to.equal(3);
+    expect((await made.send('/unsafe/1')).status).to.equal(503);
+    expect(made.outcomes.length).to.equal(3);
   });
 
   /*
@@ -142,9 +144,9 @@
    * the difference was taken for a wait before; each of their requests counted as late from the start.
    */
   it("doesn't take a caller's short patience for a wait", async () => {
-    made = await bench.Bench.start(WHOLE);
-    await made.ask('/safe/1', { patience: '900' });
-    expect(made.wishes[0].waitedMs).to.be.lessThan(100);
+    made = await harness.TestHarness.start(WHOLE);
+    await made.send('/safe/1', { patience: '900' });
+    expect(made.placementRequests[0].waitedMs).to.be.lessThan(100);
   });
 
   /*
@@ -152,20 +154,20 @@
    * 1.8 s; the time since the request came was taken for a wait of six objectives, for which no engine is given.
    */
   it('counts no wait for a stream that goes on elsewhere, and no more than the objective otherwise', async () => {
-    const cut: bench.Behaviour = (_request, socket) => {
-      socket.write(bench.STREAM + bench.chunk('id: 1\ndata: a\n\n'));
+    const cut: harness.TargetBehaviour = (_request, socket) => {
+      socket.write(harness.STREAM_HEAD + harness.chunk('id: 1\ndata: a\n\n'));
       setTimeout(() => socket.resetAndDestroy(), 300);
     };
-    const rest: bench.Behaviour = (_request, socket) =>
-      socket.write(bench.STREAM + bench.chunk('id: 2\ndata: b\n\n') + bench.LAST_CHUNK);
-    made = await bench.Bench.start(cut, rest);
-    expect((await made.ask('/streaming/1')).isWhole).to.equal(true);
-    expect(made.wishes[1].waitedMs).to.equal(0);
+    const rest: harness.TargetBehaviour = (_request, socket) =>
+      socket.write(harness.STREAM_HEAD + harness.chunk('id: 2\ndata: b\n\n') + harness.LAST_CHUNK);
+    made = await harness.TestHarness.start(cut, rest);
+    expect((await made.send('/streaming/1')).isWhole).to.equal(true);
+    expect(made.placementRequests[1].waitedMs).to.equal(0);
     made.stop();
 
-    made = await bench.Bench.start(() => undefined, WHOLE);
-    expect((await made.ask('/safe/1')).body).to.equal('whole');
-    expect(made.wishes[1].waitedMs).to.equal(100);
+    made = await harness.TestHarness.start(() => undefined, WHOLE);
+    expect((await made.send('/safe/1')).body).to.equal('whole');
+    expect(made.placementRequests[1].waitedMs).to.equal(100);
   });
 
   /*
@@ -174,14 +176,14 @@
    */
   [500, 404].forEach((status) => {
     it(`doesn't end a stream with the ${status} of the target that was to go on with it`, async () => {
-      const cut: bench.Behaviour = (_request, socket) => {
-        socket.write(bench.STREAM + bench.chunk('id: 1\ndata: a\n\n'));
+      const cut: harness.TargetBehaviour = (_request, socket) => {
+        socket.write(harness.STREAM_HEAD + harness.chunk('id: 1\ndata: a\n\n'));
         setTimeout(() => socket.resetAndDestroy(), 50);
       };
-      const fails: bench.Behaviour = (_request, socket) =>
-        socket.write(bench.answer('failed', status));
-      made = await bench.Bench.start(cut, fails);
-      const reply = await made.ask('/streaming/1');
+      const fails: harness.TargetBehaviour = (_request, socket) =>
+        socket.write(harness.answer('failed', status));
+      made = await harness.TestHarness.start(cut, fails);
+      const reply = await made.send('/streaming/1');
       expect([reply.status, reply.isWhole, reply.body]).to.deep.equal([
         200,
         false,
@@ -191,17 +193,17 @@
   });
 
   it('has a safe call answered by another target when the first fails', async () => {
-    made = await bench.Bench.start(
-      (_request, socket) => socket.write(bench.answer('broken', 500)),
+    made = await harness.TestHarness.start(
+      (_request, socket) => socket.write(harness.answer('broken', 500)),
       WHOLE,
     );
-    expect((await made.ask('/safe/1')).body).to.equal('whole');
-    expect(made.endings).to.deep.equal(['broken', 'done']);
+    expect((await made.send('/safe/1')).body).to.equal('whole');
+    expect(made.outcomes).to.deep.equal(['broken', 'done']);
   });
 
   it('gives up a safe call on a target that is silent', async () => {
-    made = await bench.Bench.start(() => undefined, WHOLE);
-    expect((await made.ask('/safe/1')).body).to.equal('whole');
+    made = await harness.TestHarness.start(() => undefined, WHOLE);
+    expect((await made.send('/safe/1')).body).to.equal('whole');
   });
 
   /*
@@ -209,9 +211,9 @@
    * next one's is expected.
    */
   it('never passes on an answer to another request', async () => {
-    const other = bench.answer('other').replace('id: r1', 'id: r0');
-    made = await bench.Bench.start((_request, socket) => socket.write(other));
-    const reply = await made.ask('/unsafe/1');
+    const other = harness.answer('other').replace('id: r1', 'id: r0');
+    made = await harness.TestHarness.start((_request, socket) => socket.write(other));
+    const reply = await made.send('/unsafe/1');
     expect([reply.status, reply.body]).to.deep.equal([502, '']);
   });
 
@@ -220,19 +222,19 @@
    * on at another target after the last whole one, within the same answer.
    */
   it('goes on with a stream after its last whole event', async () => {
-    const first: bench.Behaviour = (_request, socket) => {
-      socket.write(bench.STREAM + bench.chunk('id: 1\ndata: a\n\nid: 2\nda'));
+    const first: harness.TargetBehaviour = (_request, socket) => {
+      socket.write(harness.STREAM_HEAD + harness.chunk('id: 1\ndata: a\n\nid: 2\nda'));
       setTimeout(() => socket.resetAndDestroy(), 20);
     };
-    const second: bench.Behaviour = (_request, socket) =>
-      socket.write(bench.STREAM + bench.chunk('id: 2\ndata: b\n\n') + bench.LAST_CHUNK);
-    made = await bench.Bench.start(first, second);
-    const reply = await made.ask('/streaming/1');
+    const second: harness.TargetBehaviour = (_request, socket) =>
+      socket.write(harness.STREAM_HEAD + harness.chunk('id: 2\ndata: b\n\n') + harness.LAST_CHUNK);
+    made = await harness.TestHarness.start(first, second);
+    const reply = await made.send('/streaming/1');
     expect([reply.body, reply.isWhole]).to.deep.equal([
       'id: 1\ndata: a\n\nid: 2\ndata: b\n\n',
       true,
     ]);
-    expect(made.seen[1]).to.match(/resume-after: 1\r\n/);
+    expect(made.received[1]).to.match(/resume-after: 1\r\n/);
   });
 
   /*
@@ -240,14 +242,14 @@
    * predicted, and alive; its entry asks before it gives up.
    */
   it('leaves a target alone that is overdue and alive', async () => {
-    const busy: bench.Behaviour = (request, socket) => {
-      if (request.includes(bench.REPORT_PATH)) socket.write(bench.answer('{}'));
+    const busy: harness.TargetBehaviour = (request, socket) => {
+      if (request.includes(harness.REPORT_PATH)) socket.write(harness.answer('{}'));
       else setTimeout(() => socket.write(stream), 1_200);
     };
-    const stream = `${bench.STREAM}${bench.chunk('id: 1\ndata: a\n\n')}${bench.LAST_CHUNK}`;
-    made = await bench.Bench.start(busy, WHOLE);
-    const reply = await made.ask('/streaming/1');
-    expect([reply.body, made.endings]).to.deep.equal(['id: 1\ndata: a\n\n', ['done']]);
+    const stream = `${harness.STREAM_HEAD}${harness.chunk('id: 1\ndata: a\n\n')}${harness.LAST_CHUNK}`;
+    made = await harness.TestHarness.start(busy, WHOLE);
+    const reply = await made.send('/streaming/1');
+    expect([reply.body, made.outcomes]).to.deep.equal(['id: 1\ndata: a\n\n', ['done']]);
   });
 
   /*
@@ -255,14 +257,14 @@
    * doesn't answer the question whether it lives either, so another one gets the request.
    */
   it('leaves a dead target as soon as it is overdue', async () => {
-    const stream = `${bench.STREAM}${bench.chunk('id: 1\ndata: a\n\n')}${bench.LAST_CHUNK}`;
-    made = await bench.Bench.start(
+    const stream = `${harness.STREAM_HEAD}${harness.chunk('id: 1\ndata: a\n\n')}${harness.LAST_CHUNK}`;
+    made = await harness.TestHarness.start(
       () => undefined,
       (_request, socket) => socket.write(stream),
     );
     const since = performance.now();
-    const reply = await made.ask('/streaming/1');
-    expect([reply.body, made.endings]).to.deep.equal(['id: 1\ndata: a\n\n', ['broken', 'done']]);
+    const reply = await made.send('/streaming/1');
+    expect([reply.body, made.outcomes]).to.deep.equal(['id: 1\ndata: a\n\n', ['broken', 'done']]);
     expect(performance.now() - since).to.be.lessThan(950);
   });
 
@@ -272,19 +274,19 @@
    */
   it('lets a copy that a crash cut wait for the trial of the other one', async () => {
     const sockets: net.Socket[] = [];
-    const crashing: bench.Behaviour = (_request, socket) => {
+    const crashing: harness.TargetBehaviour = (_request, socket) => {
       sockets.push(socket);
       if (sockets.length < 2) return;
       void made.crash(0);
       sockets.forEach((each) => each.resetAndDestroy());
     };
-    const slow: bench.Behaviour = (request, socket) => {
+    const slow: harness.TargetBehaviour = (request, socket) => {
       const id = /id: (\S+)/.exec(request)?.[1] ?? '';
-      setTimeout(() => socket.write(bench.answer('whole').replace('id: r1', `id: ${id}`)), 200);
+      setTimeout(() => socket.write(harness.answer('whole').replace('id: r1', `id: ${id}`)), 200);
     };
-    made = await bench.Bench.start(crashing, slow);
+    made = await harness.TestHarness.start(crashing, slow);
     const replies = await Promise.all(
-      ['r1', 'r2'].map((id) => made.ask('/safe/1', { id }, 'same')),
+      ['r1', 'r2'].map((id) => made.send('/safe/1', { id }, 'same')),
     );
     expect(replies.map(({ status, body }) => `${status} ${body}`)).to.deep.equal([
       '200 whole',
@@ -293,46 +295,46 @@
   });
 
   it('breaks a stream off that nobody can go on with', async () => {
-    const half: bench.Behaviour = (_request, socket) => {
-      socket.write(bench.STREAM + bench.chunk('id: 1\ndata: a\n\n'));
+    const half: harness.TargetBehaviour = (_request, socket) => {
+      socket.write(harness.STREAM_HEAD + harness.chunk('id: 1\ndata: a\n\n'));
       setTimeout(() => socket.resetAndDestroy(), 20);
     };
-    made = await bench.Bench.start(half, half);
-    const reply = await made.ask('/streaming/1');
+    made = await harness.TestHarness.start(half, half);
+    const reply = await made.send('/streaming/1');
     expect([reply.status, reply.isWhole]).to.deep.equal([200, false]);
   });
 
   it('closes the connection to the target when the caller leaves', async () => {
     let closed = false;
-    made = await bench.Bench.start((_request, socket) => {
+    made = await harness.TestHarness.start((_request, socket) => {
       socket.once('close', () => {
         closed = true;
       });
     });
-    await made.ask('/unsafe/1', {}, '', 50);
+    await made.send('/unsafe/1', {}, '', 50);
     await new Promise((resolve) => {
       setTimeout(resolve, 100);
     });
-    expect([closed, made.endings]).to.deep.equal([true, ['cancelled']]);
+    expect([closed, made.outcomes]).to.deep.equal([true, ['cancelled']]);
   });
 
   it("answers at the route's timeout", async () => {
-    made = await bench.Bench.start(() => undefined);
+    made = await harness.TestHarness.start(() => undefined);
     const startedAt = performance.now();
-    const reply = await made.ask('/unsafe/1');
+    const reply = await made.send('/unsafe/1');
     expect(reply.status).to.equal(504);
     expect(performance.now() - startedAt).to.be.within(1_450, 1_900);
   });
 
   it('refuses keys while nothing is known to be fresh, and serves them after', async () => {
-    made = await bench.Bench.start(WHOLE);
+    made = await harness.TestHarness.start(WHOLE);
     made.isFresh = false;
-    expect((await made.ask('/safe/1')).status).to.equal(503);
-    expect((await made.ask('/none/1')).status).to.equal(503);
+    expect((await made.send('/safe/1')).status).to.equal(503);
+    expect((await made.send('/none/1')).status).to.equal(503);
     made.isFresh = true;
-    expect((await made.ask('/safe/1')).status).to.equal(200);
-    expect((await made.ask('/none/1')).status).to.equal(404);
-    expect(made.seen.length).to.equal(1);
+    expect((await made.send('/safe/1')).status).to.equal(200);
+    expect((await made.send('/none/1')).status).to.equal(404);
+    expect(made.received.length).to.equal(1);
   });
 
   /*
@@ -340,10 +342,10 @@
    * requests half a second before the keepers have a leader that can tell it the settings.
    */
   it('keeps requests that come just before the settings, and serves them', async () => {
-    made = await bench.Bench.start(WHOLE);
+    made = await harness.TestHarness.start(WHOLE);
     made.hasCatalogue = false;
     made.isFresh = false;
-    const asked = made.ask('/safe/1', {}, 'body');
+    const asked = made.send('/safe/1', {}, 'body');
     setTimeout(() => {
       made.hasCatalogue = true;
       made.isFresh = true;
@@ -353,28 +355,28 @@
   });
 
   it('refuses as not run what the settings come too late for', async () => {
-    made = await bench.Bench.start(WHOLE);
+    made = await harness.TestHarness.start(WHOLE);
     made.hasCatalogue = false;
     const startedAt = performance.now();
-    const reply = await made.ask('/safe/1', {}, 'body');
-    expect([reply.status, made.seen.length]).to.deep.equal([503, 0]);
+    const reply = await made.send('/safe/1', {}, 'body');
+    expect([reply.status, made.received.length]).to.deep.equal([503, 0]);
     expect(performance.now() - startedAt).to.be.within(900, 1_300);
   });
 
   it('bounds what a caller may send', async () => {
-    made = await bench.Bench.start(WHOLE);
+    made = await harness.TestHarness.start(WHOLE);
     const statuses = [
-      (await made.ask('/safe/1', { key: 'wrong' })).status,
-      (await made.ask('/safe/1', { long: 'x'.repeat(3_000) })).status,
-      (await made.ask('/safe/1', {}, 'x'.repeat(101))).status,
+      (await made.send('/safe/1', { key: 'wrong' })).status,
+      (await made.send('/safe/1', { long: 'x'.repeat(3_000) })).status,
+      (await made.send('/safe/1', {}, 'x'.repeat(101))).status,
     ];
-    expect([statuses, made.seen.length]).to.deep.equal([[401, 431, 413], 0]);
+    expect([statuses, made.received.length]).to.deep.equal([[401, 431, 413], 0]);
   });
 
   it('says which connection is its last when the entry leaves', async () => {
-    made = await bench.Bench.start(WHOLE);
-    made.ingress.leave();
-    const reply = await made.ask('/safe/1');
+    made = await harness.TestHarness.start(WHOLE);
+    made.ingress.drain();
+    const reply = await made.send('/safe/1');
     expect([reply.status, reply.headers.connection]).to.deep.equal([200, 'close']);
   });
 
@@ -383,11 +385,11 @@
    * open, is sent to a target, and is cut when the process ends. The refusal lets its caller go elsewhere.
    */
   it('refuses what comes too late to be finished before a stop, and finishes the rest', async () => {
-    const slow: bench.Behaviour = (_request, socket) => {
-      setTimeout(() => socket.write(bench.answer('whole')), 200);
+    const slow: harness.TargetBehaviour = (_request, socket) => {
+      setTimeout(() => socket.write(harness.answer('whole')), 200);
     };
-    made = await bench.Bench.start(slow);
-    const first = made.ask('/unsafe/1');
+    made = await harness.TestHarness.start(slow);
+    const first = made.send('/unsafe/1');
     const late = net.connect(made.port, '127.0.0.1');
     late.write('POST /unsafe/2 HTTP/1.1\r\nHost: a.example\r\nid: r1\r\nkey: k\r\n');
     await new Promise((resolve) => {
@@ -401,7 +403,7 @@
     expect(answered).to.match(/^HTTP\/1.1 503 /);
     expect(answered).to.match(/Connection: close/i);
     expect((await first).body).to.equal('whole');
-    expect(made.seen.length).to.equal(1);
+    expect(made.received.length).to.equal(1);
     late.destroy();
   });
 });
--- a/packages/daemon/src/entry/__tests__/lifeChecks.test.ts
+++ b/packages/daemon/src/entry/__tests__/livenessProbes.test.ts
@@ -3,8 +3,8 @@
 import type * as net from 'node:net';
 import * as chai from 'chai';
 import * as observer from '../../observability/observer';
-import * as lifeChecks from '../lifeChecks';
-import * as bench from './__fixtures__/bench';
+import * as livenessProbes from '../livenessProbes';
+import * as harness from './__fixtures__/bench';
 
 const { expect } = chai;
 
@@ -16,10 +16,10 @@
   await new Promise<void>((resolve) => {
     server.listen(0, '127.0.0.1', resolve);
   });
-  const checks = new lifeChecks.LifeChecks({
-    protocol: bench.PROTOCOL,
-    limits: { mayCheck: async () => true },
-    gate: bench.OPEN_GATE,
+  const checks = new livenessProbes.LivenessProbes({
+    protocol: harness.PROTOCOL,
+    limits: { mayProbe: async () => true },
+    gate: harness.PERMISSIVE_GATE,
     observer: new observer.Observer('test', 'fatal', undefined),
     source: undefined,
   });
--- a/packages/daemon/src/entry/__tests__/crashWatch.test.ts
+++ b/packages/daemon/src/entry/__tests__/quarantineClient.test.ts
@@ -4,14 +4,14 @@
 import { Ok } from 'ts-results';
 import * as clock from '../../clock';
 import * as observer from '../../observability/observer';
-import * as crashWatch from '../crashWatch';
+import * as quarantineClient from '../quarantineClient';
 
 const { expect } = chai;
 
 const CONTENT = '4-content';
 
-function request(requestId: string): crashWatch.Suspectable {
-  return { requestId, bodyBytes: 4, content: () => CONTENT, service: 'plain', excluded: [] };
+function request(requestId: string): quarantineClient.RequestInfo {
+  return { requestId, bodyBytes: 4, fingerprint: () => CONTENT, service: 'plain', excluded: [] };
 }
 
 describe('an entry that was cut off from all targets', () => {
@@ -22,7 +22,7 @@
   it('takes the word of its leader, who knows that they live', async () => {
     const quarantine = new domain.quarantine.quarantine.Quarantine();
     const nothing = new domain.quarantine.quarantine.Quarantine().report(CONTENT, 0);
-    const made = new crashWatch.CrashWatch({
+    const made = new quarantineClient.QuarantineClient({
       name: 'e0',
       holding: { quarantine, registry: new domain.registry.registry.Registry() },
       link: { leader: '10.0.0.1:1' },
@@ -32,13 +32,13 @@
           return Ok({ kind: 'taken', reports: [nothing] } as T);
         },
       },
-      lifeChecks: { isAlive: async () => false },
+      liveness: { isAlive: async () => false },
       observer: new observer.Observer('test', 'fatal', undefined),
       now: clock.steady,
     });
     for (const target of ['a', 'b', 'c']) {
       const sent = { target, address: '10.0.0.2:1', sentAt: clock.steady(), isTrial: true };
-      await made.cut(request('r1'), sent);
+      await made.checkForCrash(request('r1'), sent);
     }
     await clock.pause(10);
     expect([quarantine.size, (await made.permit(request('r2'))).kind]).to.deep.equal([
@@ -56,19 +56,19 @@
       quarantine.blame(CONTENT, lifetime, { sentAt: 0, isTrial: true }, 1);
     });
     const link = { leader: '10.0.0.1:1' };
-    const told: unknown[] = [];
-    const made = new crashWatch.CrashWatch({
+    const reports: unknown[] = [];
+    const made = new quarantineClient.QuarantineClient({
       name: 'e0',
       holding: { quarantine, registry: new domain.registry.registry.Registry() },
       link,
       client: {
         call: async <T>(_address: string, method: string, content: object) => {
-          if (method === 'trialEnded') told.push(content);
+          if (method === 'trialEnded') reports.push(content);
           const granted = { kind: 'granted', endings: 2, target: undefined };
           return Ok((method === 'permit' ? granted : { kind: 'taken' }) as T);
         },
       },
-      lifeChecks: { isAlive: async () => true },
+      liveness: { isAlive: async () => true },
       observer: new observer.Observer('test', 'fatal', undefined),
       now: clock.steady,
     });
@@ -77,11 +77,11 @@
     link.leader = '';
     permit.end(true);
     await clock.pause(150);
-    expect(told).to.deep.equal([]);
+    expect(reports).to.deep.equal([]);
     link.leader = '10.0.0.2:1';
     await clock.pause(150);
     made.close();
-    expect(told).to.deep.equal([{ content: CONTENT, id: 'r1', ranWhole: true }]);
+    expect(reports).to.deep.equal([{ content: CONTENT, id: 'r1', ranWhole: true }]);
   });
 });
 
@@ -90,14 +90,14 @@
   it('runs as a trial', async () => {
     const quarantine = new domain.quarantine.quarantine.Quarantine();
     quarantine.blame(CONTENT, 'a', { sentAt: 0, isTrial: false }, 1);
-    const made = new crashWatch.CrashWatch({
+    const made = new quarantineClient.QuarantineClient({
       name: 'e0',
       holding: { quarantine, registry: new domain.registry.registry.Registry() },
       link: { leader: '10.0.0.1:1' },
       client: {
         call: async <T>() => Ok({ kind: 'granted', endings: 0, target: undefined } as T),
       },
-      lifeChecks: { isAlive: async () => true },
+      liveness: { isAlive: async () => true },
       observer: new observer.Observer('test', 'fatal', undefined),
       now: clock.steady,
     });
--- a/packages/daemon/src/entry/__tests__/limitWatch.test.ts
+++ b/packages/daemon/src/entry/__tests__/rateLimitClient.test.ts
@@ -6,11 +6,11 @@
 import type * as messages from '../../fleet/messages';
 import * as observer from '../../observability/observer';
 import type * as peerClient from '../../rpc/peerClient';
-import * as lifeChecks from '../lifeChecks';
-import * as limitWatch from '../limitWatch';
+import * as livenessProbes from '../livenessProbes';
+import * as rateLimitClient from '../rateLimitClient';
 import * as reservations from '../reservations';
 import type * as targetClient from '../targetClient';
-import * as bench from './__fixtures__/bench';
+import * as harness from './__fixtures__/bench';
 
 const { expect } = chai;
 
@@ -29,141 +29,141 @@
 const ENTRIES = 4;
 
 /** Longer than an entry waits before it tells a leader again. */
-const TOLD_AGAIN_MS = 150;
+const RETRY_WAIT_MS = 150;
 
-class Fleet {
+class Harness {
   readonly link = { leader: '10.0.0.1:1' };
 
   readonly registry = new domain.registry.registry.Registry();
 
   readonly limits = new domain.rateLimits.rateLimits.RateLimits();
 
-  readonly told: messages.Limited[] = [];
+  readonly reports: messages.Limited[] = [];
 
   /** What the leader answers when it is asked for a message. */
   grant: messages.GrantAnswer = { kind: 'wait', waitMs: 1_000 };
 
   /** Whether calls reach a leader. */
-  isReached = true;
+  isLeaderReachable = true;
 
   now = 0;
 
-  readonly watch: limitWatch.LimitWatch;
+  readonly client: rateLimitClient.RateLimitClient;
 
   constructor() {
     this.registry.announce(RECORD, 0);
     const call = async (address: string, method: string, content: object): Promise<unknown> => {
-      if (!this.isReached) return Err({ kind: 'timeout', address, method, detail: 'lost' });
+      if (!this.isLeaderReachable) return Err({ kind: 'timeout', address, method, detail: 'lost' });
       if (method === 'grant') return Ok(this.grant);
-      this.told.push(JSON.parse(JSON.stringify(content)) as messages.Limited);
+      this.reports.push(JSON.parse(JSON.stringify(content)) as messages.Limited);
       return Ok({ kind: 'taken' });
     };
-    this.watch = new limitWatch.LimitWatch({
+    this.client = new rateLimitClient.RateLimitClient({
       holding: this,
       link: this.link,
       client: { call: call as peerClient.PeerClient['call'] },
       observer: new observer.Observer('test', 'fatal', undefined),
       now: () => this.now,
     });
-    this.watch.leaderFound(ENTRIES);
+    this.client.leaderFound(ENTRIES);
   }
 
   answer(perSecond: number | undefined, sentAt = this.now): void {
     const answered = { ...PLACE, requestId: 'r', target: 't', status: 200, sentAt };
     const limit = perSecond === undefined ? ({ kind: 'none' } as const) : undefined;
-    this.watch.answered(answered, limit ?? { kind: 'named', perSecond: perSecond as number });
+    this.client.answered(answered, limit ?? { kind: 'named', perSecond: perSecond as number });
   }
 }
 
 describe('an entry whose target names a limit', () => {
-  let fleet: Fleet;
+  let setup: Harness;
 
   beforeEach(() => {
-    fleet = new Fleet();
+    setup = new Harness();
   });
 
-  afterEach(() => fleet.watch.close());
+  afterEach(() => setup.client.close());
 
   /** Guards against an old answer that ends a limit: its head was on the way when the target came into need. */
   it('takes it for over only by an answer to a request that was sent since', () => {
-    fleet.now = 100;
-    fleet.answer(2);
-    fleet.answer(undefined, 100);
-    expect(fleet.limits.at(PLACE)).to.equal(2);
-    fleet.answer(undefined, 101);
-    expect(fleet.limits.at(PLACE)).to.equal(undefined);
+    setup.now = 100;
+    setup.answer(2);
+    setup.answer(undefined, 100);
+    expect(setup.limits.at(PLACE)).to.equal(2);
+    setup.answer(undefined, 101);
+    expect(setup.limits.at(PLACE)).to.equal(undefined);
   });
 
   it('goes on with the limit where one can not be read', () => {
-    fleet.answer(2);
+    setup.answer(2);
     const answered = { ...PLACE, requestId: 'r', target: 't', status: 200, sentAt: 50 };
-    fleet.watch.answered(answered, { kind: 'unreadable' });
-    expect(fleet.limits.at(PLACE)).to.equal(2);
+    setup.client.answered(answered, { kind: 'unreadable' });
+    expect(setup.limits.at(PLACE)).to.equal(2);
   });
 
   /** Guards against a limit that only one entry knows, as it was told while nobody led. */
   it('tells the next leader, and of several words the last', async () => {
-    fleet.isReached = false;
-    fleet.answer(2);
+    setup.isLeaderReachable = false;
+    setup.answer(2);
     await clock.pause(10);
-    fleet.answer(3);
-    fleet.isReached = true;
-    await clock.pause(TOLD_AGAIN_MS);
-    expect(fleet.told).to.deep.equal([{ limits: [{ ...PLACE, perSecond: 3 }], spent: [] }]);
+    setup.answer(3);
+    setup.isLeaderReachable = true;
+    await clock.pause(RETRY_WAIT_MS);
+    expect(setup.reports).to.deep.equal([{ limits: [{ ...PLACE, perSecond: 3 }], spent: [] }]);
   });
 
   it('gives out its part while nobody leads, and tells what it gave out', async () => {
-    fleet.answer(2);
+    setup.answer(2);
     await clock.pause(10);
-    fleet.link.leader = '';
-    fleet.watch.leaderLost();
-    expect((await fleet.watch.grant([PLACE])).kind).to.equal('wait');
+    setup.link.leader = '';
+    setup.client.leaderLost();
+    expect((await setup.client.grant([PLACE])).kind).to.equal('wait');
     // A part of 0.5 a second takes two seconds for the first request.
-    fleet.now = 2_000;
-    expect((await fleet.watch.grant([PLACE])).kind).to.equal('granted');
-    expect((await fleet.watch.grant([PLACE])).kind).to.equal('wait');
-    fleet.link.leader = '10.0.0.2:1';
-    await clock.pause(TOLD_AGAIN_MS);
-    expect(fleet.told.at(-1)?.spent).to.deep.equal([{ ...PLACE, count: 1 }]);
+    setup.now = 2_000;
+    expect((await setup.client.grant([PLACE])).kind).to.equal('granted');
+    expect((await setup.client.grant([PLACE])).kind).to.equal('wait');
+    setup.link.leader = '10.0.0.2:1';
+    await clock.pause(RETRY_WAIT_MS);
+    expect(setup.reports.at(-1)?.spent).to.deep.equal([{ ...PLACE, count: 1 }]);
   });
 
   /** Guards against life checks beside the limit: each entry asked a silent target once a second. */
   it('asks a target whether it lives only where the leader lets it', async () => {
-    fleet.answer(2);
-    const made = new lifeChecks.LifeChecks({
-      protocol: bench.PROTOCOL,
-      limits: fleet.watch,
-      gate: bench.OPEN_GATE,
+    setup.answer(2);
+    const probes = new livenessProbes.LivenessProbes({
+      protocol: harness.PROTOCOL,
+      limits: setup.client,
+      gate: harness.PERMISSIVE_GATE,
       observer: new observer.Observer('test', 'fatal', undefined),
       source: undefined,
     });
     // Nobody listens there, so whoever asks finds it dead.
-    expect(await made.isAlive('t', PLACE.address)).to.equal(true);
-    fleet.grant = { kind: 'granted', place: PLACE };
-    expect(await made.isAlive('t', PLACE.address)).to.equal(false);
+    expect(await probes.isAlive('t', PLACE.address)).to.equal(true);
+    setup.grant = { kind: 'granted', place: PLACE };
+    expect(await probes.isAlive('t', PLACE.address)).to.equal(false);
   });
 
   /** Guards against orders beside the limit: a reservation and its release are messages as well. */
   it('counts orders about memory', async () => {
-    fleet.answer(2);
+    setup.answer(2);
     await clock.pause(10);
-    const call = async (): Promise<targetClient.CallEnd> => ({
+    const call = async (): Promise<targetClient.CallResult> => ({
       kind: 'answered',
       status: 200,
-      facts: bench.PROTOCOL.answerFacts(200, {}),
+      facts: harness.PROTOCOL.answerFacts(200, {}),
     });
-    const held = new reservations.Reservations('r', {
-      protocol: bench.PROTOCOL,
-      targets: { call } as unknown as reservations.Parts['targets'],
-      limits: fleet.watch,
+    const memory = new reservations.Reservations('r', {
+      protocol: harness.PROTOCOL,
+      targets: { call } as unknown as reservations.Dependencies['targets'],
+      limits: setup.client,
       signals: { backOffMs: () => 0 },
       observer: new observer.Observer('test', 'fatal', undefined),
       now: clock.steady,
     });
-    await held.take([{ target: 't', address: PLACE.address, keptTokens: 1_000 }]);
-    held.release();
+    await memory.reserveAll([{ target: 't', address: PLACE.address, keptTokens: 1_000 }]);
+    memory.release();
     await clock.pause(10);
-    const spent = fleet.told.flatMap((each) => each.spent);
+    const spent = setup.reports.flatMap((each) => each.spent);
     expect(spent.reduce((sum, { count }) => sum + count, 0)).to.equal(2);
   });
 });
--- a/packages/daemon/src/entry/__tests__/silence.test.ts
+++ b/packages/daemon/src/entry/__tests__/silence.test.ts
@@ -1,7 +1,7 @@
 /** When a target is given up for its silence. */
 import * as chai from 'chai';
 import type * as domain from '@celerydrift/domain';
-import * as silence from '../silence';
+import * as responseTimeout from '../silence';
 
 const { expect } = chai;
 
@@ -29,10 +29,10 @@
 describe('silence of a target', () => {
   it('is bounded by what its callers bear', () => {
     const bounds = [
-      silence.boundsOf(route('streaming', 300, 250), 100),
-      silence.boundsOf(route('streaming', 1_500, 600), 400),
-      silence.boundsOf(route('streaming', 3_000, 1_000), 700),
-      silence.boundsOf(route('safe', 193, 1_000), 0),
+      responseTimeout.thresholdsOf(route('streaming', 300, 250), 100),
+      responseTimeout.thresholdsOf(route('streaming', 1_500, 600), 400),
+      responseTimeout.thresholdsOf(route('streaming', 3_000, 1_000), 700),
+      responseTimeout.thresholdsOf(route('safe', 193, 1_000), 0),
     ];
     expect(bounds).toMatchSnapshot();
   });
@@ -43,9 +43,11 @@
    * busy reading.
    */
   it("isn't a pause that the reading of a long prompt makes", () => {
-    const bounds = silence.boundsOf(route('streaming', 300, 250), 100);
+    const bounds = responseTimeout.thresholdsOf(route('streaming', 300, 250), 100);
     const flowing = { sentAt: 0, lastEventAt: 500 };
-    const verdicts = [1_050, 1_150, 1_950, 2_050].map((now) => silence.judge(bounds, flowing, now));
+    const verdicts = [1_050, 1_150, 1_950, 2_050].map((now) =>
+      responseTimeout.classify(bounds, flowing, now),
+    );
     expect(verdicts).to.deep.equal(['fine', 'overdue', 'overdue', 'hopeless']);
   });
 
@@ -54,15 +56,17 @@
    * and was late only because parts of later prompts went first.
    */
   it('is hopeless only when its callers are about to leave', () => {
-    const bounds = silence.boundsOf(route('streaming', 3_000, 1_000), 800);
-    const reading = { sentAt: 0, lastEventAt: 0 };
-    const verdicts = [1_400, 3_500, 5_900, 6_100].map((now) => silence.judge(bounds, reading, now));
+    const bounds = responseTimeout.thresholdsOf(route('streaming', 3_000, 1_000), 800);
+    const prefilling = { sentAt: 0, lastEventAt: 0 };
+    const verdicts = [1_400, 3_500, 5_900, 6_100].map((now) =>
+      responseTimeout.classify(bounds, prefilling, now),
+    );
     expect(verdicts).to.deep.equal(['fine', 'overdue', 'overdue', 'hopeless']);
   });
 
   it('leaves a second target time to answer a long prompt within its objective', () => {
     const predictedMs = 500;
-    const bounds = silence.boundsOf(route('streaming', 3_000, 1_000), predictedMs);
+    const bounds = responseTimeout.thresholdsOf(route('streaming', 3_000, 1_000), predictedMs);
     const askedMs = 300;
     expect(bounds.overdueFirstMs + askedMs + predictedMs).to.be.lessThan(3_000);
   });
--- a/packages/daemon/src/entry/__tests__/targetClient.test.ts
+++ b/packages/daemon/src/entry/__tests__/targetClient.test.ts
@@ -2,12 +2,12 @@
 import * as net from 'node:net';
 import * as chai from 'chai';
 import * as targetClient from '../targetClient';
-import * as bench from './__fixtures__/bench';
+import * as harness from './__fixtures__/bench';
 
 const { expect } = chai;
 
 interface Result {
-  end: targetClient.End;
+  end: targetClient.SendResult;
   body: string;
 }
 
@@ -21,7 +21,10 @@
     server.listen(0, '127.0.0.1', resolve);
   });
   const { port } = server.address() as net.AddressInfo;
-  const client = new targetClient.TargetClient({ protocol: bench.PROTOCOL, gate: bench.OPEN_GATE });
+  const client = new targetClient.TargetClient({
+    protocol: harness.PROTOCOL,
+    gate: harness.PERMISSIVE_GATE,
+  });
   let body = '';
   const attempt = client.send(
     {
@@ -40,7 +43,7 @@
       },
     },
   );
-  const end = await attempt.end;
+  const end = await attempt.result;
   client.close();
   server.close();
   return { end, body };
@@ -81,8 +84,8 @@
 
   it('knows that nothing was sent where no connection was made', async () => {
     const client = new targetClient.TargetClient({
-      protocol: bench.PROTOCOL,
-      gate: bench.OPEN_GATE,
+      protocol: harness.PROTOCOL,
+      gate: harness.PERMISSIVE_GATE,
     });
     const nothing = { onHead: () => undefined, onData: () => undefined };
     const attempt = client.send(
@@ -97,7 +100,7 @@
       },
       nothing,
     );
-    expect((await attempt.end).kind).to.equal('notSent');
+    expect((await attempt.result).kind).to.equal('notSent');
     client.close();
   });
 });
--- a/packages/daemon/src/entry/__tests__/chooser.test.ts
+++ b/packages/daemon/src/entry/__tests__/targetSelector.test.ts
@@ -8,7 +8,7 @@
 import * as observer from '../../observability/observer';
 import * as peerClient from '../../rpc/peerClient';
 import * as peerServer from '../../rpc/peerServer';
-import * as chooser from '../chooser';
+import * as targetSelector from '../targetSelector';
 
 const { expect } = chai;
 
@@ -44,7 +44,7 @@
   placement: { target: 'led', address: '127.0.0.1:2', helpers: [], firstTokenMs: 1 },
 };
 
-function wish(patienceMs: number): chooser.Wish {
+function placementRequest(patienceMs: number): targetSelector.PlacementRequest {
   return {
     id: 'r1/0.0',
     service: 's',
@@ -59,8 +59,8 @@
 }
 
 /** A prompt that takes nearly all memory of an engine. */
-function long(patienceMs: number): chooser.Wish {
-  return { ...wish(patienceMs), tokens: 280_000, objectiveMs: 10_000, pauseMs: 1_000 };
+function longPrompt(patienceMs: number): targetSelector.PlacementRequest {
+  return { ...placementRequest(patienceMs), tokens: 280_000, objectiveMs: 10_000, pauseMs: 1_000 };
 }
 
 function pause(ms: number): Promise<void> {
@@ -72,11 +72,11 @@
   let server: peerServer.PeerServer;
   let client: peerClient.PeerClient;
   let link: leaderLink.LeaderLink;
-  let made: chooser.Chooser;
-  let ended: messages.EndedDispatch[];
+  let selector: targetSelector.TargetSelector;
+  let reported: messages.EndedDispatch[];
 
   /** How often the leader was asked for a sign of life. */
-  let asked: number;
+  let probes: number;
 
   /** How the leader behaves: after how long it answers each call; infinite for never. */
   let delays: { place: number; other: number };
@@ -93,16 +93,16 @@
 
   beforeEach(async () => {
     delays = { place: 0, other: 0 };
-    ended = [];
-    asked = 0;
+    reported = [];
+    probes = 0;
     server = new peerServer.PeerServer('a-secret-of-the-test', undefined, observe);
     server.add('place', () => after(delays.place, PLACED));
     server.add('identify', () => {
-      asked += 1;
+      probes += 1;
       return after(delays.other, {});
     });
     server.add('ended', (content) => {
-      ended.push(...(content as messages.Ended).dispatches);
+      reported.push(...(content as messages.Ended).dispatches);
       return {};
     });
     const confirmed: messages.Confirmed = {
@@ -123,7 +123,7 @@
     server.add('follow', () => after(delays.other, confirmed));
     const address = `127.0.0.1:${await server.listen({ host: '127.0.0.1', port: 0 })}`;
     client = new peerClient.PeerClient('a-secret-of-the-test', undefined, observe);
-    const held = {
+    const state = {
       directory: { service: () => SERVICE },
       registry: new domain.registry.registry.Registry(),
       limits: new domain.rateLimits.rateLimits.RateLimits(),
@@ -138,30 +138,30 @@
       replica: () => undefined,
       seeds: [address],
       client,
-      holding: held,
+      holding: state,
       observer: observe,
       moment: clock.moment,
       dispatches: () => [],
       onConfirmed: () => undefined,
     });
-    made = new chooser.Chooser({
+    selector = new targetSelector.TargetSelector({
       name: 'entry',
       dataCentre: 'east',
-      holding: held,
+      holding: state,
       link,
       client,
       limits: {
         grant: async () => ({ kind: 'wait', waitMs: Infinity }),
-        grantTrial: async () => undefined,
+        grantProbe: async () => undefined,
         spent: () => undefined,
       },
-      signals: { closed: () => [], waitMs: () => 0 },
+      signals: { unavailable: () => [], waitMs: () => 0 },
       observer: observe,
       random: domain.shared.random.seeded(1),
       now: clock.steady,
     });
-    made.fallback.setServices([SERVICE]);
-    made.fallback.observe(RECORD);
+    selector.fallback.setServices([SERVICE]);
+    selector.fallback.observe(RECORD);
     link.start();
     while (link.leader === '') await pause(5);
   });
@@ -172,19 +172,19 @@
     await server.close();
   });
 
-  async function target(
+  async function place(
     patienceMs: number,
-    more: Partial<chooser.Wish> = {},
+    more: Partial<targetSelector.PlacementRequest> = {},
   ): Promise<[string, number]> {
     const since = clock.steady();
-    const choice = await made.choose({ ...wish(patienceMs), ...more });
+    const choice = await selector.choose({ ...placementRequest(patienceMs), ...more });
     const where = choice.kind === 'placed' ? choice.placement.target : choice.kind;
     return [where, clock.steady() - since];
   }
 
   it('asks the leader, and waits for it while it gives signs of life', async () => {
     delays.place = 600;
-    const [where, ms] = await target(1_000);
+    const [where, ms] = await place(1_000);
     expect([where, ms > 550, link.leader !== '']).to.deep.equal(['led', true, true]);
   });
 
@@ -194,7 +194,7 @@
    */
   it('places by itself soon after the leader froze, however long the caller would wait', async () => {
     delays = { place: Infinity, other: Infinity };
-    const [where, ms] = await target(3_000, { objectiveMs: 3_000 });
+    const [where, ms] = await place(3_000, { objectiveMs: 3_000 });
     expect(where).to.equal('local');
     expect(ms).to.be.within(300, 800);
     expect(link.leader).to.equal('');
@@ -206,7 +206,7 @@
    */
   it('places a prompt that must hurry before it is sure that the leader is lost', async () => {
     delays = { place: Infinity, other: Infinity };
-    const [where, ms] = await target(3_000);
+    const [where, ms] = await place(3_000);
     expect(where).to.equal('local');
     expect(ms).to.be.below(200);
   });
@@ -214,15 +214,15 @@
   /* Engines would fill unevenly if prompts that wait for a place at a living leader were placed by their entries. */
   it('leaves a prompt that must hurry to a leader that gives signs of life', async () => {
     delays.place = 400;
-    const [where] = await target(1_000);
+    const [where] = await place(1_000);
     expect(where).to.equal('led');
   });
 
   /** The leader is gone, and all memory of the only engine is taken. */
-  async function lostAndFull(): Promise<chooser.Choice> {
+  async function loseLeaderAndFillEngine(): Promise<targetSelector.Choice> {
     delays.other = Infinity;
     link.doubt(link.leader);
-    return made.choose({ ...long(0), id: 'r0/0.0' });
+    return selector.choose({ ...longPrompt(0), id: 'r0/0.0' });
   }
 
   /*
@@ -230,29 +230,29 @@
    * no engine had room at that moment; the caller came back after half a second and heard the same.
    */
   it('lets a prompt wait for a place while nobody leads', async () => {
-    const first = await lostAndFull();
+    const first = await loseLeaderAndFillEngine();
     setTimeout(() => {
       if (first.kind === 'placed') first.release('done');
     }, 200);
-    const choice = await made.choose(long(2_000));
+    const choice = await selector.choose(longPrompt(2_000));
     expect([first.kind, choice.kind]).to.deep.equal(['placed', 'placed']);
   });
 
   it('asks a leader that is found while a prompt waits', async () => {
-    await lostAndFull();
+    await loseLeaderAndFillEngine();
     setTimeout(() => {
       delays.other = 0;
     }, 100);
-    const choice = await made.choose(long(2_000));
+    const choice = await selector.choose(longPrompt(2_000));
     expect(choice.kind === 'placed' ? choice.placement.target : choice.kind).to.equal('led');
     // Under an id of its own: a place that a leader gave for an earlier question is given back by that one's.
-    expect(made.dispatches.map(({ request: { id } }) => id)).to.not.include('r1/0.0');
+    expect(selector.dispatches.map(({ request: { id } }) => id)).to.not.include('r1/0.0');
   });
 
   it('says when to come back where no place came free in time', async () => {
-    await lostAndFull();
+    await loseLeaderAndFillEngine();
     const since = clock.steady();
-    const choice = await made.choose(long(150));
+    const choice = await selector.choose(longPrompt(150));
     expect(choice.kind === 'noPlace' && choice.retryAfterMs).to.be.within(200, 2_000);
     expect(clock.steady() - since).to.be.within(140, 600);
   });
@@ -263,10 +263,10 @@
    */
   it('gives a place back that comes too late', async () => {
     delays.place = 500;
-    const [where] = await target(100);
+    const [where] = await place(100);
     expect(where).to.equal('local');
     await pause(500);
-    expect(ended.map(({ id, ending }) => [id, ending])).to.deep.equal([['r1/0.0', 'cancelled']]);
+    expect(reported.map(({ id, ending }) => [id, ending])).to.deep.equal([['r1/0.0', 'cancelled']]);
   });
 
   /*
@@ -277,11 +277,11 @@
     delays.place = 1_000;
     const waiting: Promise<unknown>[] = [];
     for (let i = 0; i < 8; i++) {
-      waiting.push(target(2_000));
+      waiting.push(place(2_000));
       await pause(50);
     }
     await Promise.all(waiting);
     // The first after 150 ms, the last after 1.4 s, and 300 ms between them.
-    expect(asked).to.be.within(2, 5);
+    expect(probes).to.be.within(2, 5);
   });
 });
--- a/packages/daemon/src/entry/__tests__/targetSignals.test.ts
+++ b/packages/daemon/src/entry/__tests__/targetSignals.test.ts
@@ -21,7 +21,7 @@
   sequence: 1,
 };
 
-const REQUEST: targetClient.Sending = {
+const REQUEST: targetClient.TargetMessage = {
   target: 't',
   address: RECORD.address,
   purpose: 'request',
@@ -32,7 +32,7 @@
   body: Buffer.alloc(0),
 };
 
-const ORDER: targetClient.Sending = { ...REQUEST, purpose: 'order', requestId: undefined };
+const ORDER: targetClient.TargetMessage = { ...REQUEST, purpose: 'order', requestId: undefined };
 
 /** A target's refusal of the request above, which asks for a second. */
 const REFUSAL: protocols.AnswerFacts = {
@@ -47,7 +47,7 @@
   isLeaving: false,
 };
 
-const NOTHING_ASKED = { backOff: { kind: 'none' } } as const;
+const NO_BACK_OFF = { backOff: { kind: 'none' } } as const;
 
 const SERVICE = { name: 's', healthPath: '/', maxConnections: 1, engine: undefined };
 
@@ -59,7 +59,7 @@
   limits: { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 },
 };
 
-class Bench {
+class Harness {
   readonly registry = new domain.registry.registry.Registry();
 
   readonly takeLeaving = ({ id, bornAt }: { id: string; bornAt: number }): Announcement[] => {
@@ -98,30 +98,30 @@
   }
 
   /** Sends a message that is answered so; whether it was sent. */
-  exchange(facts: Partial<protocols.AnswerFacts>, sending = REQUEST, status = 503): boolean {
-    const delivery = this.signals.admit(sending);
+  exchange(facts: Partial<protocols.AnswerFacts>, message = REQUEST, status = 503): boolean {
+    const delivery = this.signals.admit(message);
     delivery?.answered({ status, raw: [], facts: { ...REFUSAL, ...facts } });
     delivery?.ended();
     return delivery !== undefined;
   }
 
-  takes(purpose: targetClient.Purpose): boolean {
+  accepts(purpose: targetClient.MessagePurpose): boolean {
     return this.signals.admit({ ...REQUEST, purpose }) !== undefined;
   }
 }
 
 describe('what targets say of themselves', () => {
-  let made: Bench;
+  let made: Harness;
 
   beforeEach(() => {
-    made = new Bench();
+    made = new Harness();
   });
 
   afterEach(() => made.signals.close());
 
   /** Guards against a target that is left alone for what a proxy, another request's late answer or another lifetime said. */
   it('counts only as an answer to the message itself, from the lifetime that was meant', () => {
-    const answers: [string, Partial<protocols.AnswerFacts>, targetClient.Sending][] = [
+    const answers: [string, Partial<protocols.AnswerFacts>, targetClient.TargetMessage][] = [
       ['its own refusal', {}, REQUEST],
       ['its own signed failure', { isSigned: true, isNotRun: false }, REQUEST],
       ['its refusal of an order', { requestId: undefined, isNotRun: false }, ORDER],
@@ -132,31 +132,31 @@
       ['an answer of another lifetime', { isWrongLifetime: true }, REQUEST],
       ['an answer that nobody vouches for', { isNotRun: false }, REQUEST],
     ];
-    const believed = answers.map(([what, facts, sending]) => {
-      const each = new Bench();
+    const accepted = answers.map(([what, facts, sending]) => {
+      const each = new Harness();
       each.exchange(facts, sending);
-      return [what, each.signals.closed('s').length > 0];
+      return [what, each.signals.unavailable('s').length > 0];
     });
-    expect(believed).toMatchSnapshot();
+    expect(accepted).toMatchSnapshot();
   });
 
   /** Guards against kinds of messages that go on to a target that wants nothing; memory that is held there is still seen to. */
   it('holds for requests, orders and checks alike', () => {
     made.exchange({});
     const kinds = ['request', 'order', 'check', 'upkeep', 'upkeep', 'upkeep'] as const;
-    expect(kinds.map((kind) => made.takes(kind))).to.deep.equal([
+    expect(kinds.map((kind) => made.accepts(kind))).to.deep.equal([
       ...[false, false, false],
       ...[true, true, false],
     ]);
     expect(made.signals.backOffMs('t')).to.equal(1_000);
     made.now = 1_000;
-    expect([made.takes('request'), made.takes('request')]).to.deep.equal([true, false]);
+    expect([made.accepts('request'), made.accepts('request')]).to.deep.equal([true, false]);
   });
 
   it('is noted once where it can not be read, and changes nothing', () => {
     made.exchange({ backOff: { kind: 'unreadable' } });
     made.exchange({ backOff: { kind: 'unreadable' } });
-    expect(made.takes('request')).to.equal(true);
+    expect(made.accepts('request')).to.equal(true);
     const { 'event.backOffAsked': lines, 'backOffs.unreadable': answers } =
       made.observer.counters();
     expect([lines, answers]).to.deep.equal([1, 2]);
@@ -164,13 +164,13 @@
 
   /** Guards against new work for a target that leaves, and against memory that is lost to streams that go on there. */
   it('keeps requests and orders from a target that leaves, in that lifetime only', () => {
-    made.exchange({ ...NOTHING_ASKED, isLeaving: true });
+    made.exchange({ ...NO_BACK_OFF, isLeaving: true });
     made.registry.announce({ ...RECORD, sequence: 2 }, 0);
     const kinds = ['request', 'order', 'check', 'upkeep'] as const;
-    expect(kinds.map((kind) => made.takes(kind))).to.deep.equal([false, false, true, true]);
-    expect([made.signals.closed('s'), made.registry.ready('s')]).to.deep.equal([['t'], []]);
+    expect(kinds.map((kind) => made.accepts(kind))).to.deep.equal([false, false, true, true]);
+    expect([made.signals.unavailable('s'), made.registry.ready('s')]).to.deep.equal([['t'], []]);
     made.registry.announce({ ...RECORD, bornAt: 2 }, 0);
-    expect([made.takes('request'), made.signals.closed('s')]).to.deep.equal([true, []]);
+    expect([made.accepts('request'), made.signals.unavailable('s')]).to.deep.equal([true, []]);
   });
 
   /** Guards against connections that a target resets, as all entries together open more than it accepts. */
@@ -179,12 +179,12 @@
     made.signals.leaderFound('', 3);
     const deliveries = Array.from({ length: 3 }, () => made.signals.admit(REQUEST));
     expect(deliveries.map((each) => each !== undefined)).to.deep.equal([true, true, false]);
-    expect(made.signals.closed('s')).to.deep.equal(['t']);
+    expect(made.signals.unavailable('s')).to.deep.equal(['t']);
     deliveries.forEach((each) => each?.ended());
-    expect(made.signals.closed('s')).to.deep.equal([]);
+    expect(made.signals.unavailable('s')).to.deep.equal([]);
     made.signals.leaderFound('', 30);
     const kinds = ['request', 'request', 'upkeep'] as const;
-    expect(kinds.map((kind) => made.takes(kind))).to.deep.equal([true, false, true]);
+    expect(kinds.map((kind) => made.accepts(kind))).to.deep.equal([true, false, true]);
   });
 
   /** Guards against a target that is asked in vain, as its entry heard only after the answer that it had started again. */
@@ -193,7 +193,7 @@
     made.registry.announce({ ...RECORD, bornAt: 2 }, 0).forEach((record) => {
       if (record.state === 'gone') made.signals.forget(record);
     });
-    expect(made.takes('request')).to.equal(false);
+    expect(made.accepts('request')).to.equal(false);
     made.registry.announce({ ...RECORD, id: 'u', bornAt: 3 }, 0);
     expect(made.signals.admit({ ...REQUEST, target: 'u' })).to.not.equal(undefined);
   });
@@ -201,12 +201,12 @@
   /** Guards against a limit that ends by a failure, and one that only answers to callers' requests may name. */
   it('names a limit in any answer of its own, and none only in a success', () => {
     const limit = { kind: 'named', perSecond: 2 } as const;
-    made.exchange({ ...NOTHING_ASKED, limit });
-    made.exchange({ ...NOTHING_ASKED, limit, requestId: undefined, isNotRun: false }, ORDER);
-    made.exchange({ ...NOTHING_ASKED, limit, requestId: 'r2' });
-    made.exchange({ ...NOTHING_ASKED }, REQUEST, 503);
-    made.exchange({ ...NOTHING_ASKED, isSigned: true, isNotRun: false }, REQUEST, 500);
-    made.exchange({ ...NOTHING_ASKED, isSigned: true, isNotRun: false }, REQUEST, 200);
+    made.exchange({ ...NO_BACK_OFF, limit });
+    made.exchange({ ...NO_BACK_OFF, limit, requestId: undefined, isNotRun: false }, ORDER);
+    made.exchange({ ...NO_BACK_OFF, limit, requestId: 'r2' });
+    made.exchange({ ...NO_BACK_OFF }, REQUEST, 503);
+    made.exchange({ ...NO_BACK_OFF, isSigned: true, isNotRun: false }, REQUEST, 500);
+    made.exchange({ ...NO_BACK_OFF, isSigned: true, isNotRun: false }, REQUEST, 200);
     expect(made.limits).to.deep.equal([2, 2, undefined]);
   });
 });
--- a/packages/daemon/src/entry/attempts.ts
+++ b/packages/daemon/src/entry/attempts.ts
@@ -5,7 +5,7 @@
  */
 
 /** What became of a request at a target. */
-export interface Ending {
+export interface AttemptOutcome {
   target: string;
   /** Whether bytes of the request may have reached the target. */
   wasSent: boolean;
@@ -16,10 +16,10 @@
 }
 
 /** Targets that couldn't be reached, beyond the route's bound on those that a request is sent to. */
-const MOST_UNREACHABLE = 2;
+const MAX_UNREACHABLE = 2;
 
 /** How often a request goes once more to a target that refused it. */
-const MOST_RETURNS = 2;
+const MAX_SAME_TARGET_RETRIES = 2;
 
 export class Attempts {
   /** All placements in their order, for the log. */
@@ -29,49 +29,49 @@
 
   private readonly refused = new Set<string>();
 
-  private readonly spared = new Set<string>();
+  private readonly refusedForHelper = new Set<string>();
 
-  private returns = 0;
+  private sameTargetRetries = 0;
 
   constructor(private readonly maxTargets: number) {}
 
   begin(target: string): void {
-    if (this.sent.has(target)) this.returns += 1;
+    if (this.sent.has(target)) this.sameTargetRetries += 1;
     this.targets.push(target);
   }
 
-  ended({ target, wasSent, wasRefused, wasHelperAtFault }: Ending): void {
+  ended({ target, wasSent, wasRefused, wasHelperAtFault }: AttemptOutcome): void {
     if (wasSent) this.sent.add(target);
     if (wasRefused) this.refused.add(target);
     else this.refused.delete(target);
-    if (wasRefused && wasHelperAtFault) this.spared.add(target);
-    else this.spared.delete(target);
+    if (wasRefused && wasHelperAtFault) this.refusedForHelper.add(target);
+    else this.refusedForHelper.delete(target);
   }
 
   /** Whether no further target may be sent to, and one that refused must take it. */
-  get isBound(): boolean {
+  get isAtTargetLimit(): boolean {
     return this.sent.size >= this.maxTargets;
   }
 
   /** Targets that it shouldn't be placed on. */
   get excluded(): string[] {
-    if (this.isBound) return [];
-    return this.targets.filter((target) => !this.spared.has(target));
+    if (this.isAtTargetLimit) return [];
+    return this.targets.filter((target) => !this.refusedForHelper.has(target));
   }
 
   /** The only targets that it may be sent to; undefined for any. */
   get writers(): string[] | undefined {
-    return this.isBound ? [...this.refused] : undefined;
+    return this.isAtTargetLimit ? [...this.refused] : undefined;
   }
 
   /** Whether it may be sent once more, to whatever target; `underWay` where it is with one now. */
-  hasLeft(underWay: string | undefined): boolean {
-    const isSent = underWay !== undefined && !this.sent.has(underWay);
+  hasAttemptLeft(activeTarget: string | undefined): boolean {
+    const isSent = activeTarget !== undefined && !this.sent.has(activeTarget);
     if (this.sent.size + (isSent ? 1 : 0) < this.maxTargets) {
-      return this.targets.length - this.returns < this.maxTargets + MOST_UNREACHABLE;
+      return this.targets.length - this.sameTargetRetries < this.maxTargets + MAX_UNREACHABLE;
     }
     // A route that allows one target means one attempt.
-    if (this.maxTargets === 1 || underWay !== undefined) return false;
-    return this.refused.size > 0 && this.returns < MOST_RETURNS;
+    if (this.maxTargets === 1 || activeTarget !== undefined) return false;
+    return this.refused.size > 0 && this.sameTargetRetries < MAX_SAME_TARGET_RETRIES;
   }
 }
--- a/packages/daemon/src/entry/answer.ts
+++ b/packages/daemon/src/entry/callerResponse.ts
@@ -12,7 +12,7 @@
 type Route = domain.catalogue.catalogue.Route;
 
 /** Answers up to this size are held until they are whole, so that a broken one can be had elsewhere. */
-const HELD_BYTES = 1_048_576;
+const MAX_BUFFERED_BYTES = 1_048_576;
 
 /** Status of a stream; other answers on its route are whole ones. */
 const STREAM_STATUS = 200;
@@ -21,16 +21,16 @@
 export const FAILURE_STATUS = 500;
 
 /** Fewer pauses than this say nothing of a target's speed. */
-const FEWEST_GAPS = 6;
+const MIN_GAPS = 6;
 
-export type Verdict =
+export type CompletionResult =
   | { kind: 'passedOn' }
   /** The target says that it didn't run the request. */
   | { kind: 'notRun'; detail: string; isWrongLifetime: boolean; faulty: string | undefined }
   /** The answer isn't one that the caller may get. */
   | { kind: 'unusable'; detail: string };
 
-export class Answer implements targetClient.Receiver {
+export class CallerResponse implements targetClient.ResponseHandler {
   /** Id of the last event that the caller has. */
   lastEventId: string | undefined;
 
@@ -40,23 +40,23 @@
   lastEventAt = 0;
 
   /** The longest pause between two events, milliseconds. */
-  longestPauseMs = 0;
+  maxGapMs = 0;
 
   /** Pauses between events of the present target, milliseconds. */
   private gaps: number[] = [];
 
-  private head: targetClient.Head | undefined;
+  private head: targetClient.ResponseHead | undefined;
 
   private splitter = new domain.request.eventSplitter.EventSplitter();
 
-  private held: Buffer[] = [];
+  private buffered: Buffer[] = [];
 
-  private heldBytes = 0;
+  private bufferedBytes = 0;
 
   private attempt: targetClient.Attempt | undefined;
 
   /** Whether the caller already has the beginning of a stream, which only a stream can go on with. */
-  private isContinued = false;
+  private isContinuation = false;
 
   /** Whether a held answer has grown too long and goes on as it comes. */
   private isOverflowing = false;
@@ -68,37 +68,37 @@
   ) {}
 
   /** Whether the caller has bytes that no other target can go on from. */
-  get isBeyondRepair(): boolean {
+  get isUnrecoverable(): boolean {
     const { response, route, lastEventId } = this;
     const isStream = route.kind === 'streaming' && response.statusCode === STREAM_STATUS;
     return response.headersSent && !(isStream && lastEventId !== undefined);
   }
 
   beginAttempt(): void {
-    this.isContinued = this.response.headersSent;
+    this.isContinuation = this.response.headersSent;
     this.head = undefined;
     this.attempt = undefined;
     this.splitter = new domain.request.eventSplitter.EventSplitter();
-    this.held = [];
-    this.heldBytes = 0;
+    this.buffered = [];
+    this.bufferedBytes = 0;
     this.gaps = [];
   }
 
-  control(attempt: targetClient.Attempt): void {
+  attach(attempt: targetClient.Attempt): void {
     this.attempt = attempt;
   }
 
-  onHead(head: targetClient.Head): void {
+  onHead(head: targetClient.ResponseHead): void {
     this.head = head;
   }
 
   onData(chunk: Buffer): void {
-    if (this.isStream && this.isUsable) this.passEvents(chunk);
-    else this.hold(chunk);
+    if (this.isStream && this.isForCaller) this.forwardEvents(chunk);
+    else this.buffer(chunk);
   }
 
   /** The target's answer is whole. With `mayRepeat` a failure of the target's own may be tried elsewhere. */
-  complete(mayRepeat: boolean): Verdict {
+  complete(mayRepeat: boolean): CompletionResult {
     const { head } = this;
     if (head === undefined) {
       return { kind: 'unusable', detail: 'no answer' };
@@ -107,14 +107,14 @@
     if (isNotRun) {
       return { kind: 'notRun', detail: `target refused: ${head.status}`, isWrongLifetime, faulty };
     }
-    if (!this.isUsable) return { kind: 'unusable', detail: `unusable answer: ${head.status}` };
+    if (!this.isForCaller) return { kind: 'unusable', detail: `unusable answer: ${head.status}` };
     if (mayRepeat && head.status >= FAILURE_STATUS) {
       return { kind: 'unusable', detail: `target failed: ${head.status}` };
     }
-    if (this.isContinued && !this.isStream) {
+    if (this.isContinuation && !this.isStream) {
       return { kind: 'unusable', detail: `the stream can't go on with: ${head.status}` };
     }
-    if (!this.isStream) return this.passHeld(head);
+    if (!this.isStream) return this.forwardBuffered(head);
     if (this.splitter.isInsideEvent)
       return { kind: 'unusable', detail: 'half an event at the end' };
     this.writeHead(head);
@@ -144,33 +144,33 @@
   }
 
   /** Whether the head shows an answer of this target to this request. */
-  private get isUsable(): boolean {
+  private get isForCaller(): boolean {
     const { head, caller } = this;
     if (head === undefined || head.facts.isNotRun) return false;
     const { facts } = head;
     const isOurs = facts.requestId === caller.requestId;
     if (!isOurs || facts.isEncoded) return false;
-    return facts.isSigned && !PROMISES.has(head.status);
+    return facts.isSigned && !NOT_RUN_STATUSES.has(head.status);
   }
 
-  private passEvents(chunk: Buffer): void {
+  private forwardEvents(chunk: Buffer): void {
     const { head } = this;
     const cut = this.splitter.push(chunk);
     if (head === undefined || cut.events === 0) return;
     this.writeHead(head);
     this.lastEventId = cut.lastId ?? this.lastEventId;
-    this.noteEvent(clock.steady());
+    this.recordEvent(clock.steady());
     this.write(cut.bytes);
   }
 
-  private noteEvent(now: number): void {
+  private recordEvent(now: number): void {
     if (this.firstEventAt === 0) this.firstEventAt = now;
-    else this.noteGap(now - this.lastEventAt);
+    else this.recordGap(now - this.lastEventAt);
     this.lastEventAt = now;
   }
 
-  private noteGap(ms: number): void {
-    this.longestPauseMs = Math.max(this.longestPauseMs, ms);
+  private recordGap(ms: number): void {
+    this.maxGapMs = Math.max(this.maxGapMs, ms);
     this.gaps.push(ms);
   }
 
@@ -178,28 +178,28 @@
    * How long the present target's passes take where it reads nothing between them: the lower quartile, as
    * readings make some longer and a busy entry makes some look shorter. Undefined for few events.
    */
-  get usualGapMs(): number | undefined {
-    if (this.gaps.length < FEWEST_GAPS) return undefined;
+  get typicalGapMs(): number | undefined {
+    if (this.gaps.length < MIN_GAPS) return undefined;
     return [...this.gaps].sort((a, b) => a - b)[Math.floor(this.gaps.length / 4)];
   }
 
-  private hold(chunk: Buffer): void {
+  private buffer(chunk: Buffer): void {
     if (this.isOverflowing) {
       this.write(chunk);
       return;
     }
-    this.held.push(chunk);
-    this.heldBytes += chunk.length;
-    if (this.heldBytes <= HELD_BYTES || this.head === undefined) return;
-    if (!this.isUsable || this.isContinued) return;
+    this.buffered.push(chunk);
+    this.bufferedBytes += chunk.length;
+    if (this.bufferedBytes <= MAX_BUFFERED_BYTES || this.head === undefined) return;
+    if (!this.isForCaller || this.isContinuation) return;
     this.isOverflowing = true;
     this.writeHead(this.head);
-    this.held.splice(0).forEach((each) => this.write(each));
+    this.buffered.splice(0).forEach((each) => this.write(each));
   }
 
-  private passHeld(head: targetClient.Head): Verdict {
+  private forwardBuffered(head: targetClient.ResponseHead): CompletionResult {
     this.writeHead(head);
-    this.held.splice(0).forEach((each) => this.response.write(each));
+    this.buffered.splice(0).forEach((each) => this.response.write(each));
     this.response.end();
     return { kind: 'passedOn' };
   }
@@ -210,7 +210,7 @@
     this.response.once('drain', () => this.attempt?.resume());
   }
 
-  private writeHead({ status, raw }: targetClient.Head): void {
+  private writeHead({ status, raw }: targetClient.ResponseHead): void {
     if (this.response.headersSent) return;
     const kept: string[] = [];
     // A stream may go on at another target, whose part the first one's length doesn't count.
@@ -224,4 +224,4 @@
 }
 
 /** Statuses by which a target promises that it didn't run a request; without its own word they say nothing. */
-const PROMISES = new Set([408, 421, 429, 503]);
+const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
--- a/packages/daemon/src/entry/entry.ts
+++ b/packages/daemon/src/entry/entry.ts
@@ -16,16 +16,16 @@
 import type * as observer from '../observability/observer';
 import type * as peerClient from '../rpc/peerClient';
 import * as peerServer from '../rpc/peerServer';
-import * as chooser from './chooser';
-import * as crashWatch from './crashWatch';
+import * as targetSelector from './targetSelector';
+import * as quarantineClient from './quarantineClient';
 import * as exchange from './exchange';
 import * as ingress from './ingress';
-import * as lifeChecks from './lifeChecks';
-import * as limitWatch from './limitWatch';
+import * as livenessProbes from './livenessProbes';
+import * as rateLimitClient from './rateLimitClient';
 import * as targetClient from './targetClient';
 import * as targetSignals from './targetSignals';
 
-export interface Parts {
+export interface Dependencies {
   settings: roleSettings.Settings;
   control: protocols.ControlProtocol;
   traffic: protocols.TrafficProtocol;
@@ -50,7 +50,7 @@
 /** What is left of the time for a planned stop when the process ends whatever still runs. */
 const STOP_MARGIN_MS = 500;
 
-const STOP_CHECK_MS = 50;
+const STOP_POLL_MS = 50;
 
 export class Entry {
   private readonly client: peerClient.PeerClient;
@@ -65,31 +65,31 @@
 
   private readonly targets: targetClient.TargetClient;
 
-  private readonly chooser: chooser.Chooser;
+  private readonly selector: targetSelector.TargetSelector;
 
-  private readonly lifeChecks: lifeChecks.LifeChecks;
+  private readonly liveness: livenessProbes.LivenessProbes;
 
-  private readonly limits: limitWatch.LimitWatch;
+  private readonly limits: rateLimitClient.RateLimitClient;
 
   private readonly signals: targetSignals.TargetSignals;
 
-  private readonly crashes: crashWatch.CrashWatch;
+  private readonly quarantine: quarantineClient.QuarantineClient;
 
   private readonly budgets: domain.request.repeatBudget.RepeatBudgets;
 
   private readonly readiness: http.Server;
 
-  private readonly loseLeader = (): void => {
+  private readonly onLeaderLost = (): void => {
     this.limits.leaderLost();
     this.signals.leaderLost();
   };
 
-  private isLeaving = false;
+  private isDraining = false;
 
   private wasFresh = false;
 
-  constructor(private readonly parts: Parts) {
-    const { settings, observer: observe, control, random } = parts;
+  constructor(private readonly dependencies: Dependencies) {
+    const { settings, observer: observe, control, random } = dependencies;
     this.client = peers.clientOf(settings, observe);
     this.server = new peerServer.PeerServer(settings.secret, undefined, observe);
     this.budgets = new domain.request.repeatBudget.RepeatBudgets(settings.repeats);
@@ -97,8 +97,8 @@
       protocol: control,
       observer: observe,
       now: clock.steady,
-      onCatalogue: (directory) => this.takeCatalogue(directory),
-      onRecord: (record) => this.takeRecord(record),
+      onCatalogue: (directory) => this.applyCatalogue(directory),
+      onRecord: (record) => this.applyRecord(record),
     });
     this.link = new leaderLink.LeaderLink({
       name: settings.name,
@@ -111,17 +111,17 @@
       holding: this.holding,
       observer: observe,
       moment: clock.moment,
-      dispatches: () => this.chooser.dispatches,
+      dispatches: () => this.selector.dispatches,
       onConfirmed: ({ entries, crowding }) => {
-        this.chooser.fallback.assume(crowding);
+        this.selector.fallback.assume(crowding);
         this.limits.leaderFound(entries);
         this.signals.leaderFound(this.link.leader, entries);
-        this.link.onLost(this.loseLeader);
+        this.link.onLost(this.onLeaderLost);
         if (entries > 0) this.budgets.shareWith(entries, clock.steady());
         this.ingress.wake();
       },
     });
-    this.limits = new limitWatch.LimitWatch({
+    this.limits = new rateLimitClient.RateLimitClient({
       holding: this.holding,
       link: this.link,
       client: this.client,
@@ -137,11 +137,11 @@
       now: clock.steady,
     });
     this.targets = new targetClient.TargetClient({
-      protocol: parts.traffic,
+      protocol: dependencies.traffic,
       gate: this.signals,
       source: settings.source,
     });
-    this.chooser = new chooser.Chooser({
+    this.selector = new targetSelector.TargetSelector({
       name: settings.name,
       dataCentre: settings.dataCentre,
       holding: this.holding,
@@ -153,19 +153,19 @@
       random,
       now: clock.steady,
     });
-    this.lifeChecks = new lifeChecks.LifeChecks({
-      protocol: parts.traffic,
+    this.liveness = new livenessProbes.LivenessProbes({
+      protocol: dependencies.traffic,
       limits: this.limits,
       gate: this.signals,
       observer: observe,
       source: settings.source,
     });
-    this.crashes = new crashWatch.CrashWatch({
+    this.quarantine = new quarantineClient.QuarantineClient({
       name: settings.name,
       holding: this.holding,
       link: this.link,
       client: this.client,
-      lifeChecks: this.lifeChecks,
+      liveness: this.liveness,
       observer: observe,
       now: clock.steady,
     });
@@ -177,13 +177,13 @@
   }
 
   async start(): Promise<void> {
-    const { settings } = this.parts;
+    const { settings } = this.dependencies;
     this.server.add('learn', (news) => {
       this.holding.takeNews(news as messages.News);
       return { mark: this.holding.mark } satisfies messages.Learned;
     });
     await this.server.listen(settings.peers);
-    await this.ingress.listen(settings.callers as codecs.Address, this.parts.earlyListener);
+    await this.ingress.listen(settings.callers as codecs.Address, this.dependencies.earlyListener);
     await listening.listen(this.readiness, settings.readiness as codecs.Address);
     this.link.start();
   }
@@ -195,15 +195,15 @@
   /** A planned stop: not ready at once, new requests served for a while, those under way finished. */
   async stop(): Promise<void> {
     const begun = clock.steady();
-    this.isLeaving = true;
-    this.ingress.leave();
+    this.isDraining = true;
+    this.ingress.drain();
     await clock.pause(LINGER_MS);
     this.ingress.refuseNew();
-    const until = begun + this.parts.settings.stopMs - STOP_MARGIN_MS;
+    const until = begun + this.dependencies.settings.stopMs - STOP_MARGIN_MS;
     while (this.ingress.activeRequests > 0 && clock.steady() < until)
-      await clock.pause(STOP_CHECK_MS);
+      await clock.pause(STOP_POLL_MS);
     this.link.stop();
-    this.crashes.close();
+    this.quarantine.close();
     this.limits.close();
     this.signals.close();
     this.readiness.close();
@@ -228,28 +228,28 @@
 
   /** Whether the balancer should send callers here. */
   get isReady(): boolean {
-    return !this.isLeaving && this.holding.directory !== undefined && this.isFresh();
+    return !this.isDraining && this.holding.directory !== undefined && this.isFresh();
   }
 
   private isFresh(): boolean {
-    const isFresh = this.link.age < this.parts.settings.revokeMs * LEASE_SHARE;
+    const isFresh = this.link.age < this.dependencies.settings.revokeMs * LEASE_SHARE;
     if (this.wasFresh && !isFresh) {
-      this.parts.observer.log('leaseEnded', { confirmedMsAgo: Math.round(this.link.age) });
+      this.dependencies.observer.log('leaseEnded', { confirmedMsAgo: Math.round(this.link.age) });
     }
     this.wasFresh = isFresh;
     return isFresh;
   }
 
   private makeIngress(): ingress.Ingress {
-    const { traffic, observer: observe, random } = this.parts;
-    const services: exchange.Services = {
+    const { traffic, observer: observe, random } = this.dependencies;
+    const services: exchange.Dependencies = {
       protocol: traffic,
-      chooser: this.chooser,
+      selector: this.selector,
       targets: this.targets,
-      lifeChecks: this.lifeChecks,
+      liveness: this.liveness,
       limits: this.limits,
       signals: this.signals,
-      crashes: this.crashes,
+      quarantine: this.quarantine,
       budgets: this.budgets,
       observer: observe,
       random,
@@ -266,17 +266,17 @@
     });
   }
 
-  private takeCatalogue(directory: domain.catalogue.directory.Directory): void {
+  private applyCatalogue(directory: domain.catalogue.directory.Directory): void {
     this.ingress.applyLimits(directory.catalogue.limits);
-    this.chooser.fallback.setServices(directory.catalogue.services);
-    this.holding.registry.records().forEach((record) => this.chooser.fallback.observe(record));
+    this.selector.fallback.setServices(directory.catalogue.services);
+    this.holding.registry.records().forEach((record) => this.selector.fallback.observe(record));
   }
 
-  private takeRecord(record: domain.registry.registry.Announcement): void {
-    this.chooser.fallback.observe(record);
+  private applyRecord(record: domain.registry.registry.Announcement): void {
+    this.selector.fallback.observe(record);
     if (record.state !== 'gone') return;
     this.targets.forget(record.id);
-    this.chooser.forget(record.id);
+    this.selector.forget(record.id);
     this.signals.forget(record);
   }
 }
--- a/packages/daemon/src/entry/exchange.ts
+++ b/packages/daemon/src/entry/exchange.ts
@@ -8,32 +8,32 @@
 import * as clock from '../clock';
 import type * as protocols from '../edges/protocols';
 import type * as observer from '../observability/observer';
-import * as answer from './answer';
+import * as callerResponse from './callerResponse';
 import * as attempts from './attempts';
-import type * as chooser from './chooser';
-import type * as crashWatch from './crashWatch';
+import type * as targetSelector from './targetSelector';
+import type * as quarantineClient from './quarantineClient';
 import * as exchangeLog from './exchangeLog';
 import * as fingerprint from './fingerprint';
-import type * as lifeChecks from './lifeChecks';
-import type * as limitWatch from './limitWatch';
+import type * as livenessProbes from './livenessProbes';
+import type * as rateLimitClient from './rateLimitClient';
 import * as outcomes from './outcome';
 import * as reservations from './reservations';
-import * as silence from './silence';
-import * as silenceWatch from './silenceWatch';
+import * as responseTimeout from './silence';
+import * as responseWatchdog from './responseWatchdog';
 import type * as targetClient from './targetClient';
 import type * as targetSignals from './targetSignals';
 
 type Route = domain.catalogue.catalogue.Route;
 type Outcome = outcomes.Outcome;
 
-export interface Services {
+export interface Dependencies {
   protocol: protocols.TrafficProtocol;
-  chooser: chooser.Chooser;
+  selector: targetSelector.TargetSelector;
   targets: targetClient.TargetClient;
-  lifeChecks: Pick<lifeChecks.LifeChecks, 'isAlive'>;
-  limits: Pick<limitWatch.LimitWatch, 'spent'>;
-  signals: Pick<targetSignals.TargetSignals, 'closed' | 'backOffMs'>;
-  crashes: Pick<crashWatch.CrashWatch, 'permit' | 'cut' | 'isQuarantined'>;
+  liveness: Pick<livenessProbes.LivenessProbes, 'isAlive'>;
+  limits: Pick<rateLimitClient.RateLimitClient, 'spent'>;
+  signals: Pick<targetSignals.TargetSignals, 'unavailable' | 'backOffMs'>;
+  quarantine: Pick<quarantineClient.QuarantineClient, 'permit' | 'checkForCrash' | 'isQuarantined'>;
   budgets: domain.request.repeatBudget.RepeatBudgets;
   observer: observer.Observer;
   random: domain.shared.random.Random;
@@ -42,7 +42,7 @@
   isFresh: () => boolean;
 }
 
-export interface Admitted {
+export interface AdmittedRequest {
   request: http.IncomingMessage;
   response: http.ServerResponse;
   facts: protocols.CallerFacts;
@@ -57,39 +57,39 @@
  * quarter of one in time, a refusal nothing; the rest is for reading the prompt and for a second target. With a
  * half, the short prompts that a burst had no places for (749 on a played day) heard so only after a second.
  */
-const PATIENCE_SHARE = 0.3;
+const MAX_WAIT_SHARE = 0.3;
 
 /** What a caller is told to wait before it comes back, milliseconds, where nothing better is known. */
 const RETRY_AFTER_MS = 300;
 
 /** Pause before a target is asked once more that refused the request, milliseconds: two passes. */
-const RETURN_PAUSE_MS = 100;
+const SAME_TARGET_RETRY_MS = 100;
 
 /** What a caller is told to wait while a copy of its request may end a target; it shows within the time to a first event. */
-const COPY_RUNS_MS = 500;
+const SUSPECT_RETRY_AFTER_MS = 500;
 
 /** Pause before a request that was cut asks again whether the trial of its copy is over, milliseconds. */
-const TRIAL_PAUSE_MS = 100;
+const CANARY_POLL_MS = 100;
 
 /** Why a request wasn't sent, for the log; of engines the leader's line says more. */
-const NO_PLACE_DETAIL: Record<chooser.NoPlaceReason, string> = {
+const NO_PLACE_DETAIL: Record<targetSelector.NoPlaceReason, string> = {
   full: 'no target with a free place',
   limited: 'the limits of its targets let no request pass in time',
   closed: 'its targets take no further request from this VM',
 };
 
 /** How often a prompt larger than an engine looks for memory, and the pause between; milliseconds. */
-const RESERVATION_TRIES = 5;
-const RESERVATION_PAUSE_MS = 200;
+const MAX_RESERVATION_RETRIES = 5;
+const RESERVATION_RETRY_MS = 200;
 
 export class Exchange {
   private readonly deadline: number;
 
   private readonly attempts: attempts.Attempts;
 
-  private readonly reply: answer.Answer;
+  private readonly reply: callerResponse.CallerResponse;
 
-  private readonly log: exchangeLog.ExchangeLog;
+  private readonly requestLog: exchangeLog.ExchangeLog;
 
   /** Whether some target may have run the request. */
   private mayHaveRun = false;
@@ -99,25 +99,25 @@
   /** Whether the time for the request is over; a timer may end a moment before the clock says so. */
   private isLate = false;
 
-  private reservationTries = 0;
+  private reservationRetries = 0;
 
   private attempt: targetClient.Attempt | undefined;
 
   /** Target of the attempt under way. */
-  private underWay: string | undefined;
+  private activeTarget: string | undefined;
 
   /** Whether the last target was overdue when its sending ended. */
-  private wasSilent = false;
+  private wasOverdue = false;
 
   private sentAt = 0;
 
   /** Whether the last target may have ended under the request. */
-  private mayHaveEnded = false;
+  private mayHaveCrashed = false;
 
   private interrupt: ((outcome: Outcome) => void) | undefined;
 
   /** What `content` has worked out. */
-  private knownContent: string | undefined;
+  private cachedFingerprint: string | undefined;
 
   /** Service that the request goes to; empty before it is chosen. */
   private service = '';
@@ -126,18 +126,18 @@
   private budget: domain.request.repeatBudget.RepeatBudget | undefined;
 
   constructor(
-    private readonly admitted: Admitted,
-    private readonly services: Services,
+    private readonly admitted: AdmittedRequest,
+    private readonly dependencies: Dependencies,
   ) {
     const { route, facts, arrivedAt, response, request } = admitted;
     this.deadline = arrivedAt + Math.min(route.timeoutMs, facts.patienceMs ?? Infinity);
     this.attempts = new attempts.Attempts(route.maxAttempts);
-    this.reply = new answer.Answer(response, route, facts);
-    const { attempts: made, reply } = this;
-    const { observer: observe, now } = services;
-    this.log = new exchangeLog.ExchangeLog({
+    this.reply = new callerResponse.CallerResponse(response, route, facts);
+    const { attempts: attemptsMade, reply } = this;
+    const { observer: observe, now } = dependencies;
+    this.requestLog = new exchangeLog.ExchangeLog({
       admitted,
-      attempts: made,
+      attempts: attemptsMade,
       reply,
       observer: observe,
       now,
@@ -154,56 +154,59 @@
   }
 
   private get timeLeftMs(): number {
-    return this.deadline - this.services.now();
+    return this.deadline - this.dependencies.now();
   }
 
   async run(): Promise<void> {
     const timer = setTimeout(() => this.cancel({ kind: 'late' }), Math.max(0, this.timeLeftMs));
     try {
-      await this.untilAnswered();
+      await this.attemptUntilAnswered();
     } finally {
       clearTimeout(timer);
     }
   }
 
-  private async untilAnswered(): Promise<void> {
+  private async attemptUntilAnswered(): Promise<void> {
     const { route } = this.admitted;
-    const service = domain.catalogue.directory.pickService(route, this.services.random);
+    const service = domain.catalogue.directory.pickService(route, this.dependencies.random);
     this.service = service;
-    this.budget = this.services.budgets.of(service);
-    this.budget.countFirst(this.services.now());
-    let goesOn = true;
-    while (goesOn) goesOn = await this.tryWithPermit(service);
+    this.budget = this.dependencies.budgets.of(service);
+    this.budget.countFirst(this.dependencies.now());
+    let shouldContinue = true;
+    while (shouldContinue) shouldContinue = await this.attemptWithPermit(service);
   }
 
   /** One placing and sending, if the content may run at all; whether another one should follow. */
-  private async tryWithPermit(service: string): Promise<boolean> {
-    const permit = await this.services.crashes.permit(this.suspectable(service));
-    if (permit.kind === 'busy' && this.mayHaveRun) return this.awaitTrial();
+  private async attemptWithPermit(service: string): Promise<boolean> {
+    const permit = await this.dependencies.quarantine.permit(this.requestInfo(service));
+    if (permit.kind === 'busy' && this.mayHaveRun) return this.awaitCanary();
     if (permit.kind !== 'granted') {
       this.refuseSuspect(permit.kind);
       return false;
     }
     let outcome: Outcome | undefined;
     try {
-      outcome = this.isOver ? undefined : await this.tryOnce(service, permit);
+      outcome = this.isOver ? undefined : await this.attemptOnce(service, permit);
     } finally {
-      permit.end(outcome?.kind === 'answered' && this.reply.status < answer.FAILURE_STATUS);
+      permit.end(outcome?.kind === 'answered' && this.reply.status < callerResponse.FAILURE_STATUS);
     }
-    return outcome !== undefined && this.goesOn(service, outcome);
+    return outcome !== undefined && this.shouldRetry(service, outcome);
   }
 
   /**
    * A crash cut this request together with a copy that is now in its trial. Its caller can't be told that it didn't run, so a
    * refusal would be final with targets free; the trial shows within a second or two whether it may go on.
    */
-  private async awaitTrial(): Promise<boolean> {
-    await clock.pause(TRIAL_PAUSE_MS);
+  private async awaitCanary(): Promise<boolean> {
+    await clock.pause(CANARY_POLL_MS);
     return !this.isOver;
   }
 
   /** Places and sends the request once; undefined where it is over without a sending. */
-  private async tryOnce(service: string, permit: crashWatch.Grant): Promise<Outcome | undefined> {
+  private async attemptOnce(
+    service: string,
+    permit: quarantineClient.Grant,
+  ): Promise<Outcome | undefined> {
     const choice = await this.choose(service, permit);
     if (this.isOver) {
       if (choice.kind === 'placed') choice.release('cancelled');
@@ -213,33 +216,36 @@
       this.fail(NO_PLACE_DETAIL[choice.reason ?? 'full'], choice.retryAfterMs);
       return undefined;
     }
-    if (!this.services.isFresh() && this.admitted.organisation !== undefined) {
+    if (!this.dependencies.isFresh() && this.admitted.organisation !== undefined) {
       choice.release('cancelled');
       this.fail('settings not confirmed fresh', RETRY_AFTER_MS);
       return undefined;
     }
-    this.mayHaveEnded = false;
+    this.mayHaveCrashed = false;
     const outcome = await this.send(choice);
-    await this.lookForEnd(service, permit, choice.placement);
+    await this.checkForCrash(service, permit, choice.placement);
     return outcome;
   }
 
   /** Whether the request is sent once more after such an outcome; otherwise its caller has its final answer. */
-  private async goesOn(service: string, outcome: Outcome): Promise<boolean> {
+  private async shouldRetry(service: string, outcome: Outcome): Promise<boolean> {
     if (outcome.kind === 'answered' || this.isOver) return false;
     // Its target came to want nothing between the choice and the sending: the next choice knows.
     if (outcome.kind === 'withheld') return true;
-    if (outcome.kind === 'noMemory' && this.reservationTries < RESERVATION_TRIES) {
-      this.reservationTries += 1;
-      await clock.pause(RESERVATION_PAUSE_MS);
+    if (outcome.kind === 'noMemory' && this.reservationRetries < MAX_RESERVATION_RETRIES) {
+      this.reservationRetries += 1;
+      await clock.pause(RESERVATION_RETRY_MS);
       return true;
     }
-    if (!this.mayRepeat(service, outcome)) {
-      const retryAfterMs = Math.max(RETRY_AFTER_MS, this.services.chooser.closedForMs(service));
+    if (!this.mayRetry(service, outcome)) {
+      const retryAfterMs = Math.max(
+        RETRY_AFTER_MS,
+        this.dependencies.selector.unavailableForMs(service),
+      );
       this.fail('detail' in outcome ? outcome.detail : outcome.kind, retryAfterMs);
       return false;
     }
-    if (this.attempts.isBound) await clock.pause(RETURN_PAUSE_MS);
+    if (this.attempts.isAtTargetLimit) await clock.pause(SAME_TARGET_RETRY_MS);
     return true;
   }
 
@@ -250,15 +256,21 @@
   private refuseSuspect(kind: 'quarantined' | 'busy'): void {
     this.mayHaveRun ||= kind === 'quarantined';
     const isBusy = kind === 'busy';
-    this.fail(isBusy ? 'a copy of it runs' : 'in quarantine: targets ended under it', COPY_RUNS_MS);
+    this.fail(
+      isBusy ? 'a copy of it runs' : 'in quarantine: targets ended under it',
+      SUSPECT_RETRY_AFTER_MS,
+    );
   }
 
-  private choose(service: string, { endings, target }: crashWatch.Grant): Promise<chooser.Choice> {
+  private choose(
+    service: string,
+    { endings, target }: quarantineClient.Grant,
+  ): Promise<targetSelector.Choice> {
     const { facts, route } = this.admitted;
-    const maximum = facts.maxAnswerTokens ?? Infinity;
-    const answerTokens = Math.min(maximum, facts.likelyAnswerTokens ?? maximum);
-    return this.services.chooser.choose({
-      id: `${facts.requestId}/${this.attempts.targets.length}.${this.reservationTries}`,
+    const maxAnswerTokens = facts.maxAnswerTokens ?? Infinity;
+    const answerTokens = Math.min(maxAnswerTokens, facts.likelyAnswerTokens ?? maxAnswerTokens);
+    return this.dependencies.selector.choose({
+      id: `${facts.requestId}/${this.attempts.targets.length}.${this.reservationRetries}`,
       service,
       tokens: facts.promptTokens ?? 0,
       answerTokens: Number.isFinite(answerTokens) ? answerTokens : 0,
@@ -268,7 +280,10 @@
       writers: this.attempts.writers ?? (target === undefined ? undefined : [target]),
       endings: endings > 0 ? endings : undefined,
       waitedMs: this.waitedMs,
-      patienceMs: Math.max(0, PATIENCE_SHARE * Math.min(this.timeLeftMs, silence.giveUpMs(route))),
+      patienceMs: Math.max(
+        0,
+        MAX_WAIT_SHARE * Math.min(this.timeLeftMs, responseTimeout.callerTimeoutMs(route)),
+      ),
     });
   }
 
@@ -280,29 +295,29 @@
   private get waitedMs(): number {
     if (this.reply.lastEventId !== undefined) return 0;
     const { arrivedAt, route } = this.admitted;
-    return Math.min(this.services.now() - arrivedAt, route.objectiveMs);
+    return Math.min(this.dependencies.now() - arrivedAt, route.objectiveMs);
   }
 
-  private async send(choice: chooser.Choice & { kind: 'placed' }): Promise<Outcome> {
+  private async send(choice: targetSelector.Choice & { kind: 'placed' }): Promise<Outcome> {
     const { placement } = choice;
-    const held = new reservations.Reservations(this.admitted.facts.requestId, this.services);
-    const isReserved = await held.take(placement.helpers);
-    const release: chooser.Release = (ending, seen) => {
-      held.release();
-      choice.release(ending, seen);
+    const memory = new reservations.Reservations(this.admitted.facts.requestId, this.dependencies);
+    const isReserved = await memory.reserveAll(placement.helpers);
+    const release: targetSelector.Release = (dispatchOutcome, observed) => {
+      memory.release();
+      choice.release(dispatchOutcome, observed);
     };
     if (this.isOver || !isReserved) {
       release('cancelled');
       return { kind: 'noMemory' };
     }
     const { request, body, organisation } = this.admitted;
-    const { protocol, targets } = this.services;
+    const { protocol, targets } = this.dependencies;
     const resumeAfter = this.reply.lastEventId;
     const headers = protocol.requestHeaders(request.rawHeaders, {
       target: placement.target,
       organisation,
       timeLeftMs: this.timeLeftMs,
-      helpers: held.named(placement.helpers),
+      helpers: memory.named(placement.helpers),
       resumeAfter,
     });
     const attempt = targets.send(
@@ -324,17 +339,17 @@
     }
     this.attempts.begin(placement.target);
     this.reply.beginAttempt();
-    this.log.placed(placement, this.waitedMs);
-    this.sentAt = this.services.now();
+    this.requestLog.placed(placement, this.waitedMs);
+    this.sentAt = this.dependencies.now();
     this.attempt = attempt;
-    this.underWay = placement.target;
-    this.reply.control(attempt);
-    const outcome = await this.outcomeOf(attempt, placement);
+    this.activeTarget = placement.target;
+    this.reply.attach(attempt);
+    const outcome = await this.awaitOutcome(attempt, placement);
     const { wasSent } = attempt;
     attempt.cancel();
     this.attempt = undefined;
-    this.underWay = undefined;
-    const faulty = outcomes.faultyOf(outcome, placement);
+    this.activeTarget = undefined;
+    const faulty = outcomes.faultyHelperOf(outcome, placement);
     this.attempts.ended({
       target: placement.target,
       wasSent,
@@ -342,120 +357,125 @@
       wasHelperAtFault: faulty !== undefined,
     });
     if (wasSent && outcome.kind !== 'notRun') this.mayHaveRun = true;
-    if (outcome.kind === 'answered') this.log.answered(placement);
-    release(outcomes.endingOf(outcome), {
+    if (outcome.kind === 'answered') this.requestLog.answered(placement);
+    release(outcomes.dispatchOutcomeOf(outcome), {
       faulty,
-      gapMs: this.reply.usualGapMs,
+      gapMs: this.reply.typicalGapMs,
     });
-    this.mayHaveEnded = wasSent && outcomes.mayHaveEnded(outcome, this.wasSilent);
+    this.mayHaveCrashed = wasSent && outcomes.mayHaveCrashed(outcome, this.wasOverdue);
     return outcome;
   }
 
   /** A target that didn't answer may have ended under the request. */
-  private async lookForEnd(
+  private async checkForCrash(
     service: string,
-    { endings }: crashWatch.Grant,
+    { endings }: quarantineClient.Grant,
     { target, address }: domain.allocation.allocator.Placement,
   ): Promise<void> {
-    if (!this.mayHaveEnded) return;
+    if (!this.mayHaveCrashed) return;
     const sent = { target, address, sentAt: this.sentAt, isTrial: endings > 0 };
-    await this.services.crashes.cut(this.suspectable(service), sent);
+    await this.dependencies.quarantine.checkForCrash(this.requestInfo(service), sent);
   }
 
-  private suspectable(service: string): crashWatch.Suspectable {
+  private requestInfo(service: string): quarantineClient.RequestInfo {
     const { facts, body } = this.admitted;
     return {
       requestId: facts.requestId,
       bodyBytes: body.length,
-      content: () => this.content,
+      fingerprint: () => this.fingerprint,
       service,
-      excluded: [...this.attempts.targets, ...this.services.signals.closed(service)],
+      excluded: [...this.attempts.targets, ...this.dependencies.signals.unavailable(service)],
     };
   }
 
   /** The request as it is told from others that came under other ids. */
-  private get content(): string {
+  private get fingerprint(): string {
     const { request, organisation, body } = this.admitted;
-    this.knownContent ??= fingerprint.of({
+    this.cachedFingerprint ??= fingerprint.of({
       host: request.headers.host ?? '',
       method: request.method ?? 'GET',
       path: request.url ?? '/',
       organisation,
       body,
     });
-    return this.knownContent;
+    return this.cachedFingerprint;
   }
 
   /** Waits for the end of a sending, its silence, or an interruption, whichever comes first. */
-  private async outcomeOf(
+  private async awaitOutcome(
     attempt: targetClient.Attempt,
     placement: domain.allocation.allocator.Placement,
   ): Promise<Outcome> {
     const interrupted = new Promise<Outcome>((resolve) => {
       this.interrupt = resolve;
     });
-    const watch = this.watch(placement, (detail) => {
+    const watchdog = this.watchResponse(placement, (detail) => {
       this.interrupt?.({ kind: 'failed', ending: 'broken', detail, isCut: true });
     });
-    const ended = attempt.end.then((end) => this.judge(end));
-    const outcome = await Promise.race([interrupted, ended]);
-    watch?.stop();
-    this.wasSilent = watch?.isOverdue ?? outcome.kind === 'late';
+    const completed = attempt.result.then((result) => this.classify(result));
+    const outcome = await Promise.race([interrupted, completed]);
+    watchdog?.stop();
+    this.wasOverdue = watchdog?.isOverdue ?? outcome.kind === 'late';
     this.interrupt = undefined;
     return outcome;
   }
 
-  private judge(end: targetClient.End): Outcome {
-    if (end.kind === 'notSent') {
-      return { kind: 'notRun', ending: 'unreachable', detail: end.detail };
+  private classify(result: targetClient.SendResult): Outcome {
+    if (result.kind === 'notSent') {
+      return { kind: 'notRun', ending: 'unreachable', detail: result.detail };
     }
-    if (end.kind === 'broken') {
-      return { kind: 'failed', ending: 'broken', detail: end.detail, isCut: true };
+    if (result.kind === 'broken') {
+      return { kind: 'failed', ending: 'broken', detail: result.detail, isCut: true };
     }
-    if (end.kind === 'cancelled') return { kind: 'gone' };
-    if (end.kind === 'withheld') return end;
-    const verdict = this.reply.complete(this.isRepeatable && this.hasAttemptsLeft);
-    if (verdict.kind === 'passedOn') return { kind: 'answered' };
-    if (verdict.kind === 'notRun') {
-      const { detail, faulty, isWrongLifetime } = verdict;
+    if (result.kind === 'cancelled') return { kind: 'gone' };
+    if (result.kind === 'withheld') return result;
+    const completion = this.reply.complete(this.isRepeatable && this.hasAttemptsLeft);
+    if (completion.kind === 'passedOn') return { kind: 'answered' };
+    if (completion.kind === 'notRun') {
+      const { detail, faulty, isWrongLifetime } = completion;
       return { kind: 'notRun', ending: isWrongLifetime ? 'replaced' : 'full', detail, faulty };
     }
-    return { kind: 'failed', ending: 'broken', detail: verdict.detail, isCut: false };
+    return { kind: 'failed', ending: 'broken', detail: completion.detail, isCut: false };
   }
 
   /** Only requests that may be repeated are given up for silence: for the others it is no proof that they don't run. */
-  private watch(
+  private watchResponse(
     { firstTokenMs, target, address }: domain.allocation.allocator.Placement,
-    onSilent: (detail: string) => void,
-  ): silenceWatch.SilenceWatch | undefined {
+    onTimeout: (detail: string) => void,
+  ): responseWatchdog.ResponseWatchdog | undefined {
     if (!this.isRepeatable) return undefined;
-    const { now, lifeChecks: checks } = this.services;
-    return new silenceWatch.SilenceWatch({
-      bounds: silence.boundsOf(this.admitted.route, firstTokenMs),
+    const { now, liveness: probes } = this.dependencies;
+    return new responseWatchdog.ResponseWatchdog({
+      thresholds: responseTimeout.thresholdsOf(this.admitted.route, firstTokenMs),
       sentAt: now(),
       now,
       lastEventAt: () => this.reply.lastEventAt,
-      isAlive: () => checks.isAlive(target, address),
+      isAlive: () => probes.isAlive(target, address),
       hasAlternative: () => this.hasAttemptsLeft,
-      onSilent,
+      onTimeout,
     });
   }
 
   private get hasAttemptsLeft(): boolean {
     const isSent = this.attempt?.wasSent === true;
-    return this.attempts.hasLeft(isSent ? this.underWay : undefined);
+    return this.attempts.hasAttemptLeft(isSent ? this.activeTarget : undefined);
   }
 
-  private mayRepeat(service: string, outcome: Outcome): boolean {
+  private mayRetry(service: string, outcome: Outcome): boolean {
     if (outcome.kind !== 'failed' && outcome.kind !== 'notRun') return false;
     if (outcome.kind === 'failed' && !this.isRepeatable) return false;
-    if (this.reply.isBeyondRepair) return false;
+    if (this.reply.isUnrecoverable) return false;
     if (!this.hasAttemptsLeft || this.timeLeftMs <= 0) return false;
     // The budget bounds what reaches targets; a target that wasn't reached costs it nothing.
     const isFree = outcome.kind === 'notRun' && outcome.ending === 'unreachable';
-    const isHeldBack = this.services.crashes.isQuarantined(this.suspectable(service));
-    const isGranted = !isHeldBack && (isFree || this.budget?.spend(this.services.now()) === true);
-    this.log.attemptFailed({ content: this.content, detail: outcome.detail, repeated: isGranted });
+    const isQuarantined = this.dependencies.quarantine.isQuarantined(this.requestInfo(service));
+    const isGranted =
+      !isQuarantined && (isFree || this.budget?.spend(this.dependencies.now()) === true);
+    this.requestLog.attemptFailed({
+      content: this.fingerprint,
+      detail: outcome.detail,
+      repeated: isGranted,
+    });
     return isGranted;
   }
 
@@ -467,7 +487,7 @@
       this.isLate = true;
       this.fail('time is over', RETRY_AFTER_MS);
     } else {
-      this.log.callerGone();
+      this.requestLog.callerGone();
     }
     this.isOver = true;
     this.interrupt?.(outcome);
@@ -477,7 +497,7 @@
     if (this.isOver) return;
     this.isOver = true;
     const status = this.status();
-    this.log.refused(status, detail);
+    this.requestLog.refused(status, detail);
     this.reply.refuse(status, status === 503 ? retryAfterMs : undefined);
   }
 
--- a/packages/daemon/src/entry/exchangeLog.ts
+++ b/packages/daemon/src/entry/exchangeLog.ts
@@ -1,16 +1,16 @@
 /** What is logged and counted of one caller's request: its placements, failed attempts and its end. */
 import type * as domain from '@celerydrift/domain';
 import type * as observer from '../observability/observer';
-import type * as answer from './answer';
+import type * as callerResponse from './callerResponse';
 import type * as attempts from './attempts';
 import type * as exchange from './exchange';
 
 type Placement = domain.allocation.allocator.Placement;
 
-export interface Parts {
-  admitted: exchange.Admitted;
+export interface Dependencies {
+  admitted: exchange.AdmittedRequest;
   attempts: attempts.Attempts;
-  reply: answer.Answer;
+  reply: callerResponse.CallerResponse;
   observer: observer.Observer;
   now: () => number;
 }
@@ -22,10 +22,10 @@
 }
 
 export class ExchangeLog {
-  constructor(private readonly parts: Parts) {}
+  constructor(private readonly dependencies: Dependencies) {}
 
   placed({ target, helpers, firstTokenMs }: Placement, waitedMs: number): void {
-    const { admitted, attempts: made, reply, observer: observe } = this.parts;
+    const { admitted, attempts: made, reply, observer: observe } = this.dependencies;
     observe.log('requestPlaced', {
       request: admitted.facts.requestId,
       tokens: admitted.facts.promptTokens,
@@ -39,7 +39,7 @@
   }
 
   attemptFailed({ content, detail, repeated }: FailedAttempt): void {
-    const { admitted, attempts: made, observer: observe } = this.parts;
+    const { admitted, attempts: made, observer: observe } = this.dependencies;
     observe.log('attemptFailed', {
       request: admitted.facts.requestId,
       content,
@@ -51,33 +51,35 @@
 
   /** The caller has a target's whole answer. */
   answered({ firstTokenMs }: Placement): void {
-    const { admitted, reply, observer: observe, now } = this.parts;
+    const { admitted, reply, observer: observe, now } = this.dependencies;
     const { route, arrivedAt } = admitted;
-    const { firstEventAt, longestPauseMs, status } = reply;
+    const { firstEventAt, maxGapMs, status } = reply;
     const firstMs = firstEventAt === 0 ? undefined : firstEventAt - arrivedAt;
     observe.timing(`request.${route.kind}`, now() - arrivedAt);
     if (firstMs !== undefined) observe.timing('request.firstEvent', firstMs);
-    if (longestPauseMs > 0) observe.timing('request.longestPause', longestPauseMs);
+    if (maxGapMs > 0) observe.timing('request.longestPause', maxGapMs);
     observe.count(`answers.${status}`);
     this.ended(status, {
       firstMs: firstMs === undefined ? undefined : Math.round(firstMs),
       predictedMs: Math.round(firstTokenMs),
-      pauseMs: Math.round(longestPauseMs),
+      pauseMs: Math.round(maxGapMs),
     });
   }
 
   /** The caller gets an answer of our own. */
   refused(status: number, detail: string): void {
-    this.parts.observer.count(`answers.${status}.own`);
+    this.dependencies.observer.count(`answers.${status}.own`);
     this.ended(status, { detail });
   }
 
   callerGone(): void {
-    this.parts.observer.log('callerGone', { request: this.parts.admitted.facts.requestId });
+    this.dependencies.observer.log('callerGone', {
+      request: this.dependencies.admitted.facts.requestId,
+    });
   }
 
   private ended(status: number, more: object): void {
-    const { admitted, attempts: made, observer: observe, now } = this.parts;
+    const { admitted, attempts: made, observer: observe, now } = this.dependencies;
     const { facts, route, arrivedAt } = admitted;
     observe.log('requestEnded', {
       request: facts.requestId,
--- a/packages/daemon/src/entry/fingerprint.ts
+++ b/packages/daemon/src/entry/fingerprint.ts
@@ -4,7 +4,7 @@
  */
 import * as crypto from 'node:crypto';
 
-export interface Content {
+export interface RequestIdentity {
   host: string;
   method: string;
   path: string;
@@ -16,7 +16,7 @@
 /** Characters of a digest that are kept: 96 bits, so that two contents of a fleet's life don't meet. */
 const DIGEST_CHARACTERS = 16;
 
-export function of({ host, method, path, organisation = '', body }: Content): string {
+export function of({ host, method, path, organisation = '', body }: RequestIdentity): string {
   const hash = crypto.createHash('sha256');
   // No part can hold a line feed, so that no two contents look the same when joined.
   hash.update(`${[host, method, path, organisation].join('\n')}\n`, 'latin1');
--- a/packages/daemon/src/entry/ingress.ts
+++ b/packages/daemon/src/entry/ingress.ts
@@ -15,14 +15,14 @@
 type Directory = domain.catalogue.directory.Directory;
 type Limits = domain.catalogue.catalogue.Limits;
 
-export interface Parts {
+export interface Dependencies {
   protocol: protocols.TrafficProtocol;
   observer: observer.Observer;
   now: () => number;
   directory: () => Directory | undefined;
   /** Whether what is in force here is known to be fresh enough to admit keys. */
   isFresh: () => boolean;
-  serve: (admitted: exchange.Admitted) => Promise<void>;
+  serve: (admitted: exchange.AdmittedRequest) => Promise<void>;
 }
 
 interface Refusal {
@@ -40,13 +40,13 @@
 type Body = Buffer | 'tooLarge' | 'broken';
 
 /** Longest body that is read before the catalogue's limit is known; the limit of the deployments. */
-const EARLY_BODY_BYTES = 4 * 1024 * 1024;
+const MAX_EARLY_BODY_BYTES = 4 * 1024 * 1024;
 
 /** Longest head that Node parses at all; the catalogue's limit, which may change, is checked below it. */
-const PARSER_HEADER_BYTES = 65_536;
+const MAX_PARSED_HEADER_BYTES = 65_536;
 
 /** Heads that are slower than this are ended by Node; checked each second. */
-const HEADER_CHECK_MS = 1_000;
+const HEADER_CHECK_INTERVAL_MS = 1_000;
 
 /** What a caller is told to wait where the entry has no fresh settings, seconds: the next follow. */
 const RETRY_AFTER_SECONDS = '0.50';
@@ -58,23 +58,23 @@
 
   private active = 0;
 
-  private isLeaving = false;
+  private isDraining = false;
 
   private isRefusing = false;
 
-  private readonly settings: settingsWait.SettingsWait;
+  private readonly settingsWait: settingsWait.SettingsWait;
 
-  constructor(private readonly parts: Parts) {
-    this.settings = new settingsWait.SettingsWait(() => this.isSettled);
+  constructor(private readonly dependencies: Dependencies) {
+    this.settingsWait = new settingsWait.SettingsWait(() => this.hasUsableSettings);
     this.server = http.createServer(
       {
-        maxHeaderSize: PARSER_HEADER_BYTES,
-        connectionsCheckingInterval: HEADER_CHECK_MS,
+        maxHeaderSize: MAX_PARSED_HEADER_BYTES,
+        connectionsCheckingInterval: HEADER_CHECK_INTERVAL_MS,
         requestTimeout: 0,
         noDelay: true,
       },
       (request, response) => {
-        void this.take(request, response);
+        void this.handle(request, response);
       },
     );
     this.server.on('connection', (socket) => {
@@ -99,12 +99,12 @@
 
   /** Settings came or were confirmed: requests that waited for them go on. */
   wake(): void {
-    this.settings.wake();
+    this.settingsWait.wake();
   }
 
   /** From now on each answer closes its connection; new requests are still served. */
-  leave(): void {
-    this.isLeaving = true;
+  drain(): void {
+    this.isDraining = true;
   }
 
   /** Takes no new connections, and refuses requests that come on open ones; those under way go on. */
@@ -118,64 +118,67 @@
     this.server.closeIdleConnections();
   }
 
-  private async take(request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
-    const arrivedAt = this.parts.now();
+  private async handle(
+    request: http.IncomingMessage,
+    response: http.ServerResponse,
+  ): Promise<void> {
+    const arrivedAt = this.dependencies.now();
     this.active += 1;
     response.once('close', () => {
       this.active -= 1;
     });
-    if (this.isLeaving) response.setHeader('Connection', 'close');
+    if (this.isDraining) response.setHeader('Connection', 'close');
     // An error of the caller's connection ends its exchange by `close`; nothing else follows from it.
     response.on('error', () => undefined);
     if (this.isRefusing) {
       this.refuse(request, response, { status: 503, reason: 'this entry stops' });
       return;
     }
-    const early = this.isSettled ? undefined : await this.readAndWait(request);
-    if (early === 'broken' || response.destroyed) return;
-    const directory = this.parts.directory();
+    const earlyBody = this.hasUsableSettings ? undefined : await this.readAndWait(request);
+    if (earlyBody === 'broken' || response.destroyed) return;
+    const directory = this.dependencies.directory();
     if (directory === undefined) {
       this.refuse(request, response, { status: 503, reason: 'no catalogue yet' });
       return;
     }
-    await this.admit(directory, { request, response, arrivedAt }, early);
+    await this.admit(directory, { request, response, arrivedAt }, earlyBody);
   }
 
-  private get isSettled(): boolean {
-    return this.parts.directory() !== undefined && this.parts.isFresh();
+  private get hasUsableSettings(): boolean {
+    return this.dependencies.directory() !== undefined && this.dependencies.isFresh();
   }
 
   /** Callers leave an entry that doesn't read their request, so the body comes before the wait. */
   private async readAndWait(request: http.IncomingMessage): Promise<Body> {
-    const body = await readBody(request, EARLY_BODY_BYTES);
-    await this.settings.wait(this.parts.protocol.facts(request.headers).patienceMs);
+    const body = await readBody(request, MAX_EARLY_BODY_BYTES);
+    await this.settingsWait.wait(this.dependencies.protocol.facts(request.headers).patienceMs);
     return body;
   }
 
   private async admit(
     directory: Directory,
     { request, response, arrivedAt }: Arrival,
-    early: Body | undefined,
+    earlyBody: Body | undefined,
   ): Promise<void> {
-    const facts = this.parts.protocol.facts(request.headers);
+    const facts = this.dependencies.protocol.facts(request.headers);
     const path = request.url ?? '/';
     const route = directory.route(request.headers.host ?? '', path);
     const organisation = facts.key === undefined ? undefined : directory.organisation(facts.key);
     const { limits } = directory.catalogue;
     const isKeyed = route !== undefined && directory.needsKeys && !route.isPublic;
     const refusal =
-      this.headProblem(request, limits) ?? this.accessProblem(route, isKeyed, organisation);
+      this.checkHead(request, limits) ?? this.checkAccess(route, isKeyed, organisation);
     if (refusal !== undefined || route === undefined) {
       this.refuse(request, response, refusal ?? { status: 404, reason: 'no route' });
       return;
     }
-    const body = early ?? (await readBody(request, limits.maxBodyBytes));
+    const body = earlyBody ?? (await readBody(request, limits.maxBodyBytes));
     if (body === 'broken') return;
     if (body === 'tooLarge' || body.length > limits.maxBodyBytes) {
       this.refuse(request, response, { status: 413, reason: 'body too large' });
       return;
     }
-    await this.parts.serve({
+    await this.dependencies.serve({
       request,
       response,
       facts,
@@ -186,20 +189,20 @@
     });
   }
 
-  private headProblem(request: http.IncomingMessage, limits: Limits): Refusal | undefined {
+  private checkHead(request: http.IncomingMessage, limits: Limits): Refusal | undefined {
     const bytes = request.rawHeaders.reduce((sum, part) => sum + part.length + 2, 0);
     if (bytes > limits.maxHeaderBytes) return { status: 431, reason: 'header too large' };
     const length = Number(request.headers['content-length'] ?? 0);
     return length > limits.maxBodyBytes ? { status: 413, reason: 'body too large' } : undefined;
   }
 
-  private accessProblem(
+  private checkAccess(
     route: domain.catalogue.catalogue.Route | undefined,
     isKeyed: boolean,
     organisation: domain.catalogue.catalogue.Organisation | undefined,
   ): Refusal | undefined {
     // A stale entry can't tell a missing route or key from one that is newer than its catalogue.
-    const isStale = !this.parts.isFresh();
+    const isStale = !this.dependencies.isFresh();
     if (route === undefined) {
       return isStale
         ? { status: 503, reason: 'settings not confirmed fresh' }
@@ -215,9 +218,9 @@
     response: http.ServerResponse,
     { status, reason }: Refusal,
   ): void {
-    const { requestId } = this.parts.protocol.facts(request.headers);
-    const version = this.parts.directory()?.version ?? 0;
-    this.parts.observer.log('requestEnded', {
+    const { requestId } = this.dependencies.protocol.facts(request.headers);
+    const version = this.dependencies.directory()?.version ?? 0;
+    this.dependencies.observer.log('requestEnded', {
       request: requestId,
       status,
       detail: reason,
@@ -232,13 +235,13 @@
   }
 }
 
-async function readBody(request: http.IncomingMessage, maximum: number): Promise<Body> {
+async function readBody(request: http.IncomingMessage, maxBytes: number): Promise<Body> {
   return new Promise((resolve) => {
     const chunks: Buffer[] = [];
     let length = 0;
     request.on('data', (chunk: Buffer) => {
       length += chunk.length;
-      if (length > maximum) resolve('tooLarge');
+      if (length > maxBytes) resolve('tooLarge');
       else chunks.push(chunk);
     });
     request.once('end', () => resolve(Buffer.concat(chunks)));
--- a/packages/daemon/src/entry/leaderCall.ts
+++ b/packages/daemon/src/entry/leaderCall.ts
@@ -3,23 +3,23 @@
 import type * as messages from '../fleet/messages';
 import type * as peerClient from '../rpc/peerClient';
 
-export interface Parts {
+export interface Dependencies {
   link: Pick<leaderLink.LeaderLink, 'leader'>;
   client: Pick<peerClient.PeerClient, 'call'>;
 }
 
 /** Longest wait for the leader's word, milliseconds: ten times the usual, as for a place. */
-const LEADER_MS = 150;
+const LEADER_TIMEOUT_MS = 150;
 
 /** The leader's answer; undefined where nobody leads, or who did gave none. */
-export async function ask<T extends { kind: string }>(
-  { link, client }: Parts,
+export async function call<T extends { kind: string }>(
+  { link, client }: Dependencies,
   method: string,
   content: object,
 ): Promise<Exclude<T, messages.Redirect> | undefined> {
   const { leader } = link;
   if (leader === '') return undefined;
-  const options = { timeoutMs: LEADER_MS, toleratesDelay: true };
+  const options = { timeoutMs: LEADER_TIMEOUT_MS, toleratesDelay: true };
   const answer = await client.call<T | messages.Redirect>(leader, method, content, options);
   if (answer.err || answer.val.kind === 'redirect') return undefined;
   return answer.val as Exclude<T, messages.Redirect>;
--- a/packages/daemon/src/entry/leaderOutbox.ts
+++ b/packages/daemon/src/entry/leaderOutbox.ts
@@ -5,33 +5,33 @@
 import * as clock from '../clock';
 
 /** Pause before items that no leader took are told again, milliseconds. */
-export const TELL_AGAIN_MS = 100;
+export const RETRY_INTERVAL_MS = 100;
 
 export class LeaderOutbox<T> {
-  private untold: T[] = [];
+  private unreported: T[] = [];
 
-  private isTellingAgain = false;
+  private isRetrying = false;
 
   private isClosed = false;
 
   /** `send` resolves to whether a leader took the items; at most `most` wait for one. */
   constructor(
-    private readonly send: (items: readonly T[]) => Promise<boolean>,
-    private readonly most: number,
+    private readonly deliver: (items: readonly T[]) => Promise<boolean>,
+    private readonly capacity: number,
   ) {}
 
-  async tell(item: T): Promise<void> {
-    if (await this.send([item])) return;
-    this.untold = [...this.untold, item].slice(-this.most);
-    if (this.isTellingAgain) return;
-    this.isTellingAgain = true;
-    while (this.untold.length > 0 && !this.isClosed) {
-      await clock.pause(TELL_AGAIN_MS);
-      const told = this.untold;
-      const isTaken = await this.send(told);
-      if (isTaken) this.untold = this.untold.filter((each) => !told.includes(each));
+  async send(item: T): Promise<void> {
+    if (await this.deliver([item])) return;
+    this.unreported = [...this.unreported, item].slice(-this.capacity);
+    if (this.isRetrying) return;
+    this.isRetrying = true;
+    while (this.unreported.length > 0 && !this.isClosed) {
+      await clock.pause(RETRY_INTERVAL_MS);
+      const pending = this.unreported;
+      const isTaken = await this.deliver(pending);
+      if (isTaken) this.unreported = this.unreported.filter((each) => !pending.includes(each));
     }
-    this.isTellingAgain = false;
+    this.isRetrying = false;
   }
 
   /** What no leader has taken by now stays untold. */
--- a/packages/daemon/src/entry/outcome.ts
+++ b/packages/daemon/src/entry/outcome.ts
@@ -1,17 +1,17 @@
 /** What one sending of a request came to, beyond how its connection ended. */
 import type * as domain from '@celerydrift/domain';
 
-type Ending = domain.allocation.soundness.Ending;
+type DispatchOutcome = domain.allocation.soundness.Ending;
 
 export type Outcome =
   /** The caller has its final answer. */
   | { kind: 'answered' }
   /** The target certainly didn't run it. */
-  | { kind: 'notRun'; ending: Ending; detail: string; faulty?: string }
+  | { kind: 'notRun'; ending: DispatchOutcome; detail: string; faulty?: string }
   /** It may have run, and the caller has nothing or a part of a stream. */
   | {
       kind: 'failed';
-      ending: Ending;
+      ending: DispatchOutcome;
       detail: string;
       /** Whether nothing came to an end: the connection broke, or the target fell silent. */
       isCut: boolean;
@@ -24,7 +24,7 @@
   | { kind: 'late' };
 
 /** The helper that made a request fail; undefined where it was the chosen target itself. */
-export function faultyOf(
+export function faultyHelperOf(
   outcome: Outcome,
   { helpers }: domain.allocation.allocator.Placement,
 ): string | undefined {
@@ -32,13 +32,13 @@
   return helpers.find(({ target, address }) => named === target || named === address)?.target;
 }
 
-export function endingOf(outcome: Outcome): Ending {
+export function dispatchOutcomeOf(outcome: Outcome): DispatchOutcome {
   if (outcome.kind === 'answered') return 'done';
   return 'ending' in outcome ? outcome.ending : 'cancelled';
 }
 
 /** Whether the target may have ended: its connection broke, or it was silent until its caller left. */
-export function mayHaveEnded(outcome: Outcome, wasSilent: boolean): boolean {
+export function mayHaveCrashed(outcome: Outcome, wasOverdue: boolean): boolean {
   if (outcome.kind === 'failed') return outcome.isCut;
-  return wasSilent && (outcome.kind === 'gone' || outcome.kind === 'late');
+  return wasOverdue && (outcome.kind === 'gone' || outcome.kind === 'late');
 }
--- a/packages/daemon/src/entry/crashWatch.ts
+++ b/packages/daemon/src/entry/quarantineClient.ts
@@ -10,21 +10,21 @@
 import type * as observer from '../observability/observer';
 import * as leaderCall from './leaderCall';
 import * as leaderOutbox from './leaderOutbox';
-import type * as lifeChecks from './lifeChecks';
+import type * as livenessProbes from './livenessProbes';
 
 /** A request as far as it matters here. */
-export interface Suspectable {
+export interface RequestInfo {
   requestId: string;
   bodyBytes: number;
   /** Works out its content; see `fingerprint`. */
-  content: () => string;
+  fingerprint: () => string;
   service: string;
   /** Targets that it was sent to before. */
   excluded: readonly string[];
 }
 
 /** A target that a request was sent to. */
-export interface Sent {
+export interface SentRequest {
   target: string;
   address: string;
   sentAt: number;
@@ -47,11 +47,11 @@
   | { kind: 'busy' }
   | { kind: 'quarantined' };
 
-export interface Parts extends leaderCall.Parts {
+export interface Dependencies extends leaderCall.Dependencies {
   /** Name of this entry. */
   name: string;
   holding: Pick<holding.Holding, 'quarantine' | 'registry'>;
-  lifeChecks: Pick<lifeChecks.LifeChecks, 'isAlive'>;
+  liveness: Pick<livenessProbes.LivenessProbes, 'isAlive'>;
   observer: observer.Observer;
   now: () => number;
 }
@@ -60,81 +60,87 @@
  * How long a request whose connection broke waits for the verdict on its target before it goes on elsewhere, milliseconds. A
  * crashed one refuses a connection, and one that lives answers, after one way there and back; a dark one isn't waited for.
  */
-const VERDICT_MS = 20;
+const CRASH_CHECK_WAIT_MS = 20;
 
 /** Most ends that wait for a leader; those of an entry that is cut off from all targets for some seconds. */
-const MOST_UNTOLD = 500;
+const MAX_UNREPORTED_CRASHES = 500;
 
 /** Most ended trials that wait for a leader; an entry runs one for each suspect. */
-const MOST_UNTOLD_TRIALS = 100;
+const MAX_UNREPORTED_CANARIES = 100;
 
 /** A target's end that the leader is told of; `at` is this entry's clock. */
-type Noticed = Omit<messages.EndedTarget, 'agoMs' | 'sentAgoMs'> & { at: number; sentAt: number };
+type ObservedCrash = Omit<messages.EndedTarget, 'agoMs' | 'sentAgoMs'> & {
+  at: number;
+  sentAt: number;
+};
 
-export class CrashWatch {
+export class QuarantineClient {
   /** Suspects that run here; the leader's view is wider, but may be out of reach. */
-  private readonly trials = new domain.quarantine.trials.Trials();
+  private readonly canaryRuns = new domain.quarantine.trials.Trials();
 
   /** An end that is lost would cost a further target. */
-  private readonly ends = new leaderOutbox.LeaderOutbox<Noticed>(
-    (noticed) => this.tellEnds(noticed),
-    MOST_UNTOLD,
+  private readonly crashReports = new leaderOutbox.LeaderOutbox<ObservedCrash>(
+    (crashes) => this.reportCrashes(crashes),
+    MAX_UNREPORTED_CRASHES,
   );
 
   /** A trial that the leader takes for running keeps all copies of its request waiting. */
-  private readonly endedTrials = new leaderOutbox.LeaderOutbox<messages.TrialEnded>(
-    (trials) => this.tellTrials(trials),
-    MOST_UNTOLD_TRIALS,
+  private readonly canaryReports = new leaderOutbox.LeaderOutbox<messages.TrialEnded>(
+    (runs) => this.reportCanaries(runs),
+    MAX_UNREPORTED_CANARIES,
   );
 
-  constructor(private readonly parts: Parts) {}
+  constructor(private readonly dependencies: Dependencies) {}
 
   /** Whether a request may be sent to a target now. */
-  async permit(request: Suspectable): Promise<Permit> {
-    const standing = this.standing(request);
-    if (standing === 'quarantined') return this.refuse(request);
-    if (standing === 'free') {
-      return { kind: 'granted', endings: 0, target: undefined, end: this.ender(request) };
+  async permit(request: RequestInfo): Promise<Permit> {
+    const status = this.statusOf(request);
+    if (status === 'quarantined') return this.refuse(request);
+    if (status === 'free') {
+      return { kind: 'granted', endings: 0, target: undefined, end: this.completionOf(request) };
     }
-    const { name, now } = this.parts;
+    const { name, now } = this.dependencies;
     const { requestId: id, service, excluded } = request;
-    const content = request.content();
-    const trial = { id, entry: name, target: undefined };
-    if (!this.trials.begin(content, trial, now())) return { kind: 'busy' };
-    const answer = await this.askLeader({ content, id, entry: name, service, excluded });
-    const end = (ranWhole: boolean): void => this.endTrial({ content, id, ranWhole });
+    const content = request.fingerprint();
+    const run = { id, entry: name, target: undefined };
+    if (!this.canaryRuns.begin(content, run, now())) return { kind: 'busy' };
+    const answer = await this.requestPermit({ content, id, entry: name, service, excluded });
+    const end = (ranWhole: boolean): void => this.endCanary({ content, id, ranWhole });
     if (answer === undefined || answer.kind === 'granted') {
       // A leader may not have heard yet of what was seen here.
-      const endings = Math.max(answer?.endings ?? 0, this.parts.holding.quarantine.count(content));
+      const endings = Math.max(
+        answer?.endings ?? 0,
+        this.dependencies.holding.quarantine.count(content),
+      );
       return { kind: 'granted', endings, target: answer?.target, end };
     }
-    this.trials.end(content, id);
+    this.canaryRuns.end(content, id);
     return answer.kind === 'busy' ? { kind: 'busy' } : this.refuse(request);
   }
 
-  isQuarantined(request: Suspectable): boolean {
-    return this.standing(request) === 'quarantined';
+  isQuarantined(request: RequestInfo): boolean {
+    return this.statusOf(request) === 'quarantined';
   }
 
   /** A request was sent and got no answer. Resolves when it is known whether its target ended, or soon. */
-  async cut(request: Suspectable, sent: Sent): Promise<void> {
-    await Promise.race([this.judge(request, sent), clock.pause(VERDICT_MS)]);
+  async checkForCrash(request: RequestInfo, sent: SentRequest): Promise<void> {
+    await Promise.race([this.reportIfCrashed(request, sent), clock.pause(CRASH_CHECK_WAIT_MS)]);
   }
 
   /** Ends that no leader has taken by now stay untold. */
   close(): void {
-    this.ends.close();
-    this.endedTrials.close();
+    this.crashReports.close();
+    this.canaryReports.close();
   }
 
-  private standing({ bodyBytes, content }: Suspectable): domain.quarantine.quarantine.Standing {
-    const { quarantine } = this.parts.holding;
-    return quarantine.mayKnow(bodyBytes) ? quarantine.standing(content()) : 'free';
+  private statusOf({ bodyBytes, fingerprint }: RequestInfo): domain.quarantine.quarantine.Standing {
+    const { quarantine } = this.dependencies.holding;
+    return quarantine.mayKnow(bodyBytes) ? quarantine.standing(fingerprint()) : 'free';
   }
 
-  private refuse(request: Suspectable): Permit {
-    const { observer: observe, holding: held } = this.parts;
-    const content = request.content();
+  private refuse(request: RequestInfo): Permit {
+    const { observer: observe, holding: held } = this.dependencies;
+    const content = request.fingerprint();
     observe.count('quarantine.refused');
     observe.log('requestHeldBack', {
       request: request.requestId,
@@ -145,59 +151,63 @@
   }
 
   /** Of a request that nobody suspected when it began: that it ran to its end acquits its content all the same. */
-  private ender(request: Suspectable): (ranWhole: boolean) => void {
+  private completionOf(request: RequestInfo): (ranWhole: boolean) => void {
     return (ranWhole) => {
-      if (!ranWhole || this.standing(request) === 'free') return;
-      void this.endedTrials.tell({ content: request.content(), id: request.requestId, ranWhole });
+      if (!ranWhole || this.statusOf(request) === 'free') return;
+      void this.canaryReports.send({
+        content: request.fingerprint(),
+        id: request.requestId,
+        ranWhole,
+      });
     };
   }
 
-  private endTrial(ended: messages.TrialEnded): void {
-    this.trials.end(ended.content, ended.id);
-    void this.endedTrials.tell(ended);
+  private endCanary(run: messages.TrialEnded): void {
+    this.canaryRuns.end(run.content, run.id);
+    void this.canaryReports.send(run);
   }
 
-  private async tellTrials(trials: readonly messages.TrialEnded[]): Promise<boolean> {
+  private async reportCanaries(runs: readonly messages.TrialEnded[]): Promise<boolean> {
     const answers = await Promise.all(
-      trials.map((trial) => {
-        return leaderCall.ask<messages.TakenAnswer>(this.parts, 'trialEnded', trial);
+      runs.map((run) => {
+        return leaderCall.call<messages.TakenAnswer>(this.dependencies, 'trialEnded', run);
       }),
     );
     return answers.every((answer) => answer !== undefined);
   }
 
-  private askLeader(
-    question: messages.PermitQuestion,
+  private requestPermit(
+    message: messages.PermitQuestion,
   ): Promise<Exclude<messages.PermitAnswer, messages.Redirect> | undefined> {
-    return leaderCall.ask<messages.PermitAnswer>(this.parts, 'permit', question);
+    return leaderCall.call<messages.PermitAnswer>(this.dependencies, 'permit', message);
   }
 
-  private async judge(
-    request: Suspectable,
-    { target, address, sentAt, isTrial }: Sent,
+  private async reportIfCrashed(
+    request: RequestInfo,
+    { target, address, sentAt, isTrial }: SentRequest,
   ): Promise<void> {
-    const { lifeChecks: checks, observer: observe, holding: held, now } = this.parts;
-    if (await checks.isAlive(target, address)) return;
+    const { liveness: probes, observer: observe, holding: held, now } = this.dependencies;
+    if (await probes.isAlive(target, address)) return;
     const record = held.registry.get(target);
-    if (record !== undefined && hasLeft(record)) return;
-    const content = request.content();
+    if (record !== undefined && hasStoppedItself(record)) return;
+    const content = request.fingerprint();
     observe.count('targets.endedUnderRequest');
     observe.log('targetEndedUnder', { request: request.requestId, content, target });
     const { bornAt } = record ?? { bornAt: 0 };
     const lifetime = { id: target, bornAt };
     const key = domain.quarantine.endedLifetimes.lifetimeOf(lifetime);
     held.quarantine.blame(content, key, { sentAt, isTrial }, now());
-    void this.ends.tell({ content, lifetime, isTrial, sentAt, at: now() });
+    void this.crashReports.send({ content, lifetime, isTrial, sentAt, at: now() });
   }
 
   /** At once, also while an earlier word is under way: on one connection it then comes before the question whether its request may run again. */
-  private async tellEnds(noticed: readonly Noticed[]): Promise<boolean> {
-    const { holding: held, now } = this.parts;
-    const ended = noticed.map(({ at, sentAt, ...each }) => {
+  private async reportCrashes(crashes: readonly ObservedCrash[]): Promise<boolean> {
+    const { holding: held, now } = this.dependencies;
+    const ended = crashes.map(({ at, sentAt, ...each }) => {
       return { ...each, agoMs: now() - at, sentAgoMs: now() - sentAt };
     });
     const blame: messages.Blame = { ended };
-    const answer = await leaderCall.ask<messages.BlameAnswer>(this.parts, 'blame', blame);
+    const answer = await leaderCall.call<messages.BlameAnswer>(this.dependencies, 'blame', blame);
     if (answer === undefined) return false;
     // A leader that doesn't believe an end changes nothing and tells nobody else.
     answer.reports.forEach((report) => held.quarantine.take(report, now()));
@@ -206,7 +216,7 @@
 }
 
 /** A target that said that it leaves has ended by itself, and whatever it cut short didn't end it. */
-function hasLeft({
+function hasStoppedItself({
   state,
   isPresumed,
   isRemembered,
--- a/packages/daemon/src/entry/limitWatch.ts
+++ b/packages/daemon/src/entry/rateLimitClient.ts
@@ -10,14 +10,14 @@
 import type * as observer from '../observability/observer';
 import * as leaderCall from './leaderCall';
 import * as leaderOutbox from './leaderOutbox';
-import * as untoldLimits from './untoldLimits';
+import * as unreportedLimits from './unreportedLimits';
 
 const { keyOf } = domain.rateLimits.rateLimits;
 
 type Place = domain.rateLimits.rateLimits.Place;
 
 /** A request that a target answered. */
-export interface Answered extends Place {
+export interface AnsweredRequest extends Place {
   requestId: string;
   target: string;
   status: number;
@@ -27,7 +27,7 @@
 
 export type Grant = Exclude<messages.GrantAnswer, messages.Redirect>;
 
-export interface Parts extends leaderCall.Parts {
+export interface Dependencies extends leaderCall.Dependencies {
   holding: Pick<holding.Holding, 'limits' | 'registry'>;
   observer: observer.Observer;
   now: () => number;
@@ -37,38 +37,38 @@
  * Pause between an entry's trials of a target with a limit while other targets take all calls, milliseconds; longer where more
  * entries share the trials.
  */
-const TRIAL_EVERY_MS = 1_000;
-const ENTRIES_TRYING = 5;
+const PROBE_INTERVAL_MS = 1_000;
+const PROBING_ENTRIES = 5;
 
-export class LimitWatch {
+export class RateLimitClient {
   /** When this entry tries a target with a limit next, by place. */
-  private readonly trials = new Map<string, number>();
+  private readonly nextProbes = new Map<string, number>();
 
-  private readonly untold = new untoldLimits.UntoldLimits();
+  private readonly unreported = new unreportedLimits.UnreportedLimits();
 
-  private isTelling = false;
+  private isReporting = false;
 
   private isClosed = false;
 
   /** How many entries share the limits while nobody leads; 0 while that isn't known. */
   private entries = 0;
 
-  constructor(private readonly parts: Parts) {}
+  constructor(private readonly dependencies: Dependencies) {}
 
   /** A leader confirmed this entry, and gives out the limits. */
   leaderFound(entries: number): void {
     if (entries > 0) this.entries = entries;
-    this.parts.holding.limits.giveOut(0, this.parts.now());
+    this.dependencies.holding.limits.giveOut(0, this.dependencies.now());
   }
 
   leaderLost(): void {
     const share = this.entries === 0 ? 0 : 1 / this.entries;
-    this.parts.holding.limits.giveOut(share, this.parts.now());
+    this.dependencies.holding.limits.giveOut(share, this.dependencies.now());
   }
 
   /** A target answered a request of a caller. */
-  answered(answer: Answered, limit: protocols.NamedLimit): void {
-    const { observer: observe, holding: held } = this.parts;
+  answered(answer: AnsweredRequest, limit: protocols.NamedLimit): void {
+    const { observer: observe, holding: held } = this.dependencies;
     if (limit.kind !== 'none') observe.count(`limits.${limit.kind}`);
     if (limit.kind === 'unreadable') return;
     const since = held.limits.knownSince(answer);
@@ -77,44 +77,44 @@
     const before = held.limits.at(answer);
     const perSecond = limit.kind === 'none' ? undefined : limit.perSecond;
     const { service, address } = answer;
-    if (!held.limits.set({ service, address, perSecond }, this.parts.now())) return;
-    if (perSecond === undefined) this.trials.delete(keyOf(answer));
+    if (!held.limits.set({ service, address, perSecond }, this.dependencies.now())) return;
+    if (perSecond === undefined) this.nextProbes.delete(keyOf(answer));
     const event = perSecond === undefined ? 'targetLimitEnded' : 'targetLimited';
     observe.log(event, { ...answer, sentAt: undefined, perSecond, before });
-    this.untold.note({ service, address, perSecond });
-    void this.tellLeader();
+    this.unreported.setLimit({ service, address, perSecond });
+    void this.reportToLeader();
   }
 
   /** A message went to a target without the leader's word. */
   spent(target: string): void {
-    const record = this.parts.holding.registry.get(target);
-    if (record !== undefined) this.spentAt(record);
+    const record = this.dependencies.holding.registry.get(target);
+    if (record !== undefined) this.recordSpent(record);
   }
 
   /** Whether a target may be asked whether it lives. */
-  async mayCheck(target: string): Promise<boolean> {
-    const record = this.parts.holding.registry.get(target);
-    if (record === undefined || !this.parts.holding.limits.isLimited(record)) return true;
-    const answer = await this.ask({ places: [placeOf(record)], purpose: 'check' });
+  async mayProbe(target: string): Promise<boolean> {
+    const record = this.dependencies.holding.registry.get(target);
+    if (record === undefined || !this.dependencies.holding.limits.isLimited(record)) return true;
+    const answer = await this.requestGrant({ places: [placeOf(record)], purpose: 'check' });
     return answer?.kind === 'granted';
   }
 
   /** One request for one of some places with limits. */
   async grant(places: readonly Place[]): Promise<Grant> {
-    const question = { places: places.map(placeOf), purpose: 'request' } as const;
-    return (await this.ask(question)) ?? this.grantLocally(places);
+    const message = { places: places.map(placeOf), purpose: 'request' } as const;
+    return (await this.requestGrant(message)) ?? this.grantLocally(places);
   }
 
   /** One request for a target whose limit may be over; without any, nobody would learn that. */
-  async grantTrial(places: readonly Place[]): Promise<Place | undefined> {
-    const { now, holding: held } = this.parts;
-    const pauseMs = TRIAL_EVERY_MS * Math.max(1, this.entries / ENTRIES_TRYING);
+  async grantProbe(places: readonly Place[]): Promise<Place | undefined> {
+    const { now, holding: held } = this.dependencies;
+    const intervalMs = PROBE_INTERVAL_MS * Math.max(1, this.entries / PROBING_ENTRIES);
     const due = places.find((place) => {
       const since = held.limits.knownSince(place) ?? now();
-      return now() >= (this.trials.get(keyOf(place)) ?? since + pauseMs);
+      return now() >= (this.nextProbes.get(keyOf(place)) ?? since + intervalMs);
     });
     if (due === undefined) return undefined;
-    this.trials.set(keyOf(due), now() + pauseMs);
+    this.nextProbes.set(keyOf(due), now() + intervalMs);
     const grant = await this.grant([due]);
     return grant.kind === 'granted' ? due : undefined;
   }
@@ -125,43 +125,47 @@
   }
 
   /** The leader's word; undefined where nobody leads. */
-  private ask(question: messages.GrantQuestion): Promise<Grant | undefined> {
-    return leaderCall.ask<messages.GrantAnswer>(this.parts, 'grant', question);
+  private requestGrant(message: messages.GrantQuestion): Promise<Grant | undefined> {
+    return leaderCall.call<messages.GrantAnswer>(this.dependencies, 'grant', message);
   }
 
   private grantLocally(places: readonly Place[]): Grant {
-    const { holding: held, now } = this.parts;
+    const { holding: held, now } = this.dependencies;
     const place = places.find((each) => held.limits.mayTake(each, now()));
     if (place === undefined) {
       return { kind: 'wait', waitMs: held.limits.waitMs(places, 0, now()) };
     }
     held.limits.take(place, 1, now());
-    this.spentAt(place);
+    this.recordSpent(place);
     return { kind: 'granted', place };
   }
 
-  private spentAt(place: Place): void {
-    if (!this.parts.holding.limits.isLimited(place)) return;
-    this.untold.spend(place, 1);
-    void this.tellLeader();
+  private recordSpent(place: Place): void {
+    if (!this.dependencies.holding.limits.isLimited(place)) return;
+    this.unreported.addSpent(place, 1);
+    void this.reportToLeader();
   }
 
   /** Tells the leader until one has taken it. */
-  private async tellLeader(): Promise<void> {
-    if (this.isTelling) return;
-    this.isTelling = true;
-    while (!this.untold.isEmpty && !this.isClosed) {
-      const told = this.untold.take();
-      if (!(await this.isTaken(told))) {
-        this.untold.putBack(told);
-        await clock.pause(leaderOutbox.TELL_AGAIN_MS);
+  private async reportToLeader(): Promise<void> {
+    if (this.isReporting) return;
+    this.isReporting = true;
+    while (!this.unreported.isEmpty && !this.isClosed) {
+      const report = this.unreported.takeAll();
+      if (!(await this.isAccepted(report))) {
+        this.unreported.restore(report);
+        await clock.pause(leaderOutbox.RETRY_INTERVAL_MS);
       }
     }
-    this.isTelling = false;
+    this.isReporting = false;
   }
 
-  private async isTaken(told: messages.Limited): Promise<boolean> {
-    const answer = await leaderCall.ask<messages.TakenAnswer>(this.parts, 'limited', told);
+  private async isAccepted(report: messages.Limited): Promise<boolean> {
+    const answer = await leaderCall.call<messages.TakenAnswer>(
+      this.dependencies,
+      'limited',
+      report,
+    );
     return answer !== undefined;
   }
 }
--- /dev/null
+++ b/packages/daemon/src/entry/responseWatchdog.ts
@@ -0,0 +1,61 @@
+/** Watches one sending for silence, asks its target where it is overdue, and says when to give it up. */
+import * as responseTimeout from './silence';
+
+export interface Dependencies {
+  thresholds: responseTimeout.Thresholds;
+  sentAt: number;
+  now: () => number;
+  /** When the last event came; 0 before the first. */
+  lastEventAt: () => number;
+  isAlive: () => Promise<boolean>;
+  /** Whether another target could be tried; while there is none, nothing is won by giving up. */
+  hasAlternative: () => boolean;
+  onTimeout: (detail: string) => void;
+}
+
+export class ResponseWatchdog {
+  private readonly timer: NodeJS.Timeout;
+
+  private isProbing = false;
+
+  private nextProbeAt = 0;
+
+  constructor(private readonly dependencies: Dependencies) {
+    this.timer = setInterval(
+      () => this.check(),
+      responseTimeout.checkIntervalMs(dependencies.thresholds),
+    );
+  }
+
+  stop(): void {
+    clearInterval(this.timer);
+  }
+
+  /** Whether an event is overdue by now. */
+  get isOverdue(): boolean {
+    return this.status !== 'fine';
+  }
+
+  private get status(): responseTimeout.Status {
+    const { thresholds, sentAt, lastEventAt, now } = this.dependencies;
+    return responseTimeout.classify(thresholds, { sentAt, lastEventAt: lastEventAt() }, now());
+  }
+
+  private check(): void {
+    if (!this.dependencies.hasAlternative()) return;
+    const { status } = this;
+    if (status === 'hopeless') this.dependencies.onTimeout('target silent');
+    else if (status === 'overdue') void this.probe();
+  }
+
+  private async probe(): Promise<void> {
+    const { now, isAlive } = this.dependencies;
+    if (this.isProbing || now() < this.nextProbeAt) return;
+    this.isProbing = true;
+    const alive = await isAlive();
+    this.isProbing = false;
+    this.nextProbeAt = now() + responseTimeout.PROBE_INTERVAL_MS;
+    // An event may have come meanwhile.
+    if (!alive && this.status !== 'fine') this.dependencies.onTimeout('target dead');
+  }
+}
--- a/packages/daemon/src/entry/settingsWait.ts
+++ b/packages/daemon/src/entry/settingsWait.ts
@@ -7,36 +7,36 @@
  */
 
 /** Longest wait, milliseconds: two elections, as the first may end without a leader. */
-const LONGEST_WAIT_MS = 1_500;
+const MAX_WAIT_MS = 1_500;
 
 /** Part of a caller's patience that may be spent; the rest must suffice to serve it. */
-const PATIENCE_SHARE = 0.2;
+const MAX_WAIT_SHARE = 0.2;
 
 /** Patience of callers that don't say theirs, milliseconds. */
-const USUAL_PATIENCE_MS = 5_000;
+const DEFAULT_PATIENCE_MS = 5_000;
 
 export class SettingsWait {
   private readonly waiting = new Set<() => void>();
 
   /** `isSettled` says whether there are settings to serve by. */
-  constructor(private readonly isSettled: () => boolean) {}
+  constructor(private readonly hasUsableSettings: () => boolean) {}
 
   /** Resolves when there are settings to serve by, or when waiting longer would cost the caller too much. */
-  async wait(patienceMs = USUAL_PATIENCE_MS): Promise<void> {
-    if (this.isSettled()) return;
+  async wait(patienceMs = DEFAULT_PATIENCE_MS): Promise<void> {
+    if (this.hasUsableSettings()) return;
     await new Promise<void>((resolve) => {
       const done = (): void => {
         clearTimeout(timer);
         this.waiting.delete(done);
         resolve();
       };
-      const timer = setTimeout(done, Math.min(LONGEST_WAIT_MS, PATIENCE_SHARE * patienceMs));
+      const timer = setTimeout(done, Math.min(MAX_WAIT_MS, MAX_WAIT_SHARE * patienceMs));
       this.waiting.add(done);
     });
   }
 
   /** To be called whenever settings came or were confirmed. */
   wake(): void {
-    if (this.isSettled()) this.waiting.forEach((done) => done());
+    if (this.hasUsableSettings()) this.waiting.forEach((done) => done());
   }
 }
--- a/packages/daemon/src/entry/silence.ts
+++ b/packages/daemon/src/entry/silence.ts
@@ -11,29 +11,29 @@
 type Route = domain.catalogue.catalogue.Route;
 
 /** Silence before the first event that is overdue: so many times the predicted time, and a pass or two. */
-const OVERDUE_SHARE = 1.5;
+const OVERDUE_FACTOR = 1.5;
 const OVERDUE_MARGIN_MS = 300;
 
 /** Silence between two events that is overdue: longer than passes that read for others usually are. */
 const OVERDUE_GAP_MS = 600;
-const OVERDUE_PAUSES = 1.5;
+const OVERDUE_GAP_FACTOR = 1.5;
 
 /** Silence that is hopeless, as a share of the time after which callers leave, and the least of it. */
-const HOPELESS_SHARE = 0.5;
-const LEAST_HOPELESS_MS = 1_500;
+const TIMEOUT_SHARE = 0.5;
+const MIN_TIMEOUT_MS = 1_500;
 
 /** Silence of a call that may be repeated, against its objective, before another target is tried. */
-const CALL_SILENCE_SHARE = 3;
+const CALL_TIMEOUT_FACTOR = 3;
 
 /** A target that lives isn't asked again for so long. */
-export const ASK_EVERY_MS = 1_000;
+export const PROBE_INTERVAL_MS = 1_000;
 
 /** Time without an event after which callers of a stream leave; from the users' pages. */
-export function giveUpMs({ kind, objectiveMs, pauseMs }: Route): number {
+export function callerTimeoutMs({ kind, objectiveMs, pauseMs }: Route): number {
   return kind === 'streaming' ? Math.max(2_000, 4 * objectiveMs, 8 * pauseMs) : objectiveMs;
 }
 
-export interface Bounds {
+export interface Thresholds {
   /** Silence before the first event or the answer that is overdue, and between two events. */
   overdueFirstMs: number;
   overdueGapMs: number;
@@ -48,33 +48,41 @@
   lastEventAt: number;
 }
 
-export type Verdict = 'fine' | 'overdue' | 'hopeless';
+export type Status = 'fine' | 'overdue' | 'hopeless';
 
-const SHORTEST_LOOK_MS = 50;
+const MIN_CHECK_INTERVAL_MS = 50;
 
-export function boundsOf(route: Route, firstTokenMs: number): Bounds {
+export function thresholdsOf(route: Route, firstTokenMs: number): Thresholds {
   const { kind, objectiveMs, pauseMs } = route;
   if (kind !== 'streaming') {
-    const silenceMs = CALL_SILENCE_SHARE * objectiveMs;
-    return { overdueFirstMs: silenceMs, overdueGapMs: silenceMs, hopelessMs: silenceMs };
+    const callTimeoutMs = CALL_TIMEOUT_FACTOR * objectiveMs;
+    return {
+      overdueFirstMs: callTimeoutMs,
+      overdueGapMs: callTimeoutMs,
+      hopelessMs: callTimeoutMs,
+    };
   }
-  const hopelessMs = Math.max(LEAST_HOPELESS_MS, HOPELESS_SHARE * giveUpMs(route));
+  const hopelessMs = Math.max(MIN_TIMEOUT_MS, TIMEOUT_SHARE * callerTimeoutMs(route));
   return {
-    overdueFirstMs: Math.min(hopelessMs, OVERDUE_SHARE * firstTokenMs + OVERDUE_MARGIN_MS),
-    overdueGapMs: Math.max(OVERDUE_GAP_MS, OVERDUE_PAUSES * pauseMs),
+    overdueFirstMs: Math.min(hopelessMs, OVERDUE_FACTOR * firstTokenMs + OVERDUE_MARGIN_MS),
+    overdueGapMs: Math.max(OVERDUE_GAP_MS, OVERDUE_GAP_FACTOR * pauseMs),
     hopelessMs,
   };
 }
 
-export function judge(bounds: Bounds, { sentAt, lastEventAt }: Progress, now: number): Verdict {
+export function classify(
+  thresholds: Thresholds,
+  { sentAt, lastEventAt }: Progress,
+  now: number,
+): Status {
   const isFlowing = lastEventAt > sentAt;
   const silentMs = now - (isFlowing ? lastEventAt : sentAt);
-  if (silentMs > bounds.hopelessMs) return 'hopeless';
-  const overdueMs = isFlowing ? bounds.overdueGapMs : bounds.overdueFirstMs;
+  if (silentMs > thresholds.hopelessMs) return 'hopeless';
+  const overdueMs = isFlowing ? thresholds.overdueGapMs : thresholds.overdueFirstMs;
   return silentMs > overdueMs ? 'overdue' : 'fine';
 }
 
 /** How often to look, so that silence is noticed a quarter late at most. */
-export function lookEveryMs({ overdueFirstMs, overdueGapMs }: Bounds): number {
-  return Math.max(SHORTEST_LOOK_MS, Math.min(overdueFirstMs, overdueGapMs) / 4);
+export function checkIntervalMs({ overdueFirstMs, overdueGapMs }: Thresholds): number {
+  return Math.max(MIN_CHECK_INTERVAL_MS, Math.min(overdueFirstMs, overdueGapMs) / 4);
 }
--- a/packages/daemon/src/entry/targetClient.ts
+++ b/packages/daemon/src/entry/targetClient.ts
@@ -9,21 +9,21 @@
 import type * as protocols from '../edges/protocols';
 
 /** The head of a target's answer. */
-export interface Head {
+export interface ResponseHead {
   status: number;
   /** Names and values in turn, as received. */
   raw: string[];
   facts: protocols.AnswerFacts;
 }
 
-export interface Receiver {
+export interface ResponseHandler {
   /** Called at the first sign of an answer. */
-  onHead: (head: Head) => void;
+  onHead: (head: ResponseHead) => void;
   onData: (chunk: Buffer) => void;
 }
 
 /** How a sending ended. */
-export type End =
+export type SendResult =
   | { kind: 'complete' }
   /** No byte was written: the target certainly didn't run it. */
   | { kind: 'notSent'; detail: string }
@@ -34,12 +34,12 @@
   | { kind: 'cancelled' };
 
 /** What a message is for: a caller's request, an order that begins something, one about what runs already, or a check. */
-export type Purpose = 'request' | 'order' | 'upkeep' | 'check';
+export type MessagePurpose = 'request' | 'order' | 'upkeep' | 'check';
 
-export interface Sending {
+export interface TargetMessage {
   target: string;
   address: string;
-  purpose: Purpose;
+  purpose: MessagePurpose;
   /** The request's id, which its answer repeats; undefined for messages of our own. */
   requestId?: string;
   method: string;
@@ -49,28 +49,28 @@
 }
 
 /** A message under way to a target. */
-export interface Delivery {
+export interface DeliveryCallbacks {
   /** An answer to it began. */
-  answered: (head: Head) => void;
+  answered: (head: ResponseHead) => void;
   /** It is over, with or without an answer. */
   ended: () => void;
 }
 
 /** Decides on each message to a target, and hears of each answer. */
-export interface Gate {
+export interface AdmissionGate {
   /** Undefined where the target wants no such message now. */
-  admit(sending: Sending): Delivery | undefined;
+  admit(message: TargetMessage): DeliveryCallbacks | undefined;
 }
 
-export interface Parts {
+export interface Dependencies {
   protocol: Pick<protocols.TrafficProtocol, 'answerFacts'>;
-  gate: Gate;
+  gate: AdmissionGate;
   /** IP address that connections come from; undefined where the operating system chooses. */
   source?: string;
 }
 
 /** How a call of our own ended. */
-export type CallEnd =
+export type CallResult =
   | { kind: 'answered'; status: number; facts: protocols.AnswerFacts }
   | { kind: 'silent' }
   | { kind: 'withheld' };
@@ -82,13 +82,13 @@
 const CONNECT_TIMEOUT_MS = 250;
 
 /** An idle connection is given up this long before the target closes it, milliseconds. */
-const IDLE_MARGIN_MS = 500;
+const IDLE_TIMEOUT_MARGIN_MS = 500;
 
 /** How long an idle connection is kept where the target says nothing, milliseconds. */
-const IDLE_MS = 4_000;
+const IDLE_TIMEOUT_MS = 4_000;
 
 /** What happens to a connection at this very moment, while its listeners run. */
-type Event = 'none' | 'closedByTarget' | 'reset';
+type ConnectionEvent = 'none' | 'closedByTarget' | 'reset';
 
 /**
  * Whether a connection that seems to have ended in order was reset. Where data and a reset arrive together,
@@ -111,12 +111,12 @@
  * when its connection ends and the head announced that it would: also where the connection was reset, and
  * where a chunked body lacks its last chunk. A caller would get a cut answer that looks complete.
  */
-class Connections {
-  private event: Event = 'none';
+class ConnectionTracker {
+  private event: ConnectionEvent = 'none';
 
   constructor(private readonly localAddress: string | undefined) {}
 
-  get current(): Event {
+  get current(): ConnectionEvent {
     return this.event;
   }
 
@@ -141,14 +141,14 @@
     socket.once('connect', () => {
       clearTimeout(timer);
       socket.off('error', fail);
-      socket.on('error', () => this.note('reset'));
-      socket.on('end', () => this.note(wasReset(socket) ? 'reset' : 'closedByTarget'));
+      socket.on('error', () => this.record('reset'));
+      socket.on('end', () => this.record(wasReset(socket) ? 'reset' : 'closedByTarget'));
       callback(null, socket);
     });
   };
 
   /** Listeners run in the order in which they were added, all before the next microtask. */
-  private note(event: Event): void {
+  private record(event: ConnectionEvent): void {
     this.event = event;
     queueMicrotask(() => {
       this.event = 'none';
@@ -158,9 +158,9 @@
 
 /** A sending under way; `cancel` closes its connection, which also stops the target. */
 export class Attempt implements undici.Dispatcher.DispatchHandler {
-  readonly end: Promise<End>;
+  readonly result: Promise<SendResult>;
 
-  private settle!: (end: End) => void;
+  private settle!: (result: SendResult) => void;
 
   private controller: undici.Dispatcher.DispatchController | undefined;
 
@@ -172,20 +172,20 @@
 
   /** `delivery` is undefined where nothing is sent. */
   constructor(
-    private readonly receiver: Receiver,
-    private readonly connections: Connections,
-    private readonly protocol: Parts['protocol'],
-    private readonly delivery: Delivery | undefined,
+    private readonly handler: ResponseHandler,
+    private readonly connections: ConnectionTracker,
+    private readonly protocol: Dependencies['protocol'],
+    private readonly callbacks: DeliveryCallbacks | undefined,
   ) {
-    this.end = new Promise((resolve) => {
+    this.result = new Promise((resolve) => {
       this.settle = resolve;
     });
-    if (delivery === undefined) this.finish({ kind: 'withheld' });
+    if (callbacks === undefined) this.finish({ kind: 'withheld' });
   }
 
   /** Whether the target wants no such message now, and gets none. */
   get isWithheld(): boolean {
-    return this.delivery === undefined;
+    return this.callbacks === undefined;
   }
 
   cancel(): void {
@@ -227,12 +227,12 @@
       part.toString('latin1'),
     );
     const head = { status, raw, facts: this.protocol.answerFacts(status, headers) };
-    this.delivery?.answered(head);
-    this.receiver.onHead(head);
+    this.callbacks?.answered(head);
+    this.handler.onHead(head);
   }
 
   onResponseData(_controller: undici.Dispatcher.DispatchController, chunk: Buffer): void {
-    if (!this.isSettled) this.receiver.onData(chunk);
+    if (!this.isSettled) this.handler.onData(chunk);
   }
 
   onResponseEnd(): void {
@@ -247,27 +247,27 @@
     this.finish(this.wasSent ? { kind: 'broken', detail } : { kind: 'notSent', detail });
   }
 
-  private finish(end: End): void {
+  private finish(result: SendResult): void {
     if (this.isSettled) return;
     this.isSettled = true;
-    this.delivery?.ended();
-    this.settle(end);
+    this.callbacks?.ended();
+    this.settle(result);
   }
 }
 
 export class TargetClient {
   private readonly pools = new Map<string, undici.Pool>();
 
-  private readonly connections: Connections;
+  private readonly connections: ConnectionTracker;
 
-  constructor(private readonly parts: Parts) {
-    this.connections = new Connections(parts.source);
+  constructor(private readonly dependencies: Dependencies) {
+    this.connections = new ConnectionTracker(dependencies.source);
   }
 
-  send(sending: Sending, receiver: Receiver): Attempt {
-    const { protocol, gate } = this.parts;
-    const { target, address, method, path, headers, body } = sending;
-    const attempt = new Attempt(receiver, this.connections, protocol, gate.admit(sending));
+  send(message: TargetMessage, handler: ResponseHandler): Attempt {
+    const { protocol, gate } = this.dependencies;
+    const { target, address, method, path, headers, body } = message;
+    const attempt = new Attempt(handler, this.connections, protocol, gate.admit(message));
     if (attempt.isWithheld) return attempt;
     this.pool(target, address).dispatch(
       {
@@ -285,25 +285,25 @@
 
   /** A call of our own. */
   async call(
-    { target, address, purpose }: Pick<Sending, 'target' | 'address' | 'purpose'>,
+    { target, address, purpose }: Pick<TargetMessage, 'target' | 'address' | 'purpose'>,
     { method, path, headers, body }: protocols.TargetCall,
     timeoutMs: number,
-  ): Promise<CallEnd> {
-    let head: Head | undefined;
-    const receiver: Receiver = {
+  ): Promise<CallResult> {
+    let head: ResponseHead | undefined;
+    const handler: ResponseHandler = {
       onHead: (received) => {
         head = received;
       },
       onData: () => undefined,
     };
-    const about = { target, address, purpose };
-    const sending = { ...about, method, path, headers, body: Buffer.from(body) };
-    const attempt = this.send(sending, receiver);
+    const recipient = { target, address, purpose };
+    const message = { ...recipient, method, path, headers, body: Buffer.from(body) };
+    const attempt = this.send(message, handler);
     const timer = setTimeout(() => attempt.cancel(), timeoutMs);
-    const end = await attempt.end;
+    const result = await attempt.result;
     clearTimeout(timer);
-    if (end.kind === 'withheld') return end;
-    if (end.kind !== 'complete' || head === undefined) return { kind: 'silent' };
+    if (result.kind === 'withheld') return result;
+    if (result.kind !== 'complete' || head === undefined) return { kind: 'silent' };
     return { kind: 'answered', status: head.status, facts: head.facts };
   }
 
@@ -325,15 +325,15 @@
   private pool(target: string, address: string): undici.Pool {
     const known = this.pools.get(target);
     if (known !== undefined) return known;
-    const made = new undici.Pool(`http://${address}`, {
+    const created = new undici.Pool(`http://${address}`, {
       connect: this.connections.connect as unknown as undici.buildConnector.connector,
       pipelining: 1,
       allowH2: false,
       connections: null,
-      keepAliveTimeout: IDLE_MS,
-      keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
+      keepAliveTimeout: IDLE_TIMEOUT_MS,
+      keepAliveTimeoutThreshold: IDLE_TIMEOUT_MARGIN_MS,
     });
-    this.pools.set(target, made);
-    return made;
+    this.pools.set(target, created);
+    return created;
   }
 }
--- a/packages/daemon/src/entry/untoldLimits.ts
+++ b/packages/daemon/src/entry/unreportedLimits.ts
@@ -7,7 +7,7 @@
 type Place = domain.rateLimits.rateLimits.Place;
 type RateLimit = domain.rateLimits.rateLimits.RateLimit;
 
-export class UntoldLimits {
+export class UnreportedLimits {
   private limits = new Map<string, RateLimit>();
 
   private spent = new Map<string, messages.Spent>();
@@ -16,18 +16,18 @@
     return this.limits.size + this.spent.size === 0;
   }
 
-  note(limit: RateLimit): void {
+  setLimit(limit: RateLimit): void {
     this.limits.set(keyOf(limit), limit);
   }
 
-  spend({ service, address }: Place, count: number): void {
+  addSpent({ service, address }: Place, count: number): void {
     const key = keyOf({ service, address });
     const before = this.spent.get(key)?.count ?? 0;
     this.spent.set(key, { service, address, count: before + count });
   }
 
   /** All of it, which counts as told. */
-  take(): messages.Limited {
+  takeAll(): messages.Limited {
     const taken = { limits: [...this.limits.values()], spent: [...this.spent.values()] };
     this.limits.clear();
     this.spent.clear();
@@ -35,10 +35,10 @@
   }
 
   /** Takes back what no leader took; what was noted meanwhile is newer. */
-  putBack({ limits, spent }: messages.Limited): void {
+  restore({ limits, spent }: messages.Limited): void {
     limits
       .filter((limit) => !this.limits.has(keyOf(limit)))
       .forEach((limit) => this.limits.set(keyOf(limit), limit));
-    spent.forEach((each) => this.spend(each, each.count));
+    spent.forEach((each) => this.addSpent(each, each.count));
   }
 }
