--- a/packages/daemon/src/entry/exchange.ts
+++ b/packages/daemon/src/entry/exchange.ts
@@ -1,7 +1,6 @@
 /**
- * One caller's request from its route to its final answer. Every way out is an answer: the target's own,
- * or one of ours that says exactly what is known. 503 promises that the request did not run and never
- * will; 502 and 504 promise nothing.
+ * Handles one caller's request from its route to its final response, which is either a target's own or one that states
+ * exactly what is known: 503 guarantees that the request did not run and never will; 502 and 504 guarantee nothing.
  */
 import type * as http from 'node:http';
 import * as domain from '@celerydrift/domain';
@@ -38,7 +37,7 @@
   observer: observer.Observer;
   random: domain.shared.random.Random;
   now: () => number;
-  /** Whether what is in force here is known to be fresh enough to admit keys. */
+  /** Whether the settings in force were confirmed recently enough to admit keys. */
   isFresh: () => boolean;
 }
 
@@ -53,32 +52,35 @@
 }
 
 /**
- * Part of the time after which its caller gives up that a request may wait for a place. A late answer is worth a
- * quarter of one in time, a refusal nothing; the rest is for reading the prompt and for a second target. With a
- * half, the short prompts that a burst had no places for (749 on a played day) heard so only after a second.
+ * Share of the caller's timeout that a request may wait for a placement; the rest is for the prefill and for a second
+ * target. A late response is worth a quarter of one in time, a refusal nothing. With 0.5, short prompts that a burst
+ * left without a placement (749 in a replay) were refused only after a second.
  */
 const MAX_WAIT_SHARE = 0.3;
 
-/** What a caller is told to wait before it comes back, milliseconds, where nothing better is known. */
+/** Default Retry-After, milliseconds. */
 const RETRY_AFTER_MS = 300;
 
-/** Pause before a target is asked once more that refused the request, milliseconds: two passes. */
+/** Pause before a request returns to a target that refused it, milliseconds: two engine steps. */
 const SAME_TARGET_RETRY_MS = 100;
 
-/** What a caller is told to wait while a copy of its request may end a target; it shows within the time to a first event. */
+/**
+ * Retry-After while a copy of the request runs as a canary, milliseconds. Whether it crashes its target is known within
+ * the time to a first event.
+ */
 const SUSPECT_RETRY_AFTER_MS = 500;
 
-/** Pause before a request that was cut asks again whether the trial of its copy is over, milliseconds. */
+/** Interval at which an interrupted request checks whether the canary run of its copy is over, milliseconds. */
 const CANARY_POLL_MS = 100;
 
-/** Why a request wasn't sent, for the log; of engines the leader's line says more. */
+/** Why a request wasn't sent, for the log; for engines the leader's own log line has the details. */
 const NO_PLACE_DETAIL: Record<targetSelector.NoPlaceReason, string> = {
   full: 'no target with a free place',
   limited: 'the limits of its targets let no request pass in time',
-  closed: 'its targets take no further request from this VM',
+  unavailable: 'its targets take no further request from this VM',
 };
 
-/** How often a prompt larger than an engine looks for memory, and the pause between; milliseconds. */
+/** Retries of a memory reservation for a prompt larger than one engine, and the pause between them, milliseconds. */
 const MAX_RESERVATION_RETRIES = 5;
 const RESERVATION_RETRY_MS = 200;
 
@@ -91,38 +93,39 @@
 
   private readonly requestLog: exchangeLog.ExchangeLog;
 
-  /** Whether some target may have run the request. */
+  /** Whether any target may have run the request. */
   private mayHaveRun = false;
 
   private isOver = false;
 
-  /** Whether the time for the request is over; a timer may end a moment before the clock says so. */
+  /**
+   * Whether the deadline has passed; a flag, because a timer may fire slightly before the clock reaches the deadline.
+   */
   private isLate = false;
 
   private reservationRetries = 0;
 
   private attempt: targetClient.Attempt | undefined;
 
-  /** Target of the attempt under way. */
+  /** Target of the current attempt. */
   private activeTarget: string | undefined;
 
-  /** Whether the last target was overdue when its sending ended. */
+  /** Whether the last target's response was overdue when its attempt ended. */
   private wasOverdue = false;
 
   private sentAt = 0;
 
-  /** Whether the last target may have ended under the request. */
+  /** Whether the last target may have crashed while running the request. */
   private mayHaveCrashed = false;
 
   private interrupt: ((outcome: Outcome) => void) | undefined;
 
-  /** What `content` has worked out. */
   private cachedFingerprint: string | undefined;
 
-  /** Service that the request goes to; empty before it is chosen. */
+  /** Service that the request goes to; empty until it is selected. */
   private service = '';
 
-  /** Repeats of the service that the request goes to; undefined before that is chosen. */
+  /** Retry budget of the service; undefined until the service is selected. */
   private budget: domain.request.repeatBudget.RepeatBudget | undefined;
 
   constructor(
@@ -176,7 +179,7 @@
     while (shouldContinue) shouldContinue = await this.attemptWithPermit(service);
   }
 
-  /** One placing and sending, if the content may run at all; whether another one should follow. */
+  /** Makes one attempt, if the request is permitted to run; resolves to whether another one should follow. */
   private async attemptWithPermit(service: string): Promise<boolean> {
     const permit = await this.dependencies.quarantine.permit(this.requestInfo(service));
     if (permit.kind === 'busy' && this.mayHaveRun) return this.awaitCanary();
@@ -194,15 +197,16 @@
   }
 
   /**
-   * A crash cut this request together with a copy that is now in its trial. Its caller can't be told that it didn't run, so a
-   * refusal would be final with targets free; the trial shows within a second or two whether it may go on.
+   * Waits while a copy of this request, interrupted by the same crash, makes its canary run. This one has run already,
+   * so a refusal would be final although targets are free; the canary run shows within a second or two whether it may
+   * continue.
    */
   private async awaitCanary(): Promise<boolean> {
     await clock.pause(CANARY_POLL_MS);
     return !this.isOver;
   }
 
-  /** Places and sends the request once; undefined where it is over without a sending. */
+  /** Places and sends the request once; undefined if it ended without being sent. */
   private async attemptOnce(
     service: string,
     permit: quarantineClient.Grant,
@@ -227,10 +231,10 @@
     return outcome;
   }
 
-  /** Whether the request is sent once more after such an outcome; otherwise its caller has its final answer. */
+  /** Whether the request is attempted again after this outcome; otherwise its caller gets the final response. */
   private async shouldRetry(service: string, outcome: Outcome): Promise<boolean> {
     if (outcome.kind === 'answered' || this.isOver) return false;
-    // Its target came to want nothing between the choice and the sending: the next choice knows.
+    // The target became unavailable between its selection and the attempt; the next selection takes that into account.
     if (outcome.kind === 'withheld') return true;
     if (outcome.kind === 'noMemory' && this.reservationRetries < MAX_RESERVATION_RETRIES) {
       this.reservationRetries += 1;
@@ -250,8 +254,8 @@
   }
 
   /**
-   * What ended three targets isn't sent to a fourth. It has run, if under another id, so 503 with its promise would only
-   * bring it back; one whose copy runs at this moment hasn't, and is told to come back.
+   * Refuses a quarantined request, which crashed three targets, or one whose copy makes a canary run. The first has
+   * run, if under another id, so a 503 would only bring it back; the second hasn't, and its caller is told to retry.
    */
   private refuseSuspect(kind: 'quarantined' | 'busy'): void {
     this.mayHaveRun ||= kind === 'quarantined';
@@ -288,9 +292,9 @@
   }
 
   /**
-   * What its caller has waited for a first event. A stream that goes on has had its first one, and one that comes
-   * to a second target is late, not lost: counted further, no engine would be worth it, and a stream that was
-   * cut midway would be broken off with engines free.
+   * How long the caller has waited for a first event: 0 for a stream that resumes, and the objective at most for a
+   * request that moves to a second target. A longer wait would make any engine look worthless, and an interrupted
+   * stream would be aborted although engines are free.
    */
   private get waitedMs(): number {
     if (this.reply.lastEventId !== undefined) return 0;
@@ -366,7 +370,7 @@
     return outcome;
   }
 
-  /** A target that didn't answer may have ended under the request. */
+  /** Checks whether a target that didn't answer crashed while running the request. */
   private async checkForCrash(
     service: string,
     { endings }: quarantineClient.Grant,
@@ -388,7 +392,7 @@
     };
   }
 
-  /** The request as it is told from others that came under other ids. */
+  /** Fingerprint that all copies of the request share, whatever their ids. */
   private get fingerprint(): string {
     const { request, organisation, body } = this.admitted;
     this.cachedFingerprint ??= fingerprint.of({
@@ -401,7 +405,7 @@
     return this.cachedFingerprint;
   }
 
-  /** Waits for the end of a sending, its silence, or an interruption, whichever comes first. */
+  /** Waits until the attempt completes, times out or is interrupted, whichever comes first. */
   private async awaitOutcome(
     attempt: targetClient.Attempt,
     placement: domain.allocation.allocator.Placement,
@@ -438,7 +442,7 @@
     return { kind: 'failed', ending: 'broken', detail: completion.detail, isCut: false };
   }
 
-  /** Only requests that may be repeated are given up for silence: for the others it is no proof that they don't run. */
+  /** Only repeatable requests have a response timeout: a missing response doesn't prove that a request doesn't run. */
   private watchResponse(
     { firstTokenMs, target, address }: domain.allocation.allocator.Placement,
     onTimeout: (detail: string) => void,
@@ -466,7 +470,7 @@
     if (outcome.kind === 'failed' && !this.isRepeatable) return false;
     if (this.reply.isUnrecoverable) return false;
     if (!this.hasAttemptsLeft || this.timeLeftMs <= 0) return false;
-    // The budget bounds what reaches targets; a target that wasn't reached costs it nothing.
+    // The budget bounds what reaches targets, so a target that wasn't reached doesn't spend it.
     const isFree = outcome.kind === 'notRun' && outcome.ending === 'unreachable';
     const isQuarantined = this.dependencies.quarantine.isQuarantined(this.requestInfo(service));
     const isGranted =
@@ -479,7 +483,7 @@
     return isGranted;
   }
 
-  /** The caller left or its time is over: whatever runs for it is stopped. */
+  /** Stops whatever runs for a caller that disconnected or whose deadline passed. */
   private cancel(outcome: Outcome): void {
     if (this.isOver || this.admitted.response.writableFinished) return;
     if (outcome.kind === 'late') {
--- a/packages/daemon/src/entry/quarantineClient.ts
+++ b/packages/daemon/src/entry/quarantineClient.ts
@@ -1,7 +1,8 @@
 /**
- * An entry's part against requests under which targets end. Tells the leader which contents a target ran when it ended,
- * refuses what is in quarantine, and asks before it lets a suspect run. While nothing is suspected, a request costs one look into
- * an empty map; its content is worked out only where a suspect has a body of the same length.
+ * Protects targets from requests that crash them. Reports the fingerprints of requests that a target ran when it
+ * crashed, refuses quarantined requests, and asks the leader for permission before a suspect request runs. Without
+ * suspects a request costs one lookup in an empty map; its fingerprint is computed only if a suspect has a body of the
+ * same length.
  */
 import * as domain from '@celerydrift/domain';
 import * as clock from '../clock';
@@ -12,38 +13,42 @@
 import * as leaderOutbox from './leaderOutbox';
 import type * as livenessProbes from './livenessProbes';
 
-/** A request as far as it matters here. */
+/** A request that may be a suspect. */
 export interface RequestInfo {
   requestId: string;
   bodyBytes: number;
-  /** Works out its content; see `fingerprint`. */
+  /** Computes the fingerprint; see the module `fingerprint`. */
   fingerprint: () => string;
   service: string;
-  /** Targets that it was sent to before. */
+  /** Targets that it was sent to before, or that are unavailable to it. */
   excluded: readonly string[];
 }
 
-/** A target that a request was sent to. */
+/** An attempt that got no response. */
 export interface SentRequest {
   target: string;
   address: string;
   sentAt: number;
-  /** Whether that was a trial; see `Grant`. */
+  /** Whether it was a canary run; see `Grant`. */
   isTrial: boolean;
 }
 
-/** A request may be sent; `endings` count against its content, and with any of them the sending is a trial. */
+/**
+ * The request may run; `endings` is the number of crashes attributed to its fingerprint. If there are any, it is a
+ * canary run.
+ */
 export interface Grant {
   kind: 'granted';
   endings: number;
-  /** Where it must run; undefined for any target. */
+  /** The target that must run it; undefined for any. */
   target: string | undefined;
+  /** To be called when the run is over, with whether it completed. */
   end: (ranWhole: boolean) => void;
 }
 
 export type Permit =
   | Grant
-  /** Another request with its content runs, and shows soon whether it ends its target. */
+  /** Another request with the same fingerprint makes a canary run, which soon shows whether it crashes its target. */
   | { kind: 'busy' }
   | { kind: 'quarantined' };
 
@@ -57,34 +62,35 @@
 }
 
 /**
- * How long a request whose connection broke waits for the verdict on its target before it goes on elsewhere, milliseconds. A
- * crashed one refuses a connection, and one that lives answers, after one way there and back; a dark one isn't waited for.
+ * How long a request whose connection broke waits for the liveness probe of its target before it continues elsewhere,
+ * milliseconds. Within one round trip a crashed target refuses the connection and a live one responds; an unreachable
+ * target isn't waited for.
  */
 const CRASH_CHECK_WAIT_MS = 20;
 
-/** Most ends that wait for a leader; those of an entry that is cut off from all targets for some seconds. */
+/** Maximum number of unreported crashes: enough for an entry that is cut off from all targets for some seconds. */
 const MAX_UNREPORTED_CRASHES = 500;
 
-/** Most ended trials that wait for a leader; an entry runs one for each suspect. */
+/** Maximum number of unreported canary runs; an entry makes one at a time for each suspect. */
 const MAX_UNREPORTED_CANARIES = 100;
 
-/** A target's end that the leader is told of; `at` is this entry's clock. */
+/** A crash to be reported to the leader; `at` and `sentAt` are on this entry's clock. */
 type ObservedCrash = Omit<messages.EndedTarget, 'agoMs' | 'sentAgoMs'> & {
   at: number;
   sentAt: number;
 };
 
 export class QuarantineClient {
-  /** Suspects that run here; the leader's view is wider, but may be out of reach. */
+  /** Canary runs of this entry. The leader knows those of all entries, but may be unreachable. */
   private readonly canaryRuns = new domain.quarantine.trials.Trials();
 
-  /** An end that is lost would cost a further target. */
+  /** Reports of crashes. A lost one would cost another target, as the request would run once more. */
   private readonly crashReports = new leaderOutbox.LeaderOutbox<ObservedCrash>(
     (crashes) => this.reportCrashes(crashes),
     MAX_UNREPORTED_CRASHES,
   );
 
-  /** A trial that the leader takes for running keeps all copies of its request waiting. */
+  /** Reports of finished canary runs. While the leader counts one as running, all copies of its request wait. */
   private readonly canaryReports = new leaderOutbox.LeaderOutbox<messages.TrialEnded>(
     (runs) => this.reportCanaries(runs),
     MAX_UNREPORTED_CANARIES,
@@ -107,7 +113,7 @@
     const answer = await this.requestPermit({ content, id, entry: name, service, excluded });
     const end = (ranWhole: boolean): void => this.endCanary({ content, id, ranWhole });
     if (answer === undefined || answer.kind === 'granted') {
-      // A leader may not have heard yet of what was seen here.
+      // The leader may not have received this entry's crash reports yet.
       const endings = Math.max(
         answer?.endings ?? 0,
         this.dependencies.holding.quarantine.count(content),
@@ -122,12 +128,15 @@
     return this.statusOf(request) === 'quarantined';
   }
 
-  /** A request was sent and got no answer. Resolves when it is known whether its target ended, or soon. */
+  /**
+   * Probes the target of an attempt without a response, and reports a crash. Resolves with the probe, or after a short
+   * wait.
+   */
   async checkForCrash(request: RequestInfo, sent: SentRequest): Promise<void> {
     await Promise.race([this.reportIfCrashed(request, sent), clock.pause(CRASH_CHECK_WAIT_MS)]);
   }
 
-  /** Ends that no leader has taken by now stay untold. */
+  /** Drops reports that no leader has accepted yet. */
   close(): void {
     this.crashReports.close();
     this.canaryReports.close();
@@ -150,7 +159,9 @@
     return { kind: 'quarantined' };
   }
 
-  /** Of a request that nobody suspected when it began: that it ran to its end acquits its content all the same. */
+  /**
+   * For a request that wasn't a suspect when it started: its completion still clears a suspicion that arose meanwhile.
+   */
   private completionOf(request: RequestInfo): (ranWhole: boolean) => void {
     return (ranWhole) => {
       if (!ranWhole || this.statusOf(request) === 'free') return;
@@ -200,7 +211,10 @@
     void this.crashReports.send({ content, lifetime, isTrial, sentAt, at: now() });
   }
 
-  /** At once, also while an earlier word is under way: on one connection it then comes before the question whether its request may run again. */
+  /**
+   * Called at once for each crash, also while an earlier report is in flight: on the same connection it then arrives
+   * before the `permit` call of the request that is to run again.
+   */
   private async reportCrashes(crashes: readonly ObservedCrash[]): Promise<boolean> {
     const { holding: held, now } = this.dependencies;
     const ended = crashes.map(({ at, sentAt, ...each }) => {
@@ -209,13 +223,13 @@
     const blame: messages.Blame = { ended };
     const answer = await leaderCall.call<messages.BlameAnswer>(this.dependencies, 'blame', blame);
     if (answer === undefined) return false;
-    // A leader that doesn't believe an end changes nothing and tells nobody else.
+    // A leader that rejects a crash report changes nothing and sends no update, so its answer replaces the local state.
     answer.reports.forEach((report) => held.quarantine.take(report, now()));
     return true;
   }
 }
 
-/** A target that said that it leaves has ended by itself, and whatever it cut short didn't end it. */
+/** Whether a target announced its stop, so that no request that it interrupted is to blame. */
 function hasStoppedItself({
   state,
   isPresumed,
--- a/packages/daemon/src/entry/rateLimitClient.ts
+++ b/packages/daemon/src/entry/rateLimitClient.ts
@@ -1,6 +1,7 @@
 /**
- * An entry's part in keeping to the limits that targets name. Tells the leader what answers say of them, and what it sent without
- * asking; asks it for messages that the allocator doesn't place. While nobody leads, the entry gives out its own part of each limit.
+ * Keeps an entry within the rate limits that targets name. Reports limits found in responses, and messages sent without
+ * a grant, to the leader, and asks it for grants of messages that the allocator doesn't place. While there is no
+ * leader, the entry grants its own share of each limit.
  */
 import * as domain from '@celerydrift/domain';
 import * as clock from '../clock';
@@ -16,7 +17,7 @@
 
 type Place = domain.rateLimits.rateLimits.Place;
 
-/** A request that a target answered. */
+/** A request that a target responded to. */
 export interface AnsweredRequest extends Place {
   requestId: string;
   target: string;
@@ -34,14 +35,14 @@
 }
 
 /**
- * Pause between an entry's trials of a target with a limit while other targets take all calls, milliseconds; longer where more
- * entries share the trials.
+ * Interval at which an entry probes whether a target's limit is over while other targets take all calls, milliseconds.
+ * Grows in proportion with more than `PROBING_ENTRIES` entries, which share the probes.
  */
 const PROBE_INTERVAL_MS = 1_000;
 const PROBING_ENTRIES = 5;
 
 export class RateLimitClient {
-  /** When this entry tries a target with a limit next, by place. */
+  /** When this entry next probes a target with a limit, by service and address. */
   private readonly nextProbes = new Map<string, number>();
 
   private readonly unreported = new unreportedLimits.UnreportedLimits();
@@ -50,12 +51,12 @@
 
   private isClosed = false;
 
-  /** How many entries share the limits while nobody leads; 0 while that isn't known. */
+  /** Number of entries that share the limits while there is no leader; 0 while unknown. */
   private entries = 0;
 
   constructor(private readonly dependencies: Dependencies) {}
 
-  /** A leader confirmed this entry, and gives out the limits. */
+  /** Called when a leader confirms this entry; the leader grants messages from then on. */
   leaderFound(entries: number): void {
     if (entries > 0) this.entries = entries;
     this.dependencies.holding.limits.giveOut(0, this.dependencies.now());
@@ -66,13 +67,13 @@
     this.dependencies.holding.limits.giveOut(share, this.dependencies.now());
   }
 
-  /** A target answered a request of a caller. */
+  /** Applies the limit named in a response to a caller's request. */
   answered(answer: AnsweredRequest, limit: protocols.NamedLimit): void {
     const { observer: observe, holding: held } = this.dependencies;
     if (limit.kind !== 'none') observe.count(`limits.${limit.kind}`);
     if (limit.kind === 'unreadable') return;
     const since = held.limits.knownSince(answer);
-    // An answer to a request from before the limit was known may be older than the limit.
+    // A response to a request that was sent before the limit became known may be older than the limit.
     if (limit.kind === 'none' && (since === undefined || answer.sentAt <= since)) return;
     const before = held.limits.at(answer);
     const perSecond = limit.kind === 'none' ? undefined : limit.perSecond;
@@ -85,13 +86,13 @@
     void this.reportToLeader();
   }
 
-  /** A message went to a target without the leader's word. */
+  /** Counts a message that was sent to a target without a grant. */
   spent(target: string): void {
     const record = this.dependencies.holding.registry.get(target);
     if (record !== undefined) this.recordSpent(record);
   }
 
-  /** Whether a target may be asked whether it lives. */
+  /** Whether a liveness probe may be sent to a target. */
   async mayProbe(target: string): Promise<boolean> {
     const record = this.dependencies.holding.registry.get(target);
     if (record === undefined || !this.dependencies.holding.limits.isLimited(record)) return true;
@@ -99,13 +100,13 @@
     return answer?.kind === 'granted';
   }
 
-  /** One request for one of some places with limits. */
+  /** Grants one request to one of several targets with limits. */
   async grant(places: readonly Place[]): Promise<Grant> {
     const message = { places: places.map(placeOf), purpose: 'request' } as const;
     return (await this.requestGrant(message)) ?? this.grantLocally(places);
   }
 
-  /** One request for a target whose limit may be over; without any, nobody would learn that. */
+  /** Grants one request to a target whose limit may be over, which only a response of the target can show. */
   async grantProbe(places: readonly Place[]): Promise<Place | undefined> {
     const { now, holding: held } = this.dependencies;
     const intervalMs = PROBE_INTERVAL_MS * Math.max(1, this.entries / PROBING_ENTRIES);
@@ -119,12 +120,12 @@
     return grant.kind === 'granted' ? due : undefined;
   }
 
-  /** What no leader has taken by now stays untold. */
+  /** Drops reports that no leader has accepted yet. */
   close(): void {
     this.isClosed = true;
   }
 
-  /** The leader's word; undefined where nobody leads. */
+  /** The leader's decision; undefined if there is no leader or it doesn't answer. */
   private requestGrant(message: messages.GrantQuestion): Promise<Grant | undefined> {
     return leaderCall.call<messages.GrantAnswer>(this.dependencies, 'grant', message);
   }
@@ -146,7 +147,7 @@
     void this.reportToLeader();
   }
 
-  /** Tells the leader until one has taken it. */
+  /** Reports to the leader until one has accepted everything. */
   private async reportToLeader(): Promise<void> {
     if (this.isReporting) return;
     this.isReporting = true;
--- a/packages/daemon/src/entry/targetClient.ts
+++ b/packages/daemon/src/entry/targetClient.ts
@@ -1,46 +1,50 @@
 /**
- * One sending of a request to one target, through undici. Connections are kept for each lifetime of a
- * target, so none of a dead lifetime meets its successor. What an attempt proves is exact: a request
- * whose first byte was never written did not run.
+ * HTTP client for targets, built on undici. Each lifetime of a target has its own connection pool, so a restarted
+ * target never gets a connection of its predecessor. A request whose first byte was never written is known not to
+ * have run.
  */
 import * as fs from 'node:fs';
 import * as net from 'node:net';
 import * as undici from 'undici';
 import type * as protocols from '../edges/protocols';
 
-/** The head of a target's answer. */
+/** Status and headers of a target's response. */
 export interface ResponseHead {
   status: number;
-  /** Names and values in turn, as received. */
+  /** Header names and values, alternating, as received. */
   raw: string[];
   facts: protocols.AnswerFacts;
 }
 
 export interface ResponseHandler {
-  /** Called at the first sign of an answer. */
+  /** Called when the head of the response arrives. */
   onHead: (head: ResponseHead) => void;
   onData: (chunk: Buffer) => void;
 }
 
-/** How a sending ended. */
+/** How an attempt ended. */
 export type SendResult =
   | { kind: 'complete' }
-  /** No byte was written: the target certainly didn't run it. */
+  /** No byte was written: the target can't have run it. */
   | { kind: 'notSent'; detail: string }
-  /** Nothing was sent, as the target wants no such message now. */
+  /** Nothing was sent, because the target is unavailable to such messages. */
   | { kind: 'withheld' }
-  /** Bytes were written and no whole answer came. */
+  /** Bytes were written, but no complete response arrived. */
   | { kind: 'broken'; detail: string }
   | { kind: 'cancelled' };
 
-/** What a message is for: a caller's request, an order that begins something, one about what runs already, or a check. */
+/**
+ * Purpose of a message: a caller's request, an order that starts something, the upkeep of something that runs, or a
+ * liveness probe (`check`).
+ */
 export type MessagePurpose = 'request' | 'order' | 'upkeep' | 'check';
 
+/** An HTTP request to a target. */
 export interface TargetMessage {
   target: string;
   address: string;
   purpose: MessagePurpose;
-  /** The request's id, which its answer repeats; undefined for messages of our own. */
+  /** Id of the caller's request, which its response repeats; undefined for messages that this daemon originates. */
   requestId?: string;
   method: string;
   path: string;
@@ -48,17 +52,17 @@
   body: Buffer;
 }
 
-/** A message under way to a target. */
+/** Notified about a message that was sent to a target. */
 export interface DeliveryCallbacks {
-  /** An answer to it began. */
+  /** The head of its response arrived. */
   answered: (head: ResponseHead) => void;
-  /** It is over, with or without an answer. */
+  /** It ended, with or without a response. */
   ended: () => void;
 }
 
-/** Decides on each message to a target, and hears of each answer. */
+/** Admits or withholds each message to a target, and is notified of each response. */
 export interface AdmissionGate {
-  /** Undefined where the target wants no such message now. */
+  /** Undefined if the message is withheld. */
   admit(message: TargetMessage): DeliveryCallbacks | undefined;
 }
 
@@ -69,34 +73,34 @@
   source?: string;
 }
 
-/** How a call of our own ended. */
+/** Result of a call that this daemon originates; `silent` if no complete response arrived in time. */
 export type CallResult =
   | { kind: 'answered'; status: number; facts: protocols.AnswerFacts }
   | { kind: 'silent' }
   | { kind: 'withheld' };
 
 /**
- * Longest time for a new connection, milliseconds. One way takes a few; a lost opening packet is sent again
- * after a second, and by then another target has the request. Nothing was sent, so any request may go elsewhere.
+ * Connect timeout, milliseconds. A one-way trip takes a few; a lost SYN is sent again after a second, too late to wait
+ * for. Nothing was sent by then, so even an unsafe request may go to another target.
  */
 const CONNECT_TIMEOUT_MS = 250;
 
-/** An idle connection is given up this long before the target closes it, milliseconds. */
+/** An idle connection is closed this long before the target would close it, milliseconds. */
 const IDLE_TIMEOUT_MARGIN_MS = 500;
 
-/** How long an idle connection is kept where the target says nothing, milliseconds. */
+/** How long an idle connection is kept if the target doesn't announce a timeout, milliseconds. */
 const IDLE_TIMEOUT_MS = 4_000;
 
-/** What happens to a connection at this very moment, while its listeners run. */
+/** Event of a connection whose listeners are running right now. */
 type ConnectionEvent = 'none' | 'closedByTarget' | 'reset';
 
 /**
- * Whether a connection that seems to have ended in order was reset. Where data and a reset arrive together,
- * the event loop's library reads the data and reports an end without asking again; the reset then waits in
- * the socket, and one more read brings it out. After an end in order that read gives no bytes.
+ * Whether a connection that appears to have been closed cleanly was reset. When data and a reset arrive together, libuv
+ * reads the data and reports an end without reading again. The reset stays pending in the socket, and one more read
+ * returns it; after a clean close that read returns no bytes.
  */
 function wasReset(socket: net.Socket): boolean {
-  // The descriptor has no public name; without one the socket is closed already, which proves nothing.
+  // There is no public API for the descriptor. Without one the socket is closed already, which proves nothing.
   const { _handle: handle } = socket as unknown as { _handle?: { fd?: number } | null };
   if (handle?.fd === undefined || handle.fd < 0) return true;
   try {
@@ -107,9 +111,9 @@
 }
 
 /**
- * Notes the end of a connection before the HTTP library hears of it. The library takes an answer for whole
- * when its connection ends and the head announced that it would: also where the connection was reset, and
- * where a chunked body lacks its last chunk. A caller would get a cut answer that looks complete.
+ * Records how a connection ended before undici handles the event. undici treats a response with `Connection: close` as
+ * complete when its connection ends, even if the connection was reset or a chunked body lacks its last chunk. A caller
+ * would get a truncated response that looks complete.
  */
 class ConnectionTracker {
   private event: ConnectionEvent = 'none';
@@ -156,7 +160,7 @@
   }
 }
 
-/** A sending under way; `cancel` closes its connection, which also stops the target. */
+/** One attempt to send a message; `cancel` closes its connection, which also stops the target's work. */
 export class Attempt implements undici.Dispatcher.DispatchHandler {
   readonly result: Promise<SendResult>;
 
@@ -170,7 +174,7 @@
 
   private isChunked = false;
 
-  /** `delivery` is undefined where nothing is sent. */
+  /** `callbacks` is undefined if the message is withheld. */
   constructor(
     private readonly handler: ResponseHandler,
     private readonly connections: ConnectionTracker,
@@ -183,7 +187,7 @@
     if (callbacks === undefined) this.finish({ kind: 'withheld' });
   }
 
-  /** Whether the target wants no such message now, and gets none. */
+  /** Whether the message was withheld because the target is unavailable to it. */
   get isWithheld(): boolean {
     return this.callbacks === undefined;
   }
@@ -195,7 +199,7 @@
     this.finish({ kind: 'cancelled' });
   }
 
-  /** Whether bytes of the request may have left. */
+  /** Whether bytes of the request may have been written. */
   get wasSent(): boolean {
     return this.controller !== undefined;
   }
@@ -283,7 +287,7 @@
     return attempt;
   }
 
-  /** A call of our own. */
+  /** Sends a message that this daemon originates, and discards the body of its response. */
   async call(
     { target, address, purpose }: Pick<TargetMessage, 'target' | 'address' | 'purpose'>,
     { method, path, headers, body }: protocols.TargetCall,
@@ -307,11 +311,11 @@
     return { kind: 'answered', status: head.status, facts: head.facts };
   }
 
-  /** The lifetime ended: its idle connections are closed, running answers go on. */
+  /** Closes the idle connections of a lifetime that ended; responses in progress continue. */
   forget(target: string): void {
     const pool = this.pools.get(target);
     this.pools.delete(target);
-    // Closing fails only for a pool that is closed already.
+    // Fails only if the pool is closed already.
     void pool?.close().catch(() => undefined);
   }
 
--- a/packages/daemon/src/entry/targetSelector.ts
+++ b/packages/daemon/src/entry/targetSelector.ts
@@ -1,7 +1,7 @@
 /**
- * Where a request goes. Prompts get their engines from the leader's allocator, which has one view of all
- * dispatches; while it doesn't answer, the entry places by its own dispatches. Calls to plain services
- * go to the ready target with the fewest calls of this entry.
+ * Selects the target of each request. Engines for prompts are placed by the leader's allocator, which sees the
+ * dispatches of all entries; while the leader doesn't answer, a local allocator places by this entry's dispatches
+ * alone. Calls to plain services go to the ready target with the fewest calls from this entry.
  */
 import * as domain from '@celerydrift/domain';
 import type { Result } from 'ts-results';
@@ -20,6 +20,7 @@
 type Placement = domain.allocation.allocator.Placement;
 type PlaceResult = Result<messages.PlaceAnswer, errors.CallError>;
 
+/** A request that needs a target. Sent to the leader as it is, in `messages.Place`. */
 export interface PlacementRequest {
   id: string;
   service: string;
@@ -27,31 +28,34 @@
   answerTokens: number;
   objectiveMs: number;
   pauseMs: number;
-  /** How long the caller has waited already. */
+  /** How long the caller has already waited, milliseconds. */
   waitedMs: number;
   excluded: readonly string[];
-  /** The only targets that may answer; undefined for any. */
+  /** The only targets that may serve the request; undefined for any. */
   writers?: readonly string[];
-  /** How many targets ended while they ran its content; undefined for none. */
+  /** How many targets crashed while running a request with the same fingerprint; undefined for none. */
   endings?: number;
+  /** How long the request may wait for a placement, milliseconds. */
   patienceMs: number;
 }
 
-/** What an entry saw of a dispatch beside its ending. */
+/** What an entry observed of a dispatch besides its outcome. */
 export interface DispatchObservations {
-  /** The target that made it fail, where that isn't the chosen one. */
+  /** The target that caused the failure, if it isn't the selected one. */
   faulty?: string;
-  /** Usual pause between its events, milliseconds. */
+  /** Typical inter-token gap, milliseconds. */
   gapMs?: number;
 }
 
-/** Says how a dispatch ended. */
+/** Releases a placement and reports the outcome of its dispatch. */
 export type Release = (outcome: DispatchOutcome, observed?: DispatchObservations) => void;
 
-/** Why there is no place; `closed` where no target takes a further request from this VM for a while. */
-export type NoPlaceReason = 'full' | 'limited' | 'closed';
+/**
+ * Why there is no placement; `unavailable` if all targets are in back-off, draining or out of connections for this VM.
+ */
+export type NoPlaceReason = 'full' | 'limited' | 'unavailable';
 
-/** No target has a place; `reason` is missing where it is the usual one, that all are full or gone. */
+/** No target can take the request; `reason` is absent for the usual one, that all targets are full or gone. */
 interface NoPlace {
   kind: 'noPlace';
   retryAfterMs: number;
@@ -60,13 +64,13 @@
 
 export type Choice = { kind: 'placed'; placement: Placement; release: Release } | NoPlace;
 
-/** Until when a request waits for a place, and for targets that want nothing from this VM. */
+/** Until when a request waits for a placement, and until when for targets that are unavailable to this VM. */
 interface WaitDeadlines {
   until: number;
   backOffUntil: number;
 }
 
-/** Some target takes requests from this VM; `excluded` are those that the request mustn't go to. */
+/** At least one target accepts requests from this VM; `excluded` lists those that the request must not go to. */
 interface Availability {
   kind: 'open';
   excluded: readonly string[];
@@ -85,60 +89,62 @@
   now: () => number;
 }
 
-/** The leader is asked only if it confirmed this entry lately; two of the usual pauses, milliseconds. */
+/** A leader that last confirmed this entry longer ago isn't asked, milliseconds: two of the usual intervals. */
 const MAX_LEADER_AGE_MS = 1_300;
 
-/** What the leader's answer may take beyond the wait for a place, milliseconds: ten times the usual. */
+/** Time that the leader's answer may take beyond the wait for a placement, milliseconds: ten times the usual. */
 const PLACE_TIMEOUT_MS = 150;
 
 /**
- * A prompt with a shorter objective must hurry, milliseconds: it would come late while its entry finds out whether the leader is
- * lost. It goes on without the leader as soon as that owes a sign of life for `SILENT_MS`, thirty ways there and back; one that
- * is only busy, or keeps the prompt waiting for a place, gives it within a few.
+ * Prompts with a shorter objective, milliseconds, would miss it while the entry detects the loss of the leader. They
+ * stop waiting as soon as a heartbeat of the leader is overdue by `LEADER_OVERDUE_MS`, thirty round trips; a leader
+ * that is only busy, or has no free engine for the prompt, answers within a few.
  */
 const SHORT_OBJECTIVE_MS = 900;
 const SHORT_CHECK_INTERVAL_MS = 60;
 const LEADER_OVERDUE_MS = 50;
 
-/** An answer that comes later than this after it was due is not waited for to give its place back, milliseconds. */
+/** How long after its deadline a late placement is still received, to release it at the leader, milliseconds. */
 const LATE_ANSWER_WINDOW_MS = 5_000;
 
-/** Ends of dispatches are gathered for so long before they are told to the leader, milliseconds. */
+/** Outcomes of dispatches are batched for this long before they are reported to the leader, milliseconds. */
 const REPORT_BATCH_MS = 5;
 
 /**
- * Pause before a prompt without a place is considered again while nobody leads, milliseconds: about a pass of an engine. Refused
- * at once, long prompts came back to the same full engines while their callers had seconds left.
+ * Interval between placement attempts for a prompt while there is no leader, milliseconds: about one engine step.
+ * Refused at once, long prompts came back to the same full engines although their callers had seconds left.
  */
 const PLACEMENT_RETRY_MS = 50;
 
-/** Pause before a limited target is asked for once more, milliseconds. */
+/** Minimum wait before a target with a rate limit, or an unavailable one, is tried again, milliseconds. */
 const MIN_WAIT_MS = 10;
 
-/** Bounds of what callers are told to stay away where engines are full, milliseconds. */
+/** Bounds of the Retry-After that callers get when targets are full or limited, milliseconds. */
 const RETRY_AFTER_MS = { min: 200, max: 2_000 } as const;
 
 /**
- * Part of its objective for which a request waits for targets that want nothing from this VM. Held longer, it would be late even if
- * the first one took it; refused, its caller may find another VM that they didn't turn away.
+ * Share of its objective for which a request waits for targets that are unavailable to this VM. After a longer wait it
+ * would miss the objective anyway; when refused, its caller may reach another VM to which the targets are available.
  */
 const MAX_UNAVAILABLE_WAIT_SHARE = 0.5;
 
-/** Callers whom all targets turned away are told to stay away up to this part longer, so that they don't return together. */
+/**
+ * Retry-After is extended by up to this share when all targets are unavailable, so that callers don't return together.
+ */
 const RETRY_AFTER_JITTER = 0.5;
 
-/** How long callers are told to stay away where no target is there, milliseconds. */
+/** Retry-After where the service has no target, milliseconds. */
 const NO_TARGET_RETRY_MS = 500;
 
 export class TargetSelector {
-  /** Places by this entry's dispatches alone. */
+  /** Places by this entry's dispatches alone, while there is no leader. */
   readonly fallback: domain.allocation.allocator.Allocator;
 
   private readonly activeCalls = new Map<string, number>();
 
   private readonly targetHealth = new Map<string, domain.allocation.soundness.Soundness>();
 
-  /** Dispatches on engines that run, by request. */
+  /** Running dispatches on engines, by request id. */
   private readonly running = new Map<string, messages.Dispatched>();
 
   private finishedDispatches: messages.Ended['dispatches'] = [];
@@ -158,7 +164,7 @@
     const backOffUntil = Math.min(until, this.options.now() + maxUnavailableWaitMs(request));
     if (service?.engine === undefined) return this.choosePlain(request, { until, backOffUntil });
     for (let retries = 0; ; retries++) {
-      // A leader that was given up may give a place for the first question yet, which must not be taken for one of a later.
+      // A leader that timed out may still place an earlier attempt; a distinct id keeps that from matching a later one.
       const id = retries === 0 ? request.id : `${request.id}.${retries}`;
       const availability = await this.awaitAvailability(request, backOffUntil);
       if (availability.kind === 'noPlace') return availability;
@@ -171,7 +177,9 @@
     }
   }
 
-  /** Until the first target of a service takes a request from this VM, milliseconds; 0 where one does, or where there is none. */
+  /**
+   * Time until a target of the service accepts requests from this VM, milliseconds; 0 if one does or if there is none.
+   */
   unavailableForMs(service: string): number {
     return this.untilAvailableMs(
       { service, excluded: [] },
@@ -179,7 +187,7 @@
     );
   }
 
-  /** Waits for a target that takes requests from this VM, if there may be one in time. */
+  /** Waits for a target that accepts requests from this VM, unless all stay unavailable beyond the deadline. */
   private async awaitAvailability(
     request: PlacementRequest,
     until: number,
@@ -192,13 +200,13 @@
       if (now() + waitMs > until) {
         const jitter = 1 + RETRY_AFTER_JITTER * random.uniform();
         const retryAfterMs = Math.round(Math.max(RETRY_AFTER_MS.min, waitMs) * jitter);
-        return { kind: 'noPlace', retryAfterMs, reason: 'closed' };
+        return { kind: 'noPlace', retryAfterMs, reason: 'unavailable' };
       }
       await clock.pause(Math.max(MIN_WAIT_MS, waitMs));
     }
   }
 
-  /** How long all targets that may take a request are closed, milliseconds; 0 where one isn't, or where there is none. */
+  /** Time until a candidate target becomes available, milliseconds; 0 if one is or if there is none. */
   private untilAvailableMs(
     { service, excluded, writers }: Pick<PlacementRequest, 'service' | 'excluded' | 'writers'>,
     unavailable: readonly string[],
@@ -211,7 +219,7 @@
     return Math.min(...candidates.map(({ id }) => this.options.signals.waitMs(id)));
   }
 
-  /** The leader's answer; undefined where nobody leads, or the leader is lost meanwhile. */
+  /** Asks the leader for a placement; undefined if there is no leader, or it is lost meanwhile. */
   private async placeByLeader(
     request: PlacementRequest,
     until: number,
@@ -254,7 +262,7 @@
     };
   }
 
-  /** The leader's answer; undefined where it comes too late, or the leader is lost or seems to be before. */
+  /** The leader's answer; undefined if it is late, or if the leader is lost or appears to be. */
   private async awaitLeader<T>(
     pending: Promise<T>,
     request: PlacementRequest,
@@ -265,7 +273,7 @@
     const gaveUp = new Promise<undefined>((resolve) => {
       giveUp = () => resolve(undefined);
     });
-    // Again and again, as one that has just given a sign of life isn't asked at once.
+    // Repeated, because a leader that has just sent a heartbeat isn't probed at once.
     const check = (): void => {
       void link.verify();
       if (hasShortObjective && link.silentMs > LEADER_OVERDUE_MS) giveUp();
@@ -283,13 +291,13 @@
     return answer;
   }
 
-  /** The leader gave a place after all: nobody uses it, so it must not count there. */
+  /** Releases a placement that came after the deadline, so that the leader doesn't count an unused dispatch. */
   private releaseLatePlacement({ id }: PlacementRequest, late: PlaceResult): void {
     if (late.err || late.val.kind !== 'placed') return;
     this.report(id, late.val.placement.target, 'cancelled');
   }
 
-  /** A place by this entry's own dispatches; undefined where no engine has room. */
+  /** Places by this entry's own dispatches; undefined if no engine has room. */
   private placeLocally(request: PlacementRequest): Choice | undefined {
     const { name, dataCentre, now, observer } = this.options;
     const placement = this.fallback.place({ ...request, entry: name, dataCentre }, now());
@@ -316,7 +324,10 @@
     );
   }
 
-  /** Targets with limits get what the others can't take, and now and then a call that shows whether the limit is over. */
+  /**
+   * Targets with rate limits get the calls that no other target can take, and occasional probes whether the limit is
+   * over.
+   */
   private async choosePlain(
     request: PlacementRequest,
     { until, backOffUntil }: WaitDeadlines,
@@ -355,7 +366,7 @@
     }
   }
 
-  /** Ready targets that may take a call, those without and those with a limit. */
+  /** Ready targets that may take a call, split into those without a rate limit and those with one. */
   private eligibleTargets({ service, excluded, writers }: PlacementRequest): {
     open: Announcement[];
     limited: Announcement[];
@@ -370,7 +381,10 @@
     };
   }
 
-  /** Those that take work; one that hasn't spoken since all keepers were down may be gone, and gets one call at a time. */
+  /**
+   * Targets that aren't ejected. One that hasn't announced itself since all keepers were down may be gone: one call at
+   * a time.
+   */
   private usableOf(records: Announcement[]): Announcement[] {
     const healthy = records.filter(({ id }) => {
       return (
@@ -406,16 +420,16 @@
     const health = this.targetHealth.get(target) ?? new domain.allocation.soundness.Soundness();
     health.ended(outcome, this.options.now());
     this.targetHealth.set(target, health);
-    // The leader is told too: it may be the only one that can presume the lifetime ended for all.
+    // The leader is informed as well: it may be the only one that can presume the lifetime ended, for all entries.
     if (outcome === 'replaced') this.report('', target, outcome);
   }
 
-  /** A lifetime ended: nothing more is known of it. */
+  /** Discards the health of a target whose lifetime ended. */
   forget(target: string): void {
     this.targetHealth.delete(target);
   }
 
-  /** Tells whoever leads now: a new leader may have counted a dispatch of the old one. */
+  /** Reports to the current leader, also for a dispatch that an earlier one placed: the new one may have counted it. */
   private report(
     id: string,
     target: string,
@@ -435,17 +449,17 @@
   }
 }
 
-/** How long a request may wait for targets that want nothing from this VM, milliseconds. */
+/** How long a request may wait for targets that are unavailable to this VM, milliseconds. */
 function maxUnavailableWaitMs({ objectiveMs, waitedMs }: PlacementRequest): number {
   return Math.max(0, MAX_UNAVAILABLE_WAIT_SHARE * objectiveMs - waitedMs);
 }
 
-/** How long to stay away for the limits of targets; while nobody leads, nobody knows. */
+/** Retry-After where rate limits block all targets, milliseconds; the wait is unknown while there is no leader. */
 function limitRetryAfterMs({ waitMs }: { waitMs: number }): number {
   return clampRetryAfterMs(Number.isFinite(waitMs) ? waitMs : NO_TARGET_RETRY_MS);
 }
 
-/** A time to stay away that callers bear. */
+/** Clamps a Retry-After to `RETRY_AFTER_MS`. */
 function clampRetryAfterMs(ms: number): number {
   const { min, max } = RETRY_AFTER_MS;
   return Math.round(Math.min(max, Math.max(min, ms)));
--- a/packages/daemon/src/entry/targetSignals.ts
+++ b/packages/daemon/src/entry/targetSignals.ts
@@ -1,9 +1,10 @@
 /**
- * What targets say of themselves in their answers, and what this entry believes and tells from then on. Every message to a target,
- * whatever it is for, passes here twice: before it is sent, as its target may want none, and when its answer begins.
+ * Handles the signals that targets give in their responses: back-off, rate limits and draining. Every message to a
+ * target passes here twice: before it is sent, as the target may be unavailable, and when the head of its response
+ * arrives.
  *
- * Only a lifetime's own word counts: an answer to this very message, from the target that was meant. One that belongs to another
- * request, or that nobody signed and that promises nothing, says nothing of the target.
+ * Only a response to the message itself, from the addressed lifetime, counts as a signal of the target. A response to
+ * another request, or one that is neither signed nor a guarantee that the request didn't run, is ignored.
  */
 import * as domain from '@celerydrift/domain';
 import type * as protocols from '../edges/protocols';
@@ -25,41 +26,45 @@
   now: () => number;
 }
 
-/** A message that was sent. */
+/** A message that was sent; `at` is its time on the steady clock, milliseconds. */
 interface SentMessage {
   message: targetClient.TargetMessage;
   passage: domain.backOff.backOffs.Passage;
   at: number;
 }
 
-/** Most targets that leave and of which no leader has heard. */
+/** Maximum number of draining lifetimes whose reports no leader has accepted yet. */
 const MAX_UNREPORTED_LIFETIMES = 500;
 
-/** How long whoever may not try a target waits for what the trials of others show, milliseconds; some ways there and back. */
+/**
+ * How long a request waits for the result of another one's canary request to a target, milliseconds: a few round trips.
+ */
 const CANARY_RESULT_WAIT_MS = 50;
 
 export class TargetSignals implements targetClient.AdmissionGate {
   private readonly backOffs = new domain.backOff.backOffs.BackOffs();
 
-  /** Births of targets that leave, by id. */
+  /** Start times of draining targets, by id. */
   private readonly draining = new Map<string, number>();
 
-  /** Other entries hear it from the leader, before each has met an answer of its own. */
+  /**
+   * Reports of draining targets; the leader forwards them to entries that haven't received such a response themselves.
+   */
   private readonly drainReports = new leaderOutbox.LeaderOutbox<Lifetime>(
     (lifetimes) => this.reportDraining(lifetimes),
     MAX_UNREPORTED_LIFETIMES,
   );
 
-  /** The leader that has heard of all that leave; empty for none. */
+  /** The leader that all draining targets were reported to; empty for none. */
   private informedLeader = '';
 
-  /** Messages under way by target, each on a connection of its own. */
+  /** Number of messages in flight by target, each on its own connection. */
   private readonly activeMessages = new Map<string, number>();
 
-  /** Entries that share the connections that a target accepts; 0 while that isn't known. */
+  /** Number of entries that share the connections that a target accepts; 0 while unknown. */
   private entries = 0;
 
-  /** Targets that asked for a time that couldn't be read, each with one line of the log. */
+  /** Targets whose unreadable back-off was logged; each is logged once. */
   private readonly loggedUnreadable = new Set<string>();
 
   constructor(private readonly dependencies: Dependencies) {}
@@ -87,7 +92,7 @@
     };
   }
 
-  /** Targets of a service that take no request from this entry now. */
+  /** Targets of a service that are unavailable to requests of this entry. */
   unavailable(service: string): string[] {
     const { registry } = this.dependencies.holding;
     const ids = new Set([
@@ -101,24 +106,24 @@
     });
   }
 
-  /** For how long a target still wants nothing, milliseconds; 0 where it didn't ask for that, or the time is over. */
+  /** Remaining back-off of a target, milliseconds; 0 if it asked for none or it has expired. */
   backOffMs(target: string): number {
     return this.backOffs.waitMs(target, this.dependencies.now());
   }
 
-  /** Until a target that is closed may take a request, milliseconds. */
+  /** Time until an unavailable target may accept a request, milliseconds. */
   waitMs(target: string): number {
     return Math.max(CANARY_RESULT_WAIT_MS, this.backOffMs(target));
   }
 
-  /** A lifetime ended. */
+  /** Discards the signals of a lifetime that ended. */
   forget({ id, bornAt }: Lifetime): void {
     this.backOffs.forget(id, this.dependencies.now());
     this.loggedUnreadable.delete(id);
     if (this.draining.get(id) === bornAt) this.draining.delete(id);
   }
 
-  /** A leader confirmed this entry, one of so many: one that is new may not know yet who leaves. */
+  /** Called when a leader confirms this entry, one of `entries`. A new leader may not know the draining targets yet. */
   leaderFound(leader: string, entries: number): void {
     if (entries > 0) this.entries = entries;
     if (leader === this.informedLeader) return;
@@ -132,14 +137,14 @@
     this.informedLeader = '';
   }
 
-  /** What no leader has taken by now stays untold. */
+  /** Drops reports that no leader has accepted yet. */
   close(): void {
     this.drainReports.close();
   }
 
   private accepts(target: string, purpose: targetClient.MessagePurpose): boolean {
     const now = this.dependencies.now();
-    // What runs there goes on, and its memory with it.
+    // Upkeep of what already runs there, and its memory, continues.
     const isNew = purpose === 'request' || purpose === 'order';
     if (isNew && (this.isDraining(target) || !this.hasFreeConnection(target))) return false;
     if (purpose === 'upkeep') return this.backOffs.takesUpkeep(target, now);
@@ -153,7 +158,7 @@
     if (head.facts.isLeaving) this.recordDraining(sentMessage);
   }
 
-  /** Of two lifetimes with one id the later one answered: connections to the other one ended with it. */
+  /** Of two lifetimes with the same id the later one responded: connections to the earlier one ended with it. */
   private recordDraining({ message: { target, requestId: request } }: SentMessage): void {
     if (this.isDraining(target)) return;
     const lifetime = this.lifetimeOf(target);
@@ -194,7 +199,7 @@
   ): void {
     const { requestId = '', target, address } = message;
     const { limit, isSigned, isEncoded, isNotRun } = facts;
-    // Only the target's own success shows that it names no limit; others write some of its failures.
+    // Only a success of the target itself shows that the limit is over; failures may come from a proxy.
     const isSuccess = isSigned && !isEncoded && !isNotRun && status < callerResponse.FAILURE_STATUS;
     if (limit.kind === 'none' && !isSuccess) return;
     const service = this.dependencies.holding.registry.get(target)?.service;
@@ -209,7 +214,10 @@
     else this.activeMessages.delete(target);
   }
 
-  /** Whether a target has a connection left for this entry. Each has an equal part of what the target accepts, and one at least. */
+  /**
+   * Whether this entry may open another connection to a target: an equal share of what the target accepts, at least
+   * one.
+   */
   private hasFreeConnection(target: string): boolean {
     const { registry, directory } = this.dependencies.holding;
     const service = directory?.service(registry.get(target)?.service ?? '');
@@ -237,7 +245,7 @@
   }
 }
 
-/** Whether an answer is what the target that was meant says to this message. */
+/** Whether a response belongs to the message and comes from the addressed lifetime. */
 function isFromTarget(
   { requestId = '' }: targetClient.TargetMessage,
   { requestId: answeredId = '', isWrongLifetime, isSigned, isNotRun }: protocols.AnswerFacts,
--- a/packages/daemon/src/entry/unreportedLimits.ts
+++ b/packages/daemon/src/entry/unreportedLimits.ts
@@ -1,4 +1,7 @@
-/** What an entry has still to tell the leader of limits: the last word on each place, and how much it sent there without asking. */
+/**
+ * Unreported rate limits of an entry: the latest limit of each target, and the number of messages sent there without a
+ * grant.
+ */
 import * as domain from '@celerydrift/domain';
 import type * as messages from '../fleet/messages';
 
@@ -26,7 +29,7 @@
     this.spent.set(key, { service, address, count: before + count });
   }
 
-  /** All of it, which counts as told. */
+  /** Removes and returns everything, to be reported. */
   takeAll(): messages.Limited {
     const taken = { limits: [...this.limits.values()], spent: [...this.spent.values()] };
     this.limits.clear();
@@ -34,7 +37,7 @@
     return taken;
   }
 
-  /** Takes back what no leader took; what was noted meanwhile is newer. */
+  /** Puts back a report that no leader accepted; limits set meanwhile are newer and stay. */
   restore({ limits, spent }: messages.Limited): void {
     limits
       .filter((limit) => !this.limits.has(keyOf(limit)))
