--- a/packages/daemon/src/entry/__tests__/exchange.test.ts
+++ b/packages/daemon/src/entry/__tests__/exchange.test.ts
@@ -6,18 +6,19 @@
 
 const { expect } = chai;
 
-const WHOLE: harness.TargetBehaviour = (_request, socket) => socket.write(harness.answer('whole'));
+const RESPOND: harness.TargetBehaviour = (_request, socket) =>
+  socket.write(harness.answer('whole'));
 
 describe('exchange', () => {
-  let made: harness.TestHarness;
+  let setup: harness.TestHarness;
 
-  afterEach(() => made.stop());
+  afterEach(() => setup.stop());
 
   it('passes an answer on unchanged', async () => {
-    made = await harness.TestHarness.start(WHOLE);
-    const reply = await made.send('/unsafe/1', {}, 'body');
+    setup = await harness.TestHarness.start(RESPOND);
+    const reply = await setup.send('/unsafe/1', {}, 'body');
     expect([reply.status, reply.body, reply.headers.signed]).to.deep.equal([200, 'whole', '1']);
-    expect(made.outcomes).to.deep.equal(['done']);
+    expect(setup.outcomes).to.deep.equal(['done']);
   });
 
   /*
@@ -25,16 +26,19 @@
    * whether it ran, so it is neither sent again nor answered with a status that promises it did not run.
    */
   it('never repeats an unsafe call that may have run, and promises nothing', async () => {
-    made = await harness.TestHarness.start((_request, socket) => socket.resetAndDestroy(), WHOLE);
-    const reply = await made.send('/unsafe/1');
-    expect([reply.status, made.received.length]).to.deep.equal([502, 1]);
+    setup = await harness.TestHarness.start(
+      (_request, socket) => socket.resetAndDestroy(),
+      RESPOND,
+    );
+    const reply = await setup.send('/unsafe/1');
+    expect([reply.status, setup.received.length]).to.deep.equal([502, 1]);
   });
 
   it('says that an unsafe call did not run where the target says so', async () => {
     const refuse = harness.answer('', 503, 'not-run: 1\r\n');
-    made = await harness.TestHarness.start((_request, socket) => socket.write(refuse), WHOLE);
-    const reply = await made.send('/unsafe/1');
-    expect([reply.status, made.received.length]).to.deep.equal([503, 1]);
+    setup = await harness.TestHarness.start((_request, socket) => socket.write(refuse), RESPOND);
+    const reply = await setup.send('/unsafe/1');
+    expect([reply.status, setup.received.length]).to.deep.equal([503, 1]);
     expect(Number(reply.headers['retry-after'])).to.be.greaterThan(0);
   });
 
@@ -43,10 +47,10 @@
    * run the request.
    */
   it("doesn't pass on a promise that the target didn't make", async () => {
-    made = await harness.TestHarness.start((_request, socket) =>
+    setup = await harness.TestHarness.start((_request, socket) =>
       socket.write(harness.answer('', 503)),
     );
-    expect((await made.send('/unsafe/1')).status).to.equal(502);
+    expect((await setup.send('/unsafe/1')).status).to.equal(502);
   });
 
   /*
@@ -54,10 +58,10 @@
    * refused the connection, and the only attempt of a call that runs once was spent on it.
    */
   it("takes another target for a call that runs once where one can't be reached", async () => {
-    made = await harness.TestHarness.start(WHOLE, WHOLE);
-    await made.crash(0);
-    const reply = await made.send('/unsafe/1');
-    expect([reply.body, made.received.length, made.outcomes]).to.deep.equal([
+    setup = await harness.TestHarness.start(RESPOND, RESPOND);
+    await setup.crash(0);
+    const reply = await setup.send('/unsafe/1');
+    expect([reply.body, setup.received.length, setup.outcomes]).to.deep.equal([
       'whole',
       1,
       ['unreachable', 'done'],
@@ -71,14 +75,16 @@
   it('asks a target again that refused, where no further one is allowed', async () => {
     const refuse = harness.answer('', 503, 'not-run: 1\r\n');
     let asked = 0;
-    const secondTime: harness.TargetBehaviour = (_request, socket) => {
+    const succeedOnRetry: harness.TargetBehaviour = (_request, socket) => {
       asked += 1;
       socket.write(asked === 1 ? refuse : harness.answer('whole'));
     };
-    made = await harness.TestHarness.start(secondTime, (_request, socket) => socket.write(refuse));
-    const reply = await made.send('/safe/1');
-    expect([reply.body, made.outcomes]).to.deep.equal(['whole', ['full', 'full', 'done']]);
-    expect(made.placementRequests[2].writers).to.deep.equal(['t0', 't1']);
+    setup = await harness.TestHarness.start(succeedOnRetry, (_request, socket) =>
+      socket.write(refuse),
+    );
+    const reply = await setup.send('/safe/1');
+    expect([reply.body, setup.outcomes]).to.deep.equal(['whole', ['full', 'full', 'done']]);
+    expect(setup.placementRequests[2].writers).to.deep.equal(['t0', 't1']);
   });
 
   /** Guards against a stream that is given up at the first target that can't be reached, though another one is there. */
@@ -89,36 +95,36 @@
     };
     const rest: harness.TargetBehaviour = (_request, socket) =>
       socket.write(harness.STREAM_HEAD + harness.chunk('id: 2\ndata: b\n\n') + harness.LAST_CHUNK);
-    made = await harness.TestHarness.start(cut, WHOLE, rest);
-    await made.crash(1);
+    setup = await harness.TestHarness.start(cut, RESPOND, rest);
+    await setup.crash(1);
     const whole = ['id: 1\ndata: a\n\nid: 2\ndata: b\n\n', true];
-    const reply = await made.send('/streaming/1');
+    const reply = await setup.send('/streaming/1');
     expect([reply.body, reply.isWhole]).to.deep.equal(whole);
-    made.stop();
+    setup.stop();
 
     const refuse = harness.answer('', 503, 'not-run: 1\r\n');
     let asked = 0;
-    const secondTime: harness.TargetBehaviour = (request, socket) => {
+    const succeedOnRetry: harness.TargetBehaviour = (request, socket) => {
       asked += 1;
       if (asked === 1) socket.write(refuse);
       else rest(request, socket);
     };
-    made = await harness.TestHarness.start(cut, secondTime);
-    const again = await made.send('/streaming/1');
+    setup = await harness.TestHarness.start(cut, succeedOnRetry);
+    const again = await setup.send('/streaming/1');
     expect([again.body, again.isWhole]).to.deep.equal(whole);
   });
 
   /** Guards against a request that was placed before its target asked this VM to back off, and is sent after it. */
   it('goes elsewhere where its target wants nothing more by the time it is sent', async () => {
     const refuse = harness.answer('', 503, 'not-run: 1\r\nback-off: 2000\r\n');
-    made = await harness.TestHarness.start((_request, socket) => socket.write(refuse), WHOLE);
-    made.placementDelayMs = 60;
-    const first = made.send('/unsafe/1');
+    setup = await harness.TestHarness.start((_request, socket) => socket.write(refuse), RESPOND);
+    setup.placementDelayMs = 60;
+    const first = setup.send('/unsafe/1');
     await clock.pause(40);
-    const second = made.send('/unsafe/1');
+    const second = setup.send('/unsafe/1');
     expect([(await first).status, (await second).body]).to.deep.equal([503, 'whole']);
-    expect(made.outcomes).to.deep.equal(['full', 'cancelled', 'done']);
-    expect(made.received.length).to.equal(2);
+    expect(setup.outcomes).to.deep.equal(['full', 'cancelled', 'done']);
+    expect(setup.received.length).to.equal(2);
   });
 
   /*
@@ -127,16 +133,16 @@
    */
   it('says which lifetime was gone when another one answered', async () => {
     const other = harness.answer('', 421, 'not-run: 1\r\n');
-    made = await harness.TestHarness.start((_request, socket) => socket.write(other), WHOLE);
-    await made.send('/safe/1');
-    expect(made.outcomes).to.deep.equal(['replaced', 'done']);
+    setup = await harness.TestHarness.start((_request, socket) => socket.write(other), RESPOND);
+    await setup.send('/safe/1');
+    expect(setup.outcomes).to.deep.equal(['replaced', 'done']);
   });
 
   it("goes on to a few targets at most that can't be reached", async () => {
-    made = await harness.TestHarness.start(WHOLE, WHOLE, WHOLE, WHOLE, WHOLE);
-    for (let i = 0; i < 4; i++) await made.crash(i);
-    expect((await made.send('/unsafe/1')).status).to.equal(503);
-    expect(made.outcomes.length).to.equal(3);
+    setup = await harness.TestHarness.start(RESPOND, RESPOND, RESPOND, RESPOND, RESPOND);
+    for (let i = 0; i < 4; i++) await setup.crash(i);
+    expect((await setup.send('/unsafe/1')).status).to.equal(503);
+    expect(setup.outcomes.length).to.equal(3);
   });
 
   /*
@@ -144,9 +150,9 @@
    * the difference was taken for a wait before; each of their requests counted as late from the start.
    */
   it("doesn't take a caller's short patience for a wait", async () => {
-    made = await harness.TestHarness.start(WHOLE);
-    await made.send('/safe/1', { patience: '900' });
-    expect(made.placementRequests[0].waitedMs).to.be.lessThan(100);
+    setup = await harness.TestHarness.start(RESPOND);
+    await setup.send('/safe/1', { patience: '900' });
+    expect(setup.placementRequests[0].waitedMs).to.be.lessThan(100);
   });
 
   /*
@@ -160,14 +166,14 @@
     };
     const rest: harness.TargetBehaviour = (_request, socket) =>
       socket.write(harness.STREAM_HEAD + harness.chunk('id: 2\ndata: b\n\n') + harness.LAST_CHUNK);
-    made = await harness.TestHarness.start(cut, rest);
-    expect((await made.send('/streaming/1')).isWhole).to.equal(true);
-    expect(made.placementRequests[1].waitedMs).to.equal(0);
-    made.stop();
-
-    made = await harness.TestHarness.start(() => undefined, WHOLE);
-    expect((await made.send('/safe/1')).body).to.equal('whole');
-    expect(made.placementRequests[1].waitedMs).to.equal(100);
+    setup = await harness.TestHarness.start(cut, rest);
+    expect((await setup.send('/streaming/1')).isWhole).to.equal(true);
+    expect(setup.placementRequests[1].waitedMs).to.equal(0);
+    setup.stop();
+
+    setup = await harness.TestHarness.start(() => undefined, RESPOND);
+    expect((await setup.send('/safe/1')).body).to.equal('whole');
+    expect(setup.placementRequests[1].waitedMs).to.equal(100);
   });
 
   /*
@@ -182,8 +188,8 @@
       };
       const fails: harness.TargetBehaviour = (_request, socket) =>
         socket.write(harness.answer('failed', status));
-      made = await harness.TestHarness.start(cut, fails);
-      const reply = await made.send('/streaming/1');
+      setup = await harness.TestHarness.start(cut, fails);
+      const reply = await setup.send('/streaming/1');
       expect([reply.status, reply.isWhole, reply.body]).to.deep.equal([
         200,
         false,
@@ -193,17 +199,17 @@
   });
 
   it('has a safe call answered by another target when the first fails', async () => {
-    made = await harness.TestHarness.start(
+    setup = await harness.TestHarness.start(
       (_request, socket) => socket.write(harness.answer('broken', 500)),
-      WHOLE,
+      RESPOND,
     );
-    expect((await made.send('/safe/1')).body).to.equal('whole');
-    expect(made.outcomes).to.deep.equal(['broken', 'done']);
+    expect((await setup.send('/safe/1')).body).to.equal('whole');
+    expect(setup.outcomes).to.deep.equal(['broken', 'done']);
   });
 
   it('gives up a safe call on a target that is silent', async () => {
-    made = await harness.TestHarness.start(() => undefined, WHOLE);
-    expect((await made.send('/safe/1')).body).to.equal('whole');
+    setup = await harness.TestHarness.start(() => undefined, RESPOND);
+    expect((await setup.send('/safe/1')).body).to.equal('whole');
   });
 
   /*
@@ -212,8 +218,8 @@
    */
   it('never passes on an answer to another request', async () => {
     const other = harness.answer('other').replace('id: r1', 'id: r0');
-    made = await harness.TestHarness.start((_request, socket) => socket.write(other));
-    const reply = await made.send('/unsafe/1');
+    setup = await harness.TestHarness.start((_request, socket) => socket.write(other));
+    const reply = await setup.send('/unsafe/1');
     expect([reply.status, reply.body]).to.deep.equal([502, '']);
   });
 
@@ -228,13 +234,13 @@
     };
     const second: harness.TargetBehaviour = (_request, socket) =>
       socket.write(harness.STREAM_HEAD + harness.chunk('id: 2\ndata: b\n\n') + harness.LAST_CHUNK);
-    made = await harness.TestHarness.start(first, second);
-    const reply = await made.send('/streaming/1');
+    setup = await harness.TestHarness.start(first, second);
+    const reply = await setup.send('/streaming/1');
     expect([reply.body, reply.isWhole]).to.deep.equal([
       'id: 1\ndata: a\n\nid: 2\ndata: b\n\n',
       true,
     ]);
-    expect(made.received[1]).to.match(/resume-after: 1\r\n/);
+    expect(setup.received[1]).to.match(/resume-after: 1\r\n/);
   });
 
   /*
@@ -247,9 +253,9 @@
       else setTimeout(() => socket.write(stream), 1_200);
     };
     const stream = `${harness.STREAM_HEAD}${harness.chunk('id: 1\ndata: a\n\n')}${harness.LAST_CHUNK}`;
-    made = await harness.TestHarness.start(busy, WHOLE);
-    const reply = await made.send('/streaming/1');
-    expect([reply.body, made.outcomes]).to.deep.equal(['id: 1\ndata: a\n\n', ['done']]);
+    setup = await harness.TestHarness.start(busy, RESPOND);
+    const reply = await setup.send('/streaming/1');
+    expect([reply.body, setup.outcomes]).to.deep.equal(['id: 1\ndata: a\n\n', ['done']]);
   });
 
   /*
@@ -258,13 +264,13 @@
    */
   it('leaves a dead target as soon as it is overdue', async () => {
     const stream = `${harness.STREAM_HEAD}${harness.chunk('id: 1\ndata: a\n\n')}${harness.LAST_CHUNK}`;
-    made = await harness.TestHarness.start(
+    setup = await harness.TestHarness.start(
       () => undefined,
       (_request, socket) => socket.write(stream),
     );
     const since = performance.now();
-    const reply = await made.send('/streaming/1');
-    expect([reply.body, made.outcomes]).to.deep.equal(['id: 1\ndata: a\n\n', ['broken', 'done']]);
+    const reply = await setup.send('/streaming/1');
+    expect([reply.body, setup.outcomes]).to.deep.equal(['id: 1\ndata: a\n\n', ['broken', 'done']]);
     expect(performance.now() - since).to.be.lessThan(950);
   });
 
@@ -277,16 +283,16 @@
     const crashing: harness.TargetBehaviour = (_request, socket) => {
       sockets.push(socket);
       if (sockets.length < 2) return;
-      void made.crash(0);
+      void setup.crash(0);
       sockets.forEach((each) => each.resetAndDestroy());
     };
     const slow: harness.TargetBehaviour = (request, socket) => {
       const id = /id: (\S+)/.exec(request)?.[1] ?? '';
       setTimeout(() => socket.write(harness.answer('whole').replace('id: r1', `id: ${id}`)), 200);
     };
-    made = await harness.TestHarness.start(crashing, slow);
+    setup = await harness.TestHarness.start(crashing, slow);
     const replies = await Promise.all(
-      ['r1', 'r2'].map((id) => made.send('/safe/1', { id }, 'same')),
+      ['r1', 'r2'].map((id) => setup.send('/safe/1', { id }, 'same')),
     );
     expect(replies.map(({ status, body }) => `${status} ${body}`)).to.deep.equal([
       '200 whole',
@@ -299,42 +305,42 @@
       socket.write(harness.STREAM_HEAD + harness.chunk('id: 1\ndata: a\n\n'));
       setTimeout(() => socket.resetAndDestroy(), 20);
     };
-    made = await harness.TestHarness.start(half, half);
-    const reply = await made.send('/streaming/1');
+    setup = await harness.TestHarness.start(half, half);
+    const reply = await setup.send('/streaming/1');
     expect([reply.status, reply.isWhole]).to.deep.equal([200, false]);
   });
 
   it('closes the connection to the target when the caller leaves', async () => {
     let closed = false;
-    made = await harness.TestHarness.start((_request, socket) => {
+    setup = await harness.TestHarness.start((_request, socket) => {
       socket.once('close', () => {
         closed = true;
       });
     });
-    await made.send('/unsafe/1', {}, '', 50);
+    await setup.send('/unsafe/1', {}, '', 50);
     await new Promise((resolve) => {
       setTimeout(resolve, 100);
     });
-    expect([closed, made.outcomes]).to.deep.equal([true, ['cancelled']]);
+    expect([closed, setup.outcomes]).to.deep.equal([true, ['cancelled']]);
   });
 
   it("answers at the route's timeout", async () => {
-    made = await harness.TestHarness.start(() => undefined);
+    setup = await harness.TestHarness.start(() => undefined);
     const startedAt = performance.now();
-    const reply = await made.send('/unsafe/1');
+    const reply = await setup.send('/unsafe/1');
     expect(reply.status).to.equal(504);
     expect(performance.now() - startedAt).to.be.within(1_450, 1_900);
   });
 
   it('refuses keys while nothing is known to be fresh, and serves them after', async () => {
-    made = await harness.TestHarness.start(WHOLE);
-    made.isFresh = false;
-    expect((await made.send('/safe/1')).status).to.equal(503);
-    expect((await made.send('/none/1')).status).to.equal(503);
-    made.isFresh = true;
-    expect((await made.send('/safe/1')).status).to.equal(200);
-    expect((await made.send('/none/1')).status).to.equal(404);
-    expect(made.received.length).to.equal(1);
+    setup = await harness.TestHarness.start(RESPOND);
+    setup.isFresh = false;
+    expect((await setup.send('/safe/1')).status).to.equal(503);
+    expect((await setup.send('/none/1')).status).to.equal(503);
+    setup.isFresh = true;
+    expect((await setup.send('/safe/1')).status).to.equal(200);
+    expect((await setup.send('/none/1')).status).to.equal(404);
+    expect(setup.received.length).to.equal(1);
   });
 
   /*
@@ -342,41 +348,41 @@
    * requests half a second before the keepers have a leader that can tell it the settings.
    */
   it('keeps requests that come just before the settings, and serves them', async () => {
-    made = await harness.TestHarness.start(WHOLE);
-    made.hasCatalogue = false;
-    made.isFresh = false;
-    const asked = made.send('/safe/1', {}, 'body');
+    setup = await harness.TestHarness.start(RESPOND);
+    setup.hasCatalogue = false;
+    setup.isFresh = false;
+    const asked = setup.send('/safe/1', {}, 'body');
     setTimeout(() => {
-      made.hasCatalogue = true;
-      made.isFresh = true;
-      made.ingress.wake();
+      setup.hasCatalogue = true;
+      setup.isFresh = true;
+      setup.ingress.wake();
     }, 300);
     expect((await asked).body).to.equal('whole');
   });
 
   it('refuses as not run what the settings come too late for', async () => {
-    made = await harness.TestHarness.start(WHOLE);
-    made.hasCatalogue = false;
+    setup = await harness.TestHarness.start(RESPOND);
+    setup.hasCatalogue = false;
     const startedAt = performance.now();
-    const reply = await made.send('/safe/1', {}, 'body');
-    expect([reply.status, made.received.length]).to.deep.equal([503, 0]);
+    const reply = await setup.send('/safe/1', {}, 'body');
+    expect([reply.status, setup.received.length]).to.deep.equal([503, 0]);
     expect(performance.now() - startedAt).to.be.within(900, 1_300);
   });
 
   it('bounds what a caller may send', async () => {
-    made = await harness.TestHarness.start(WHOLE);
+    setup = await harness.TestHarness.start(RESPOND);
     const statuses = [
-      (await made.send('/safe/1', { key: 'wrong' })).status,
-      (await made.send('/safe/1', { long: 'x'.repeat(3_000) })).status,
-      (await made.send('/safe/1', {}, 'x'.repeat(101))).status,
+      (await setup.send('/safe/1', { key: 'wrong' })).status,
+      (await setup.send('/safe/1', { long: 'x'.repeat(3_000) })).status,
+      (await setup.send('/safe/1', {}, 'x'.repeat(101))).status,
     ];
-    expect([statuses, made.received.length]).to.deep.equal([[401, 431, 413], 0]);
+    expect([statuses, setup.received.length]).to.deep.equal([[401, 431, 413], 0]);
   });
 
   it('says which connection is its last when the entry leaves', async () => {
-    made = await harness.TestHarness.start(WHOLE);
-    made.ingress.drain();
-    const reply = await made.send('/safe/1');
+    setup = await harness.TestHarness.start(RESPOND);
+    setup.ingress.drain();
+    const reply = await setup.send('/safe/1');
     expect([reply.status, reply.headers.connection]).to.deep.equal([200, 'close']);
   });
 
@@ -388,14 +394,14 @@
     const slow: harness.TargetBehaviour = (_request, socket) => {
       setTimeout(() => socket.write(harness.answer('whole')), 200);
     };
-    made = await harness.TestHarness.start(slow);
-    const first = made.send('/unsafe/1');
-    const late = net.connect(made.port, '127.0.0.1');
+    setup = await harness.TestHarness.start(slow);
+    const first = setup.send('/unsafe/1');
+    const late = net.connect(setup.port, '127.0.0.1');
     late.write('POST /unsafe/2 HTTP/1.1\r\nHost: a.example\r\nid: r1\r\nkey: k\r\n');
     await new Promise((resolve) => {
       setTimeout(resolve, 50);
     });
-    made.ingress.refuseNew();
+    setup.ingress.refuseNew();
     late.write('Content-Length: 0\r\n\r\n');
     const answered = await new Promise<string>((resolve) => {
       late.once('data', (data: Buffer) => resolve(data.toString()));
@@ -403,7 +409,7 @@
     expect(answered).to.match(/^HTTP\/1.1 503 /);
     expect(answered).to.match(/Connection: close/i);
     expect((await first).body).to.equal('whole');
-    expect(made.received.length).to.equal(1);
+    expect(setup.received.length).to.equal(1);
     late.destroy();
   });
 });
--- a/packages/daemon/src/entry/__tests__/silence.test.ts
+++ b/packages/daemon/src/entry/__tests__/silence.test.ts
@@ -28,13 +28,13 @@
 
 describe('silence of a target', () => {
   it('is bounded by what its callers bear', () => {
-    const bounds = [
+    const thresholds = [
       responseTimeout.thresholdsOf(route('streaming', 300, 250), 100),
       responseTimeout.thresholdsOf(route('streaming', 1_500, 600), 400),
       responseTimeout.thresholdsOf(route('streaming', 3_000, 1_000), 700),
       responseTimeout.thresholdsOf(route('safe', 193, 1_000), 0),
     ];
-    expect(bounds).toMatchSnapshot();
+    expect(thresholds).toMatchSnapshot();
   });
 
   /*
@@ -43,12 +43,12 @@
    * busy reading.
    */
   it("isn't a pause that the reading of a long prompt makes", () => {
-    const bounds = responseTimeout.thresholdsOf(route('streaming', 300, 250), 100);
+    const thresholds = responseTimeout.thresholdsOf(route('streaming', 300, 250), 100);
     const flowing = { sentAt: 0, lastEventAt: 500 };
-    const verdicts = [1_050, 1_150, 1_950, 2_050].map((now) =>
-      responseTimeout.classify(bounds, flowing, now),
+    const statuses = [1_050, 1_150, 1_950, 2_050].map((now) =>
+      responseTimeout.classify(thresholds, flowing, now),
     );
-    expect(verdicts).to.deep.equal(['fine', 'overdue', 'overdue', 'hopeless']);
+    expect(statuses).to.deep.equal(['fine', 'overdue', 'overdue', 'hopeless']);
   });
 
   /*
@@ -56,18 +56,18 @@
    * and was late only because parts of later prompts went first.
    */
   it('is hopeless only when its callers are about to leave', () => {
-    const bounds = responseTimeout.thresholdsOf(route('streaming', 3_000, 1_000), 800);
+    const thresholds = responseTimeout.thresholdsOf(route('streaming', 3_000, 1_000), 800);
     const prefilling = { sentAt: 0, lastEventAt: 0 };
-    const verdicts = [1_400, 3_500, 5_900, 6_100].map((now) =>
-      responseTimeout.classify(bounds, prefilling, now),
+    const statuses = [1_400, 3_500, 5_900, 6_100].map((now) =>
+      responseTimeout.classify(thresholds, prefilling, now),
     );
-    expect(verdicts).to.deep.equal(['fine', 'overdue', 'overdue', 'hopeless']);
+    expect(statuses).to.deep.equal(['fine', 'overdue', 'overdue', 'hopeless']);
   });
 
   it('leaves a second target time to answer a long prompt within its objective', () => {
     const predictedMs = 500;
-    const bounds = responseTimeout.thresholdsOf(route('streaming', 3_000, 1_000), predictedMs);
-    const askedMs = 300;
-    expect(bounds.overdueFirstMs + askedMs + predictedMs).to.be.lessThan(3_000);
+    const thresholds = responseTimeout.thresholdsOf(route('streaming', 3_000, 1_000), predictedMs);
+    const probeMs = 300;
+    expect(thresholds.overdueFirstMs + probeMs + predictedMs).to.be.lessThan(3_000);
   });
 });
--- a/packages/daemon/src/entry/__tests__/targetClient.test.ts
+++ b/packages/daemon/src/entry/__tests__/targetClient.test.ts
@@ -87,7 +87,7 @@
       protocol: harness.PROTOCOL,
       gate: harness.PERMISSIVE_GATE,
     });
-    const nothing = { onHead: () => undefined, onData: () => undefined };
+    const handler = { onHead: () => undefined, onData: () => undefined };
     const attempt = client.send(
       {
         target: 't',
@@ -98,7 +98,7 @@
         headers: [],
         body: Buffer.from('x'),
       },
-      nothing,
+      handler,
     );
     expect((await attempt.result).kind).to.equal('notSent');
     client.close();
