--- a/packages/daemon/src/entry/__tests__/silence.test.ts
+++ b/packages/daemon/src/entry/__tests__/silence.test.ts
@@ -1,4 +1,4 @@
-/** When a target is given up for its silence. */
+/** When a response is overdue, and when its target is given up. */
 import * as chai from 'chai';
 import type * as domain from '@celerydrift/domain';
 import * as responseTimeout from '../silence';
@@ -26,8 +26,8 @@
   };
 }
 
-describe('silence of a target', () => {
-  it('is bounded by what its callers bear', () => {
+describe('response timeout', () => {
+  it('derives its thresholds from what callers of a route tolerate', () => {
     const thresholds = [
       responseTimeout.thresholdsOf(route('streaming', 300, 250), 100),
       responseTimeout.thresholdsOf(route('streaming', 1_500, 600), 400),
@@ -38,33 +38,32 @@
   });
 
   /*
-   * In a burst of long prompts each engine read for a second between the events of its short streams. Entries
-   * took them for silent after 0.6 s and sent a thousand prompts a second time, and more engines were
-   * busy reading.
+   * Guards against retries caused by prefill. In a burst of long prompts engines prefilled for a second between the
+   * events of short streams. Given up after 0.6 s, a thousand prompts were sent again, which added still more prefill.
    */
-  it("isn't a pause that the reading of a long prompt makes", () => {
+  it('tolerates the inter-token gap that the prefill of a long prompt causes', () => {
     const thresholds = responseTimeout.thresholdsOf(route('streaming', 300, 250), 100);
     const flowing = { sentAt: 0, lastEventAt: 500 };
     const statuses = [1_050, 1_150, 1_950, 2_050].map((now) =>
       responseTimeout.classify(thresholds, flowing, now),
     );
-    expect(statuses).to.deep.equal(['fine', 'overdue', 'overdue', 'hopeless']);
+    expect(statuses).to.deep.equal(['fine', 'overdue', 'overdue', 'timedOut']);
   });
 
   /*
-   * A prompt of 178k tokens was given up 0.3 s before its first token, and read once more elsewhere. Its engine lived,
-   * and was late only because parts of later prompts went first.
+   * A prompt of 178k tokens was given up 0.3 s before its first token, and prefilled again elsewhere. Its engine was
+   * alive, and late only because prefill parts of later prompts ran first.
    */
-  it('is hopeless only when its callers are about to leave', () => {
+  it('expires only when callers are about to leave', () => {
     const thresholds = responseTimeout.thresholdsOf(route('streaming', 3_000, 1_000), 800);
     const prefilling = { sentAt: 0, lastEventAt: 0 };
     const statuses = [1_400, 3_500, 5_900, 6_100].map((now) =>
       responseTimeout.classify(thresholds, prefilling, now),
     );
-    expect(statuses).to.deep.equal(['fine', 'overdue', 'overdue', 'hopeless']);
+    expect(statuses).to.deep.equal(['fine', 'overdue', 'overdue', 'timedOut']);
   });
 
-  it('leaves a second target time to answer a long prompt within its objective', () => {
+  it('leaves a second target time to respond to a long prompt within its objective', () => {
     const predictedMs = 500;
     const thresholds = responseTimeout.thresholdsOf(route('streaming', 3_000, 1_000), predictedMs);
     const probeMs = 300;
--- a/packages/daemon/src/entry/responseWatchdog.ts
+++ b/packages/daemon/src/entry/responseWatchdog.ts
@@ -1,14 +1,14 @@
-/** Watches one sending for silence, asks its target where it is overdue, and says when to give it up. */
+/** Watches the response of one attempt: probes its target when it is overdue, and reports when to give it up. */
 import * as responseTimeout from './silence';
 
 export interface Dependencies {
   thresholds: responseTimeout.Thresholds;
   sentAt: number;
   now: () => number;
-  /** When the last event came; 0 before the first. */
+  /** When the last event arrived; 0 before the first. */
   lastEventAt: () => number;
   isAlive: () => Promise<boolean>;
-  /** Whether another target could be tried; while there is none, nothing is won by giving up. */
+  /** Whether another target can be tried; without one, giving up has no benefit. */
   hasAlternative: () => boolean;
   onTimeout: (detail: string) => void;
 }
@@ -31,7 +31,7 @@
     clearInterval(this.timer);
   }
 
-  /** Whether an event is overdue by now. */
+  /** Whether the next event is overdue, or has timed out. */
   get isOverdue(): boolean {
     return this.status !== 'fine';
   }
@@ -44,7 +44,7 @@
   private check(): void {
     if (!this.dependencies.hasAlternative()) return;
     const { status } = this;
-    if (status === 'hopeless') this.dependencies.onTimeout('target silent');
+    if (status === 'timedOut') this.dependencies.onTimeout('target silent');
     else if (status === 'overdue') void this.probe();
   }
 
@@ -55,7 +55,7 @@
     const alive = await isAlive();
     this.isProbing = false;
     this.nextProbeAt = now() + responseTimeout.PROBE_INTERVAL_MS;
-    // An event may have come meanwhile.
+    // An event may have arrived during the probe.
     if (!alive && this.status !== 'fine') this.dependencies.onTimeout('target dead');
   }
 }
--- a/packages/daemon/src/entry/silence.ts
+++ b/packages/daemon/src/entry/silence.ts
@@ -1,54 +1,55 @@
 /**
- * When a target counts as silent, by what its route asks and what was predicted of it. Milliseconds.
+ * Response timeouts of a request, derived from its route and its predicted time to the first token. Milliseconds.
  *
- * A target that is late may be dead, or busy with work that came after the prediction. Until it is `overdue` nothing is
- * done; then it is asked whether it lives, over a connection of its own; one that doesn't answer is given up at once,
- * and one that does only after a `hopeless` silence. By the clock alone, 45 of 49 targets that were given up on a day
- * with bursts were alive, and 1.7 of 24 million prompt tokens were read twice.
+ * A late target may be dead, or busy with work that came after the prediction. Once a response is `overdue`, its target
+ * is probed on a separate connection. A target that fails the probe is given up at once, one that passes it only when
+ * the response has `timedOut`. With timeouts alone, 45 of 49 targets given up in a replay with bursts were alive, and
+ * 1.7 of 24 million prompt tokens were prefilled twice.
  */
 import type * as domain from '@celerydrift/domain';
 
 type Route = domain.catalogue.catalogue.Route;
 
-/** Silence before the first event that is overdue: so many times the predicted time, and a pass or two. */
+/** The first event is overdue after this multiple of the predicted time, plus a margin of one or two engine steps. */
 const OVERDUE_FACTOR = 1.5;
 const OVERDUE_MARGIN_MS = 300;
 
-/** Silence between two events that is overdue: longer than passes that read for others usually are. */
+/** The next event is overdue after this gap, which exceeds the usual engine step with prefill for other requests. */
 const OVERDUE_GAP_MS = 600;
 const OVERDUE_GAP_FACTOR = 1.5;
 
-/** Silence that is hopeless, as a share of the time after which callers leave, and the least of it. */
+/** Response timeout as a share of the time after which callers disconnect, and its minimum. */
 const TIMEOUT_SHARE = 0.5;
 const MIN_TIMEOUT_MS = 1_500;
 
-/** Silence of a call that may be repeated, against its objective, before another target is tried. */
+/** Response timeout of a repeatable call, as a multiple of its objective. */
 const CALL_TIMEOUT_FACTOR = 3;
 
-/** A target that lives isn't asked again for so long. */
+/** Minimum interval between liveness probes of the same request. */
 export const PROBE_INTERVAL_MS = 1_000;
 
-/** Time without an event after which callers of a stream leave; from the users' pages. */
+/** Time without an event after which callers of a stream disconnect; the objective for other requests. */
 export function callerTimeoutMs({ kind, objectiveMs, pauseMs }: Route): number {
   return kind === 'streaming' ? Math.max(2_000, 4 * objectiveMs, 8 * pauseMs) : objectiveMs;
 }
 
 export interface Thresholds {
-  /** Silence before the first event or the answer that is overdue, and between two events. */
+  /** Time after which the first event, or the whole response of a call, is overdue. */
   overdueFirstMs: number;
+  /** Inter-token gap after which the next event is overdue. */
   overdueGapMs: number;
-  /** Silence after which the target is given up even if it lives. */
+  /** Response timeout: the target is given up even if it is alive. */
   hopelessMs: number;
 }
 
-/** What is known of a sending. */
+/** Progress of a response. */
 export interface Progress {
   sentAt: number;
   /** 0 before the first event. */
   lastEventAt: number;
 }
 
-export type Status = 'fine' | 'overdue' | 'hopeless';
+export type Status = 'fine' | 'overdue' | 'timedOut';
 
 const MIN_CHECK_INTERVAL_MS = 50;
 
@@ -77,12 +78,12 @@
 ): Status {
   const isFlowing = lastEventAt > sentAt;
   const silentMs = now - (isFlowing ? lastEventAt : sentAt);
-  if (silentMs > thresholds.hopelessMs) return 'hopeless';
+  if (silentMs > thresholds.hopelessMs) return 'timedOut';
   const overdueMs = isFlowing ? thresholds.overdueGapMs : thresholds.overdueFirstMs;
   return silentMs > overdueMs ? 'overdue' : 'fine';
 }
 
-/** How often to look, so that silence is noticed a quarter late at most. */
+/** Check interval, short enough that an overdue response is detected at most a quarter of its threshold late. */
 export function checkIntervalMs({ overdueFirstMs, overdueGapMs }: Thresholds): number {
   return Math.max(MIN_CHECK_INTERVAL_MS, Math.min(overdueFirstMs, overdueGapMs) / 4);
 }
