--- a/packages/daemon/src/entry/attempts.ts
+++ b/packages/daemon/src/entry/attempts.ts
@@ -1,28 +1,28 @@
 /**
- * Which targets a request was placed on and sent to, and where it may go next. A route bounds the targets that a request
- * is sent to; one that said for certain that it didn't run it may be asked once more. Without that, requests ended
- * with seconds left because a helper of their second target had died.
+ * Tracks the targets of a request, and decides where it may go next. A route limits the number of targets that a
+ * request is sent to, but it may return to a target that guaranteed not to have run it. Without that, requests failed
+ * with seconds left because a prefill helper of their second target had died.
  */
 
-/** What became of a request at a target. */
+/** Outcome of an attempt at a target. */
 export interface AttemptOutcome {
   target: string;
   /** Whether bytes of the request may have reached the target. */
   wasSent: boolean;
-  /** Whether the target, in the lifetime that was meant, promised that it didn't run it. */
+  /** Whether the addressed lifetime guaranteed that it didn't run the request. */
   wasRefused: boolean;
-  /** Whether it refused because of another target, that was to help it. */
+  /** Whether it refused because of one of its prefill helpers. */
   wasHelperAtFault: boolean;
 }
 
-/** Targets that couldn't be reached, beyond the route's bound on those that a request is sent to. */
+/** Maximum number of unreachable targets, on top of the route's limit of targets that a request is sent to. */
 const MAX_UNREACHABLE = 2;
 
-/** How often a request goes once more to a target that refused it. */
+/** Maximum number of returns to targets that refused the request. */
 const MAX_SAME_TARGET_RETRIES = 2;
 
 export class Attempts {
-  /** All placements in their order, for the log. */
+  /** Targets of all attempts in order, also for the log. */
   readonly targets: string[] = [];
 
   private readonly sent = new Set<string>();
@@ -48,29 +48,29 @@
     else this.refusedForHelper.delete(target);
   }
 
-  /** Whether no further target may be sent to, and one that refused must take it. */
+  /** Whether the route's limit is reached, so that only targets that refused the request may still get it. */
   get isAtTargetLimit(): boolean {
     return this.sent.size >= this.maxTargets;
   }
 
-  /** Targets that it shouldn't be placed on. */
+  /** Targets that the request shouldn't be placed on. */
   get excluded(): string[] {
     if (this.isAtTargetLimit) return [];
     return this.targets.filter((target) => !this.refusedForHelper.has(target));
   }
 
-  /** The only targets that it may be sent to; undefined for any. */
+  /** The only targets that the request may be sent to; undefined for any. */
   get writers(): string[] | undefined {
     return this.isAtTargetLimit ? [...this.refused] : undefined;
   }
 
-  /** Whether it may be sent once more, to whatever target; `underWay` where it is with one now. */
+  /** Whether another attempt is allowed, at any target; `activeTarget` is the target of the current attempt, if any. */
   hasAttemptLeft(activeTarget: string | undefined): boolean {
     const isSent = activeTarget !== undefined && !this.sent.has(activeTarget);
     if (this.sent.size + (isSent ? 1 : 0) < this.maxTargets) {
       return this.targets.length - this.sameTargetRetries < this.maxTargets + MAX_UNREACHABLE;
     }
-    // A route that allows one target means one attempt.
+    // A route that allows one target allows one attempt.
     if (this.maxTargets === 1 || activeTarget !== undefined) return false;
     return this.refused.size > 0 && this.sameTargetRetries < MAX_SAME_TARGET_RETRIES;
   }
--- a/packages/daemon/src/entry/callerResponse.ts
+++ b/packages/daemon/src/entry/callerResponse.ts
@@ -1,6 +1,6 @@
 /**
- * The answer that a caller gets, built from what one or several targets send. Nothing of a target's
- * answer goes on before it is known to belong to this request; of a stream only whole events do.
+ * The response to a caller, assembled from the responses of one or several targets. Nothing is forwarded before the
+ * response is known to belong to this request, and only whole events of a stream are.
  */
 import type * as http from 'node:http';
 import * as domain from '@celerydrift/domain';
@@ -11,38 +11,39 @@
 
 type Route = domain.catalogue.catalogue.Route;
 
-/** Answers up to this size are held until they are whole, so that a broken one can be had elsewhere. */
+/** Responses up to this size are buffered until complete, so that a broken one can be retried at another target. */
 const MAX_BUFFERED_BYTES = 1_048_576;
 
-/** Status of a stream; other answers on its route are whole ones. */
+/** Status of a stream; responses with another status on a streaming route are buffered. */
 const STREAM_STATUS = 200;
 
-/** From this status on, an answer of a target's own doesn't show that it ran the request to its end. */
+/** From this status on, a target's own response doesn't show that it completed the request. */
 export const FAILURE_STATUS = 500;
 
-/** Fewer pauses than this say nothing of a target's speed. */
+/** Minimum number of inter-token gaps from which a target's speed is derived. */
 const MIN_GAPS = 6;
 
 export type CompletionResult =
   | { kind: 'passedOn' }
-  /** The target says that it didn't run the request. */
+  /** The target states that it didn't run the request. */
   | { kind: 'notRun'; detail: string; isWrongLifetime: boolean; faulty: string | undefined }
-  /** The answer isn't one that the caller may get. */
+  /** The response must not be forwarded to the caller. */
   | { kind: 'unusable'; detail: string };
 
 export class CallerResponse implements targetClient.ResponseHandler {
-  /** Id of the last event that the caller has. */
+  /** Id of the last event that was forwarded to the caller. */
   lastEventId: string | undefined;
 
-  /** When the first and the last event went on; 0 before the first. */
+  /** When the first event was forwarded; 0 before. */
   firstEventAt = 0;
 
+  /** When the last event was forwarded; 0 before the first. */
   lastEventAt = 0;
 
-  /** The longest pause between two events, milliseconds. */
+  /** Longest gap between two events, milliseconds, also across targets. */
   maxGapMs = 0;
 
-  /** Pauses between events of the present target, milliseconds. */
+  /** Inter-token gaps of the current target, milliseconds. */
   private gaps: number[] = [];
 
   private head: targetClient.ResponseHead | undefined;
@@ -55,10 +56,10 @@
 
   private attempt: targetClient.Attempt | undefined;
 
-  /** Whether the caller already has the beginning of a stream, which only a stream can go on with. */
+  /** Whether the caller already has the beginning of a stream, which only another stream can continue. */
   private isContinuation = false;
 
-  /** Whether a held answer has grown too long and goes on as it comes. */
+  /** Whether a buffered response grew too large and is forwarded as it arrives. */
   private isOverflowing = false;
 
   constructor(
@@ -67,7 +68,7 @@
     private readonly caller: protocols.CallerFacts,
   ) {}
 
-  /** Whether the caller has bytes that no other target can go on from. */
+  /** Whether the caller has received bytes that no other target can continue from. */
   get isUnrecoverable(): boolean {
     const { response, route, lastEventId } = this;
     const isStream = route.kind === 'streaming' && response.statusCode === STREAM_STATUS;
@@ -97,32 +98,37 @@
     else this.buffer(chunk);
   }
 
-  /** The target's answer is whole. With `mayRepeat` a failure of the target's own may be tried elsewhere. */
+  /**
+   * Handles the end of a complete response. With `mayRepeat` a failure reported by the target may be retried elsewhere.
+   */
   complete(mayRepeat: boolean): CompletionResult {
     const { head } = this;
     if (head === undefined) {
-      return { kind: 'unusable', detail: 'no answer' };
+      return { kind: 'unusable', detail: 'no response' };
     }
     const { isNotRun, isWrongLifetime, faulty } = head.facts;
     if (isNotRun) {
       return { kind: 'notRun', detail: `target refused: ${head.status}`, isWrongLifetime, faulty };
     }
-    if (!this.isForCaller) return { kind: 'unusable', detail: `unusable answer: ${head.status}` };
+    if (!this.isForCaller) return { kind: 'unusable', detail: `unusable response: ${head.status}` };
     if (mayRepeat && head.status >= FAILURE_STATUS) {
       return { kind: 'unusable', detail: `target failed: ${head.status}` };
     }
     if (this.isContinuation && !this.isStream) {
-      return { kind: 'unusable', detail: `the stream can't go on with: ${head.status}` };
+      return { kind: 'unusable', detail: `response can't continue the stream: ${head.status}` };
     }
     if (!this.isStream) return this.forwardBuffered(head);
     if (this.splitter.isInsideEvent)
-      return { kind: 'unusable', detail: 'half an event at the end' };
+      return { kind: 'unusable', detail: 'stream ended inside an event' };
     this.writeHead(head);
     this.response.end();
     return { kind: 'passedOn' };
   }
 
-  /** An answer of our own; one that has begun is broken off, so that it can't be taken for whole. */
+  /**
+   * Sends a response of the entry itself; one that has begun is aborted, so that it can't be mistaken for a complete
+   * one.
+   */
   refuse(status: number, retryAfterMs: number | undefined): void {
     if (this.response.headersSent) {
       this.response.destroy();
@@ -134,7 +140,7 @@
     this.response.end();
   }
 
-  /** Status of the answer that the caller got or gets. */
+  /** Status of the response to the caller. */
   get status(): number {
     return this.response.statusCode;
   }
@@ -143,7 +149,7 @@
     return this.route.kind === 'streaming' && this.head?.status === STREAM_STATUS;
   }
 
-  /** Whether the head shows an answer of this target to this request. */
+  /** Whether the head belongs to a response of this target to this request. */
   private get isForCaller(): boolean {
     const { head, caller } = this;
     if (head === undefined || head.facts.isNotRun) return false;
@@ -175,8 +181,8 @@
   }
 
   /**
-   * How long the present target's passes take where it reads nothing between them: the lower quartile, as
-   * readings make some longer and a busy entry makes some look shorter. Undefined for few events.
+   * Duration of the current target's engine steps without prefill: the lower quartile of its gaps, as prefill makes
+   * some longer and a busy entry makes some look shorter. Undefined for few events.
    */
   get typicalGapMs(): number | undefined {
     if (this.gaps.length < MIN_GAPS) return undefined;
@@ -213,7 +219,7 @@
   private writeHead({ status, raw }: targetClient.ResponseHead): void {
     if (this.response.headersSent) return;
     const kept: string[] = [];
-    // A stream may go on at another target, whose part the first one's length doesn't count.
+    // Another target may continue the stream, so the first one's length doesn't cover all of it.
     const isDropped = (name: string): boolean =>
       hopByHop.HOP_BY_HOP.has(name) || (this.isStream && name === 'content-length');
     for (let i = 0; i + 1 < raw.length; i += 2) {
@@ -223,5 +229,5 @@
   }
 }
 
-/** Statuses by which a target promises that it didn't run a request; without its own word they say nothing. */
+/** Statuses that mean the request did not run; only valid if the target states so in its headers. */
 const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
--- a/packages/daemon/src/entry/entry.ts
+++ b/packages/daemon/src/entry/entry.ts
@@ -1,6 +1,6 @@
 /**
- * An entry: a process without a disk that takes callers' requests. It has nothing to restore: settings and
- * targets come from the leader of the keepers within a second of its start.
+ * An entry: a stateless process that serves callers' requests. It receives the settings and the targets from the leader
+ * of the keepers within a second of its start.
  */
 import * as http from 'node:http';
 import * as domain from '@celerydrift/domain';
@@ -35,19 +35,19 @@
 }
 
 /**
- * Part of the time in which a key must be refused that an entry serves keys without a confirmation. The
- * rest, a second at 5 s, covers a request that was admitted at the last moment and its way to a target.
+ * Share of the time within which a revoked key must be refused for which an entry admits keys without a confirmation.
+ * The rest, a second at 5 s, covers the way of a request that was admitted at the last moment to its target.
  */
 const LEASE_SHARE = 0.8;
 
 /**
- * After a planned stop begins, the balancer still sends new connections until it has asked twice without
- * success, once a second; requests are taken for a third. One that came later could be cut by the end of the
- * process, so it is refused as not run, and its caller finds another entry.
+ * How long new requests are served after a planned stop begins, milliseconds. The balancer sends new connections until
+ * two readiness checks, one a second, have failed; a third second is added. A later request could be interrupted by the
+ * end of the process, so it is refused as not run, and its caller retries at another entry.
  */
 const LINGER_MS = 3_000;
 
-/** What is left of the time for a planned stop when the process ends whatever still runs. */
+/** Time before the end of a planned stop at which requests still in progress are aborted, milliseconds. */
 const STOP_MARGIN_MS = 500;
 
 const STOP_POLL_MS = 50;
@@ -192,7 +192,7 @@
     this.link.addSeeds(settings.seeds);
   }
 
-  /** A planned stop: not ready at once, new requests served for a while, those under way finished. */
+  /** A planned stop: unready at once, new requests served for `LINGER_MS`, requests in progress finished. */
   async stop(): Promise<void> {
     const begun = clock.steady();
     this.isDraining = true;
--- a/packages/daemon/src/entry/exchangeLog.ts
+++ b/packages/daemon/src/entry/exchangeLog.ts
@@ -1,4 +1,4 @@
-/** What is logged and counted of one caller's request: its placements, failed attempts and its end. */
+/** Logs and counts the placements, the failed attempts and the end of one caller's request. */
 import type * as domain from '@celerydrift/domain';
 import type * as observer from '../observability/observer';
 import type * as callerResponse from './callerResponse';
@@ -49,7 +49,7 @@
     });
   }
 
-  /** The caller has a target's whole answer. */
+  /** The caller has a target's complete response. */
   answered({ firstTokenMs }: Placement): void {
     const { admitted, reply, observer: observe, now } = this.dependencies;
     const { route, arrivedAt } = admitted;
@@ -66,7 +66,7 @@
     });
   }
 
-  /** The caller gets an answer of our own. */
+  /** The caller gets a response of the entry itself. */
   refused(status: number, detail: string): void {
     this.dependencies.observer.count(`answers.${status}.own`);
     this.ended(status, { detail });
--- a/packages/daemon/src/entry/ingress.ts
+++ b/packages/daemon/src/entry/ingress.ts
@@ -1,6 +1,6 @@
 /**
- * The callers' listener of an entry: bounds what a caller may send, finds the route and the organisation,
- * and reads the body. What it refuses has not run anywhere.
+ * HTTP server of an entry for callers: limits the size of requests, resolves the route and the organisation, and reads
+ * the body. A request that it refuses has not run anywhere.
  */
 import * as http from 'node:http';
 import type * as net from 'node:net';
@@ -20,7 +20,7 @@
   observer: observer.Observer;
   now: () => number;
   directory: () => Directory | undefined;
-  /** Whether what is in force here is known to be fresh enough to admit keys. */
+  /** Whether the settings in force were confirmed recently enough to admit keys. */
   isFresh: () => boolean;
   serve: (admitted: exchange.AdmittedRequest) => Promise<void>;
 }
@@ -36,19 +36,21 @@
   arrivedAt: number;
 }
 
-/** A caller's body, or why there is none. */
+/** A request body, or why there is none. */
 type Body = Buffer | 'tooLarge' | 'broken';
 
-/** Longest body that is read before the catalogue's limit is known; the limit of the deployments. */
+/** Maximum body that is read before the catalogue's limit is known; the limit of the deployments. */
 const MAX_EARLY_BODY_BYTES = 4 * 1024 * 1024;
 
-/** Longest head that Node parses at all; the catalogue's limit, which may change, is checked below it. */
+/**
+ * Maximum size of a head that Node parses; the catalogue's limit, which is lower and may change, is checked separately.
+ */
 const MAX_PARSED_HEADER_BYTES = 65_536;
 
-/** Heads that are slower than this are ended by Node; checked each second. */
+/** Interval at which Node closes connections whose head exceeded its timeout, milliseconds. */
 const HEADER_CHECK_INTERVAL_MS = 1_000;
 
-/** What a caller is told to wait where the entry has no fresh settings, seconds: the next follow. */
+/** Retry-After where the entry has no fresh settings, seconds: it polls the leader again by then. */
 const RETRY_AFTER_SECONDS = '0.50';
 
 export class Ingress {
@@ -87,7 +89,7 @@
     return listening.listenOrTakeOver(this.server, address, early);
   }
 
-  /** Requests that have no final answer yet. */
+  /** Number of requests without a final response. */
   get activeRequests(): number {
     return this.active;
   }
@@ -97,17 +99,17 @@
     this.server.headersTimeout = headerTimeoutMs;
   }
 
-  /** Settings came or were confirmed: requests that waited for them go on. */
+  /** Continues requests that wait for settings, if these have arrived or were confirmed. */
   wake(): void {
     this.settingsWait.wake();
   }
 
-  /** From now on each answer closes its connection; new requests are still served. */
+  /** From now on each response closes its connection; new requests are still served. */
   drain(): void {
     this.isDraining = true;
   }
 
-  /** Takes no new connections, and refuses requests that come on open ones; those under way go on. */
+  /** Accepts no new connections and refuses requests that arrive on open ones; requests in progress continue. */
   refuseNew(): void {
     this.isRefusing = true;
     this.close();
@@ -128,10 +130,10 @@
       this.active -= 1;
     });
     if (this.isDraining) response.setHeader('Connection', 'close');
-    // An error of the caller's connection ends its exchange by `close`; nothing else follows from it.
+    // An error of the caller's connection ends its exchange through `close`; it needs no other handling.
     response.on('error', () => undefined);
     if (this.isRefusing) {
-      this.refuse(request, response, { status: 503, reason: 'this entry stops' });
+      this.refuse(request, response, { status: 503, reason: 'entry is stopping' });
       return;
     }
     const earlyBody = this.hasUsableSettings ? undefined : await this.readAndWait(request);
@@ -148,7 +150,7 @@
     return this.dependencies.directory() !== undefined && this.dependencies.isFresh();
   }
 
-  /** Callers leave an entry that doesn't read their request, so the body comes before the wait. */
+  /** Reads the body before the wait, because callers leave an entry that doesn't read their request. */
   private async readAndWait(request: http.IncomingMessage): Promise<Body> {
     const body = await readBody(request, MAX_EARLY_BODY_BYTES);
     await this.settingsWait.wait(this.dependencies.protocol.facts(request.headers).patienceMs);
@@ -201,7 +203,7 @@
     isKeyed: boolean,
     organisation: domain.catalogue.catalogue.Organisation | undefined,
   ): Refusal | undefined {
-    // A stale entry can't tell a missing route or key from one that is newer than its catalogue.
+    // A stale entry can't distinguish an unknown route or key from one that is newer than its catalogue.
     const isStale = !this.dependencies.isFresh();
     if (route === undefined) {
       return isStale
@@ -228,7 +230,7 @@
     });
     const headers: http.OutgoingHttpHeaders = { 'Content-Length': 0 };
     if (status === 503) headers['Retry-After'] = RETRY_AFTER_SECONDS;
-    // The rest of a body that nobody reads must not be taken for the next request.
+    // The unread rest of a body must not be parsed as the next request.
     if (!request.complete) headers.Connection = 'close';
     response.writeHead(status, headers);
     response.end();
--- a/packages/daemon/src/entry/leaderCall.ts
+++ b/packages/daemon/src/entry/leaderCall.ts
@@ -1,4 +1,7 @@
-/** A call of an entry to whoever leads, for what can't wait: the leader answers within a few milliseconds, or another one will. */
+/**
+ * Calls of an entry to the current leader that can't wait: the leader answers within a few milliseconds, or else a new
+ * leader will.
+ */
 import type * as leaderLink from '../fleet/leaderLink';
 import type * as messages from '../fleet/messages';
 import type * as peerClient from '../rpc/peerClient';
@@ -8,10 +11,10 @@
   client: Pick<peerClient.PeerClient, 'call'>;
 }
 
-/** Longest wait for the leader's word, milliseconds: ten times the usual, as for a place. */
+/** Timeout of a call, milliseconds: ten times the usual answer time, as for a placement. */
 const LEADER_TIMEOUT_MS = 150;
 
-/** The leader's answer; undefined where nobody leads, or who did gave none. */
+/** The leader's answer; undefined if there is no leader, or it didn't answer or has stepped down. */
 export async function call<T extends { kind: string }>(
   { link, client }: Dependencies,
   method: string,
--- a/packages/daemon/src/entry/leaderOutbox.ts
+++ b/packages/daemon/src/entry/leaderOutbox.ts
@@ -1,10 +1,10 @@
 /**
- * What an entry must tell the leader, whichever leads. Each item goes out at once; what no leader took is told again until one has, or
- * until newer items push it out.
+ * Outbox of reports for whichever keeper is the leader. Each item is sent at once; items that no leader accepted are
+ * retried until one does, or until newer items displace them.
  */
 import * as clock from '../clock';
 
-/** Pause before items that no leader took are told again, milliseconds. */
+/** Pause before items that no leader accepted are sent again, milliseconds. */
 export const RETRY_INTERVAL_MS = 100;
 
 export class LeaderOutbox<T> {
@@ -14,7 +14,7 @@
 
   private isClosed = false;
 
-  /** `send` resolves to whether a leader took the items; at most `most` wait for one. */
+  /** `deliver` resolves to whether a leader accepted the items; at most `capacity` items wait for a retry. */
   constructor(
     private readonly deliver: (items: readonly T[]) => Promise<boolean>,
     private readonly capacity: number,
@@ -34,7 +34,7 @@
     this.isRetrying = false;
   }
 
-  /** What no leader has taken by now stays untold. */
+  /** Drops items that no leader has accepted yet. */
   close(): void {
     this.isClosed = true;
   }
--- a/packages/daemon/src/entry/livenessProbes.ts
+++ b/packages/daemon/src/entry/livenessProbes.ts
@@ -1,6 +1,6 @@
 /**
- * Asks targets whether they live. A connection may be dead while its target is well, and a target that is late may be
- * busy; so the question goes over a connection of its own, and only an answer of the lifetime that was meant counts.
+ * Liveness probes of targets. A connection may be dead while its target is healthy, and a late target may be busy, so a
+ * probe uses a connection of its own, and only a response of the addressed lifetime counts.
  */
 import type * as protocols from '../edges/protocols';
 import type * as observer from '../observability/observer';
@@ -16,18 +16,21 @@
   source: string | undefined;
 }
 
-/** Longest wait for the answer, milliseconds: a new connection and a hundred ways there and back. */
+/** Probe timeout, milliseconds: a new connection and a hundred round trips. */
 const PROBE_TIMEOUT_MS = 300;
 
 const OK = 200;
 
 export class LivenessProbes {
-  /** Questions under way; requests on the same target share one. */
+  /** Probes in flight by target; requests on the same target share one. */
   private readonly pending = new Map<string, Promise<boolean>>();
 
   constructor(private readonly dependencies: Dependencies) {}
 
-  /** Whether this lifetime of a target answers; also one counts as alive that may not be asked now, as it named a limit or wants nothing. */
+  /**
+   * Whether this lifetime of a target responds. A target that can't be probed, as it is limited or in back-off, counts
+   * as alive.
+   */
   isAlive(target: string, address: string): Promise<boolean> {
     const known = this.pending.get(target);
     if (known !== undefined) return known;
@@ -58,7 +61,7 @@
   }
 }
 
-/** Whether the lifetime that was asked answered; also one does that turns the question away as it is too busy. */
+/** Whether the addressed lifetime responded, which includes refusing the probe because it is too busy. */
 function isFromLiveTarget({
   status,
   facts,
--- a/packages/daemon/src/entry/outcome.ts
+++ b/packages/daemon/src/entry/outcome.ts
@@ -1,29 +1,31 @@
-/** What one sending of a request came to, beyond how its connection ended. */
+/** Outcome of one attempt of a request, beyond how its connection ended. */
 import type * as domain from '@celerydrift/domain';
 
 type DispatchOutcome = domain.allocation.soundness.Ending;
 
 export type Outcome =
-  /** The caller has its final answer. */
+  /** The caller has the final response. */
   | { kind: 'answered' }
-  /** The target certainly didn't run it. */
+  /** The target is known not to have run it. */
   | { kind: 'notRun'; ending: DispatchOutcome; detail: string; faulty?: string }
-  /** It may have run, and the caller has nothing or a part of a stream. */
+  /** It may have run, and the caller has received nothing or part of a stream. */
   | {
       kind: 'failed';
       ending: DispatchOutcome;
       detail: string;
-      /** Whether nothing came to an end: the connection broke, or the target fell silent. */
+      /** Whether the response is incomplete: the connection broke, or the target timed out. */
       isCut: boolean;
     }
-  /** The target wants no request from this VM now; nothing was sent. */
+  /** The target is unavailable to this VM; nothing was sent. */
   | { kind: 'withheld' }
-  /** The helpers had no memory to reserve; nothing was sent. */
+  /** The prefill helpers couldn't reserve memory; nothing was sent. */
   | { kind: 'noMemory' }
+  /** The caller disconnected. */
   | { kind: 'gone' }
+  /** The deadline passed. */
   | { kind: 'late' };
 
-/** The helper that made a request fail; undefined where it was the chosen target itself. */
+/** The prefill helper that made a request fail; undefined if it was the selected target itself. */
 export function faultyHelperOf(
   outcome: Outcome,
   { helpers }: domain.allocation.allocator.Placement,
@@ -37,7 +39,10 @@
   return 'ending' in outcome ? outcome.ending : 'cancelled';
 }
 
-/** Whether the target may have ended: its connection broke, or it was silent until its caller left. */
+/**
+ * Whether the target may have crashed: its connection broke, or it was overdue when its caller left or the deadline
+ * passed.
+ */
 export function mayHaveCrashed(outcome: Outcome, wasOverdue: boolean): boolean {
   if (outcome.kind === 'failed') return outcome.isCut;
   return wasOverdue && (outcome.kind === 'gone' || outcome.kind === 'late');
--- a/packages/daemon/src/entry/reservations.ts
+++ b/packages/daemon/src/entry/reservations.ts
@@ -1,6 +1,6 @@
 /**
- * Memory that engines keep for one prompt. A reservation is short and renewed while the request runs: an
- * entry that dies, or a release that is lost or carried out late, leaves memory set aside for seconds only.
+ * Memory that prefill helpers reserve for one prompt. Reservations are short leases that are renewed while the request
+ * runs, so that an entry that dies, or a lost or late release, blocks memory for seconds only.
  */
 import * as crypto from 'node:crypto';
 import type * as domain from '@celerydrift/domain';
@@ -23,30 +23,33 @@
 }
 
 /**
- * How long memory is kept without a renewal, milliseconds. Memory that no request uses must be free after
- * 4 s, so an entry that dies right after a renewal must leave it for less.
+ * Lease without a renewal, milliseconds. Memory that no request uses must be free after 4 s, also if its entry dies
+ * right after a renewal.
  */
 const LEASE_MS = 3_500;
 
 const OK = 200;
 
-/** A third, so that two renewals in a row may be lost. */
+/** Renewal interval, milliseconds: a third of the lease, so that two renewals in a row may be lost. */
 const RENEW_INTERVAL_MS = 1_100;
 
-/** Longest wait for the answer to an order, milliseconds; a few ways there and back. */
+/** Timeout of a call to reserve, renew or release, milliseconds: a few round trips. */
 const ORDER_TIMEOUT_MS = 300;
 
-/** Pause before a release without an answer is sent again, and how often; together over `HOLD_MS`. */
+/**
+ * Pause before an unanswered release is retried, milliseconds, and the number of tries; together longer than
+ * `LEASE_MS`.
+ */
 const RELEASE_RETRY_MS = 600;
 const MAX_RELEASE_TRIES = 6;
 
-/** Longest time for which a target is asked to keep memory, milliseconds; more it refuses. */
+/** Longest lease that targets grant, milliseconds. */
 const MAX_LEASE_MS = 20_000;
 
 interface Reservation {
   helper: Helper;
   id: string;
-  /** Until when the target keeps it without another renewal. */
+  /** When the lease expires without another renewal. */
   until: number;
 }
 
@@ -60,7 +63,7 @@
     private readonly dependencies: Dependencies,
   ) {}
 
-  /** Reserves what the helpers are to keep, on all or on none of them. */
+  /** Reserves memory on all helpers that are to keep tokens, or on none. */
   async reserveAll(helpers: readonly Helper[]): Promise<boolean> {
     this.reservations = helpers
       .filter(({ keptTokens }) => keptTokens > 0)
@@ -80,7 +83,7 @@
     return true;
   }
 
-  /** The helpers as the request names them. */
+  /** The helpers with their reservations, as the request lists them. */
   named(helpers: readonly Helper[]): protocols.Helper[] {
     return helpers.map(({ target, address }) => {
       const reservation = this.reservations.find(({ helper }) => helper.target === target);
@@ -88,7 +91,7 @@
     });
   }
 
-  /** Gives everything back; goes on in the background until the targets have confirmed. */
+  /** Releases everything; retries in the background until the targets have confirmed. */
   release(): void {
     clearInterval(this.timer);
     this.reservations.splice(0).forEach((each) => {
@@ -105,7 +108,9 @@
       });
   }
 
-  /** The target's status; 0 where it gave none. One that wants nothing for a while is asked once for all of that time. */
+  /**
+   * Resolves to the response's status, 0 without one. For a target in back-off the lease covers the remaining back-off.
+   */
   private async reserveOne(reservation: Reservation, purpose: 'order' | 'upkeep'): Promise<number> {
     const { protocol, signals, targets, limits, now } = this.dependencies;
     const { target, address, keptTokens } = reservation.helper;
--- a/packages/daemon/src/entry/settingsWait.ts
+++ b/packages/daemon/src/entry/settingsWait.ts
@@ -1,27 +1,26 @@
 /**
- * Requests that came before the entry has settings that it may serve by. After all keepers were down they
- * elect a leader within 0.45 to 0.75 s, and an entry that was started again has the settings some milliseconds
- * later; callers that were refused meanwhile would have lost one of their few tries. So a request waits for a bounded
- * part of its caller's patience. In played days with such an outage three in four of all refusals were of
- * this kind.
+ * Holds requests that arrive before the entry has settings to serve them. After an outage of all keepers a leader is
+ * elected within 0.45 to 0.75 s, and a restarted entry has the settings some milliseconds later. A refusal in between
+ * would cost callers one of their few tries, so a request waits for a bounded share of its caller's timeout. In replays
+ * of such an outage three in four of all refusals were of this kind.
  */
 
-/** Longest wait, milliseconds: two elections, as the first may end without a leader. */
+/** Maximum wait, milliseconds: two elections, as the first may not elect a leader. */
 const MAX_WAIT_MS = 1_500;
 
-/** Part of a caller's patience that may be spent; the rest must suffice to serve it. */
+/** Share of the caller's timeout that may be spent waiting; the rest must suffice to serve the request. */
 const MAX_WAIT_SHARE = 0.2;
 
-/** Patience of callers that don't say theirs, milliseconds. */
+/** Timeout assumed for callers that don't state one, milliseconds. */
 const DEFAULT_PATIENCE_MS = 5_000;
 
 export class SettingsWait {
   private readonly waiting = new Set<() => void>();
 
-  /** `isSettled` says whether there are settings to serve by. */
+  /** `hasUsableSettings` returns whether there are settings that requests can be served with. */
   constructor(private readonly hasUsableSettings: () => boolean) {}
 
-  /** Resolves when there are settings to serve by, or when waiting longer would cost the caller too much. */
+  /** Resolves when there are usable settings, or after the maximum wait for this caller. */
   async wait(patienceMs = DEFAULT_PATIENCE_MS): Promise<void> {
     if (this.hasUsableSettings()) return;
     await new Promise<void>((resolve) => {
@@ -35,7 +34,7 @@
     });
   }
 
-  /** To be called whenever settings came or were confirmed. */
+  /** To be called whenever settings arrived or were confirmed. */
   wake(): void {
     if (this.hasUsableSettings()) this.waiting.forEach((done) => done());
   }
