--- a/packages/daemon/src/entry/__tests__/__fixtures__/bench.ts
+++ b/packages/daemon/src/entry/__tests__/__fixtures__/bench.ts
@@ -1,4 +1,4 @@
-/** An ingress with exchanges behind it, and targets that behave as a test says, over real sockets. */
+/** A test harness over real sockets: an ingress with its exchanges, and targets whose behavior each test defines. */
 import * as http from 'node:http';
 import * as net from 'node:net';
 import * as domain from '@celerydrift/domain';
@@ -15,10 +15,10 @@
 import * as targetClient from '../../targetClient';
 import * as targetSignals from '../../targetSignals';
 
-/** Where targets of these tests are asked whether they live. */
+/** Path of liveness probes to the targets of these tests. */
 export const REPORT_PATH = '/alive';
 
-/** A protocol as plain as possible: `id`, `signed`, `not-run`, `resume-after`. */
+/** A minimal protocol with plain headers: `id`, `signed`, `not-run`, `resume-after`. */
 export const PROTOCOL: protocols.TrafficProtocol = {
   facts: (headers) => ({
     requestId: String(headers.id ?? ''),
@@ -59,7 +59,7 @@
   report: () => ({ method: 'GET', path: REPORT_PATH, headers: [], body: '' }),
 };
 
-/** A gate that lets every message pass. */
+/** A gate that admits every message. */
 export const PERMISSIVE_GATE: targetClient.AdmissionGate = {
   admit: () => ({ answered: () => undefined, ended: () => undefined }),
 };
@@ -70,7 +70,7 @@
   status: number;
   headers: http.IncomingHttpHeaders;
   body: string;
-  /** Whether the answer ended as whole. */
+  /** Whether the response ended as complete. */
   isWhole: boolean;
 }
 
@@ -119,19 +119,19 @@
 }
 
 export class TestHarness {
-  /** Callers' requests that targets saw. */
+  /** Callers' requests that targets received. */
   readonly received: string[] = [];
 
-  /** How often targets were asked whether they live. */
+  /** Number of liveness probes that targets received. */
   probes = 0;
 
-  /** What was asked of the chooser. */
+  /** Requests that the selector received. */
   readonly placementRequests: targetSelector.PlacementRequest[] = [];
 
-  /** How placements ended. */
+  /** Outcomes of dispatches, as they were reported. */
   readonly outcomes: string[] = [];
 
-  /** How long the chooser takes, milliseconds. */
+  /** How long the selector takes, milliseconds. */
   placementDelayMs = 0;
 
   isFresh = true;
@@ -220,7 +220,7 @@
     });
   }
 
-  /** Targets are tried in the order of their behaviours. */
+  /** Starts a target for each behavior; targets are selected in this order. */
   static async start(...behaviours: TargetBehaviour[]): Promise<TestHarness> {
     const addresses: string[] = [];
     const made = new TestHarness(addresses);
@@ -244,7 +244,7 @@
     return made;
   }
 
-  /** A target ends: its address refuses connections. */
+  /** Simulates the crash of a target: its address refuses connections from then on. */
   crash(index: number): Promise<void> {
     return new Promise((resolve) => {
       this.servers[index].close(() => resolve());
@@ -258,7 +258,7 @@
     this.servers.forEach((server) => server.close());
   }
 
-  /** A request to a route; `leaveAfterMs` closes the connection then. */
+  /** Sends a request to a route; with `leaveAfterMs` the caller disconnects after that time. */
   async send(
     path: string,
     headers: http.OutgoingHttpHeaders = {},
@@ -308,7 +308,7 @@
   }
 }
 
-/** A whole signed answer with a length. */
+/** A complete signed response with a length. */
 export function answer(body: string, status = 200, more = ''): string {
   const head = `HTTP/1.1 ${status} X\r\nid: r1\r\nsigned: 1\r\n${more}`;
   return `${head}Content-Length: ${body.length}\r\n\r\n${body}`;
--- a/packages/daemon/src/entry/__tests__/attempts.test.ts
+++ b/packages/daemon/src/entry/__tests__/attempts.test.ts
@@ -1,4 +1,4 @@
-/** Where a request may go after targets that refused it, failed or weren't reached. */
+/** Where a request may go after targets that refused it, failed or were unreachable. */
 import * as chai from 'chai';
 import * as attempts from '../attempts';
 
@@ -17,7 +17,7 @@
 }
 
 describe('attempts of a request', () => {
-  it('go to as many targets as the route allows', () => {
+  it('reach as many targets as the route allows', () => {
     const one = attemptsAfter({ target: 'a', ...SENT });
     expect([one.excluded, one.writers, one.hasAttemptLeft(undefined)]).to.deep.equal([
       ['a'],
@@ -30,7 +30,7 @@
     ).to.equal(false);
   });
 
-  it('return to those that refused, a bounded number of times', () => {
+  it('return to targets that refused, a limited number of times', () => {
     const refused = { target: 'b', ...REFUSED };
     const bound = attemptsAfter({ target: 'a', ...SENT }, refused);
     expect([bound.excluded, bound.writers, bound.hasAttemptLeft(undefined)]).to.deep.equal([
@@ -43,12 +43,12 @@
     ).to.equal(false);
   });
 
-  it('keep to a target that refused because of its helper', () => {
+  it('may stay at a target that refused because of its prefill helper', () => {
     const spared = attemptsAfter({ target: 'a', ...REFUSED, wasHelperAtFault: true });
     expect(spared.excluded).to.deep.equal([]);
   });
 
-  it("don't count targets that weren't reached, up to a bound", () => {
+  it("don't count unreachable targets, up to a limit", () => {
     const unreachable = (target: string): attempts.AttemptOutcome => ({
       ...SENT,
       target,
--- a/packages/daemon/src/entry/__tests__/exchange.test.ts
+++ b/packages/daemon/src/entry/__tests__/exchange.test.ts
@@ -1,4 +1,4 @@
-/** What a caller gets, and what targets see, when targets fail in each of their ways. */
+/** What callers receive, and what reaches targets, when targets fail in various ways. */
 import * as net from 'node:net';
 import * as chai from 'chai';
 import * as clock from '../../clock';
@@ -14,7 +14,7 @@
 
   afterEach(() => setup.stop());
 
-  it('passes an answer on unchanged', async () => {
+  it('forwards a response unchanged', async () => {
     setup = await harness.TestHarness.start(RESPOND);
     const reply = await setup.send('/unsafe/1', {}, 'body');
     expect([reply.status, reply.body, reply.headers.signed]).to.deep.equal([200, 'whole', '1']);
@@ -22,10 +22,10 @@
   });
 
   /*
-   * A parts hold would be booked twice. The target reads the call and its connection breaks; nobody knows
-   * whether it ran, so it is neither sent again nor answered with a status that promises it did not run.
+   * Guards against an unsafe call, such as a booking, that runs twice. The target reads the call and its connection
+   * breaks. The call may have run, so it is neither repeated nor refused with a status that means it did not run.
    */
-  it('never repeats an unsafe call that may have run, and promises nothing', async () => {
+  it('never repeats an unsafe call that may have run, and guarantees nothing', async () => {
     setup = await harness.TestHarness.start(
       (_request, socket) => socket.resetAndDestroy(),
       RESPOND,
@@ -34,7 +34,7 @@
     expect([reply.status, setup.received.length]).to.deep.equal([502, 1]);
   });
 
-  it('says that an unsafe call did not run where the target says so', async () => {
+  it('reports that an unsafe call did not run if the target states so', async () => {
     const refuse = harness.answer('', 503, 'not-run: 1\r\n');
     setup = await harness.TestHarness.start((_request, socket) => socket.write(refuse), RESPOND);
     const reply = await setup.send('/unsafe/1');
@@ -43,10 +43,10 @@
   });
 
   /*
-   * A caller would take a call for not run that ran. A faulty target answers 503 without saying that it didn't
-   * run the request.
+   * Guards against telling a caller that a call did not run although it may have: a faulty target responds with 503 but
+   * doesn't state that it didn't run the request.
    */
-  it("doesn't pass on a promise that the target didn't make", async () => {
+  it("doesn't forward a 503 that doesn't state that the call did not run", async () => {
     setup = await harness.TestHarness.start((_request, socket) =>
       socket.write(harness.answer('', 503)),
     );
@@ -54,10 +54,10 @@
   });
 
   /*
-   * A fitter's parts hold was refused while two servers of three were well. The third had crashed: its address
-   * refused the connection, and the only attempt of a call that runs once was spent on it.
+   * Guards against an unsafe call that fails although two of three targets are healthy: the third had crashed and
+   * refused the connection, which used up the call's only attempt.
    */
-  it("takes another target for a call that runs once where one can't be reached", async () => {
+  it('sends an unsafe call to another target if one is unreachable', async () => {
     setup = await harness.TestHarness.start(RESPOND, RESPOND);
     await setup.crash(0);
     const reply = await setup.send('/unsafe/1');
@@ -69,10 +69,11 @@
   });
 
   /*
-   * A review was refused with ten seconds left. Its first target had no room; its second one refused because a helper had
-   * died; a route allows two targets, but one that refused may be asked again.
+   * Guards against a request that fails ten seconds before its deadline: its first target was full, and the second one
+   * refused because its prefill helper had died. A route allows two targets, but a target that refused may be tried
+   * again.
    */
-  it('asks a target again that refused, where no further one is allowed', async () => {
+  it('returns to a target that refused if no further target is allowed', async () => {
     const refuse = harness.answer('', 503, 'not-run: 1\r\n');
     let asked = 0;
     const succeedOnRetry: harness.TargetBehaviour = (_request, socket) => {
@@ -87,8 +88,8 @@
     expect(setup.placementRequests[2].writers).to.deep.equal(['t0', 't1']);
   });
 
-  /** Guards against a stream that is given up at the first target that can't be reached, though another one is there. */
-  it('goes on with a stream past a target that can not be reached, or that turns it away', async () => {
+  /** Guards against a stream that is given up at the first unreachable target although another one is available. */
+  it('resumes a stream past a target that is unreachable, or that refuses it', async () => {
     const cut: harness.TargetBehaviour = (_request, socket) => {
       socket.write(harness.STREAM_HEAD + harness.chunk('id: 1\ndata: a\n\n'));
       setTimeout(() => socket.resetAndDestroy(), 50);
@@ -114,8 +115,8 @@
     expect([again.body, again.isWhole]).to.deep.equal(whole);
   });
 
-  /** Guards against a request that was placed before its target asked this VM to back off, and is sent after it. */
-  it('goes elsewhere where its target wants nothing more by the time it is sent', async () => {
+  /** Guards against a request that is placed before its target asks this VM to back off, and sent afterwards. */
+  it('selects another target if the first is in back-off by the time the request is sent', async () => {
     const refuse = harness.answer('', 503, 'not-run: 1\r\nback-off: 2000\r\n');
     setup = await harness.TestHarness.start((_request, socket) => socket.write(refuse), RESPOND);
     setup.placementDelayMs = 60;
@@ -128,17 +129,17 @@
   });
 
   /*
-   * Each request found out by itself that a server was gone and another one had its address: the refusal that said
-   * so was taken for a full server, and nobody was told.
+   * Guards against a target whose replacement at the same address is detected by each request anew: the refusal that
+   * shows it was taken for that of a full target, and not reported.
    */
-  it('says which lifetime was gone when another one answered', async () => {
+  it('reports which lifetime was replaced when another one responded', async () => {
     const other = harness.answer('', 421, 'not-run: 1\r\n');
     setup = await harness.TestHarness.start((_request, socket) => socket.write(other), RESPOND);
     await setup.send('/safe/1');
     expect(setup.outcomes).to.deep.equal(['replaced', 'done']);
   });
 
-  it("goes on to a few targets at most that can't be reached", async () => {
+  it('tries a limited number of unreachable targets', async () => {
     setup = await harness.TestHarness.start(RESPOND, RESPOND, RESPOND, RESPOND, RESPOND);
     for (let i = 0; i < 4; i++) await setup.crash(i);
     expect((await setup.send('/unsafe/1')).status).to.equal(503);
@@ -146,20 +147,20 @@
   });
 
   /*
-   * One request in twenty was refused on calm engines. Operators had given a route more time than its callers wait, and
-   * the difference was taken for a wait before; each of their requests counted as late from the start.
+   * Guards against refusals on idle engines, one request in twenty. A route allowed more time than its callers wait,
+   * and the difference was counted as time already waited, so each request counted as late from the start.
    */
-  it("doesn't take a caller's short patience for a wait", async () => {
+  it("doesn't count a caller's short timeout as time already waited", async () => {
     setup = await harness.TestHarness.start(RESPOND);
     await setup.send('/safe/1', { patience: '900' });
     expect(setup.placementRequests[0].waitedMs).to.be.lessThan(100);
   });
 
   /*
-   * A reader saw his text end midway, beside a change of settings, with engines free. The target cut a stream after
-   * 1.8 s; the time since the request came was taken for a wait of six objectives, for which no engine is given.
+   * Guards against a stream that is aborted midway although engines are free. The target interrupted it after 1.8 s,
+   * and the time since its arrival was counted as a wait of six objectives, for which no engine is assigned.
    */
-  it('counts no wait for a stream that goes on elsewhere, and no more than the objective otherwise', async () => {
+  it('counts no wait for a stream that resumes elsewhere, and no more than the objective otherwise', async () => {
     const cut: harness.TargetBehaviour = (_request, socket) => {
       socket.write(harness.STREAM_HEAD + harness.chunk('id: 1\ndata: a\n\n'));
       setTimeout(() => socket.resetAndDestroy(), 300);
@@ -177,11 +178,11 @@
   });
 
   /*
-   * A reader's stream ended with another target's failure as its last text, and looked whole. Its first target was cut
-   * midway, and the last one that it could go on at answered with a status of its own.
+   * Guards against a stream that ends with another target's error page as its last text and looks complete. Its first
+   * target failed midway, and the one that was to resume it responded with an error status.
    */
   [500, 404].forEach((status) => {
-    it(`doesn't end a stream with the ${status} of the target that was to go on with it`, async () => {
+    it(`doesn't end a stream with the ${status} of the target that was to resume it`, async () => {
       const cut: harness.TargetBehaviour = (_request, socket) => {
         socket.write(harness.STREAM_HEAD + harness.chunk('id: 1\ndata: a\n\n'));
         setTimeout(() => socket.resetAndDestroy(), 50);
@@ -198,7 +199,7 @@
     });
   });
 
-  it('has a safe call answered by another target when the first fails', async () => {
+  it('sends a safe call to another target when the first fails', async () => {
     setup = await harness.TestHarness.start(
       (_request, socket) => socket.write(harness.answer('broken', 500)),
       RESPOND,
@@ -207,16 +208,16 @@
     expect(setup.outcomes).to.deep.equal(['broken', 'done']);
   });
 
-  it('gives up a safe call on a target that is silent', async () => {
+  it('gives up a target that does not respond to a safe call', async () => {
     setup = await harness.TestHarness.start(() => undefined, RESPOND);
     expect((await setup.send('/safe/1')).body).to.equal('whole');
   });
 
   /*
-   * A caller would read another caller's text. A target sends a late answer to an earlier request, where the
-   * next one's is expected.
+   * Guards against a caller that receives another caller's response: a target sends the late response to an earlier
+   * request where that to the next one is expected.
    */
-  it('never passes on an answer to another request', async () => {
+  it('never forwards a response to another request', async () => {
     const other = harness.answer('other').replace('id: r1', 'id: r0');
     setup = await harness.TestHarness.start((_request, socket) => socket.write(other));
     const reply = await setup.send('/unsafe/1');
@@ -224,10 +225,10 @@
   });
 
   /*
-   * A reader would see a part twice, or a gap. The target crashes in the middle of an event; the stream goes
-   * on at another target after the last whole one, within the same answer.
+   * Guards against a repeated or missing part of a stream. The target crashes in the middle of an event; the stream
+   * resumes at another target after the last complete one, within the same response.
    */
-  it('goes on with a stream after its last whole event', async () => {
+  it('resumes a stream after its last complete event', async () => {
     const first: harness.TargetBehaviour = (_request, socket) => {
       socket.write(harness.STREAM_HEAD + harness.chunk('id: 1\ndata: a\n\nid: 2\nda'));
       setTimeout(() => socket.resetAndDestroy(), 20);
@@ -244,10 +245,10 @@
   });
 
   /*
-   * A long prompt was read a second time while its engine was about to answer. It is overdue by what was
-   * predicted, and alive; its entry asks before it gives up.
+   * Guards against a second prefill of a long prompt whose engine is about to respond. The engine is overdue by its
+   * prediction but alive, so the entry probes it before giving up.
    */
-  it('leaves a target alone that is overdue and alive', async () => {
+  it('keeps waiting for a target that is overdue but alive', async () => {
     const busy: harness.TargetBehaviour = (request, socket) => {
       if (request.includes(harness.REPORT_PATH)) socket.write(harness.answer('{}'));
       else setTimeout(() => socket.write(stream), 1_200);
@@ -259,10 +260,10 @@
   });
 
   /*
-   * Callers waited for seconds on an engine that had gone dark: it took connections' bytes and said nothing. It
-   * doesn't answer the question whether it lives either, so another one gets the request.
+   * Guards against callers that wait for seconds on an unresponsive engine, which accepts bytes but sends nothing. It
+   * doesn't respond to the liveness probe either, so another engine gets the request.
    */
-  it('leaves a dead target as soon as it is overdue', async () => {
+  it('gives up a dead target as soon as it is overdue', async () => {
     const stream = `${harness.STREAM_HEAD}${harness.chunk('id: 1\ndata: a\n\n')}${harness.LAST_CHUNK}`;
     setup = await harness.TestHarness.start(
       () => undefined,
@@ -275,10 +276,10 @@
   });
 
   /*
-   * Two clerks sent the same lookup at the same moment, and their target crashed under both. One was sent on as the trial; the
-   * other one was answered 502 at once, though targets were free and the trial told a moment later that it may run.
+   * Guards against an immediate 502 for one of two equal requests that ran on a target when it crashed. The other one
+   * made its canary run on a free target, and showed a moment later that both may run.
    */
-  it('lets a copy that a crash cut wait for the trial of the other one', async () => {
+  it('lets a copy that a crash interrupted wait for the canary run of the other one', async () => {
     const sockets: net.Socket[] = [];
     const crashing: harness.TargetBehaviour = (_request, socket) => {
       sockets.push(socket);
@@ -300,7 +301,7 @@
     ]);
   });
 
-  it('breaks a stream off that nobody can go on with', async () => {
+  it('aborts a stream that no target can resume', async () => {
     const half: harness.TargetBehaviour = (_request, socket) => {
       socket.write(harness.STREAM_HEAD + harness.chunk('id: 1\ndata: a\n\n'));
       setTimeout(() => socket.resetAndDestroy(), 20);
@@ -310,7 +311,7 @@
     expect([reply.status, reply.isWhole]).to.deep.equal([200, false]);
   });
 
-  it('closes the connection to the target when the caller leaves', async () => {
+  it('closes the connection to the target when the caller disconnects', async () => {
     let closed = false;
     setup = await harness.TestHarness.start((_request, socket) => {
       socket.once('close', () => {
@@ -324,7 +325,7 @@
     expect([closed, setup.outcomes]).to.deep.equal([true, ['cancelled']]);
   });
 
-  it("answers at the route's timeout", async () => {
+  it("responds at the route's timeout", async () => {
     setup = await harness.TestHarness.start(() => undefined);
     const startedAt = performance.now();
     const reply = await setup.send('/unsafe/1');
@@ -332,7 +333,7 @@
     expect(performance.now() - startedAt).to.be.within(1_450, 1_900);
   });
 
-  it('refuses keys while nothing is known to be fresh, and serves them after', async () => {
+  it('refuses keys while settings are not confirmed fresh, and serves them afterwards', async () => {
     setup = await harness.TestHarness.start(RESPOND);
     setup.isFresh = false;
     expect((await setup.send('/safe/1')).status).to.equal(503);
@@ -344,10 +345,10 @@
   });
 
   /*
-   * Callers would lose one of their few tries, all at once. All VMs lose power and come back; an entry takes
-   * requests half a second before the keepers have a leader that can tell it the settings.
+   * Guards against callers that all lose one of their few tries at once. After a power loss of all VMs an entry accepts
+   * requests half a second before the keepers have a leader that can send it the settings.
    */
-  it('keeps requests that come just before the settings, and serves them', async () => {
+  it('holds requests that arrive just before the settings, and serves them', async () => {
     setup = await harness.TestHarness.start(RESPOND);
     setup.hasCatalogue = false;
     setup.isFresh = false;
@@ -360,7 +361,7 @@
     expect((await asked).body).to.equal('whole');
   });
 
-  it('refuses as not run what the settings come too late for', async () => {
+  it('refuses a request as not run if the settings come too late', async () => {
     setup = await harness.TestHarness.start(RESPOND);
     setup.hasCatalogue = false;
     const startedAt = performance.now();
@@ -369,7 +370,7 @@
     expect(performance.now() - startedAt).to.be.within(900, 1_300);
   });
 
-  it('bounds what a caller may send', async () => {
+  it('limits what a caller may send', async () => {
     setup = await harness.TestHarness.start(RESPOND);
     const statuses = [
       (await setup.send('/safe/1', { key: 'wrong' })).status,
@@ -379,7 +380,7 @@
     expect([statuses, setup.received.length]).to.deep.equal([[401, 431, 413], 0]);
   });
 
-  it('says which connection is its last when the entry leaves', async () => {
+  it('closes connections after their next response when the entry drains', async () => {
     setup = await harness.TestHarness.start(RESPOND);
     setup.ingress.drain();
     const reply = await setup.send('/safe/1');
@@ -387,10 +388,11 @@
   });
 
   /*
-   * A reader would see a stream end midway. An entry stops; 4.5 s later a request comes on a connection that was
-   * open, is sent to a target, and is cut when the process ends. The refusal lets its caller go elsewhere.
+   * Guards against a stream that ends midway because the entry stops: 4.5 s after the stop began, a request arrived on
+   * an open connection, was sent to a target, and was interrupted by the end of the process. A refusal lets its caller
+   * go elsewhere.
    */
-  it('refuses what comes too late to be finished before a stop, and finishes the rest', async () => {
+  it('refuses requests that arrive too late to be finished before a stop, and finishes the others', async () => {
     const slow: harness.TargetBehaviour = (_request, socket) => {
       setTimeout(() => socket.write(harness.answer('whole')), 200);
     };
--- a/packages/daemon/src/entry/__tests__/livenessProbes.test.ts
+++ b/packages/daemon/src/entry/__tests__/livenessProbes.test.ts
@@ -1,4 +1,4 @@
-/** What an answer to the question whether a target lives proves. */
+/** Which responses to a liveness probe show that a target is alive. */
 import * as http from 'node:http';
 import type * as net from 'node:net';
 import * as chai from 'chai';
@@ -8,7 +8,7 @@
 
 const { expect } = chai;
 
-/** Whether a target counts as alive that answers so. */
+/** Whether a target with this response counts as alive. */
 async function isAlive(status: number, headers: http.OutgoingHttpHeaders): Promise<boolean> {
   const server = http.createServer((_request, response) => {
     response.writeHead(status, headers).end();
@@ -29,9 +29,11 @@
   return alive;
 }
 
-describe('life checks', () => {
-  /** Guards against a target that is given up, and blamed on the requests that it ran, as it was too busy to say how it is. */
-  it('take a target for alive that turns them away, and not whoever else answers', async () => {
+describe('liveness probes', () => {
+  /**
+   * Guards against reporting a crash, and suspecting the requests that ran, of a target that was too busy for a probe.
+   */
+  it('count a target that refuses them as alive, but no other responder', async () => {
     const answers = [
       await isAlive(200, {}),
       await isAlive(503, { 'not-run': '1' }),
--- a/packages/daemon/src/entry/__tests__/quarantineClient.test.ts
+++ b/packages/daemon/src/entry/__tests__/quarantineClient.test.ts
@@ -1,4 +1,4 @@
-/** What an entry holds against a request, and who has the last word on it. */
+/** How an entry treats suspect requests, and how the leader overrides it. */
 import * as chai from 'chai';
 import * as domain from '@celerydrift/domain';
 import { Ok } from 'ts-results';
@@ -16,10 +16,10 @@
 
 describe('an entry that was cut off from all targets', () => {
   /*
-   * One entry in eight refused a lookup with 502 until it was restarted. It had been cut off and taken three targets for ended; the
-   * leader knew better and changed nothing, so it told nobody, and what the entry had noted by itself stayed.
+   * Guards against a suspicion that only one entry holds. An entry that was cut off took three targets for crashed and
+   * refused a lookup with 502 until its restart: the leader had rejected the reports, but sent no update.
    */
-  it('takes the word of its leader, who knows that they live', async () => {
+  it('accepts the state of the leader, which knows that they are alive', async () => {
     const quarantine = new domain.quarantine.quarantine.Quarantine();
     const nothing = new domain.quarantine.quarantine.Quarantine().report(CONTENT, 0);
     const made = new quarantineClient.QuarantineClient({
@@ -48,9 +48,11 @@
   });
 });
 
-describe('a trial that ends while nobody leads', () => {
-  /** Guards against a trial that the leader never hears the end of: all copies of an innocent request were refused for a minute. */
-  it('is told to the leader as soon as there is one', async () => {
+describe('a canary run that ends while there is no leader', () => {
+  /**
+   * Guards against a canary run whose end isn't reported: all copies of a harmless request were refused for a minute.
+   */
+  it('is reported to the leader as soon as there is one', async () => {
     const quarantine = new domain.quarantine.quarantine.Quarantine();
     ['a', 'b'].forEach((lifetime) => {
       quarantine.blame(CONTENT, lifetime, { sentAt: 0, isTrial: true }, 1);
@@ -85,9 +87,12 @@
   });
 });
 
-describe('a request that its entry suspects and the leader does not yet', () => {
-  /** Guards against runs of a culprit that counted as one, as if they had been under way together: it was never convicted. */
-  it('runs as a trial', async () => {
+describe('a request that is a suspect at its entry but not yet at the leader', () => {
+  /**
+   * Guards against separate runs of a crashing request that count as one concurrent run, so that it is never
+   * quarantined.
+   */
+  it('makes a canary run', async () => {
     const quarantine = new domain.quarantine.quarantine.Quarantine();
     quarantine.blame(CONTENT, 'a', { sentAt: 0, isTrial: false }, 1);
     const made = new quarantineClient.QuarantineClient({
--- a/packages/daemon/src/entry/__tests__/rateLimitClient.test.ts
+++ b/packages/daemon/src/entry/__tests__/rateLimitClient.test.ts
@@ -1,4 +1,4 @@
-/** What an entry notes, tells and asks about targets that name a limit. */
+/** What an entry records, reports and asks about targets that name a rate limit. */
 import * as chai from 'chai';
 import * as domain from '@celerydrift/domain';
 import { Err, Ok } from 'ts-results';
@@ -28,7 +28,7 @@
 
 const ENTRIES = 4;
 
-/** Longer than an entry waits before it tells a leader again. */
+/** Longer than the interval at which an entry retries its reports, milliseconds. */
 const RETRY_WAIT_MS = 150;
 
 class Harness {
@@ -40,10 +40,10 @@
 
   readonly reports: messages.Limited[] = [];
 
-  /** What the leader answers when it is asked for a message. */
+  /** The leader's answer to a call for a grant. */
   grant: messages.GrantAnswer = { kind: 'wait', waitMs: 1_000 };
 
-  /** Whether calls reach a leader. */
+  /** Whether calls reach the leader. */
   isLeaderReachable = true;
 
   now = 0;
@@ -75,7 +75,7 @@
   }
 }
 
-describe('an entry whose target names a limit', () => {
+describe('an entry whose target names a rate limit', () => {
   let setup: Harness;
 
   beforeEach(() => {
@@ -84,8 +84,10 @@
 
   afterEach(() => setup.client.close());
 
-  /** Guards against an old answer that ends a limit: its head was on the way when the target came into need. */
-  it('takes it for over only by an answer to a request that was sent since', () => {
+  /**
+   * Guards against a limit that is lifted by an older response, whose head was in flight when the target set the limit.
+   */
+  it('lifts it only after a response to a request that was sent since', () => {
     setup.now = 100;
     setup.answer(2);
     setup.answer(undefined, 100);
@@ -94,15 +96,15 @@
     expect(setup.limits.at(PLACE)).to.equal(undefined);
   });
 
-  it('goes on with the limit where one can not be read', () => {
+  it('keeps the limit if a new one is unreadable', () => {
     setup.answer(2);
     const answered = { ...PLACE, requestId: 'r', target: 't', status: 200, sentAt: 50 };
     setup.client.answered(answered, { kind: 'unreadable' });
     expect(setup.limits.at(PLACE)).to.equal(2);
   });
 
-  /** Guards against a limit that only one entry knows, as it was told while nobody led. */
-  it('tells the next leader, and of several words the last', async () => {
+  /** Guards against a limit that only one entry knows because it was reported while there was no leader. */
+  it('reports the latest value to the next leader', async () => {
     setup.isLeaderReachable = false;
     setup.answer(2);
     await clock.pause(10);
@@ -112,13 +114,13 @@
     expect(setup.reports).to.deep.equal([{ limits: [{ ...PLACE, perSecond: 3 }], spent: [] }]);
   });
 
-  it('gives out its part while nobody leads, and tells what it gave out', async () => {
+  it('grants its share while there is no leader, and reports what it granted', async () => {
     setup.answer(2);
     await clock.pause(10);
     setup.link.leader = '';
     setup.client.leaderLost();
     expect((await setup.client.grant([PLACE])).kind).to.equal('wait');
-    // A part of 0.5 a second takes two seconds for the first request.
+    // With a share of 0.5 per second the first request is granted after two seconds.
     setup.now = 2_000;
     expect((await setup.client.grant([PLACE])).kind).to.equal('granted');
     expect((await setup.client.grant([PLACE])).kind).to.equal('wait');
@@ -127,8 +129,8 @@
     expect(setup.reports.at(-1)?.spent).to.deep.equal([{ ...PLACE, count: 1 }]);
   });
 
-  /** Guards against life checks beside the limit: each entry asked a silent target once a second. */
-  it('asks a target whether it lives only where the leader lets it', async () => {
+  /** Guards against liveness probes that bypass the limit: each entry probed an overdue target once a second. */
+  it('probes a target only with a grant of the leader', async () => {
     setup.answer(2);
     const probes = new livenessProbes.LivenessProbes({
       protocol: harness.PROTOCOL,
@@ -137,14 +139,14 @@
       observer: new observer.Observer('test', 'fatal', undefined),
       source: undefined,
     });
-    // Nobody listens there, so whoever asks finds it dead.
+    // Nothing listens there, so a probe that is sent fails.
     expect(await probes.isAlive('t', PLACE.address)).to.equal(true);
     setup.grant = { kind: 'granted', place: PLACE };
     expect(await probes.isAlive('t', PLACE.address)).to.equal(false);
   });
 
-  /** Guards against orders beside the limit: a reservation and its release are messages as well. */
-  it('counts orders about memory', async () => {
+  /** Guards against messages that bypass the limit: a reservation and its release count as well. */
+  it('counts messages that reserve and release memory', async () => {
     setup.answer(2);
     await clock.pause(10);
     const call = async (): Promise<targetClient.CallResult> => ({
--- a/packages/daemon/src/entry/__tests__/targetClient.test.ts
+++ b/packages/daemon/src/entry/__tests__/targetClient.test.ts
@@ -1,4 +1,4 @@
-/** One sending to one target, against targets that answer as badly as real ones. */
+/** Attempts against targets whose responses are truncated, reset or missing. */
 import * as net from 'node:net';
 import * as chai from 'chai';
 import * as targetClient from '../targetClient';
@@ -11,7 +11,7 @@
   body: string;
 }
 
-/** Sends one request to a target that treats its connection as `behave` does. */
+/** Sends one request to a target that handles its connection by `behave`. */
 async function sendTo(behave: (socket: net.Socket) => void): Promise<Result> {
   const server = net.createServer((socket) => {
     socket.on('error', () => undefined);
@@ -53,16 +53,16 @@
 const CHUNKED = 'HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n';
 
 describe('target client', () => {
-  it('takes an answer without a length for whole when its connection ends in order', async () => {
+  it('accepts a response without a length as complete when its connection is closed cleanly', async () => {
     const { end, body } = await sendTo((socket) => socket.end(`${UNFRAMED}whole`));
     expect([end.kind, body]).to.deep.equal(['complete', 'whole']);
   });
 
   /*
-   * A caller would take half an answer for a whole one. The target sends an answer that ends with its
-   * connection and crashes midway: data and reset arrive together, and the event loop reports an end.
+   * Guards against a truncated response that looks complete to the caller. The target crashes while it sends a response
+   * that is delimited by the end of the connection: data and reset arrive together, and libuv reports an end.
    */
-  it('never takes an answer for whole whose connection was reset', async () => {
+  it('never accepts a response as complete whose connection was reset', async () => {
     const together = await sendTo((socket) => {
       socket.write(`${UNFRAMED}half`);
       socket.resetAndDestroy();
@@ -74,7 +74,7 @@
     expect([together.end.kind, later.end.kind]).to.deep.equal(['broken', 'broken']);
   });
 
-  it('misses the last chunk and bytes that a length promised', async () => {
+  it('detects a missing last chunk, and fewer bytes than the length', async () => {
     const chunked = await sendTo((socket) => socket.end(`${CHUNKED}4\r\nhalf\r\n`));
     const short = await sendTo((socket) =>
       socket.end('HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf'),
@@ -82,7 +82,7 @@
     expect([chunked.end.kind, short.end.kind]).to.deep.equal(['broken', 'broken']);
   });
 
-  it('knows that nothing was sent where no connection was made', async () => {
+  it('reports that nothing was sent if no connection was established', async () => {
     const client = new targetClient.TargetClient({
       protocol: harness.PROTOCOL,
       gate: harness.PERMISSIVE_GATE,
--- a/packages/daemon/src/entry/__tests__/targetSelector.test.ts
+++ b/packages/daemon/src/entry/__tests__/targetSelector.test.ts
@@ -1,4 +1,4 @@
-/** Where an entry's requests go when the leader that places them is slow, frozen or replaced. */
+/** Target selection while the leader that places requests is slow, frozen or replaced. */
 import * as chai from 'chai';
 import * as domain from '@celerydrift/domain';
 import * as clock from '../../clock';
@@ -58,7 +58,7 @@
   };
 }
 
-/** A prompt that takes nearly all memory of an engine. */
+/** A prompt that takes nearly all the memory of an engine. */
 function longPrompt(patienceMs: number): targetSelector.PlacementRequest {
   return { ...placementRequest(patienceMs), tokens: 280_000, objectiveMs: 10_000, pauseMs: 1_000 };
 }
@@ -67,7 +67,7 @@
   return clock.pause(ms);
 }
 
-describe('chooser', () => {
+describe('target selector', () => {
   const observe = new observer.Observer('test', 'fatal', undefined);
   let server: peerServer.PeerServer;
   let client: peerClient.PeerClient;
@@ -75,16 +75,16 @@
   let selector: targetSelector.TargetSelector;
   let reported: messages.EndedDispatch[];
 
-  /** How often the leader was asked for a sign of life. */
+  /** Number of liveness probes that the leader received. */
   let probes: number;
 
-  /** How the leader behaves: after how long it answers each call; infinite for never. */
+  /** Delay of the leader's answers to each call, milliseconds; infinite for no answer. */
   let delays: { place: number; other: number };
 
   const after = async <T>(ms: number, answer: T): Promise<T> => {
     if (ms === Infinity) {
       return new Promise(() => {
-        // Never settles: a frozen leader says nothing.
+        // Never settles: a frozen leader doesn't answer.
       });
     }
     await pause(ms);
@@ -182,17 +182,17 @@
     return [where, clock.steady() - since];
   }
 
-  it('asks the leader, and waits for it while it gives signs of life', async () => {
+  it('waits for the leader while it passes liveness probes', async () => {
     delays.place = 600;
     const [where, ms] = await place(1_000);
     expect([where, ms > 550, link.leader !== '']).to.deep.equal(['led', true, true]);
   });
 
   /*
-   * All requests of an entry stood still for over a second. The leader's VM froze; each request waited for its
-   * place as long as its caller bears, and only then was placed by the entry.
+   * Guards against requests that stall when the leader's VM freezes: for over a second, all requests of an entry waited
+   * for the leader up to their callers' limits before the entry placed them itself.
    */
-  it('places by itself soon after the leader froze, however long the caller would wait', async () => {
+  it('places locally soon after the leader froze, whatever the wait limit', async () => {
     delays = { place: Infinity, other: Infinity };
     const [where, ms] = await place(3_000, { objectiveMs: 3_000 });
     expect(where).to.equal('local');
@@ -201,24 +201,24 @@
   });
 
   /*
-   * Each time a leader lost its power, the short prompts of the next half second came late: their entries were sure that it was
-   * gone after 0.45 s, and callers want their first words within 0.3 s. One that must hurry doesn't wait until that is sure.
+   * Guards against short prompts that miss their objective of 0.3 s after the leader loses power: entries detect its
+   * loss only after 0.45 s.
    */
-  it('places a prompt that must hurry before it is sure that the leader is lost', async () => {
+  it('places a prompt with a short objective before the loss of the leader is certain', async () => {
     delays = { place: Infinity, other: Infinity };
     const [where, ms] = await place(3_000);
     expect(where).to.equal('local');
     expect(ms).to.be.below(200);
   });
 
-  /* Engines would fill unevenly if prompts that wait for a place at a living leader were placed by their entries. */
-  it('leaves a prompt that must hurry to a leader that gives signs of life', async () => {
+  /* Engines would fill unevenly if entries placed prompts that wait for a placement at a live leader. */
+  it('leaves a prompt with a short objective to a leader that passes liveness probes', async () => {
     delays.place = 400;
     const [where] = await place(1_000);
     expect(where).to.equal('led');
   });
 
-  /** The leader is gone, and all memory of the only engine is taken. */
+  /** Loses the leader, and takes all memory of the only engine. */
   async function loseLeaderAndFillEngine(): Promise<targetSelector.Choice> {
     delays.other = Infinity;
     link.doubt(link.leader);
@@ -226,10 +226,11 @@
   }
 
   /*
-   * All keepers were off for a second. A manual of 280,000 tokens whose caller would wait fifteen seconds was refused at once, as
-   * no engine had room at that moment; the caller came back after half a second and heard the same.
+   * Guards against an immediate refusal while there is no leader. With all keepers down for a second, a prompt of
+   * 280,000 tokens whose caller would wait fifteen seconds was refused twice, because no engine had room at that
+   * moment.
    */
-  it('lets a prompt wait for a place while nobody leads', async () => {
+  it('lets a prompt wait for a placement while there is no leader', async () => {
     const first = await loseLeaderAndFillEngine();
     setTimeout(() => {
       if (first.kind === 'placed') first.release('done');
@@ -238,18 +239,18 @@
     expect([first.kind, choice.kind]).to.deep.equal(['placed', 'placed']);
   });
 
-  it('asks a leader that is found while a prompt waits', async () => {
+  it('asks a leader that is elected while a prompt waits', async () => {
     await loseLeaderAndFillEngine();
     setTimeout(() => {
       delays.other = 0;
     }, 100);
     const choice = await selector.choose(longPrompt(2_000));
     expect(choice.kind === 'placed' ? choice.placement.target : choice.kind).to.equal('led');
-    // Under an id of its own: a place that a leader gave for an earlier question is given back by that one's.
+    // Under a new id, as a late placement of the earlier call is released under that call's id.
     expect(selector.dispatches.map(({ request: { id } }) => id)).to.not.include('r1/0.0');
   });
 
-  it('says when to come back where no place came free in time', async () => {
+  it('returns a Retry-After if no engine became free in time', async () => {
     await loseLeaderAndFillEngine();
     const since = clock.steady();
     const choice = await selector.choose(longPrompt(150));
@@ -258,10 +259,10 @@
   });
 
   /*
-   * Engines seemed full that stood idle. A leader answered after the entry had gone on without it, and counted a
-   * dispatch that nobody ended.
+   * Guards against idle engines that count as full: a leader that answered after the entry had placed the request
+   * itself kept counting a dispatch that never ended.
    */
-  it('gives a place back that comes too late', async () => {
+  it('releases a placement that comes too late', async () => {
     delays.place = 500;
     const [where] = await place(100);
     expect(where).to.equal('local');
@@ -270,10 +271,10 @@
   });
 
   /*
-   * A busy leader was asked for signs of life a thousand times a second, and had no time left for places. Each prompt that
-   * waited a little asked by itself; one sign serves all that wait at an entry.
+   * Guards against a busy leader that is overloaded by liveness probes, up to a thousand a second when each waiting
+   * prompt sent its own. One probe serves all requests that wait at an entry.
    */
-  it('asks a busy leader for one sign of life at a time, however many wait', async () => {
+  it('sends a busy leader one liveness probe at a time, however many requests wait', async () => {
     delays.place = 1_000;
     const waiting: Promise<unknown>[] = [];
     for (let i = 0; i < 8; i++) {
@@ -281,7 +282,7 @@
       await pause(50);
     }
     await Promise.all(waiting);
-    // The first after 150 ms, the last after 1.4 s, and 300 ms between them.
+    // The first after 150 ms, the last after 1.4 s, 300 ms apart.
     expect(probes).to.be.within(2, 5);
   });
 });
--- a/packages/daemon/src/entry/__tests__/targetSignals.test.ts
+++ b/packages/daemon/src/entry/__tests__/targetSignals.test.ts
@@ -1,4 +1,4 @@
-/** Whose word an answer is, and what an entry believes of its target from then on. */
+/** Which responses count as signals of a target, and what they change. */
 import * as chai from 'chai';
 import * as domain from '@celerydrift/domain';
 import type * as protocols from '../../edges/protocols';
@@ -34,7 +34,7 @@
 
 const ORDER: targetClient.TargetMessage = { ...REQUEST, purpose: 'order', requestId: undefined };
 
-/** A target's refusal of the request above, which asks for a second. */
+/** A target's refusal of the request above, with a back-off of a second. */
 const REFUSAL: protocols.AnswerFacts = {
   requestId: 'r1',
   isSigned: false,
@@ -97,7 +97,7 @@
     });
   }
 
-  /** Sends a message that is answered so; whether it was sent. */
+  /** Sends a message that gets such a response; returns whether it was sent. */
   exchange(facts: Partial<protocols.AnswerFacts>, message = REQUEST, status = 503): boolean {
     const delivery = this.signals.admit(message);
     delivery?.answered({ status, raw: [], facts: { ...REFUSAL, ...facts } });
@@ -110,7 +110,7 @@
   }
 }
 
-describe('what targets say of themselves', () => {
+describe('signals of targets', () => {
   let made: Harness;
 
   beforeEach(() => {
@@ -119,8 +119,11 @@
 
   afterEach(() => made.signals.close());
 
-  /** Guards against a target that is left alone for what a proxy, another request's late answer or another lifetime said. */
-  it('counts only as an answer to the message itself, from the lifetime that was meant', () => {
+  /**
+   * Guards against a back-off that comes from a proxy, from the late response to another request, or from another
+   * lifetime.
+   */
+  it('count only in a response to the message itself, from the addressed lifetime', () => {
     const answers: [string, Partial<protocols.AnswerFacts>, targetClient.TargetMessage][] = [
       ['its own refusal', {}, REQUEST],
       ['its own signed failure', { isSigned: true, isNotRun: false }, REQUEST],
@@ -140,8 +143,11 @@
     expect(accepted).toMatchSnapshot();
   });
 
-  /** Guards against kinds of messages that go on to a target that wants nothing; memory that is held there is still seen to. */
-  it('holds for requests, orders and checks alike', () => {
+  /**
+   * Guards against messages to a target in back-off, whatever their purpose. Upkeep of reserved memory is still sent,
+   * but limited.
+   */
+  it('apply to requests, orders and checks alike', () => {
     made.exchange({});
     const kinds = ['request', 'order', 'check', 'upkeep', 'upkeep', 'upkeep'] as const;
     expect(kinds.map((kind) => made.accepts(kind))).to.deep.equal([
@@ -153,7 +159,7 @@
     expect([made.accepts('request'), made.accepts('request')]).to.deep.equal([true, false]);
   });
 
-  it('is noted once where it can not be read, and changes nothing', () => {
+  it('are logged once if the back-off is unreadable, and change nothing', () => {
     made.exchange({ backOff: { kind: 'unreadable' } });
     made.exchange({ backOff: { kind: 'unreadable' } });
     expect(made.accepts('request')).to.equal(true);
@@ -162,8 +168,10 @@
     expect([lines, answers]).to.deep.equal([1, 2]);
   });
 
-  /** Guards against new work for a target that leaves, and against memory that is lost to streams that go on there. */
-  it('keeps requests and orders from a target that leaves, in that lifetime only', () => {
+  /**
+   * Guards against new work for a draining target, and against the loss of memory that its running streams still need.
+   */
+  it('withhold requests and orders from a draining target, in that lifetime only', () => {
     made.exchange({ ...NO_BACK_OFF, isLeaving: true });
     made.registry.announce({ ...RECORD, sequence: 2 }, 0);
     const kinds = ['request', 'order', 'check', 'upkeep'] as const;
@@ -173,8 +181,8 @@
     expect([made.accepts('request'), made.signals.unavailable('s')]).to.deep.equal([true, []]);
   });
 
-  /** Guards against connections that a target resets, as all entries together open more than it accepts. */
-  it('leaves each target its bound on connections, in equal parts for all entries', () => {
+  /** Guards against connections that a target resets because all entries together open more than it accepts. */
+  it('limit the connections to a target, in equal shares for all entries', () => {
     made.maxConnections = 7;
     made.signals.leaderFound('', 3);
     const deliveries = Array.from({ length: 3 }, () => made.signals.admit(REQUEST));
@@ -187,8 +195,8 @@
     expect(kinds.map((kind) => made.accepts(kind))).to.deep.equal([true, false, true]);
   });
 
-  /** Guards against a target that is asked in vain, as its entry heard only after the answer that it had started again. */
-  it('holds on where the target turns out to have started again under its id', () => {
+  /** Guards against a back-off that is dropped because the restart of the target is announced after its response. */
+  it('persist if the target turns out to have restarted under its id', () => {
     made.exchange({});
     made.registry.announce({ ...RECORD, bornAt: 2 }, 0).forEach((record) => {
       if (record.state === 'gone') made.signals.forget(record);
@@ -198,8 +206,11 @@
     expect(made.signals.admit({ ...REQUEST, target: 'u' })).to.not.equal(undefined);
   });
 
-  /** Guards against a limit that ends by a failure, and one that only answers to callers' requests may name. */
-  it('names a limit in any answer of its own, and none only in a success', () => {
+  /**
+   * Guards against a limit that a failure lifts, and against limits that are read in responses to callers' requests
+   * only.
+   */
+  it('set a limit in any response of the target, and lift it only in a success', () => {
     const limit = { kind: 'named', perSecond: 2 } as const;
     made.exchange({ ...NO_BACK_OFF, limit });
     made.exchange({ ...NO_BACK_OFF, limit, requestId: undefined, isNotRun: false }, ORDER);
