--- a/packages/daemon/src/entry/__tests__/__fixtures__/bench.ts
+++ b/packages/daemon/src/entry/__tests__/__fixtures__/bench.ts
@@ -223,25 +223,25 @@
   /** Starts a target for each behavior; targets are selected in this order. */
   static async start(...behaviours: TargetBehaviour[]): Promise<TestHarness> {
     const addresses: string[] = [];
-    const made = new TestHarness(addresses);
+    const created = new TestHarness(addresses);
     for (const behave of behaviours) {
       const server = net.createServer((socket) => {
         socket.on('error', () => undefined);
         socket.on('data', (data) => {
           const text = data.toString();
-          if (text.includes(REPORT_PATH)) made.probes += 1;
-          else made.received.push(text);
+          if (text.includes(REPORT_PATH)) created.probes += 1;
+          else created.received.push(text);
           behave(text, socket);
         });
       });
-      made.servers.push(server);
+      created.servers.push(server);
       const address = `127.0.0.1:${await listen(server)}`;
-      made.registry.announce({ ...RECORD, id: `t${addresses.length}`, address }, 0);
+      created.registry.announce({ ...RECORD, id: `t${addresses.length}`, address }, 0);
       addresses.push(address);
     }
-    made.port = await ports.freePort();
-    await made.ingress.listen({ host: '127.0.0.1', port: made.port });
-    return made;
+    created.port = await ports.freePort();
+    await created.ingress.listen({ host: '127.0.0.1', port: created.port });
+    return created;
   }
 
   /** Simulates the crash of a target: its address refuses connections from then on. */
--- a/packages/daemon/src/entry/__tests__/attempts.test.ts
+++ b/packages/daemon/src/entry/__tests__/attempts.test.ts
@@ -7,13 +7,13 @@
 const SENT = { wasSent: true, wasRefused: false, wasHelperAtFault: false };
 const REFUSED = { ...SENT, wasRefused: true };
 
-function attemptsAfter(...endings: attempts.AttemptOutcome[]): attempts.Attempts {
-  const made = new attempts.Attempts(2);
-  endings.forEach((ending) => {
-    made.begin(ending.target);
-    made.ended(ending);
+function attemptsAfter(...outcomes: attempts.AttemptOutcome[]): attempts.Attempts {
+  const tracked = new attempts.Attempts(2);
+  outcomes.forEach((outcome) => {
+    tracked.begin(outcome.target);
+    tracked.ended(outcome);
   });
-  return made;
+  return tracked;
 }
 
 describe('attempts of a request', () => {
--- a/packages/daemon/src/entry/__tests__/exchange.test.ts
+++ b/packages/daemon/src/entry/__tests__/exchange.test.ts
@@ -75,10 +75,10 @@
    */
   it('returns to a target that refused if no further target is allowed', async () => {
     const refuse = harness.answer('', 503, 'not-run: 1\r\n');
-    let asked = 0;
+    let requests = 0;
     const succeedOnRetry: harness.TargetBehaviour = (_request, socket) => {
-      asked += 1;
-      socket.write(asked === 1 ? refuse : harness.answer('whole'));
+      requests += 1;
+      socket.write(requests === 1 ? refuse : harness.answer('whole'));
     };
     setup = await harness.TestHarness.start(succeedOnRetry, (_request, socket) =>
       socket.write(refuse),
@@ -104,10 +104,10 @@
     setup.stop();
 
     const refuse = harness.answer('', 503, 'not-run: 1\r\n');
-    let asked = 0;
+    let requests = 0;
     const succeedOnRetry: harness.TargetBehaviour = (request, socket) => {
-      asked += 1;
-      if (asked === 1) socket.write(refuse);
+      requests += 1;
+      if (requests === 1) socket.write(refuse);
       else rest(request, socket);
     };
     setup = await harness.TestHarness.start(cut, succeedOnRetry);
@@ -352,13 +352,13 @@
     setup = await harness.TestHarness.start(RESPOND);
     setup.hasCatalogue = false;
     setup.isFresh = false;
-    const asked = setup.send('/safe/1', {}, 'body');
+    const pending = setup.send('/safe/1', {}, 'body');
     setTimeout(() => {
       setup.hasCatalogue = true;
       setup.isFresh = true;
       setup.ingress.wake();
     }, 300);
-    expect((await asked).body).to.equal('whole');
+    expect((await pending).body).to.equal('whole');
   });
 
   it('refuses a request as not run if the settings come too late', async () => {
--- a/packages/daemon/src/entry/__tests__/quarantineClient.test.ts
+++ b/packages/daemon/src/entry/__tests__/quarantineClient.test.ts
@@ -22,7 +22,7 @@
   it('accepts the state of the leader, which knows that they are alive', async () => {
     const quarantine = new domain.quarantine.quarantine.Quarantine();
     const nothing = new domain.quarantine.quarantine.Quarantine().report(CONTENT, 0);
-    const made = new quarantineClient.QuarantineClient({
+    const client = new quarantineClient.QuarantineClient({
       name: 'e0',
       holding: { quarantine, registry: new domain.registry.registry.Registry() },
       link: { leader: '10.0.0.1:1' },
@@ -38,10 +38,10 @@
     });
     for (const target of ['a', 'b', 'c']) {
       const sent = { target, address: '10.0.0.2:1', sentAt: clock.steady(), isTrial: true };
-      await made.checkForCrash(request('r1'), sent);
+      await client.checkForCrash(request('r1'), sent);
     }
     await clock.pause(10);
-    expect([quarantine.size, (await made.permit(request('r2'))).kind]).to.deep.equal([
+    expect([quarantine.size, (await client.permit(request('r2'))).kind]).to.deep.equal([
       0,
       'granted',
     ]);
@@ -59,7 +59,7 @@
     });
     const link = { leader: '10.0.0.1:1' };
     const reports: unknown[] = [];
-    const made = new quarantineClient.QuarantineClient({
+    const client = new quarantineClient.QuarantineClient({
       name: 'e0',
       holding: { quarantine, registry: new domain.registry.registry.Registry() },
       link,
@@ -74,7 +74,7 @@
       observer: new observer.Observer('test', 'fatal', undefined),
       now: clock.steady,
     });
-    const permit = await made.permit(request('r1'));
+    const permit = await client.permit(request('r1'));
     if (permit.kind !== 'granted') throw new Error(permit.kind);
     link.leader = '';
     permit.end(true);
@@ -82,7 +82,7 @@
     expect(reports).to.deep.equal([]);
     link.leader = '10.0.0.2:1';
     await clock.pause(150);
-    made.close();
+    client.close();
     expect(reports).to.deep.equal([{ content: CONTENT, id: 'r1', ranWhole: true }]);
   });
 });
@@ -95,7 +95,7 @@
   it('makes a canary run', async () => {
     const quarantine = new domain.quarantine.quarantine.Quarantine();
     quarantine.blame(CONTENT, 'a', { sentAt: 0, isTrial: false }, 1);
-    const made = new quarantineClient.QuarantineClient({
+    const client = new quarantineClient.QuarantineClient({
       name: 'e0',
       holding: { quarantine, registry: new domain.registry.registry.Registry() },
       link: { leader: '10.0.0.1:1' },
@@ -106,8 +106,8 @@
       observer: new observer.Observer('test', 'fatal', undefined),
       now: clock.steady,
     });
-    const permit = await made.permit(request('r1'));
-    made.close();
+    const permit = await client.permit(request('r1'));
+    client.close();
     expect(permit.kind === 'granted' && permit.endings).to.equal(1);
   });
 });
--- a/packages/daemon/src/entry/__tests__/targetSignals.test.ts
+++ b/packages/daemon/src/entry/__tests__/targetSignals.test.ts
@@ -111,13 +111,13 @@
 }
 
 describe('signals of targets', () => {
-  let made: Harness;
+  let setup: Harness;
 
   beforeEach(() => {
-    made = new Harness();
+    setup = new Harness();
   });
 
-  afterEach(() => made.signals.close());
+  afterEach(() => setup.signals.close());
 
   /**
    * Guards against a back-off that comes from a proxy, from the late response to another request, or from another
@@ -148,23 +148,23 @@
    * but limited.
    */
   it('apply to requests, orders and checks alike', () => {
-    made.exchange({});
+    setup.exchange({});
     const kinds = ['request', 'order', 'check', 'upkeep', 'upkeep', 'upkeep'] as const;
-    expect(kinds.map((kind) => made.accepts(kind))).to.deep.equal([
+    expect(kinds.map((kind) => setup.accepts(kind))).to.deep.equal([
       ...[false, false, false],
       ...[true, true, false],
     ]);
-    expect(made.signals.backOffMs('t')).to.equal(1_000);
-    made.now = 1_000;
-    expect([made.accepts('request'), made.accepts('request')]).to.deep.equal([true, false]);
+    expect(setup.signals.backOffMs('t')).to.equal(1_000);
+    setup.now = 1_000;
+    expect([setup.accepts('request'), setup.accepts('request')]).to.deep.equal([true, false]);
   });
 
   it('are logged once if the back-off is unreadable, and change nothing', () => {
-    made.exchange({ backOff: { kind: 'unreadable' } });
-    made.exchange({ backOff: { kind: 'unreadable' } });
-    expect(made.accepts('request')).to.equal(true);
+    setup.exchange({ backOff: { kind: 'unreadable' } });
+    setup.exchange({ backOff: { kind: 'unreadable' } });
+    expect(setup.accepts('request')).to.equal(true);
     const { 'event.backOffAsked': lines, 'backOffs.unreadable': answers } =
-      made.observer.counters();
+      setup.observer.counters();
     expect([lines, answers]).to.deep.equal([1, 2]);
   });
 
@@ -172,38 +172,38 @@
    * Guards against new work for a draining target, and against the loss of memory that its running streams still need.
    */
   it('withhold requests and orders from a draining target, in that lifetime only', () => {
-    made.exchange({ ...NO_BACK_OFF, isLeaving: true });
-    made.registry.announce({ ...RECORD, sequence: 2 }, 0);
+    setup.exchange({ ...NO_BACK_OFF, isLeaving: true });
+    setup.registry.announce({ ...RECORD, sequence: 2 }, 0);
     const kinds = ['request', 'order', 'check', 'upkeep'] as const;
-    expect(kinds.map((kind) => made.accepts(kind))).to.deep.equal([false, false, true, true]);
-    expect([made.signals.unavailable('s'), made.registry.ready('s')]).to.deep.equal([['t'], []]);
-    made.registry.announce({ ...RECORD, bornAt: 2 }, 0);
-    expect([made.accepts('request'), made.signals.unavailable('s')]).to.deep.equal([true, []]);
+    expect(kinds.map((kind) => setup.accepts(kind))).to.deep.equal([false, false, true, true]);
+    expect([setup.signals.unavailable('s'), setup.registry.ready('s')]).to.deep.equal([['t'], []]);
+    setup.registry.announce({ ...RECORD, bornAt: 2 }, 0);
+    expect([setup.accepts('request'), setup.signals.unavailable('s')]).to.deep.equal([true, []]);
   });
 
   /** Guards against connections that a target resets because all entries together open more than it accepts. */
   it('limit the connections to a target, in equal shares for all entries', () => {
-    made.maxConnections = 7;
-    made.signals.leaderFound('', 3);
-    const deliveries = Array.from({ length: 3 }, () => made.signals.admit(REQUEST));
+    setup.maxConnections = 7;
+    setup.signals.leaderFound('', 3);
+    const deliveries = Array.from({ length: 3 }, () => setup.signals.admit(REQUEST));
     expect(deliveries.map((each) => each !== undefined)).to.deep.equal([true, true, false]);
-    expect(made.signals.unavailable('s')).to.deep.equal(['t']);
+    expect(setup.signals.unavailable('s')).to.deep.equal(['t']);
     deliveries.forEach((each) => each?.ended());
-    expect(made.signals.unavailable('s')).to.deep.equal([]);
-    made.signals.leaderFound('', 30);
+    expect(setup.signals.unavailable('s')).to.deep.equal([]);
+    setup.signals.leaderFound('', 30);
     const kinds = ['request', 'request', 'upkeep'] as const;
-    expect(kinds.map((kind) => made.accepts(kind))).to.deep.equal([true, false, true]);
+    expect(kinds.map((kind) => setup.accepts(kind))).to.deep.equal([true, false, true]);
   });
 
   /** Guards against a back-off that is dropped because the restart of the target is announced after its response. */
   it('persist if the target turns out to have restarted under its id', () => {
-    made.exchange({});
-    made.registry.announce({ ...RECORD, bornAt: 2 }, 0).forEach((record) => {
-      if (record.state === 'gone') made.signals.forget(record);
+    setup.exchange({});
+    setup.registry.announce({ ...RECORD, bornAt: 2 }, 0).forEach((record) => {
+      if (record.state === 'gone') setup.signals.forget(record);
     });
-    expect(made.accepts('request')).to.equal(false);
-    made.registry.announce({ ...RECORD, id: 'u', bornAt: 3 }, 0);
-    expect(made.signals.admit({ ...REQUEST, target: 'u' })).to.not.equal(undefined);
+    expect(setup.accepts('request')).to.equal(false);
+    setup.registry.announce({ ...RECORD, id: 'u', bornAt: 3 }, 0);
+    expect(setup.signals.admit({ ...REQUEST, target: 'u' })).to.not.equal(undefined);
   });
 
   /**
@@ -212,12 +212,12 @@
    */
   it('set a limit in any response of the target, and lift it only in a success', () => {
     const limit = { kind: 'named', perSecond: 2 } as const;
-    made.exchange({ ...NO_BACK_OFF, limit });
-    made.exchange({ ...NO_BACK_OFF, limit, requestId: undefined, isNotRun: false }, ORDER);
-    made.exchange({ ...NO_BACK_OFF, limit, requestId: 'r2' });
-    made.exchange({ ...NO_BACK_OFF }, REQUEST, 503);
-    made.exchange({ ...NO_BACK_OFF, isSigned: true, isNotRun: false }, REQUEST, 500);
-    made.exchange({ ...NO_BACK_OFF, isSigned: true, isNotRun: false }, REQUEST, 200);
-    expect(made.limits).to.deep.equal([2, 2, undefined]);
+    setup.exchange({ ...NO_BACK_OFF, limit });
+    setup.exchange({ ...NO_BACK_OFF, limit, requestId: undefined, isNotRun: false }, ORDER);
+    setup.exchange({ ...NO_BACK_OFF, limit, requestId: 'r2' });
+    setup.exchange({ ...NO_BACK_OFF }, REQUEST, 503);
+    setup.exchange({ ...NO_BACK_OFF, isSigned: true, isNotRun: false }, REQUEST, 500);
+    setup.exchange({ ...NO_BACK_OFF, isSigned: true, isNotRun: false }, REQUEST, 200);
+    expect(setup.limits).to.deep.equal([2, 2, undefined]);
   });
 });
--- a/packages/daemon/src/entry/exchangeLog.ts
+++ b/packages/daemon/src/entry/exchangeLog.ts
@@ -25,7 +25,7 @@
   constructor(private readonly dependencies: Dependencies) {}
 
   placed({ target, helpers, firstTokenMs }: Placement, waitedMs: number): void {
-    const { admitted, attempts: made, reply, observer: observe } = this.dependencies;
+    const { admitted, attempts: attemptsMade, reply, observer: observe } = this.dependencies;
     observe.log('requestPlaced', {
       request: admitted.facts.requestId,
       tokens: admitted.facts.promptTokens,
@@ -33,17 +33,17 @@
       target,
       helpers: helpers.map(({ address }) => address),
       predictedMs: Math.round(firstTokenMs),
-      attempt: made.targets.length,
+      attempt: attemptsMade.targets.length,
       resumeAfter: reply.lastEventId,
     });
   }
 
   attemptFailed({ content, detail, repeated }: FailedAttempt): void {
-    const { admitted, attempts: made, observer: observe } = this.dependencies;
+    const { admitted, attempts: attemptsMade, observer: observe } = this.dependencies;
     observe.log('attemptFailed', {
       request: admitted.facts.requestId,
       content,
-      target: made.targets.at(-1),
+      target: attemptsMade.targets.at(-1),
       detail,
       repeated,
     });
@@ -79,7 +79,7 @@
   }
 
   private ended(status: number, more: object): void {
-    const { admitted, attempts: made, observer: observe, now } = this.dependencies;
+    const { admitted, attempts: attemptsMade, observer: observe, now } = this.dependencies;
     const { facts, route, arrivedAt } = admitted;
     observe.log('requestEnded', {
       request: facts.requestId,
@@ -88,7 +88,7 @@
       objectiveMs: route.objectiveMs,
       bearsPauseMs: route.pauseMs,
       tokens: facts.promptTokens,
-      targets: made.targets,
+      targets: attemptsMade.targets,
       tookMs: Math.round(now() - arrivedAt),
       ...more,
     });
--- a/packages/daemon/src/entry/quarantineClient.ts
+++ b/packages/daemon/src/entry/quarantineClient.ts
@@ -148,13 +148,13 @@
   }
 
   private refuse(request: RequestInfo): Permit {
-    const { observer: observe, holding: held } = this.dependencies;
+    const { observer: observe, holding: state } = this.dependencies;
     const content = request.fingerprint();
     observe.count('quarantine.refused');
     observe.log('requestHeldBack', {
       request: request.requestId,
       content,
-      lifetimes: held.quarantine.endings(content),
+      lifetimes: state.quarantine.endings(content),
     });
     return { kind: 'quarantined' };
   }
@@ -197,9 +197,9 @@
     request: RequestInfo,
     { target, address, sentAt, isTrial }: SentRequest,
   ): Promise<void> {
-    const { liveness: probes, observer: observe, holding: held, now } = this.dependencies;
+    const { liveness: probes, observer: observe, holding: state, now } = this.dependencies;
     if (await probes.isAlive(target, address)) return;
-    const record = held.registry.get(target);
+    const record = state.registry.get(target);
     if (record !== undefined && hasStoppedItself(record)) return;
     const content = request.fingerprint();
     observe.count('targets.endedUnderRequest');
@@ -207,7 +207,7 @@
     const { bornAt } = record ?? { bornAt: 0 };
     const lifetime = { id: target, bornAt };
     const key = domain.quarantine.endedLifetimes.lifetimeOf(lifetime);
-    held.quarantine.blame(content, key, { sentAt, isTrial }, now());
+    state.quarantine.blame(content, key, { sentAt, isTrial }, now());
     void this.crashReports.send({ content, lifetime, isTrial, sentAt, at: now() });
   }
 
@@ -216,7 +216,7 @@
    * before the `permit` call of the request that is to run again.
    */
   private async reportCrashes(crashes: readonly ObservedCrash[]): Promise<boolean> {
-    const { holding: held, now } = this.dependencies;
+    const { holding: state, now } = this.dependencies;
     const ended = crashes.map(({ at, sentAt, ...each }) => {
       return { ...each, agoMs: now() - at, sentAgoMs: now() - sentAt };
     });
@@ -224,7 +224,7 @@
     const answer = await leaderCall.call<messages.BlameAnswer>(this.dependencies, 'blame', blame);
     if (answer === undefined) return false;
     // A leader that rejects a crash report changes nothing and sends no update, so its answer replaces the local state.
-    answer.reports.forEach((report) => held.quarantine.take(report, now()));
+    answer.reports.forEach((report) => state.quarantine.take(report, now()));
     return true;
   }
 }
--- a/packages/daemon/src/entry/rateLimitClient.ts
+++ b/packages/daemon/src/entry/rateLimitClient.ts
@@ -69,16 +69,16 @@
 
   /** Applies the limit named in a response to a caller's request. */
   answered(answer: AnsweredRequest, limit: protocols.NamedLimit): void {
-    const { observer: observe, holding: held } = this.dependencies;
+    const { observer: observe, holding: state } = this.dependencies;
     if (limit.kind !== 'none') observe.count(`limits.${limit.kind}`);
     if (limit.kind === 'unreadable') return;
-    const since = held.limits.knownSince(answer);
+    const since = state.limits.knownSince(answer);
     // A response to a request that was sent before the limit became known may be older than the limit.
     if (limit.kind === 'none' && (since === undefined || answer.sentAt <= since)) return;
-    const before = held.limits.at(answer);
+    const before = state.limits.at(answer);
     const perSecond = limit.kind === 'none' ? undefined : limit.perSecond;
     const { service, address } = answer;
-    if (!held.limits.set({ service, address, perSecond }, this.dependencies.now())) return;
+    if (!state.limits.set({ service, address, perSecond }, this.dependencies.now())) return;
     if (perSecond === undefined) this.nextProbes.delete(keyOf(answer));
     const event = perSecond === undefined ? 'targetLimitEnded' : 'targetLimited';
     observe.log(event, { ...answer, sentAt: undefined, perSecond, before });
@@ -108,10 +108,10 @@
 
   /** Grants one request to a target whose limit may be over, which only a response of the target can show. */
   async grantProbe(places: readonly Place[]): Promise<Place | undefined> {
-    const { now, holding: held } = this.dependencies;
+    const { now, holding: state } = this.dependencies;
     const intervalMs = PROBE_INTERVAL_MS * Math.max(1, this.entries / PROBING_ENTRIES);
     const due = places.find((place) => {
-      const since = held.limits.knownSince(place) ?? now();
+      const since = state.limits.knownSince(place) ?? now();
       return now() >= (this.nextProbes.get(keyOf(place)) ?? since + intervalMs);
     });
     if (due === undefined) return undefined;
@@ -131,12 +131,12 @@
   }
 
   private grantLocally(places: readonly Place[]): Grant {
-    const { holding: held, now } = this.dependencies;
-    const place = places.find((each) => held.limits.mayTake(each, now()));
+    const { holding: state, now } = this.dependencies;
+    const place = places.find((each) => state.limits.mayTake(each, now()));
     if (place === undefined) {
-      return { kind: 'wait', waitMs: held.limits.waitMs(places, 0, now()) };
+      return { kind: 'wait', waitMs: state.limits.waitMs(places, 0, now()) };
     }
-    held.limits.take(place, 1, now());
+    state.limits.take(place, 1, now());
     this.recordSpent(place);
     return { kind: 'granted', place };
   }
--- a/packages/daemon/src/entry/targetSelector.ts
+++ b/packages/daemon/src/entry/targetSelector.ts
@@ -150,8 +150,8 @@
   private finishedDispatches: messages.Ended['dispatches'] = [];
 
   constructor(private readonly options: Options) {
-    const { random, holding: held } = options;
-    this.fallback = new domain.allocation.allocator.Allocator(random, undefined, held.limits);
+    const { random, holding: state } = options;
+    this.fallback = new domain.allocation.allocator.Allocator(random, undefined, state.limits);
   }
 
   get dispatches(): messages.Dispatched[] {
@@ -371,13 +371,13 @@
     open: Announcement[];
     limited: Announcement[];
   } {
-    const { holding: held } = this.options;
-    const ready = held.registry.ready(service).filter(({ id }) => {
+    const { holding: state } = this.options;
+    const ready = state.registry.ready(service).filter(({ id }) => {
       return !excluded.includes(id) && writers?.includes(id) !== false;
     });
     return {
-      open: ready.filter((record) => !held.limits.isLimited(record)),
-      limited: ready.filter((record) => held.limits.isLimited(record)),
+      open: ready.filter((record) => !state.limits.isLimited(record)),
+      limited: ready.filter((record) => state.limits.isLimited(record)),
     };
   }
 
