--- a/packages/daemon/src/entry/targetSelector.ts
+++ b/packages/daemon/src/entry/targetSelector.ts
@@ -97,8 +97,8 @@
 
 /**
  * Prompts with a shorter objective, milliseconds, would miss it while the entry detects the loss of the leader. They
- * stop waiting as soon as a heartbeat of the leader is overdue by `LEADER_OVERDUE_MS`, thirty round trips; a leader
- * that is only busy, or has no free engine for the prompt, answers within a few.
+ * stop waiting once a liveness probe of the leader is unanswered for `LEADER_OVERDUE_MS`, thirty round trips; a leader
+ * that is only busy, or has no free engine for the prompt, answers it within a few.
  */
 const SHORT_OBJECTIVE_MS = 900;
 const SHORT_CHECK_INTERVAL_MS = 60;
@@ -273,7 +273,7 @@
     const gaveUp = new Promise<undefined>((resolve) => {
       giveUp = () => resolve(undefined);
     });
-    // Repeated, because a leader that has just sent a heartbeat isn't probed at once.
+    // Repeated, because a leader that responded a moment ago isn't probed at once.
     const check = (): void => {
       void link.verify();
       if (hasShortObjective && link.silentMs > LEADER_OVERDUE_MS) giveUp();
