--- a/packages/daemon/src/entry/__tests__/__fixtures__/bench.ts
+++ b/packages/daemon/src/entry/__tests__/__fixtures__/bench.ts
@@ -1,4 +1,4 @@
-/** An ingress with exchanges behind it, and targets that behave as a test says, over real sockets. */
+/** A test harness over real sockets: an ingress with its exchanges, and targets whose behavior each test defines. */
 import * as http from 'node:http';
 import * as net from 'node:net';
 import * as domain from '@celerydrift/domain';
@@ -6,19 +6,19 @@
 import type * as protocols from '../../../edges/protocols';
 import * as ports from '../../../__tests__/__fixtures__/ports';
 import * as observer from '../../../observability/observer';
-import type * as chooser from '../../chooser';
-import * as crashWatch from '../../crashWatch';
+import type * as targetSelector from '../../targetSelector';
+import * as quarantineClient from '../../quarantineClient';
 import * as exchange from '../../exchange';
 import * as ingress from '../../ingress';
-import * as lifeChecks from '../../lifeChecks';
+import * as livenessProbes from '../../livenessProbes';
 import * as peerClient from '../../../rpc/peerClient';
 import * as targetClient from '../../targetClient';
 import * as targetSignals from '../../targetSignals';
 
-/** Where targets of these tests are asked whether they live. */
+/** Path of liveness probes to the targets of these tests. */
 export const REPORT_PATH = '/alive';
 
-/** A protocol as plain as possible: `id`, `signed`, `not-run`, `resume-after`. */
+/** A minimal protocol with plain headers: `id`, `signed`, `not-run`, `resume-after`. */
 export const PROTOCOL: protocols.TrafficProtocol = {
   facts: (headers) => ({
     requestId: String(headers.id ?? ''),
@@ -59,18 +59,18 @@
   report: () => ({ method: 'GET', path: REPORT_PATH, headers: [], body: '' }),
 };
 
-/** A gate that lets every message pass. */
-export const OPEN_GATE: targetClient.Gate = {
+/** A gate that admits every message. */
+export const PERMISSIVE_GATE: targetClient.AdmissionGate = {
   admit: () => ({ answered: () => undefined, ended: () => undefined }),
 };
 
-export type Behaviour = (request: string, socket: net.Socket) => void;
+export type TargetBehaviour = (request: string, socket: net.Socket) => void;
 
 export interface Reply {
   status: number;
   headers: http.IncomingHttpHeaders;
   body: string;
-  /** Whether the answer ended as whole. */
+  /** Whether the response ended as complete. */
   isWhole: boolean;
 }
 
@@ -118,21 +118,21 @@
   return (server.address() as net.AddressInfo).port;
 }
 
-export class Bench {
-  /** Callers' requests that targets saw. */
-  readonly seen: string[] = [];
+export class TestHarness {
+  /** Callers' requests that targets received. */
+  readonly received: string[] = [];
 
-  /** How often targets were asked whether they live. */
-  questions = 0;
+  /** Number of liveness probes that targets received. */
+  probes = 0;
 
-  /** What was asked of the chooser. */
-  readonly wishes: chooser.Wish[] = [];
+  /** Requests that the selector received. */
+  readonly placementRequests: targetSelector.PlacementRequest[] = [];
 
-  /** How placements ended. */
-  readonly endings: string[] = [];
+  /** Outcomes of dispatches, as they were reported. */
+  readonly outcomes: string[] = [];
 
-  /** How long the chooser takes, milliseconds. */
-  chooseMs = 0;
+  /** How long the selector takes, milliseconds. */
+  placementDelayMs = 0;
 
   isFresh = true;
 
@@ -144,7 +144,7 @@
 
   private readonly servers: net.Server[] = [];
 
-  private readonly crashes: crashWatch.CrashWatch;
+  private readonly crashes: quarantineClient.QuarantineClient;
 
   private readonly registry = new domain.registry.registry.Registry();
 
@@ -160,7 +160,7 @@
     const limits = {
       answered: () => undefined,
       spent: () => undefined,
-      mayCheck: async () => true,
+      mayProbe: async () => true,
     };
     const { registry } = this;
     const client = new peerClient.PeerClient('secret', undefined, observe);
@@ -173,14 +173,14 @@
       now: clock.steady,
     });
     this.targets = new targetClient.TargetClient({ protocol: PROTOCOL, gate: this.signals });
-    const checks = new lifeChecks.LifeChecks({
+    const checks = new livenessProbes.LivenessProbes({
       protocol: PROTOCOL,
       limits,
       gate: this.signals,
       observer: observe,
       source: undefined,
     });
-    this.crashes = new crashWatch.CrashWatch({
+    this.crashes = new quarantineClient.QuarantineClient({
       name: 'e0',
       holding: {
         quarantine: new domain.quarantine.quarantine.Quarantine(),
@@ -188,21 +188,21 @@
       },
       link: { leader: '' },
       client,
-      lifeChecks: checks,
+      liveness: checks,
       observer: observe,
       now: clock.steady,
     });
-    const services: exchange.Services = {
+    const services: exchange.Dependencies = {
       protocol: PROTOCOL,
-      chooser: {
-        choose: (wish: chooser.Wish) => this.choose(wish),
-        closedForMs: () => 0,
-      } as unknown as chooser.Chooser,
+      selector: {
+        choose: (wish: targetSelector.PlacementRequest) => this.choose(wish),
+        unavailableForMs: () => 0,
+      } as unknown as targetSelector.TargetSelector,
       targets: this.targets,
-      lifeChecks: checks,
+      liveness: checks,
       limits,
       signals: this.signals,
-      crashes: this.crashes,
+      quarantine: this.crashes,
       budgets,
       observer: observe,
       random: domain.shared.random.seeded(1),
@@ -220,31 +220,31 @@
     });
   }
 
-  /** Targets are tried in the order of their behaviours. */
-  static async start(...behaviours: Behaviour[]): Promise<Bench> {
+  /** Starts a target for each behavior; targets are selected in this order. */
+  static async start(...behaviours: TargetBehaviour[]): Promise<TestHarness> {
     const addresses: string[] = [];
-    const made = new Bench(addresses);
+    const created = new TestHarness(addresses);
     for (const behave of behaviours) {
       const server = net.createServer((socket) => {
         socket.on('error', () => undefined);
         socket.on('data', (data) => {
           const text = data.toString();
-          if (text.includes(REPORT_PATH)) made.questions += 1;
-          else made.seen.push(text);
+          if (text.includes(REPORT_PATH)) created.probes += 1;
+          else created.received.push(text);
           behave(text, socket);
         });
       });
-      made.servers.push(server);
+      created.servers.push(server);
       const address = `127.0.0.1:${await listen(server)}`;
-      made.registry.announce({ ...RECORD, id: `t${addresses.length}`, address }, 0);
+      created.registry.announce({ ...RECORD, id: `t${addresses.length}`, address }, 0);
       addresses.push(address);
     }
-    made.port = await ports.freePort();
-    await made.ingress.listen({ host: '127.0.0.1', port: made.port });
-    return made;
+    created.port = await ports.freePort();
+    await created.ingress.listen({ host: '127.0.0.1', port: created.port });
+    return created;
   }
 
-  /** A target ends: its address refuses connections. */
+  /** Simulates the crash of a target: its address refuses connections from then on. */
   crash(index: number): Promise<void> {
     return new Promise((resolve) => {
       this.servers[index].close(() => resolve());
@@ -258,8 +258,8 @@
     this.servers.forEach((server) => server.close());
   }
 
-  /** A request to a route; `leaveAfterMs` closes the connection then. */
-  async ask(
+  /** Sends a request to a route; with `leaveAfterMs` the caller disconnects after that time. */
+  async send(
     path: string,
     headers: http.OutgoingHttpHeaders = {},
     body = '',
@@ -292,30 +292,30 @@
     });
   }
 
-  private async choose(wish: chooser.Wish): Promise<chooser.Choice> {
-    this.wishes.push(wish);
-    const again = wish.writers?.[0];
-    const excluded = new Set([...wish.excluded, ...this.signals.closed('app')]);
+  private async choose(request: targetSelector.PlacementRequest): Promise<targetSelector.Choice> {
+    this.placementRequests.push(request);
+    const again = request.writers?.[0];
+    const excluded = new Set([...request.excluded, ...this.signals.unavailable('app')]);
     const index = again === undefined ? excluded.size : Number(again.slice(1));
-    await clock.pause(this.chooseMs);
+    await clock.pause(this.placementDelayMs);
     const address = this.addresses[index];
     if (address === undefined) return { kind: 'noPlace', retryAfterMs: 250 };
     const placement = { target: `t${index}`, address, helpers: [], firstTokenMs: 0 };
     const release = (ending: string): void => {
-      this.endings.push(ending);
+      this.outcomes.push(ending);
     };
     return { kind: 'placed', placement, release };
   }
 }
 
-/** A whole signed answer with a length. */
+/** A complete signed response with a length. */
 export function answer(body: string, status = 200, more = ''): string {
   const head = `HTTP/1.1 ${status} X\r\nid: r1\r\nsigned: 1\r\n${more}`;
   return `${head}Content-Length: ${body.length}\r\n\r\n${body}`;
 }
 
 /** The head of a signed stream. */
-export const STREAM =
+export const STREAM_HEAD =
   'HTTP/1.1 200 OK\r\nid: r1\r\nsigned: 1\r\nTransfer-Encoding: chunked\r\n\r\n';
 
 /** Chunks of a stream. */
--- a/packages/daemon/src/entry/__tests__/crashWatch.test.ts
+++ b/packages/daemon/src/entry/__tests__/quarantineClient.test.ts
@@ -1,28 +1,28 @@
-/** What an entry holds against a request, and who has the last word on it. */
+/** How an entry treats suspect requests, and how the leader overrides it. */
 import * as chai from 'chai';
 import * as domain from '@celerydrift/domain';
 import { Ok } from 'ts-results';
 import * as clock from '../../clock';
 import * as observer from '../../observability/observer';
-import * as crashWatch from '../crashWatch';
+import * as quarantineClient from '../quarantineClient';
 
 const { expect } = chai;
 
 const CONTENT = '4-content';
 
-function request(requestId: string): crashWatch.Suspectable {
-  return { requestId, bodyBytes: 4, content: () => CONTENT, service: 'plain', excluded: [] };
+function request(requestId: string): quarantineClient.RequestInfo {
+  return { requestId, bodyBytes: 4, fingerprint: () => CONTENT, service: 'plain', excluded: [] };
 }
 
 describe('an entry that was cut off from all targets', () => {
   /*
-   * One entry in eight refused a lookup with 502 until it was restarted. It had been cut off and taken three targets for ended; the
-   * leader knew better and changed nothing, so it told nobody, and what the entry had noted by itself stayed.
+   * Guards against a suspicion that only one entry holds. An entry that was cut off took three targets for crashed and
+   * refused a lookup with 502 until its restart: the leader had rejected the reports, but sent no update.
    */
-  it('takes the word of its leader, who knows that they live', async () => {
+  it('accepts the state of the leader, which knows that they are alive', async () => {
     const quarantine = new domain.quarantine.quarantine.Quarantine();
     const nothing = new domain.quarantine.quarantine.Quarantine().report(CONTENT, 0);
-    const made = new crashWatch.CrashWatch({
+    const client = new quarantineClient.QuarantineClient({
       name: 'e0',
       holding: { quarantine, registry: new domain.registry.registry.Registry() },
       link: { leader: '10.0.0.1:1' },
@@ -32,77 +32,82 @@
           return Ok({ kind: 'taken', reports: [nothing] } as T);
         },
       },
-      lifeChecks: { isAlive: async () => false },
+      liveness: { isAlive: async () => false },
       observer: new observer.Observer('test', 'fatal', undefined),
       now: clock.steady,
     });
     for (const target of ['a', 'b', 'c']) {
       const sent = { target, address: '10.0.0.2:1', sentAt: clock.steady(), isTrial: true };
-      await made.cut(request('r1'), sent);
+      await client.checkForCrash(request('r1'), sent);
     }
     await clock.pause(10);
-    expect([quarantine.size, (await made.permit(request('r2'))).kind]).to.deep.equal([
+    expect([quarantine.size, (await client.permit(request('r2'))).kind]).to.deep.equal([
       0,
       'granted',
     ]);
   });
 });
 
-describe('a trial that ends while nobody leads', () => {
-  /** Guards against a trial that the leader never hears the end of: all copies of an innocent request were refused for a minute. */
-  it('is told to the leader as soon as there is one', async () => {
+describe('a canary run that ends while there is no leader', () => {
+  /**
+   * Guards against a canary run whose end isn't reported: all copies of a harmless request were refused for a minute.
+   */
+  it('is reported to the leader as soon as there is one', async () => {
     const quarantine = new domain.quarantine.quarantine.Quarantine();
     ['a', 'b'].forEach((lifetime) => {
       quarantine.blame(CONTENT, lifetime, { sentAt: 0, isTrial: true }, 1);
     });
     const link = { leader: '10.0.0.1:1' };
-    const told: unknown[] = [];
-    const made = new crashWatch.CrashWatch({
+    const reports: unknown[] = [];
+    const client = new quarantineClient.QuarantineClient({
       name: 'e0',
       holding: { quarantine, registry: new domain.registry.registry.Registry() },
       link,
       client: {
         call: async <T>(_address: string, method: string, content: object) => {
-          if (method === 'trialEnded') told.push(content);
+          if (method === 'trialEnded') reports.push(content);
           const granted = { kind: 'granted', endings: 2, target: undefined };
           return Ok((method === 'permit' ? granted : { kind: 'taken' }) as T);
         },
       },
-      lifeChecks: { isAlive: async () => true },
+      liveness: { isAlive: async () => true },
       observer: new observer.Observer('test', 'fatal', undefined),
       now: clock.steady,
     });
-    const permit = await made.permit(request('r1'));
+    const permit = await client.permit(request('r1'));
     if (permit.kind !== 'granted') throw new Error(permit.kind);
     link.leader = '';
     permit.end(true);
     await clock.pause(150);
-    expect(told).to.deep.equal([]);
+    expect(reports).to.deep.equal([]);
     link.leader = '10.0.0.2:1';
     await clock.pause(150);
-    made.close();
-    expect(told).to.deep.equal([{ content: CONTENT, id: 'r1', ranWhole: true }]);
+    client.close();
+    expect(reports).to.deep.equal([{ content: CONTENT, id: 'r1', ranWhole: true }]);
   });
 });
 
-describe('a request that its entry suspects and the leader does not yet', () => {
-  /** Guards against runs of a culprit that counted as one, as if they had been under way together: it was never convicted. */
-  it('runs as a trial', async () => {
+describe('a request that is a suspect at its entry but not yet at the leader', () => {
+  /**
+   * Guards against separate runs of a crashing request that count as one concurrent run, so that it is never
+   * quarantined.
+   */
+  it('makes a canary run', async () => {
     const quarantine = new domain.quarantine.quarantine.Quarantine();
     quarantine.blame(CONTENT, 'a', { sentAt: 0, isTrial: false }, 1);
-    const made = new crashWatch.CrashWatch({
+    const client = new quarantineClient.QuarantineClient({
       name: 'e0',
       holding: { quarantine, registry: new domain.registry.registry.Registry() },
       link: { leader: '10.0.0.1:1' },
       client: {
         call: async <T>() => Ok({ kind: 'granted', endings: 0, target: undefined } as T),
       },
-      lifeChecks: { isAlive: async () => true },
+      liveness: { isAlive: async () => true },
       observer: new observer.Observer('test', 'fatal', undefined),
       now: clock.steady,
     });
-    const permit = await made.permit(request('r1'));
-    made.close();
+    const permit = await client.permit(request('r1'));
+    client.close();
     expect(permit.kind === 'granted' && permit.endings).to.equal(1);
   });
 });
--- a/packages/daemon/src/entry/__tests__/targetClient.test.ts
+++ b/packages/daemon/src/entry/__tests__/targetClient.test.ts
@@ -1,17 +1,17 @@
-/** One sending to one target, against targets that answer as badly as real ones. */
+/** Attempts against targets whose responses are truncated, reset or missing. */
 import * as net from 'node:net';
 import * as chai from 'chai';
 import * as targetClient from '../targetClient';
-import * as bench from './__fixtures__/bench';
+import * as harness from './__fixtures__/bench';
 
 const { expect } = chai;
 
 interface Result {
-  end: targetClient.End;
+  end: targetClient.SendResult;
   body: string;
 }
 
-/** Sends one request to a target that treats its connection as `behave` does. */
+/** Sends one request to a target that handles its connection by `behave`. */
 async function sendTo(behave: (socket: net.Socket) => void): Promise<Result> {
   const server = net.createServer((socket) => {
     socket.on('error', () => undefined);
@@ -21,7 +21,10 @@
     server.listen(0, '127.0.0.1', resolve);
   });
   const { port } = server.address() as net.AddressInfo;
-  const client = new targetClient.TargetClient({ protocol: bench.PROTOCOL, gate: bench.OPEN_GATE });
+  const client = new targetClient.TargetClient({
+    protocol: harness.PROTOCOL,
+    gate: harness.PERMISSIVE_GATE,
+  });
   let body = '';
   const attempt = client.send(
     {
@@ -40,7 +43,7 @@
       },
     },
   );
-  const end = await attempt.end;
+  const end = await attempt.result;
   client.close();
   server.close();
   return { end, body };
@@ -50,16 +53,16 @@
 const CHUNKED = 'HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n';
 
 describe('target client', () => {
-  it('takes an answer without a length for whole when its connection ends in order', async () => {
+  it('accepts a response without a length as complete when its connection is closed cleanly', async () => {
     const { end, body } = await sendTo((socket) => socket.end(`${UNFRAMED}whole`));
     expect([end.kind, body]).to.deep.equal(['complete', 'whole']);
   });
 
   /*
-   * A caller would take half an answer for a whole one. The target sends an answer that ends with its
-   * connection and crashes midway: data and reset arrive together, and the event loop reports an end.
+   * Guards against a truncated response that looks complete to the caller. The target crashes while it sends a response
+   * that is delimited by the end of the connection: data and reset arrive together, and libuv reports an end.
    */
-  it('never takes an answer for whole whose connection was reset', async () => {
+  it('never accepts a response as complete whose connection was reset', async () => {
     const together = await sendTo((socket) => {
       socket.write(`${UNFRAMED}half`);
       socket.resetAndDestroy();
@@ -71,7 +74,7 @@
     expect([together.end.kind, later.end.kind]).to.deep.equal(['broken', 'broken']);
   });
 
-  it('misses the last chunk and bytes that a length promised', async () => {
+  it('detects a missing last chunk, and fewer bytes than the length', async () => {
     const chunked = await sendTo((socket) => socket.end(`${CHUNKED}4\r\nhalf\r\n`));
     const short = await sendTo((socket) =>
       socket.end('HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf'),
@@ -79,12 +82,12 @@
     expect([chunked.end.kind, short.end.kind]).to.deep.equal(['broken', 'broken']);
   });
 
-  it('knows that nothing was sent where no connection was made', async () => {
+  it('reports that nothing was sent if no connection was established', async () => {
     const client = new targetClient.TargetClient({
-      protocol: bench.PROTOCOL,
-      gate: bench.OPEN_GATE,
+      protocol: harness.PROTOCOL,
+      gate: harness.PERMISSIVE_GATE,
     });
-    const nothing = { onHead: () => undefined, onData: () => undefined };
+    const handler = { onHead: () => undefined, onData: () => undefined };
     const attempt = client.send(
       {
         target: 't',
@@ -95,9 +98,9 @@
         headers: [],
         body: Buffer.from('x'),
       },
-      nothing,
+      handler,
     );
-    expect((await attempt.end).kind).to.equal('notSent');
+    expect((await attempt.result).kind).to.equal('notSent');
     client.close();
   });
 });
--- a/packages/daemon/src/entry/__tests__/chooser.test.ts
+++ b/packages/daemon/src/entry/__tests__/targetSelector.test.ts
@@ -1,4 +1,4 @@
-/** Where an entry's requests go when the leader that places them is slow, frozen or replaced. */
+/** Target selection while the leader that places requests is slow, frozen or replaced. */
 import * as chai from 'chai';
 import * as domain from '@celerydrift/domain';
 import * as clock from '../../clock';
@@ -8,7 +8,7 @@
 import * as observer from '../../observability/observer';
 import * as peerClient from '../../rpc/peerClient';
 import * as peerServer from '../../rpc/peerServer';
-import * as chooser from '../chooser';
+import * as targetSelector from '../targetSelector';
 
 const { expect } = chai;
 
@@ -44,7 +44,7 @@
   placement: { target: 'led', address: '127.0.0.1:2', helpers: [], firstTokenMs: 1 },
 };
 
-function wish(patienceMs: number): chooser.Wish {
+function placementRequest(patienceMs: number): targetSelector.PlacementRequest {
   return {
     id: 'r1/0.0',
     service: 's',
@@ -58,33 +58,33 @@
   };
 }
 
-/** A prompt that takes nearly all memory of an engine. */
-function long(patienceMs: number): chooser.Wish {
-  return { ...wish(patienceMs), tokens: 280_000, objectiveMs: 10_000, pauseMs: 1_000 };
+/** A prompt that takes nearly all the memory of an engine. */
+function longPrompt(patienceMs: number): targetSelector.PlacementRequest {
+  return { ...placementRequest(patienceMs), tokens: 280_000, objectiveMs: 10_000, pauseMs: 1_000 };
 }
 
 function pause(ms: number): Promise<void> {
   return clock.pause(ms);
 }
 
-describe('chooser', () => {
+describe('target selector', () => {
   const observe = new observer.Observer('test', 'fatal', undefined);
   let server: peerServer.PeerServer;
   let client: peerClient.PeerClient;
   let link: leaderLink.LeaderLink;
-  let made: chooser.Chooser;
-  let ended: messages.EndedDispatch[];
+  let selector: targetSelector.TargetSelector;
+  let reported: messages.EndedDispatch[];
 
-  /** How often the leader was asked for a sign of life. */
-  let asked: number;
+  /** Number of liveness probes that the leader received. */
+  let probes: number;
 
-  /** How the leader behaves: after how long it answers each call; infinite for never. */
+  /** Delay of the leader's answers to each call, milliseconds; infinite for no answer. */
   let delays: { place: number; other: number };
 
   const after = async <T>(ms: number, answer: T): Promise<T> => {
     if (ms === Infinity) {
       return new Promise(() => {
-        // Never settles: a frozen leader says nothing.
+        // Never settles: a frozen leader doesn't answer.
       });
     }
     await pause(ms);
@@ -93,16 +93,16 @@
 
   beforeEach(async () => {
     delays = { place: 0, other: 0 };
-    ended = [];
-    asked = 0;
+    reported = [];
+    probes = 0;
     server = new peerServer.PeerServer('a-secret-of-the-test', undefined, observe);
     server.add('place', () => after(delays.place, PLACED));
     server.add('identify', () => {
-      asked += 1;
+      probes += 1;
       return after(delays.other, {});
     });
     server.add('ended', (content) => {
-      ended.push(...(content as messages.Ended).dispatches);
+      reported.push(...(content as messages.Ended).dispatches);
       return {};
     });
     const confirmed: messages.Confirmed = {
@@ -123,7 +123,7 @@
     server.add('follow', () => after(delays.other, confirmed));
     const address = `127.0.0.1:${await server.listen({ host: '127.0.0.1', port: 0 })}`;
     client = new peerClient.PeerClient('a-secret-of-the-test', undefined, observe);
-    const held = {
+    const state = {
       directory: { service: () => SERVICE },
       registry: new domain.registry.registry.Registry(),
       limits: new domain.rateLimits.rateLimits.RateLimits(),
@@ -138,30 +138,30 @@
       replica: () => undefined,
       seeds: [address],
       client,
-      holding: held,
+      holding: state,
       observer: observe,
       moment: clock.moment,
       dispatches: () => [],
       onConfirmed: () => undefined,
     });
-    made = new chooser.Chooser({
+    selector = new targetSelector.TargetSelector({
       name: 'entry',
       dataCentre: 'east',
-      holding: held,
+      holding: state,
       link,
       client,
       limits: {
         grant: async () => ({ kind: 'wait', waitMs: Infinity }),
-        grantTrial: async () => undefined,
+        grantProbe: async () => undefined,
         spent: () => undefined,
       },
-      signals: { closed: () => [], waitMs: () => 0 },
+      signals: { unavailable: () => [], waitMs: () => 0 },
       observer: observe,
       random: domain.shared.random.seeded(1),
       now: clock.steady,
     });
-    made.fallback.setServices([SERVICE]);
-    made.fallback.observe(RECORD);
+    selector.fallback.setServices([SERVICE]);
+    selector.fallback.observe(RECORD);
     link.start();
     while (link.leader === '') await pause(5);
   });
@@ -172,116 +172,117 @@
     await server.close();
   });
 
-  async function target(
+  async function place(
     patienceMs: number,
-    more: Partial<chooser.Wish> = {},
+    more: Partial<targetSelector.PlacementRequest> = {},
   ): Promise<[string, number]> {
     const since = clock.steady();
-    const choice = await made.choose({ ...wish(patienceMs), ...more });
+    const choice = await selector.choose({ ...placementRequest(patienceMs), ...more });
     const where = choice.kind === 'placed' ? choice.placement.target : choice.kind;
     return [where, clock.steady() - since];
   }
 
-  it('asks the leader, and waits for it while it gives signs of life', async () => {
+  it('waits for the leader while it passes liveness probes', async () => {
     delays.place = 600;
-    const [where, ms] = await target(1_000);
+    const [where, ms] = await place(1_000);
     expect([where, ms > 550, link.leader !== '']).to.deep.equal(['led', true, true]);
   });
 
   /*
-   * All requests of an entry stood still for over a second. The leader's VM froze; each request waited for its
-   * place as long as its caller bears, and only then was placed by the entry.
+   * Guards against requests that stall when the leader's VM freezes: for over a second, all requests of an entry waited
+   * for the leader up to their callers' limits before the entry placed them itself.
    */
-  it('places by itself soon after the leader froze, however long the caller would wait', async () => {
+  it('places locally soon after the leader froze, whatever the wait limit', async () => {
     delays = { place: Infinity, other: Infinity };
-    const [where, ms] = await target(3_000, { objectiveMs: 3_000 });
+    const [where, ms] = await place(3_000, { objectiveMs: 3_000 });
     expect(where).to.equal('local');
     expect(ms).to.be.within(300, 800);
     expect(link.leader).to.equal('');
   });
 
   /*
-   * Each time a leader lost its power, the short prompts of the next half second came late: their entries were sure that it was
-   * gone after 0.45 s, and callers want their first words within 0.3 s. One that must hurry doesn't wait until that is sure.
+   * Guards against short prompts that miss their objective of 0.3 s after the leader loses power: entries detect its
+   * loss only after 0.45 s.
    */
-  it('places a prompt that must hurry before it is sure that the leader is lost', async () => {
+  it('places a prompt with a short objective before the loss of the leader is certain', async () => {
     delays = { place: Infinity, other: Infinity };
-    const [where, ms] = await target(3_000);
+    const [where, ms] = await place(3_000);
     expect(where).to.equal('local');
     expect(ms).to.be.below(200);
   });
 
-  /* Engines would fill unevenly if prompts that wait for a place at a living leader were placed by their entries. */
-  it('leaves a prompt that must hurry to a leader that gives signs of life', async () => {
+  /* Engines would fill unevenly if entries placed prompts that wait for a placement at a live leader. */
+  it('leaves a prompt with a short objective to a leader that passes liveness probes', async () => {
     delays.place = 400;
-    const [where] = await target(1_000);
+    const [where] = await place(1_000);
     expect(where).to.equal('led');
   });
 
-  /** The leader is gone, and all memory of the only engine is taken. */
-  async function lostAndFull(): Promise<chooser.Choice> {
+  /** Loses the leader, and takes all memory of the only engine. */
+  async function loseLeaderAndFillEngine(): Promise<targetSelector.Choice> {
     delays.other = Infinity;
     link.doubt(link.leader);
-    return made.choose({ ...long(0), id: 'r0/0.0' });
+    return selector.choose({ ...longPrompt(0), id: 'r0/0.0' });
   }
 
   /*
-   * All keepers were off for a second. A manual of 280,000 tokens whose caller would wait fifteen seconds was refused at once, as
-   * no engine had room at that moment; the caller came back after half a second and heard the same.
+   * Guards against an immediate refusal while there is no leader. With all keepers down for a second, a prompt of
+   * 280,000 tokens whose caller would wait fifteen seconds was refused twice, because no engine had room at that
+   * moment.
    */
-  it('lets a prompt wait for a place while nobody leads', async () => {
-    const first = await lostAndFull();
+  it('lets a prompt wait for a placement while there is no leader', async () => {
+    const first = await loseLeaderAndFillEngine();
     setTimeout(() => {
       if (first.kind === 'placed') first.release('done');
     }, 200);
-    const choice = await made.choose(long(2_000));
+    const choice = await selector.choose(longPrompt(2_000));
     expect([first.kind, choice.kind]).to.deep.equal(['placed', 'placed']);
   });
 
-  it('asks a leader that is found while a prompt waits', async () => {
-    await lostAndFull();
+  it('asks a leader that is elected while a prompt waits', async () => {
+    await loseLeaderAndFillEngine();
     setTimeout(() => {
       delays.other = 0;
     }, 100);
-    const choice = await made.choose(long(2_000));
+    const choice = await selector.choose(longPrompt(2_000));
     expect(choice.kind === 'placed' ? choice.placement.target : choice.kind).to.equal('led');
-    // Under an id of its own: a place that a leader gave for an earlier question is given back by that one's.
-    expect(made.dispatches.map(({ request: { id } }) => id)).to.not.include('r1/0.0');
+    // Under a new id, as a late placement of the earlier call is released under that call's id.
+    expect(selector.dispatches.map(({ request: { id } }) => id)).to.not.include('r1/0.0');
   });
 
-  it('says when to come back where no place came free in time', async () => {
-    await lostAndFull();
+  it('returns a Retry-After if no engine became free in time', async () => {
+    await loseLeaderAndFillEngine();
     const since = clock.steady();
-    const choice = await made.choose(long(150));
+    const choice = await selector.choose(longPrompt(150));
     expect(choice.kind === 'noPlace' && choice.retryAfterMs).to.be.within(200, 2_000);
     expect(clock.steady() - since).to.be.within(140, 600);
   });
 
   /*
-   * Engines seemed full that stood idle. A leader answered after the entry had gone on without it, and counted a
-   * dispatch that nobody ended.
+   * Guards against idle engines that count as full: a leader that answered after the entry had placed the request
+   * itself kept counting a dispatch that never ended.
    */
-  it('gives a place back that comes too late', async () => {
+  it('releases a placement that comes too late', async () => {
     delays.place = 500;
-    const [where] = await target(100);
+    const [where] = await place(100);
     expect(where).to.equal('local');
     await pause(500);
-    expect(ended.map(({ id, ending }) => [id, ending])).to.deep.equal([['r1/0.0', 'cancelled']]);
+    expect(reported.map(({ id, ending }) => [id, ending])).to.deep.equal([['r1/0.0', 'cancelled']]);
   });
 
   /*
-   * A busy leader was asked for signs of life a thousand times a second, and had no time left for places. Each prompt that
-   * waited a little asked by itself; one sign serves all that wait at an entry.
+   * Guards against a busy leader that is overloaded by liveness probes, up to a thousand a second when each waiting
+   * prompt sent its own. One probe serves all requests that wait at an entry.
    */
-  it('asks a busy leader for one sign of life at a time, however many wait', async () => {
+  it('sends a busy leader one liveness probe at a time, however many requests wait', async () => {
     delays.place = 1_000;
     const waiting: Promise<unknown>[] = [];
     for (let i = 0; i < 8; i++) {
-      waiting.push(target(2_000));
+      waiting.push(place(2_000));
       await pause(50);
     }
     await Promise.all(waiting);
-    // The first after 150 ms, the last after 1.4 s, and 300 ms between them.
-    expect(asked).to.be.within(2, 5);
+    // The first after 150 ms, the last after 1.4 s, 300 ms apart.
+    expect(probes).to.be.within(2, 5);
   });
 });
--- /dev/null
+++ b/packages/daemon/src/entry/callerResponse.ts
@@ -0,0 +1,233 @@
+/**
+ * The response to a caller, assembled from the responses of one or several targets. Nothing is forwarded before the
+ * response is known to belong to this request, and only whole events of a stream are.
+ */
+import type * as http from 'node:http';
+import * as domain from '@celerydrift/domain';
+import * as clock from '../clock';
+import * as hopByHop from '../edges/hopByHop';
+import type * as protocols from '../edges/protocols';
+import type * as targetClient from './targetClient';
+
+type Route = domain.catalogue.catalogue.Route;
+
+/** Responses up to this size are buffered until complete, so that a broken one can be retried at another target. */
+const MAX_BUFFERED_BYTES = 1_048_576;
+
+/** Status of a stream; responses with another status on a streaming route are buffered. */
+const STREAM_STATUS = 200;
+
+/** From this status on, a target's own response doesn't show that it completed the request. */
+export const FAILURE_STATUS = 500;
+
+/** Minimum number of inter-token gaps from which a target's speed is derived. */
+const MIN_GAPS = 6;
+
+export type CompletionResult =
+  | { kind: 'passedOn' }
+  /** The target states that it didn't run the request. */
+  | { kind: 'notRun'; detail: string; isWrongLifetime: boolean; faulty: string | undefined }
+  /** The response must not be forwarded to the caller. */
+  | { kind: 'unusable'; detail: string };
+
+export class CallerResponse implements targetClient.ResponseHandler {
+  /** Id of the last event that was forwarded to the caller. */
+  lastEventId: string | undefined;
+
+  /** When the first event was forwarded; 0 before. */
+  firstEventAt = 0;
+
+  /** When the last event was forwarded; 0 before the first. */
+  lastEventAt = 0;
+
+  /** Longest gap between two events, milliseconds, also across targets. */
+  maxGapMs = 0;
+
+  /** Inter-token gaps of the current target, milliseconds. */
+  private gaps: number[] = [];
+
+  private head: targetClient.ResponseHead | undefined;
+
+  private splitter = new domain.request.eventSplitter.EventSplitter();
+
+  private buffered: Buffer[] = [];
+
+  private bufferedBytes = 0;
+
+  private attempt: targetClient.Attempt | undefined;
+
+  /** Whether the caller already has the beginning of a stream, which only another stream can continue. */
+  private isContinuation = false;
+
+  /** Whether a buffered response grew too large and is forwarded as it arrives. */
+  private isOverflowing = false;
+
+  constructor(
+    private readonly response: http.ServerResponse,
+    private readonly route: Route,
+    private readonly caller: protocols.CallerFacts,
+  ) {}
+
+  /** Whether the caller has received bytes that no other target can continue from. */
+  get isUnrecoverable(): boolean {
+    const { response, route, lastEventId } = this;
+    const isStream = route.kind === 'streaming' && response.statusCode === STREAM_STATUS;
+    return response.headersSent && !(isStream && lastEventId !== undefined);
+  }
+
+  beginAttempt(): void {
+    this.isContinuation = this.response.headersSent;
+    this.head = undefined;
+    this.attempt = undefined;
+    this.splitter = new domain.request.eventSplitter.EventSplitter();
+    this.buffered = [];
+    this.bufferedBytes = 0;
+    this.gaps = [];
+  }
+
+  attach(attempt: targetClient.Attempt): void {
+    this.attempt = attempt;
+  }
+
+  onHead(head: targetClient.ResponseHead): void {
+    this.head = head;
+  }
+
+  onData(chunk: Buffer): void {
+    if (this.isStream && this.isForCaller) this.forwardEvents(chunk);
+    else this.buffer(chunk);
+  }
+
+  /**
+   * Handles the end of a complete response. With `mayRepeat` a failure reported by the target may be retried elsewhere.
+   */
+  complete(mayRepeat: boolean): CompletionResult {
+    const { head } = this;
+    if (head === undefined) {
+      return { kind: 'unusable', detail: 'no response' };
+    }
+    const { isNotRun, isWrongLifetime, faulty } = head.facts;
+    if (isNotRun) {
+      return { kind: 'notRun', detail: `target refused: ${head.status}`, isWrongLifetime, faulty };
+    }
+    if (!this.isForCaller) return { kind: 'unusable', detail: `unusable response: ${head.status}` };
+    if (mayRepeat && head.status >= FAILURE_STATUS) {
+      return { kind: 'unusable', detail: `target failed: ${head.status}` };
+    }
+    if (this.isContinuation && !this.isStream) {
+      return { kind: 'unusable', detail: `response can't continue the stream: ${head.status}` };
+    }
+    if (!this.isStream) return this.forwardBuffered(head);
+    if (this.splitter.isInsideEvent)
+      return { kind: 'unusable', detail: 'stream ended inside an event' };
+    this.writeHead(head);
+    this.response.end();
+    return { kind: 'passedOn' };
+  }
+
+  /**
+   * Sends a response of the entry itself; one that has begun is aborted, so that it can't be mistaken for a complete
+   * one.
+   */
+  refuse(status: number, retryAfterMs: number | undefined): void {
+    if (this.response.headersSent) {
+      this.response.destroy();
+      return;
+    }
+    const headers: http.OutgoingHttpHeaders = { 'Content-Length': 0 };
+    if (retryAfterMs !== undefined) headers['Retry-After'] = (retryAfterMs / 1_000).toFixed(2);
+    this.response.writeHead(status, headers);
+    this.response.end();
+  }
+
+  /** Status of the response to the caller. */
+  get status(): number {
+    return this.response.statusCode;
+  }
+
+  private get isStream(): boolean {
+    return this.route.kind === 'streaming' && this.head?.status === STREAM_STATUS;
+  }
+
+  /** Whether the head belongs to a response of this target to this request. */
+  private get isForCaller(): boolean {
+    const { head, caller } = this;
+    if (head === undefined || head.facts.isNotRun) return false;
+    const { facts } = head;
+    const isOurs = facts.requestId === caller.requestId;
+    if (!isOurs || facts.isEncoded) return false;
+    return facts.isSigned && !NOT_RUN_STATUSES.has(head.status);
+  }
+
+  private forwardEvents(chunk: Buffer): void {
+    const { head } = this;
+    const cut = this.splitter.push(chunk);
+    if (head === undefined || cut.events === 0) return;
+    this.writeHead(head);
+    this.lastEventId = cut.lastId ?? this.lastEventId;
+    this.recordEvent(clock.steady());
+    this.write(cut.bytes);
+  }
+
+  private recordEvent(now: number): void {
+    if (this.firstEventAt === 0) this.firstEventAt = now;
+    else this.recordGap(now - this.lastEventAt);
+    this.lastEventAt = now;
+  }
+
+  private recordGap(ms: number): void {
+    this.maxGapMs = Math.max(this.maxGapMs, ms);
+    this.gaps.push(ms);
+  }
+
+  /**
+   * Duration of the current target's engine steps without prefill: the lower quartile of its gaps, as prefill makes
+   * some longer and a busy entry makes some look shorter. Undefined for few events.
+   */
+  get typicalGapMs(): number | undefined {
+    if (this.gaps.length < MIN_GAPS) return undefined;
+    return [...this.gaps].sort((a, b) => a - b)[Math.floor(this.gaps.length / 4)];
+  }
+
+  private buffer(chunk: Buffer): void {
+    if (this.isOverflowing) {
+      this.write(chunk);
+      return;
+    }
+    this.buffered.push(chunk);
+    this.bufferedBytes += chunk.length;
+    if (this.bufferedBytes <= MAX_BUFFERED_BYTES || this.head === undefined) return;
+    if (!this.isForCaller || this.isContinuation) return;
+    this.isOverflowing = true;
+    this.writeHead(this.head);
+    this.buffered.splice(0).forEach((each) => this.write(each));
+  }
+
+  private forwardBuffered(head: targetClient.ResponseHead): CompletionResult {
+    this.writeHead(head);
+    this.buffered.splice(0).forEach((each) => this.response.write(each));
+    this.response.end();
+    return { kind: 'passedOn' };
+  }
+
+  private write(bytes: Buffer): void {
+    if (this.response.write(bytes)) return;
+    this.attempt?.pause();
+    this.response.once('drain', () => this.attempt?.resume());
+  }
+
+  private writeHead({ status, raw }: targetClient.ResponseHead): void {
+    if (this.response.headersSent) return;
+    const kept: string[] = [];
+    // Another target may continue the stream, so the first one's length doesn't cover all of it.
+    const isDropped = (name: string): boolean =>
+      hopByHop.HOP_BY_HOP.has(name) || (this.isStream && name === 'content-length');
+    for (let i = 0; i + 1 < raw.length; i += 2) {
+      if (!isDropped(raw[i].toLowerCase())) kept.push(raw[i], raw[i + 1]);
+    }
+    this.response.writeHead(status, kept as unknown as http.OutgoingHttpHeaders);
+  }
+}
+
+/** Statuses that mean the request did not run; only valid if the target states so in its headers. */
+const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
--- a/packages/daemon/src/entry/ingress.ts
+++ b/packages/daemon/src/entry/ingress.ts
@@ -1,6 +1,6 @@
 /**
- * The callers' listener of an entry: bounds what a caller may send, finds the route and the organisation,
- * and reads the body. What it refuses has not run anywhere.
+ * HTTP server of an entry for callers: limits the size of requests, resolves the route and the organisation, and reads
+ * the body. A request that it refuses has not run anywhere.
  */
 import * as http from 'node:http';
 import type * as net from 'node:net';
@@ -15,14 +15,14 @@
 type Directory = domain.catalogue.directory.Directory;
 type Limits = domain.catalogue.catalogue.Limits;
 
-export interface Parts {
+export interface Dependencies {
   protocol: protocols.TrafficProtocol;
   observer: observer.Observer;
   now: () => number;
   directory: () => Directory | undefined;
-  /** Whether what is in force here is known to be fresh enough to admit keys. */
+  /** Whether the settings in force were confirmed recently enough to admit keys. */
   isFresh: () => boolean;
-  serve: (admitted: exchange.Admitted) => Promise<void>;
+  serve: (admitted: exchange.AdmittedRequest) => Promise<void>;
 }
 
 interface Refusal {
@@ -36,19 +36,21 @@
   arrivedAt: number;
 }
 
-/** A caller's body, or why there is none. */
+/** A request body, or why there is none. */
 type Body = Buffer | 'tooLarge' | 'broken';
 
-/** Longest body that is read before the catalogue's limit is known; the limit of the deployments. */
-const EARLY_BODY_BYTES = 4 * 1024 * 1024;
+/** Maximum body that is read before the catalogue's limit is known; the limit of the deployments. */
+const MAX_EARLY_BODY_BYTES = 4 * 1024 * 1024;
 
-/** Longest head that Node parses at all; the catalogue's limit, which may change, is checked below it. */
-const PARSER_HEADER_BYTES = 65_536;
+/**
+ * Maximum size of a head that Node parses; the catalogue's limit, which is lower and may change, is checked separately.
+ */
+const MAX_PARSED_HEADER_BYTES = 65_536;
 
-/** Heads that are slower than this are ended by Node; checked each second. */
-const HEADER_CHECK_MS = 1_000;
+/** Interval at which Node closes connections whose head exceeded its timeout, milliseconds. */
+const HEADER_CHECK_INTERVAL_MS = 1_000;
 
-/** What a caller is told to wait where the entry has no fresh settings, seconds: the next follow. */
+/** Retry-After where the entry has no fresh settings, seconds: it polls the leader again by then. */
 const RETRY_AFTER_SECONDS = '0.50';
 
 export class Ingress {
@@ -58,23 +60,23 @@
 
   private active = 0;
 
-  private isLeaving = false;
+  private isDraining = false;
 
   private isRefusing = false;
 
-  private readonly settings: settingsWait.SettingsWait;
+  private readonly settingsWait: settingsWait.SettingsWait;
 
-  constructor(private readonly parts: Parts) {
-    this.settings = new settingsWait.SettingsWait(() => this.isSettled);
+  constructor(private readonly dependencies: Dependencies) {
+    this.settingsWait = new settingsWait.SettingsWait(() => this.hasUsableSettings);
     this.server = http.createServer(
       {
-        maxHeaderSize: PARSER_HEADER_BYTES,
-        connectionsCheckingInterval: HEADER_CHECK_MS,
+        maxHeaderSize: MAX_PARSED_HEADER_BYTES,
+        connectionsCheckingInterval: HEADER_CHECK_INTERVAL_MS,
         requestTimeout: 0,
         noDelay: true,
       },
       (request, response) => {
-        void this.take(request, response);
+        void this.handle(request, response);
       },
     );
     this.server.on('connection', (socket) => {
@@ -87,7 +89,7 @@
     return listening.listenOrTakeOver(this.server, address, early);
   }
 
-  /** Requests that have no final answer yet. */
+  /** Number of requests without a final response. */
   get activeRequests(): number {
     return this.active;
   }
@@ -97,17 +99,17 @@
     this.server.headersTimeout = headerTimeoutMs;
   }
 
-  /** Settings came or were confirmed: requests that waited for them go on. */
+  /** Continues requests that wait for settings, if these have arrived or were confirmed. */
   wake(): void {
-    this.settings.wake();
+    this.settingsWait.wake();
   }
 
-  /** From now on each answer closes its connection; new requests are still served. */
-  leave(): void {
-    this.isLeaving = true;
+  /** From now on each response closes its connection; new requests are still served. */
+  drain(): void {
+    this.isDraining = true;
   }
 
-  /** Takes no new connections, and refuses requests that come on open ones; those under way go on. */
+  /** Accepts no new connections and refuses requests that arrive on open ones; requests in progress continue. */
   refuseNew(): void {
     this.isRefusing = true;
     this.close();
@@ -118,64 +120,67 @@
     this.server.closeIdleConnections();
   }
 
-  private async take(request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
-    const arrivedAt = this.parts.now();
+  private async handle(
+    request: http.IncomingMessage,
+    response: http.ServerResponse,
+  ): Promise<void> {
+    const arrivedAt = this.dependencies.now();
     this.active += 1;
     response.once('close', () => {
       this.active -= 1;
     });
-    if (this.isLeaving) response.setHeader('Connection', 'close');
-    // An error of the caller's connection ends its exchange by `close`; nothing else follows from it.
+    if (this.isDraining) response.setHeader('Connection', 'close');
+    // An error of the caller's connection ends its exchange through `close`; it needs no other handling.
     response.on('error', () => undefined);
     if (this.isRefusing) {
-      this.refuse(request, response, { status: 503, reason: 'this entry stops' });
+      this.refuse(request, response, { status: 503, reason: 'entry is stopping' });
       return;
     }
-    const early = this.isSettled ? undefined : await this.readAndWait(request);
-    if (early === 'broken' || response.destroyed) return;
-    const directory = this.parts.directory();
+    const earlyBody = this.hasUsableSettings ? undefined : await this.readAndWait(request);
+    if (earlyBody === 'broken' || response.destroyed) return;
+    const directory = this.dependencies.directory();
     if (directory === undefined) {
       this.refuse(request, response, { status: 503, reason: 'no catalogue yet' });
       return;
     }
-    await this.admit(directory, { request, response, arrivedAt }, early);
+    await this.admit(directory, { request, response, arrivedAt }, earlyBody);
   }
 
-  private get isSettled(): boolean {
-    return this.parts.directory() !== undefined && this.parts.isFresh();
+  private get hasUsableSettings(): boolean {
+    return this.dependencies.directory() !== undefined && this.dependencies.isFresh();
   }
 
-  /** Callers leave an entry that doesn't read their request, so the body comes before the wait. */
+  /** Reads the body before the wait, because callers leave an entry that doesn't read their request. */
   private async readAndWait(request: http.IncomingMessage): Promise<Body> {
-    const body = await readBody(request, EARLY_BODY_BYTES);
-    await this.settings.wait(this.parts.protocol.facts(request.headers).patienceMs);
+    const body = await readBody(request, MAX_EARLY_BODY_BYTES);
+    await this.settingsWait.wait(this.dependencies.protocol.facts(request.headers).patienceMs);
     return body;
   }
 
   private async admit(
     directory: Directory,
     { request, response, arrivedAt }: Arrival,
-    early: Body | undefined,
+    earlyBody: Body | undefined,
   ): Promise<void> {
-    const facts = this.parts.protocol.facts(request.headers);
+    const facts = this.dependencies.protocol.facts(request.headers);
     const path = request.url ?? '/';
     const route = directory.route(request.headers.host ?? '', path);
     const organisation = facts.key === undefined ? undefined : directory.organisation(facts.key);
     const { limits } = directory.catalogue;
     const isKeyed = route !== undefined && directory.needsKeys && !route.isPublic;
     const refusal =
-      this.headProblem(request, limits) ?? this.accessProblem(route, isKeyed, organisation);
+      this.checkHead(request, limits) ?? this.checkAccess(route, isKeyed, organisation);
     if (refusal !== undefined || route === undefined) {
       this.refuse(request, response, refusal ?? { status: 404, reason: 'no route' });
       return;
     }
-    const body = early ?? (await readBody(request, limits.maxBodyBytes));
+    const body = earlyBody ?? (await readBody(request, limits.maxBodyBytes));
     if (body === 'broken') return;
     if (body === 'tooLarge' || body.length > limits.maxBodyBytes) {
       this.refuse(request, response, { status: 413, reason: 'body too large' });
       return;
     }
-    await this.parts.serve({
+    await this.dependencies.serve({
       request,
       response,
       facts,
@@ -186,20 +191,20 @@
     });
   }
 
-  private headProblem(request: http.IncomingMessage, limits: Limits): Refusal | undefined {
+  private checkHead(request: http.IncomingMessage, limits: Limits): Refusal | undefined {
     const bytes = request.rawHeaders.reduce((sum, part) => sum + part.length + 2, 0);
     if (bytes > limits.maxHeaderBytes) return { status: 431, reason: 'header too large' };
     const length = Number(request.headers['content-length'] ?? 0);
     return length > limits.maxBodyBytes ? { status: 413, reason: 'body too large' } : undefined;
   }
 
-  private accessProblem(
+  private checkAccess(
     route: domain.catalogue.catalogue.Route | undefined,
     isKeyed: boolean,
     organisation: domain.catalogue.catalogue.Organisation | undefined,
   ): Refusal | undefined {
-    // A stale entry can't tell a missing route or key from one that is newer than its catalogue.
-    const isStale = !this.parts.isFresh();
+    // A stale entry can't distinguish an unknown route or key from one that is newer than its catalogue.
+    const isStale = !this.dependencies.isFresh();
     if (route === undefined) {
       return isStale
         ? { status: 503, reason: 'settings not confirmed fresh' }
@@ -215,9 +220,9 @@
     response: http.ServerResponse,
     { status, reason }: Refusal,
   ): void {
-    const { requestId } = this.parts.protocol.facts(request.headers);
-    const version = this.parts.directory()?.version ?? 0;
-    this.parts.observer.log('requestEnded', {
+    const { requestId } = this.dependencies.protocol.facts(request.headers);
+    const version = this.dependencies.directory()?.version ?? 0;
+    this.dependencies.observer.log('requestEnded', {
       request: requestId,
       status,
       detail: reason,
@@ -225,20 +230,20 @@
     });
     const headers: http.OutgoingHttpHeaders = { 'Content-Length': 0 };
     if (status === 503) headers['Retry-After'] = RETRY_AFTER_SECONDS;
-    // The rest of a body that nobody reads must not be taken for the next request.
+    // The unread rest of a body must not be parsed as the next request.
     if (!request.complete) headers.Connection = 'close';
     response.writeHead(status, headers);
     response.end();
   }
 }
 
-async function readBody(request: http.IncomingMessage, maximum: number): Promise<Body> {
+async function readBody(request: http.IncomingMessage, maxBytes: number): Promise<Body> {
   return new Promise((resolve) => {
     const chunks: Buffer[] = [];
     let length = 0;
     request.on('data', (chunk: Buffer) => {
       length += chunk.length;
-      if (length > maximum) resolve('tooLarge');
+      if (length > maxBytes) resolve('tooLarge');
       else chunks.push(chunk);
     });
     request.once('end', () => resolve(Buffer.concat(chunks)));
--- /dev/null
+++ b/packages/daemon/src/entry/quarantineClient.ts
@@ -0,0 +1,240 @@
+/**
+ * Protects targets from requests that crash them. Reports the fingerprints of requests that a target ran when it
+ * crashed, refuses quarantined requests, and asks the leader for permission before a suspect request runs. Without
+ * suspects a request costs one lookup in an empty map; its fingerprint is computed only if a suspect has a body of the
+ * same length.
+ */
+import * as domain from '@celerydrift/domain';
+import * as clock from '../clock';
+import type * as holding from '../fleet/holding';
+import type * as messages from '../fleet/messages';
+import type * as observer from '../observability/observer';
+import * as leaderCall from './leaderCall';
+import * as leaderOutbox from './leaderOutbox';
+import type * as livenessProbes from './livenessProbes';
+
+/** A request that may be a suspect. */
+export interface RequestInfo {
+  requestId: string;
+  bodyBytes: number;
+  /** Computes the fingerprint; see the module `fingerprint`. */
+  fingerprint: () => string;
+  service: string;
+  /** Targets that it was sent to before, or that are unavailable to it. */
+  excluded: readonly string[];
+}
+
+/** An attempt that got no response. */
+export interface SentRequest {
+  target: string;
+  address: string;
+  sentAt: number;
+  /** Whether it was a canary run; see `Grant`. */
+  isTrial: boolean;
+}
+
+/**
+ * The request may run; `endings` is the number of crashes attributed to its fingerprint. If there are any, it is a
+ * canary run.
+ */
+export interface Grant {
+  kind: 'granted';
+  endings: number;
+  /** The target that must run it; undefined for any. */
+  target: string | undefined;
+  /** To be called when the run is over, with whether it completed. */
+  end: (ranWhole: boolean) => void;
+}
+
+export type Permit =
+  | Grant
+  /** Another request with the same fingerprint makes a canary run, which soon shows whether it crashes its target. */
+  | { kind: 'busy' }
+  | { kind: 'quarantined' };
+
+export interface Dependencies extends leaderCall.Dependencies {
+  /** Name of this entry. */
+  name: string;
+  holding: Pick<holding.Holding, 'quarantine' | 'registry'>;
+  liveness: Pick<livenessProbes.LivenessProbes, 'isAlive'>;
+  observer: observer.Observer;
+  now: () => number;
+}
+
+/**
+ * How long a request whose connection broke waits for the liveness probe of its target before it continues elsewhere,
+ * milliseconds. Within one round trip a crashed target refuses the connection and a live one responds; an unreachable
+ * target isn't waited for.
+ */
+const CRASH_CHECK_WAIT_MS = 20;
+
+/** Maximum number of unreported crashes: enough for an entry that is cut off from all targets for some seconds. */
+const MAX_UNREPORTED_CRASHES = 500;
+
+/** Maximum number of unreported canary runs; an entry makes one at a time for each suspect. */
+const MAX_UNREPORTED_CANARIES = 100;
+
+/** A crash to be reported to the leader; `at` and `sentAt` are on this entry's clock. */
+type ObservedCrash = Omit<messages.EndedTarget, 'agoMs' | 'sentAgoMs'> & {
+  at: number;
+  sentAt: number;
+};
+
+export class QuarantineClient {
+  /** Canary runs of this entry. The leader knows those of all entries, but may be unreachable. */
+  private readonly canaryRuns = new domain.quarantine.trials.Trials();
+
+  /** Reports of crashes. A lost one would cost another target, as the request would run once more. */
+  private readonly crashReports = new leaderOutbox.LeaderOutbox<ObservedCrash>(
+    (crashes) => this.reportCrashes(crashes),
+    MAX_UNREPORTED_CRASHES,
+  );
+
+  /** Reports of finished canary runs. While the leader counts one as running, all copies of its request wait. */
+  private readonly canaryReports = new leaderOutbox.LeaderOutbox<messages.TrialEnded>(
+    (runs) => this.reportCanaries(runs),
+    MAX_UNREPORTED_CANARIES,
+  );
+
+  constructor(private readonly dependencies: Dependencies) {}
+
+  /** Whether a request may be sent to a target now. */
+  async permit(request: RequestInfo): Promise<Permit> {
+    const status = this.statusOf(request);
+    if (status === 'quarantined') return this.refuse(request);
+    if (status === 'free') {
+      return { kind: 'granted', endings: 0, target: undefined, end: this.completionOf(request) };
+    }
+    const { name, now } = this.dependencies;
+    const { requestId: id, service, excluded } = request;
+    const content = request.fingerprint();
+    const run = { id, entry: name, target: undefined };
+    if (!this.canaryRuns.begin(content, run, now())) return { kind: 'busy' };
+    const answer = await this.requestPermit({ content, id, entry: name, service, excluded });
+    const end = (ranWhole: boolean): void => this.endCanary({ content, id, ranWhole });
+    if (answer === undefined || answer.kind === 'granted') {
+      // The leader may not have received this entry's crash reports yet.
+      const endings = Math.max(
+        answer?.endings ?? 0,
+        this.dependencies.holding.quarantine.count(content),
+      );
+      return { kind: 'granted', endings, target: answer?.target, end };
+    }
+    this.canaryRuns.end(content, id);
+    return answer.kind === 'busy' ? { kind: 'busy' } : this.refuse(request);
+  }
+
+  isQuarantined(request: RequestInfo): boolean {
+    return this.statusOf(request) === 'quarantined';
+  }
+
+  /**
+   * Probes the target of an attempt without a response, and reports a crash. Resolves with the probe, or after a short
+   * wait.
+   */
+  async checkForCrash(request: RequestInfo, sent: SentRequest): Promise<void> {
+    await Promise.race([this.reportIfCrashed(request, sent), clock.pause(CRASH_CHECK_WAIT_MS)]);
+  }
+
+  /** Drops reports that no leader has accepted yet. */
+  close(): void {
+    this.crashReports.close();
+    this.canaryReports.close();
+  }
+
+  private statusOf({ bodyBytes, fingerprint }: RequestInfo): domain.quarantine.quarantine.Standing {
+    const { quarantine } = this.dependencies.holding;
+    return quarantine.mayKnow(bodyBytes) ? quarantine.standing(fingerprint()) : 'free';
+  }
+
+  private refuse(request: RequestInfo): Permit {
+    const { observer: observe, holding: state } = this.dependencies;
+    const content = request.fingerprint();
+    observe.count('quarantine.refused');
+    observe.log('requestHeldBack', {
+      request: request.requestId,
+      content,
+      lifetimes: state.quarantine.endings(content),
+    });
+    return { kind: 'quarantined' };
+  }
+
+  /**
+   * For a request that wasn't a suspect when it started: its completion still clears a suspicion that arose meanwhile.
+   */
+  private completionOf(request: RequestInfo): (ranWhole: boolean) => void {
+    return (ranWhole) => {
+      if (!ranWhole || this.statusOf(request) === 'free') return;
+      void this.canaryReports.send({
+        content: request.fingerprint(),
+        id: request.requestId,
+        ranWhole,
+      });
+    };
+  }
+
+  private endCanary(run: messages.TrialEnded): void {
+    this.canaryRuns.end(run.content, run.id);
+    void this.canaryReports.send(run);
+  }
+
+  private async reportCanaries(runs: readonly messages.TrialEnded[]): Promise<boolean> {
+    const answers = await Promise.all(
+      runs.map((run) => {
+        return leaderCall.call<messages.TakenAnswer>(this.dependencies, 'trialEnded', run);
+      }),
+    );
+    return answers.every((answer) => answer !== undefined);
+  }
+
+  private requestPermit(
+    message: messages.PermitQuestion,
+  ): Promise<Exclude<messages.PermitAnswer, messages.Redirect> | undefined> {
+    return leaderCall.call<messages.PermitAnswer>(this.dependencies, 'permit', message);
+  }
+
+  private async reportIfCrashed(
+    request: RequestInfo,
+    { target, address, sentAt, isTrial }: SentRequest,
+  ): Promise<void> {
+    const { liveness: probes, observer: observe, holding: state, now } = this.dependencies;
+    if (await probes.isAlive(target, address)) return;
+    const record = state.registry.get(target);
+    if (record !== undefined && hasStoppedItself(record)) return;
+    const content = request.fingerprint();
+    observe.count('targets.endedUnderRequest');
+    observe.log('targetEndedUnder', { request: request.requestId, content, target });
+    const { bornAt } = record ?? { bornAt: 0 };
+    const lifetime = { id: target, bornAt };
+    const key = domain.quarantine.endedLifetimes.lifetimeOf(lifetime);
+    state.quarantine.blame(content, key, { sentAt, isTrial }, now());
+    void this.crashReports.send({ content, lifetime, isTrial, sentAt, at: now() });
+  }
+
+  /**
+   * Called at once for each crash, also while an earlier report is in flight: on the same connection it then arrives
+   * before the `permit` call of the request that is to run again.
+   */
+  private async reportCrashes(crashes: readonly ObservedCrash[]): Promise<boolean> {
+    const { holding: state, now } = this.dependencies;
+    const ended = crashes.map(({ at, sentAt, ...each }) => {
+      return { ...each, agoMs: now() - at, sentAgoMs: now() - sentAt };
+    });
+    const blame: messages.Blame = { ended };
+    const answer = await leaderCall.call<messages.BlameAnswer>(this.dependencies, 'blame', blame);
+    if (answer === undefined) return false;
+    // A leader that rejects a crash report changes nothing and sends no update, so its answer replaces the local state.
+    answer.reports.forEach((report) => state.quarantine.take(report, now()));
+    return true;
+  }
+}
+
+/** Whether a target announced its stop, so that no request that it interrupted is to blame. */
+function hasStoppedItself({
+  state,
+  isPresumed,
+  isRemembered,
+}: domain.registry.registry.Announcement): boolean {
+  if (state === 'ready') return false;
+  return isPresumed !== true && isRemembered !== true;
+}
--- /dev/null
+++ b/packages/daemon/src/entry/rateLimitClient.ts
@@ -0,0 +1,176 @@
+/**
+ * Keeps an entry within the rate limits that targets name. Reports limits found in responses, and messages sent without
+ * a grant, to the leader, and asks it for grants of messages that the allocator doesn't place. While there is no
+ * leader, the entry grants its own share of each limit.
+ */
+import * as domain from '@celerydrift/domain';
+import * as clock from '../clock';
+import type * as protocols from '../edges/protocols';
+import type * as holding from '../fleet/holding';
+import type * as messages from '../fleet/messages';
+import type * as observer from '../observability/observer';
+import * as leaderCall from './leaderCall';
+import * as leaderOutbox from './leaderOutbox';
+import * as unreportedLimits from './unreportedLimits';
+
+const { keyOf } = domain.rateLimits.rateLimits;
+
+type Place = domain.rateLimits.rateLimits.Place;
+
+/** A request that a target responded to. */
+export interface AnsweredRequest extends Place {
+  requestId: string;
+  target: string;
+  status: number;
+  /** On the steady clock, milliseconds. */
+  sentAt: number;
+}
+
+export type Grant = Exclude<messages.GrantAnswer, messages.Redirect>;
+
+export interface Dependencies extends leaderCall.Dependencies {
+  holding: Pick<holding.Holding, 'limits' | 'registry'>;
+  observer: observer.Observer;
+  now: () => number;
+}
+
+/**
+ * Interval at which an entry probes whether a target's limit is over while other targets take all calls, milliseconds.
+ * Grows in proportion with more than `PROBING_ENTRIES` entries, which share the probes.
+ */
+const PROBE_INTERVAL_MS = 1_000;
+const PROBING_ENTRIES = 5;
+
+export class RateLimitClient {
+  /** When this entry next probes a target with a limit, by service and address. */
+  private readonly nextProbes = new Map<string, number>();
+
+  private readonly unreported = new unreportedLimits.UnreportedLimits();
+
+  private isReporting = false;
+
+  private isClosed = false;
+
+  /** Number of entries that share the limits while there is no leader; 0 while unknown. */
+  private entries = 0;
+
+  constructor(private readonly dependencies: Dependencies) {}
+
+  /** Called when a leader confirms this entry; the leader grants messages from then on. */
+  leaderFound(entries: number): void {
+    if (entries > 0) this.entries = entries;
+    this.dependencies.holding.limits.giveOut(0, this.dependencies.now());
+  }
+
+  leaderLost(): void {
+    const share = this.entries === 0 ? 0 : 1 / this.entries;
+    this.dependencies.holding.limits.giveOut(share, this.dependencies.now());
+  }
+
+  /** Applies the limit named in a response to a caller's request. */
+  answered(answer: AnsweredRequest, limit: protocols.NamedLimit): void {
+    const { observer: observe, holding: state } = this.dependencies;
+    if (limit.kind !== 'none') observe.count(`limits.${limit.kind}`);
+    if (limit.kind === 'unreadable') return;
+    const since = state.limits.knownSince(answer);
+    // A response to a request that was sent before the limit became known may be older than the limit.
+    if (limit.kind === 'none' && (since === undefined || answer.sentAt <= since)) return;
+    const before = state.limits.at(answer);
+    const perSecond = limit.kind === 'none' ? undefined : limit.perSecond;
+    const { service, address } = answer;
+    if (!state.limits.set({ service, address, perSecond }, this.dependencies.now())) return;
+    if (perSecond === undefined) this.nextProbes.delete(keyOf(answer));
+    const event = perSecond === undefined ? 'targetLimitEnded' : 'targetLimited';
+    observe.log(event, { ...answer, sentAt: undefined, perSecond, before });
+    this.unreported.setLimit({ service, address, perSecond });
+    void this.reportToLeader();
+  }
+
+  /** Counts a message that was sent to a target without a grant. */
+  spent(target: string): void {
+    const record = this.dependencies.holding.registry.get(target);
+    if (record !== undefined) this.recordSpent(record);
+  }
+
+  /** Whether a liveness probe may be sent to a target. */
+  async mayProbe(target: string): Promise<boolean> {
+    const record = this.dependencies.holding.registry.get(target);
+    if (record === undefined || !this.dependencies.holding.limits.isLimited(record)) return true;
+    const answer = await this.requestGrant({ places: [placeOf(record)], purpose: 'check' });
+    return answer?.kind === 'granted';
+  }
+
+  /** Grants one request to one of several targets with limits. */
+  async grant(places: readonly Place[]): Promise<Grant> {
+    const message = { places: places.map(placeOf), purpose: 'request' } as const;
+    return (await this.requestGrant(message)) ?? this.grantLocally(places);
+  }
+
+  /** Grants one request to a target whose limit may be over, which only a response of the target can show. */
+  async grantProbe(places: readonly Place[]): Promise<Place | undefined> {
+    const { now, holding: state } = this.dependencies;
+    const intervalMs = PROBE_INTERVAL_MS * Math.max(1, this.entries / PROBING_ENTRIES);
+    const due = places.find((place) => {
+      const since = state.limits.knownSince(place) ?? now();
+      return now() >= (this.nextProbes.get(keyOf(place)) ?? since + intervalMs);
+    });
+    if (due === undefined) return undefined;
+    this.nextProbes.set(keyOf(due), now() + intervalMs);
+    const grant = await this.grant([due]);
+    return grant.kind === 'granted' ? due : undefined;
+  }
+
+  /** Drops reports that no leader has accepted yet. */
+  close(): void {
+    this.isClosed = true;
+  }
+
+  /** The leader's decision; undefined if there is no leader or it doesn't answer. */
+  private requestGrant(message: messages.GrantQuestion): Promise<Grant | undefined> {
+    return leaderCall.call<messages.GrantAnswer>(this.dependencies, 'grant', message);
+  }
+
+  private grantLocally(places: readonly Place[]): Grant {
+    const { holding: state, now } = this.dependencies;
+    const place = places.find((each) => state.limits.mayTake(each, now()));
+    if (place === undefined) {
+      return { kind: 'wait', waitMs: state.limits.waitMs(places, 0, now()) };
+    }
+    state.limits.take(place, 1, now());
+    this.recordSpent(place);
+    return { kind: 'granted', place };
+  }
+
+  private recordSpent(place: Place): void {
+    if (!this.dependencies.holding.limits.isLimited(place)) return;
+    this.unreported.addSpent(place, 1);
+    void this.reportToLeader();
+  }
+
+  /** Reports to the leader until one has accepted everything. */
+  private async reportToLeader(): Promise<void> {
+    if (this.isReporting) return;
+    this.isReporting = true;
+    while (!this.unreported.isEmpty && !this.isClosed) {
+      const report = this.unreported.takeAll();
+      if (!(await this.isAccepted(report))) {
+        this.unreported.restore(report);
+        await clock.pause(leaderOutbox.RETRY_INTERVAL_MS);
+      }
+    }
+    this.isReporting = false;
+  }
+
+  private async isAccepted(report: messages.Limited): Promise<boolean> {
+    const answer = await leaderCall.call<messages.TakenAnswer>(
+      this.dependencies,
+      'limited',
+      report,
+    );
+    return answer !== undefined;
+  }
+}
+
+function placeOf({ service, address }: Place): Place {
+  return { service, address };
+}
--- a/packages/daemon/src/entry/settingsWait.ts
+++ b/packages/daemon/src/entry/settingsWait.ts
@@ -1,42 +1,41 @@
 /**
- * Requests that came before the entry has settings that it may serve by. After all keepers were down they
- * elect a leader within 0.45 to 0.75 s, and an entry that was started again has the settings some milliseconds
- * later; callers that were refused meanwhile would have lost one of their few tries. So a request waits for a bounded
- * part of its caller's patience. In played days with such an outage three in four of all refusals were of
- * this kind.
+ * Holds requests that arrive before the entry has settings to serve them. After an outage of all keepers a leader is
+ * elected within 0.45 to 0.75 s, and a restarted entry has the settings some milliseconds later. A refusal in between
+ * would cost callers one of their few tries, so a request waits for a bounded share of its caller's timeout. In replays
+ * of such an outage three in four of all refusals were of this kind.
  */
 
-/** Longest wait, milliseconds: two elections, as the first may end without a leader. */
-const LONGEST_WAIT_MS = 1_500;
+/** Maximum wait, milliseconds: two elections, as the first may not elect a leader. */
+const MAX_WAIT_MS = 1_500;
 
-/** Part of a caller's patience that may be spent; the rest must suffice to serve it. */
-const PATIENCE_SHARE = 0.2;
+/** Share of the caller's timeout that may be spent waiting; the rest must suffice to serve the request. */
+const MAX_WAIT_SHARE = 0.2;
 
-/** Patience of callers that don't say theirs, milliseconds. */
-const USUAL_PATIENCE_MS = 5_000;
+/** Timeout assumed for callers that don't state one, milliseconds. */
+const DEFAULT_PATIENCE_MS = 5_000;
 
 export class SettingsWait {
   private readonly waiting = new Set<() => void>();
 
-  /** `isSettled` says whether there are settings to serve by. */
-  constructor(private readonly isSettled: () => boolean) {}
+  /** `hasUsableSettings` returns whether there are settings that requests can be served with. */
+  constructor(private readonly hasUsableSettings: () => boolean) {}
 
-  /** Resolves when there are settings to serve by, or when waiting longer would cost the caller too much. */
-  async wait(patienceMs = USUAL_PATIENCE_MS): Promise<void> {
-    if (this.isSettled()) return;
+  /** Resolves when there are usable settings, or after the maximum wait for this caller. */
+  async wait(patienceMs = DEFAULT_PATIENCE_MS): Promise<void> {
+    if (this.hasUsableSettings()) return;
     await new Promise<void>((resolve) => {
       const done = (): void => {
         clearTimeout(timer);
         this.waiting.delete(done);
         resolve();
       };
-      const timer = setTimeout(done, Math.min(LONGEST_WAIT_MS, PATIENCE_SHARE * patienceMs));
+      const timer = setTimeout(done, Math.min(MAX_WAIT_MS, MAX_WAIT_SHARE * patienceMs));
       this.waiting.add(done);
     });
   }
 
-  /** To be called whenever settings came or were confirmed. */
+  /** To be called whenever settings arrived or were confirmed. */
   wake(): void {
-    if (this.isSettled()) this.waiting.forEach((done) => done());
+    if (this.hasUsableSettings()) this.waiting.forEach((done) => done());
   }
 }
--- a/packages/daemon/src/entry/targetClient.ts
+++ b/packages/daemon/src/entry/targetClient.ts
@@ -1,46 +1,50 @@
 /**
- * One sending of a request to one target, through undici. Connections are kept for each lifetime of a
- * target, so none of a dead lifetime meets its successor. What an attempt proves is exact: a request
- * whose first byte was never written did not run.
+ * HTTP client for targets, built on undici. Each lifetime of a target has its own connection pool, so a restarted
+ * target never gets a connection of its predecessor. A request whose first byte was never written is known not to
+ * have run.
  */
 import * as fs from 'node:fs';
 import * as net from 'node:net';
 import * as undici from 'undici';
 import type * as protocols from '../edges/protocols';
 
-/** The head of a target's answer. */
-export interface Head {
+/** Status and headers of a target's response. */
+export interface ResponseHead {
   status: number;
-  /** Names and values in turn, as received. */
+  /** Header names and values, alternating, as received. */
   raw: string[];
   facts: protocols.AnswerFacts;
 }
 
-export interface Receiver {
-  /** Called at the first sign of an answer. */
-  onHead: (head: Head) => void;
+export interface ResponseHandler {
+  /** Called when the head of the response arrives. */
+  onHead: (head: ResponseHead) => void;
   onData: (chunk: Buffer) => void;
 }
 
-/** How a sending ended. */
-export type End =
+/** How an attempt ended. */
+export type SendResult =
   | { kind: 'complete' }
-  /** No byte was written: the target certainly didn't run it. */
+  /** No byte was written: the target can't have run it. */
   | { kind: 'notSent'; detail: string }
-  /** Nothing was sent, as the target wants no such message now. */
+  /** Nothing was sent, because the target is unavailable to such messages. */
   | { kind: 'withheld' }
-  /** Bytes were written and no whole answer came. */
+  /** Bytes were written, but no complete response arrived. */
   | { kind: 'broken'; detail: string }
   | { kind: 'cancelled' };
 
-/** What a message is for: a caller's request, an order that begins something, one about what runs already, or a check. */
-export type Purpose = 'request' | 'order' | 'upkeep' | 'check';
+/**
+ * Purpose of a message: a caller's request, an order that starts something, the upkeep of something that runs, or a
+ * liveness probe (`check`).
+ */
+export type MessagePurpose = 'request' | 'order' | 'upkeep' | 'check';
 
-export interface Sending {
+/** An HTTP request to a target. */
+export interface TargetMessage {
   target: string;
   address: string;
-  purpose: Purpose;
-  /** The request's id, which its answer repeats; undefined for messages of our own. */
+  purpose: MessagePurpose;
+  /** Id of the caller's request, which its response repeats; undefined for messages that this daemon originates. */
   requestId?: string;
   method: string;
   path: string;
@@ -48,55 +52,55 @@
   body: Buffer;
 }
 
-/** A message under way to a target. */
-export interface Delivery {
-  /** An answer to it began. */
-  answered: (head: Head) => void;
-  /** It is over, with or without an answer. */
+/** Notified about a message that was sent to a target. */
+export interface DeliveryCallbacks {
+  /** The head of its response arrived. */
+  answered: (head: ResponseHead) => void;
+  /** It ended, with or without a response. */
   ended: () => void;
 }
 
-/** Decides on each message to a target, and hears of each answer. */
-export interface Gate {
-  /** Undefined where the target wants no such message now. */
-  admit(sending: Sending): Delivery | undefined;
+/** Admits or withholds each message to a target, and is notified of each response. */
+export interface AdmissionGate {
+  /** Undefined if the message is withheld. */
+  admit(message: TargetMessage): DeliveryCallbacks | undefined;
 }
 
-export interface Parts {
+export interface Dependencies {
   protocol: Pick<protocols.TrafficProtocol, 'answerFacts'>;
-  gate: Gate;
+  gate: AdmissionGate;
   /** IP address that connections come from; undefined where the operating system chooses. */
   source?: string;
 }
 
-/** How a call of our own ended. */
-export type CallEnd =
+/** Result of a call that this daemon originates; `silent` if no complete response arrived in time. */
+export type CallResult =
   | { kind: 'answered'; status: number; facts: protocols.AnswerFacts }
   | { kind: 'silent' }
   | { kind: 'withheld' };
 
 /**
- * Longest time for a new connection, milliseconds. One way takes a few; a lost opening packet is sent again
- * after a second, and by then another target has the request. Nothing was sent, so any request may go elsewhere.
+ * Connect timeout, milliseconds. A one-way trip takes a few; a lost SYN is sent again after a second, too late to wait
+ * for. Nothing was sent by then, so even an unsafe request may go to another target.
  */
 const CONNECT_TIMEOUT_MS = 250;
 
-/** An idle connection is given up this long before the target closes it, milliseconds. */
-const IDLE_MARGIN_MS = 500;
+/** An idle connection is closed this long before the target would close it, milliseconds. */
+const IDLE_TIMEOUT_MARGIN_MS = 500;
 
-/** How long an idle connection is kept where the target says nothing, milliseconds. */
-const IDLE_MS = 4_000;
+/** How long an idle connection is kept if the target doesn't announce a timeout, milliseconds. */
+const IDLE_TIMEOUT_MS = 4_000;
 
-/** What happens to a connection at this very moment, while its listeners run. */
-type Event = 'none' | 'closedByTarget' | 'reset';
+/** Event of a connection whose listeners are running right now. */
+type ConnectionEvent = 'none' | 'closedByTarget' | 'reset';
 
 /**
- * Whether a connection that seems to have ended in order was reset. Where data and a reset arrive together,
- * the event loop's library reads the data and reports an end without asking again; the reset then waits in
- * the socket, and one more read brings it out. After an end in order that read gives no bytes.
+ * Whether a connection that appears to have been closed cleanly was reset. When data and a reset arrive together, libuv
+ * reads the data and reports an end without reading again. The reset stays pending in the socket, and one more read
+ * returns it; after a clean close that read returns no bytes.
  */
 function wasReset(socket: net.Socket): boolean {
-  // The descriptor has no public name; without one the socket is closed already, which proves nothing.
+  // There is no public API for the descriptor. Without one the socket is closed already, which proves nothing.
   const { _handle: handle } = socket as unknown as { _handle?: { fd?: number } | null };
   if (handle?.fd === undefined || handle.fd < 0) return true;
   try {
@@ -107,16 +111,16 @@
 }
 
 /**
- * Notes the end of a connection before the HTTP library hears of it. The library takes an answer for whole
- * when its connection ends and the head announced that it would: also where the connection was reset, and
- * where a chunked body lacks its last chunk. A caller would get a cut answer that looks complete.
+ * Records how a connection ended before undici handles the event. undici treats a response with `Connection: close` as
+ * complete when its connection ends, even if the connection was reset or a chunked body lacks its last chunk. A caller
+ * would get a truncated response that looks complete.
  */
-class Connections {
-  private event: Event = 'none';
+class ConnectionTracker {
+  private event: ConnectionEvent = 'none';
 
   constructor(private readonly localAddress: string | undefined) {}
 
-  get current(): Event {
+  get current(): ConnectionEvent {
     return this.event;
   }
 
@@ -141,14 +145,14 @@
     socket.once('connect', () => {
       clearTimeout(timer);
       socket.off('error', fail);
-      socket.on('error', () => this.note('reset'));
-      socket.on('end', () => this.note(wasReset(socket) ? 'reset' : 'closedByTarget'));
+      socket.on('error', () => this.record('reset'));
+      socket.on('end', () => this.record(wasReset(socket) ? 'reset' : 'closedByTarget'));
       callback(null, socket);
     });
   };
 
   /** Listeners run in the order in which they were added, all before the next microtask. */
-  private note(event: Event): void {
+  private record(event: ConnectionEvent): void {
     this.event = event;
     queueMicrotask(() => {
       this.event = 'none';
@@ -156,11 +160,11 @@
   }
 }
 
-/** A sending under way; `cancel` closes its connection, which also stops the target. */
+/** One attempt to send a message; `cancel` closes its connection, which also stops the target's work. */
 export class Attempt implements undici.Dispatcher.DispatchHandler {
-  readonly end: Promise<End>;
+  readonly result: Promise<SendResult>;
 
-  private settle!: (end: End) => void;
+  private settle!: (result: SendResult) => void;
 
   private controller: undici.Dispatcher.DispatchController | undefined;
 
@@ -170,22 +174,22 @@
 
   private isChunked = false;
 
-  /** `delivery` is undefined where nothing is sent. */
+  /** `callbacks` is undefined if the message is withheld. */
   constructor(
-    private readonly receiver: Receiver,
-    private readonly connections: Connections,
-    private readonly protocol: Parts['protocol'],
-    private readonly delivery: Delivery | undefined,
+    private readonly handler: ResponseHandler,
+    private readonly connections: ConnectionTracker,
+    private readonly protocol: Dependencies['protocol'],
+    private readonly callbacks: DeliveryCallbacks | undefined,
   ) {
-    this.end = new Promise((resolve) => {
+    this.result = new Promise((resolve) => {
       this.settle = resolve;
     });
-    if (delivery === undefined) this.finish({ kind: 'withheld' });
+    if (callbacks === undefined) this.finish({ kind: 'withheld' });
   }
 
-  /** Whether the target wants no such message now, and gets none. */
+  /** Whether the message was withheld because the target is unavailable to it. */
   get isWithheld(): boolean {
-    return this.delivery === undefined;
+    return this.callbacks === undefined;
   }
 
   cancel(): void {
@@ -195,7 +199,7 @@
     this.finish({ kind: 'cancelled' });
   }
 
-  /** Whether bytes of the request may have left. */
+  /** Whether bytes of the request may have been written. */
   get wasSent(): boolean {
     return this.controller !== undefined;
   }
@@ -227,12 +231,12 @@
       part.toString('latin1'),
     );
     const head = { status, raw, facts: this.protocol.answerFacts(status, headers) };
-    this.delivery?.answered(head);
-    this.receiver.onHead(head);
+    this.callbacks?.answered(head);
+    this.handler.onHead(head);
   }
 
   onResponseData(_controller: undici.Dispatcher.DispatchController, chunk: Buffer): void {
-    if (!this.isSettled) this.receiver.onData(chunk);
+    if (!this.isSettled) this.handler.onData(chunk);
   }
 
   onResponseEnd(): void {
@@ -247,27 +251,27 @@
     this.finish(this.wasSent ? { kind: 'broken', detail } : { kind: 'notSent', detail });
   }
 
-  private finish(end: End): void {
+  private finish(result: SendResult): void {
     if (this.isSettled) return;
     this.isSettled = true;
-    this.delivery?.ended();
-    this.settle(end);
+    this.callbacks?.ended();
+    this.settle(result);
   }
 }
 
 export class TargetClient {
   private readonly pools = new Map<string, undici.Pool>();
 
-  private readonly connections: Connections;
+  private readonly connections: ConnectionTracker;
 
-  constructor(private readonly parts: Parts) {
-    this.connections = new Connections(parts.source);
+  constructor(private readonly dependencies: Dependencies) {
+    this.connections = new ConnectionTracker(dependencies.source);
   }
 
-  send(sending: Sending, receiver: Receiver): Attempt {
-    const { protocol, gate } = this.parts;
-    const { target, address, method, path, headers, body } = sending;
-    const attempt = new Attempt(receiver, this.connections, protocol, gate.admit(sending));
+  send(message: TargetMessage, handler: ResponseHandler): Attempt {
+    const { protocol, gate } = this.dependencies;
+    const { target, address, method, path, headers, body } = message;
+    const attempt = new Attempt(handler, this.connections, protocol, gate.admit(message));
     if (attempt.isWithheld) return attempt;
     this.pool(target, address).dispatch(
       {
@@ -283,35 +287,35 @@
     return attempt;
   }
 
-  /** A call of our own. */
+  /** Sends a message that this daemon originates, and discards the body of its response. */
   async call(
-    { target, address, purpose }: Pick<Sending, 'target' | 'address' | 'purpose'>,
+    { target, address, purpose }: Pick<TargetMessage, 'target' | 'address' | 'purpose'>,
     { method, path, headers, body }: protocols.TargetCall,
     timeoutMs: number,
-  ): Promise<CallEnd> {
-    let head: Head | undefined;
-    const receiver: Receiver = {
+  ): Promise<CallResult> {
+    let head: ResponseHead | undefined;
+    const handler: ResponseHandler = {
       onHead: (received) => {
         head = received;
       },
       onData: () => undefined,
     };
-    const about = { target, address, purpose };
-    const sending = { ...about, method, path, headers, body: Buffer.from(body) };
-    const attempt = this.send(sending, receiver);
+    const recipient = { target, address, purpose };
+    const message = { ...recipient, method, path, headers, body: Buffer.from(body) };
+    const attempt = this.send(message, handler);
     const timer = setTimeout(() => attempt.cancel(), timeoutMs);
-    const end = await attempt.end;
+    const result = await attempt.result;
     clearTimeout(timer);
-    if (end.kind === 'withheld') return end;
-    if (end.kind !== 'complete' || head === undefined) return { kind: 'silent' };
+    if (result.kind === 'withheld') return result;
+    if (result.kind !== 'complete' || head === undefined) return { kind: 'silent' };
     return { kind: 'answered', status: head.status, facts: head.facts };
   }
 
-  /** The lifetime ended: its idle connections are closed, running answers go on. */
+  /** Closes the idle connections of a lifetime that ended; responses in progress continue. */
   forget(target: string): void {
     const pool = this.pools.get(target);
     this.pools.delete(target);
-    // Closing fails only for a pool that is closed already.
+    // Fails only if the pool is closed already.
     void pool?.close().catch(() => undefined);
   }
 
@@ -325,15 +329,15 @@
   private pool(target: string, address: string): undici.Pool {
     const known = this.pools.get(target);
     if (known !== undefined) return known;
-    const made = new undici.Pool(`http://${address}`, {
+    const created = new undici.Pool(`http://${address}`, {
       connect: this.connections.connect as unknown as undici.buildConnector.connector,
       pipelining: 1,
       allowH2: false,
       connections: null,
-      keepAliveTimeout: IDLE_MS,
-      keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
+      keepAliveTimeout: IDLE_TIMEOUT_MS,
+      keepAliveTimeoutThreshold: IDLE_TIMEOUT_MARGIN_MS,
     });
-    this.pools.set(target, made);
-    return made;
+    this.pools.set(target, created);
+    return created;
   }
 }
--- /dev/null
+++ b/packages/daemon/src/entry/targetSelector.ts
@@ -0,0 +1,466 @@
+/**
+ * Selects the target of each request. Engines for prompts are placed by the leader's allocator, which sees the
+ * dispatches of all entries; while the leader doesn't answer, a local allocator places by this entry's dispatches
+ * alone. Calls to plain services go to the ready target with the fewest calls from this entry.
+ */
+import * as domain from '@celerydrift/domain';
+import type { Result } from 'ts-results';
+import * as clock from '../clock';
+import type * as holding from '../fleet/holding';
+import type * as leaderLink from '../fleet/leaderLink';
+import type * as messages from '../fleet/messages';
+import type * as observer from '../observability/observer';
+import type * as errors from '../rpc/errors';
+import type * as peerClient from '../rpc/peerClient';
+import type * as rateLimitClient from './rateLimitClient';
+import type * as targetSignals from './targetSignals';
+
+type Announcement = domain.registry.registry.Announcement;
+type DispatchOutcome = domain.allocation.soundness.Ending;
+type Placement = domain.allocation.allocator.Placement;
+type PlaceResult = Result<messages.PlaceAnswer, errors.CallError>;
+
+/** A request that needs a target. Sent to the leader as it is, in `messages.Place`. */
+export interface PlacementRequest {
+  id: string;
+  service: string;
+  tokens: number;
+  answerTokens: number;
+  objectiveMs: number;
+  pauseMs: number;
+  /** How long the caller has already waited, milliseconds. */
+  waitedMs: number;
+  excluded: readonly string[];
+  /** The only targets that may serve the request; undefined for any. */
+  writers?: readonly string[];
+  /** How many targets crashed while running a request with the same fingerprint; undefined for none. */
+  endings?: number;
+  /** How long the request may wait for a placement, milliseconds. */
+  patienceMs: number;
+}
+
+/** What an entry observed of a dispatch besides its outcome. */
+export interface DispatchObservations {
+  /** The target that caused the failure, if it isn't the selected one. */
+  faulty?: string;
+  /** Typical inter-token gap, milliseconds. */
+  gapMs?: number;
+}
+
+/** Releases a placement and reports the outcome of its dispatch. */
+export type Release = (outcome: DispatchOutcome, observed?: DispatchObservations) => void;
+
+/**
+ * Why there is no placement; `unavailable` if all targets are in back-off, draining or out of connections for this VM.
+ */
+export type NoPlaceReason = 'full' | 'limited' | 'unavailable';
+
+/** No target can take the request; `reason` is absent for the usual one, that all targets are full or gone. */
+interface NoPlace {
+  kind: 'noPlace';
+  retryAfterMs: number;
+  reason?: NoPlaceReason;
+}
+
+export type Choice = { kind: 'placed'; placement: Placement; release: Release } | NoPlace;
+
+/** Until when a request waits for a placement, and until when for targets that are unavailable to this VM. */
+interface WaitDeadlines {
+  until: number;
+  backOffUntil: number;
+}
+
+/** At least one target accepts requests from this VM; `excluded` lists those that the request must not go to. */
+interface Availability {
+  kind: 'open';
+  excluded: readonly string[];
+}
+
+export interface Options {
+  name: string;
+  dataCentre: string;
+  holding: holding.Holding;
+  link: leaderLink.LeaderLink;
+  client: peerClient.PeerClient;
+  limits: Pick<rateLimitClient.RateLimitClient, 'grant' | 'grantProbe' | 'spent'>;
+  signals: Pick<targetSignals.TargetSignals, 'unavailable' | 'waitMs'>;
+  observer: observer.Observer;
+  random: domain.shared.random.Random;
+  now: () => number;
+}
+
+/** A leader that last confirmed this entry longer ago isn't asked, milliseconds: two of the usual intervals. */
+const MAX_LEADER_AGE_MS = 1_300;
+
+/** Time that the leader's answer may take beyond the wait for a placement, milliseconds: ten times the usual. */
+const PLACE_TIMEOUT_MS = 150;
+
+/**
+ * Prompts with a shorter objective, milliseconds, would miss it while the entry detects the loss of the leader. They
+ * stop waiting once a liveness probe of the leader is unanswered for `LEADER_OVERDUE_MS`, thirty round trips; a leader
+ * that is only busy, or has no free engine for the prompt, answers it within a few.
+ */
+const SHORT_OBJECTIVE_MS = 900;
+const SHORT_CHECK_INTERVAL_MS = 60;
+const LEADER_OVERDUE_MS = 50;
+
+/** How long after its deadline a late placement is still received, to release it at the leader, milliseconds. */
+const LATE_ANSWER_WINDOW_MS = 5_000;
+
+/** Outcomes of dispatches are batched for this long before they are reported to the leader, milliseconds. */
+const REPORT_BATCH_MS = 5;
+
+/**
+ * Interval between placement attempts for a prompt while there is no leader, milliseconds: about one engine step.
+ * Refused at once, long prompts came back to the same full engines although their callers had seconds left.
+ */
+const PLACEMENT_RETRY_MS = 50;
+
+/** Minimum wait before a target with a rate limit, or an unavailable one, is tried again, milliseconds. */
+const MIN_WAIT_MS = 10;
+
+/** Bounds of the Retry-After that callers get when targets are full or limited, milliseconds. */
+const RETRY_AFTER_MS = { min: 200, max: 2_000 } as const;
+
+/**
+ * Share of its objective for which a request waits for targets that are unavailable to this VM. After a longer wait it
+ * would miss the objective anyway; when refused, its caller may reach another VM to which the targets are available.
+ */
+const MAX_UNAVAILABLE_WAIT_SHARE = 0.5;
+
+/**
+ * Retry-After is extended by up to this share when all targets are unavailable, so that callers don't return together.
+ */
+const RETRY_AFTER_JITTER = 0.5;
+
+/** Retry-After where the service has no target, milliseconds. */
+const NO_TARGET_RETRY_MS = 500;
+
+export class TargetSelector {
+  /** Places by this entry's dispatches alone, while there is no leader. */
+  readonly fallback: domain.allocation.allocator.Allocator;
+
+  private readonly activeCalls = new Map<string, number>();
+
+  private readonly targetHealth = new Map<string, domain.allocation.soundness.Soundness>();
+
+  /** Running dispatches on engines, by request id. */
+  private readonly running = new Map<string, messages.Dispatched>();
+
+  private finishedDispatches: messages.Ended['dispatches'] = [];
+
+  constructor(private readonly options: Options) {
+    const { random, holding: state } = options;
+    this.fallback = new domain.allocation.allocator.Allocator(random, undefined, state.limits);
+  }
+
+  get dispatches(): messages.Dispatched[] {
+    return [...this.running.values()];
+  }
+
+  async choose(request: PlacementRequest): Promise<Choice> {
+    const service = this.options.holding.directory?.service(request.service);
+    const until = this.options.now() + request.patienceMs;
+    const backOffUntil = Math.min(until, this.options.now() + maxUnavailableWaitMs(request));
+    if (service?.engine === undefined) return this.choosePlain(request, { until, backOffUntil });
+    for (let retries = 0; ; retries++) {
+      // A leader that timed out may still place an earlier attempt; a distinct id keeps that from matching a later one.
+      const id = retries === 0 ? request.id : `${request.id}.${retries}`;
+      const availability = await this.awaitAvailability(request, backOffUntil);
+      if (availability.kind === 'noPlace') return availability;
+      const allowed = { ...request, id, excluded: availability.excluded };
+      const choice = (await this.placeByLeader(allowed, until)) ?? this.placeLocally(allowed);
+      if (choice !== undefined) return choice;
+      const leftMs = until - this.options.now();
+      if (leftMs <= 0) return { kind: 'noPlace', retryAfterMs: this.nextPlaceMs(request) };
+      await clock.pause(Math.min(leftMs, PLACEMENT_RETRY_MS));
+    }
+  }
+
+  /**
+   * Time until a target of the service accepts requests from this VM, milliseconds; 0 if one does or if there is none.
+   */
+  unavailableForMs(service: string): number {
+    return this.untilAvailableMs(
+      { service, excluded: [] },
+      this.options.signals.unavailable(service),
+    );
+  }
+
+  /** Waits for a target that accepts requests from this VM, unless all stay unavailable beyond the deadline. */
+  private async awaitAvailability(
+    request: PlacementRequest,
+    until: number,
+  ): Promise<Availability | NoPlace> {
+    const { now, signals, random } = this.options;
+    for (;;) {
+      const unavailable = signals.unavailable(request.service);
+      const waitMs = this.untilAvailableMs(request, unavailable);
+      if (waitMs === 0) return { kind: 'open', excluded: [...request.excluded, ...unavailable] };
+      if (now() + waitMs > until) {
+        const jitter = 1 + RETRY_AFTER_JITTER * random.uniform();
+        const retryAfterMs = Math.round(Math.max(RETRY_AFTER_MS.min, waitMs) * jitter);
+        return { kind: 'noPlace', retryAfterMs, reason: 'unavailable' };
+      }
+      await clock.pause(Math.max(MIN_WAIT_MS, waitMs));
+    }
+  }
+
+  /** Time until a candidate target becomes available, milliseconds; 0 if one is or if there is none. */
+  private untilAvailableMs(
+    { service, excluded, writers }: Pick<PlacementRequest, 'service' | 'excluded' | 'writers'>,
+    unavailable: readonly string[],
+  ): number {
+    if (unavailable.length === 0) return 0;
+    const candidates = this.options.holding.registry.ready(service).filter(({ id }) => {
+      return !excluded.includes(id) && writers?.includes(id) !== false;
+    });
+    if (candidates.length === 0 || candidates.some(({ id }) => !unavailable.includes(id))) return 0;
+    return Math.min(...candidates.map(({ id }) => this.options.signals.waitMs(id)));
+  }
+
+  /** Asks the leader for a placement; undefined if there is no leader, or it is lost meanwhile. */
+  private async placeByLeader(
+    request: PlacementRequest,
+    until: number,
+  ): Promise<Choice | undefined> {
+    const { link, now } = this.options;
+    const { leader } = link;
+    if (leader === '' || link.age >= MAX_LEADER_AGE_MS) return undefined;
+    return this.requestPlacement(leader, { ...request, patienceMs: Math.max(0, until - now()) });
+  }
+
+  private async requestPlacement(
+    leader: string,
+    request: PlacementRequest,
+  ): Promise<Choice | undefined> {
+    const { name, dataCentre, client, link } = this.options;
+    const message: messages.Place = { ...request, entry: name, dataCentre };
+    const pending = client.call<messages.PlaceAnswer>(leader, 'place', message, {
+      timeoutMs: request.patienceMs + LATE_ANSWER_WINDOW_MS,
+      toleratesDelay: true,
+    });
+    const answer = await this.awaitLeader(pending, request);
+    if (answer === undefined) {
+      void pending.then((late) => this.releaseLatePlacement(request, late));
+      return undefined;
+    }
+    if (answer.err || answer.val.kind === 'redirect') {
+      link.doubt(leader);
+      return undefined;
+    }
+    if (answer.val.kind === 'noPlace') return answer.val;
+    const { placement } = answer.val;
+    this.running.set(request.id, {
+      request: { ...request, entry: name, dataCentre },
+      target: placement.target,
+    });
+    return {
+      kind: 'placed',
+      placement,
+      release: (outcome, observed) => this.report(request.id, placement.target, outcome, observed),
+    };
+  }
+
+  /** The leader's answer; undefined if it is late, or if the leader is lost or appears to be. */
+  private async awaitLeader<T>(
+    pending: Promise<T>,
+    request: PlacementRequest,
+  ): Promise<T | undefined> {
+    const { link } = this.options;
+    const hasShortObjective = request.objectiveMs < SHORT_OBJECTIVE_MS;
+    let giveUp = (): void => undefined;
+    const gaveUp = new Promise<undefined>((resolve) => {
+      giveUp = () => resolve(undefined);
+    });
+    // Repeated, because a leader that responded a moment ago isn't probed at once.
+    const check = (): void => {
+      void link.verify();
+      if (hasShortObjective && link.silentMs > LEADER_OVERDUE_MS) giveUp();
+    };
+    const checks = setInterval(
+      check,
+      hasShortObjective ? SHORT_CHECK_INTERVAL_MS : PLACE_TIMEOUT_MS,
+    );
+    const limit = setTimeout(giveUp, request.patienceMs + PLACE_TIMEOUT_MS);
+    const stopListening = link.onLost(giveUp);
+    const answer = await Promise.race([pending, gaveUp]);
+    clearInterval(checks);
+    clearTimeout(limit);
+    stopListening();
+    return answer;
+  }
+
+  /** Releases a placement that came after the deadline, so that the leader doesn't count an unused dispatch. */
+  private releaseLatePlacement({ id }: PlacementRequest, late: PlaceResult): void {
+    if (late.err || late.val.kind !== 'placed') return;
+    this.report(id, late.val.placement.target, 'cancelled');
+  }
+
+  /** Places by this entry's own dispatches; undefined if no engine has room. */
+  private placeLocally(request: PlacementRequest): Choice | undefined {
+    const { name, dataCentre, now, observer } = this.options;
+    const placement = this.fallback.place({ ...request, entry: name, dataCentre }, now());
+    if (placement === undefined) return undefined;
+    observer.log('placedLocally', { request: request.id, target: placement.target });
+    [placement, ...placement.helpers].forEach(({ target }) => this.options.limits.spent(target));
+    this.running.set(request.id, {
+      request: { ...request, entry: name, dataCentre },
+      target: placement.target,
+    });
+    const release: Release = (outcome, observed) => {
+      this.fallback.ended(request.id, outcome, now(), observed);
+      this.report(request.id, placement.target, outcome, observed);
+    };
+    return { kind: 'placed', placement, release };
+  }
+
+  private nextPlaceMs({ service }: PlacementRequest): number {
+    const now = this.options.now();
+    const waitMs = this.fallback.limitedForMs(service, 0, now);
+    return Math.max(
+      clampRetryAfterMs(this.fallback.nextPlaceMs(service, now)),
+      limitRetryAfterMs({ waitMs }),
+    );
+  }
+
+  /**
+   * Targets with rate limits get the calls that no other target can take, and occasional probes whether the limit is
+   * over.
+   */
+  private async choosePlain(
+    request: PlacementRequest,
+    { until, backOffUntil }: WaitDeadlines,
+  ): Promise<Choice> {
+    const { limits, now } = this.options;
+    for (;;) {
+      const availability = await this.awaitAvailability(request, backOffUntil);
+      if (availability.kind === 'noPlace') return availability;
+      const { open, limited } = this.eligibleTargets({
+        ...request,
+        excluded: availability.excluded,
+      });
+      const healthy = this.usableOf(open);
+      const healthyLimited = this.usableOf(limited);
+      if (healthy.length > 0) {
+        const probe = await limits.grantProbe(healthyLimited);
+        const probed = limited.find(({ address }) => address === probe?.address);
+        return this.placePlain(probed ?? this.leastBusy(healthy));
+      }
+      if (limited.length === 0) {
+        if (open.length > 0) return this.placePlain(this.leastBusy(open));
+        return { kind: 'noPlace', retryAfterMs: NO_TARGET_RETRY_MS };
+      }
+      const candidates = healthyLimited.length > 0 ? healthyLimited : limited;
+      const grant = await limits.grant(candidates);
+      if (grant.kind === 'granted') {
+        const granted = candidates.find(({ address }) => address === grant.place.address);
+        return this.placePlain(granted ?? candidates[0]);
+      }
+      if (open.length > 0) return this.placePlain(this.leastBusy(open));
+      const waitMs = Number.isFinite(grant.waitMs) ? grant.waitMs : PLACEMENT_RETRY_MS;
+      if (now() + waitMs > until) {
+        return { kind: 'noPlace', retryAfterMs: limitRetryAfterMs(grant), reason: 'limited' };
+      }
+      await clock.pause(Math.max(MIN_WAIT_MS, waitMs));
+    }
+  }
+
+  /** Ready targets that may take a call, split into those without a rate limit and those with one. */
+  private eligibleTargets({ service, excluded, writers }: PlacementRequest): {
+    open: Announcement[];
+    limited: Announcement[];
+  } {
+    const { holding: state } = this.options;
+    const ready = state.registry.ready(service).filter(({ id }) => {
+      return !excluded.includes(id) && writers?.includes(id) !== false;
+    });
+    return {
+      open: ready.filter((record) => !state.limits.isLimited(record)),
+      limited: ready.filter((record) => state.limits.isLimited(record)),
+    };
+  }
+
+  /**
+   * Targets that aren't ejected. One that hasn't announced itself since all keepers were down may be gone: one call at
+   * a time.
+   */
+  private usableOf(records: Announcement[]): Announcement[] {
+    const healthy = records.filter(({ id }) => {
+      return (
+        this.targetHealth.get(id)?.isUsable(this.options.now(), !this.activeCalls.has(id)) !== false
+      );
+    });
+    const preferred = healthy.filter(
+      ({ id, isRemembered }) => !(isRemembered && this.activeCalls.has(id)),
+    );
+    return preferred.length > 0 ? preferred : healthy;
+  }
+
+  private leastBusy(records: readonly Announcement[]): Announcement {
+    const { random, dataCentre } = this.options;
+    const scored = records.map((record) => {
+      const distance = record.dataCentre === dataCentre ? 0 : 0.5;
+      const calls = this.activeCalls.get(record.id) ?? 0;
+      return { record, score: calls + distance + random.uniform() };
+    });
+    return scored.reduce((best, each) => (each.score < best.score ? each : best)).record;
+  }
+
+  private placePlain({ id, address }: Announcement): Choice {
+    this.activeCalls.set(id, (this.activeCalls.get(id) ?? 0) + 1);
+    const placement = { target: id, address, helpers: [], firstTokenMs: 0 };
+    return { kind: 'placed', placement, release: (outcome) => this.releasePlain(id, outcome) };
+  }
+
+  private releasePlain(target: string, outcome: DispatchOutcome): void {
+    const left = (this.activeCalls.get(target) ?? 1) - 1;
+    if (left > 0) this.activeCalls.set(target, left);
+    else this.activeCalls.delete(target);
+    const health = this.targetHealth.get(target) ?? new domain.allocation.soundness.Soundness();
+    health.ended(outcome, this.options.now());
+    this.targetHealth.set(target, health);
+    // The leader is informed as well: it may be the only one that can presume the lifetime ended, for all entries.
+    if (outcome === 'replaced') this.report('', target, outcome);
+  }
+
+  /** Discards the health of a target whose lifetime ended. */
+  forget(target: string): void {
+    this.targetHealth.delete(target);
+  }
+
+  /** Reports to the current leader, also for a dispatch that an earlier one placed: the new one may have counted it. */
+  private report(
+    id: string,
+    target: string,
+    outcome: DispatchOutcome,
+    observed: DispatchObservations = {},
+  ): void {
+    this.running.delete(id);
+    if (this.finishedDispatches.length === 0) setTimeout(() => this.sendReports(), REPORT_BATCH_MS);
+    this.finishedDispatches.push({ id, ending: outcome, target, ...observed });
+  }
+
+  private sendReports(): void {
+    const dispatches = this.finishedDispatches.splice(0);
+    const { leader } = this.options.link;
+    if (leader === '') return;
+    this.options.client.notify(leader, 'ended', { dispatches } satisfies messages.Ended);
+  }
+}
+
+/** How long a request may wait for targets that are unavailable to this VM, milliseconds. */
+function maxUnavailableWaitMs({ objectiveMs, waitedMs }: PlacementRequest): number {
+  return Math.max(0, MAX_UNAVAILABLE_WAIT_SHARE * objectiveMs - waitedMs);
+}
+
+/** Retry-After where rate limits block all targets, milliseconds; the wait is unknown while there is no leader. */
+function limitRetryAfterMs({ waitMs }: { waitMs: number }): number {
+  return clampRetryAfterMs(Number.isFinite(waitMs) ? waitMs : NO_TARGET_RETRY_MS);
+}
+
+/** Clamps a Retry-After to `RETRY_AFTER_MS`. */
+function clampRetryAfterMs(ms: number): number {
+  const { min, max } = RETRY_AFTER_MS;
+  return Math.round(Math.min(max, Math.max(min, ms)));
+}
