--- a/packages/measure/src/client.ts
+++ b/packages/measure/src/client.ts
@@ -19,13 +19,13 @@
 const agent = new undici.Agent({ connections: 512, headersTimeout: 0, bodyTimeout: 0 });
 
 /** A text of about so many tokens, different for each seed from its first words. */
-export function promptOf(tokens: number, seed: string): string {
+export function promptOfLength(tokens: number, seed: string): string {
   const word = `${seed} `;
   const length = Math.max(1, tokens * 4 - 8);
   return word.repeat(Math.ceil(length / word.length)).slice(0, length);
 }
 
-export interface Wish {
+export interface CompletionRequest {
   entry: string;
   key: string;
   model: string;
@@ -35,7 +35,7 @@
   signal?: AbortSignal;
 }
 
-export async function complete(wish: Wish): Promise<Completion> {
+export async function complete(wish: CompletionRequest): Promise<Completion> {
   const startedAt = performance.now();
   const result: Completion = {
     status: 0,
@@ -109,7 +109,7 @@
   for await (const chunk of body) parser.feed(decoder.write(chunk as Buffer));
 }
 
-export interface Called {
+export interface ServiceResponse {
   status: number;
   outcome: string;
   replayed: boolean;
@@ -122,7 +122,7 @@
   path: string,
   idempotencyKey: string,
   body: unknown,
-): Promise<Called> {
+): Promise<ServiceResponse> {
   try {
     const answer = await undici.request(`${entry}${path}`, {
       method: 'POST',
--- a/packages/measure/src/decisions/__tests__/laboratory.test.ts
+++ b/packages/measure/src/decisions/__tests__/allocationSimulation.test.ts
@@ -4,18 +4,18 @@
 import * as eventQueue from '../../mixed/eventQueue';
 import * as decisions from '../decisions';
 import * as engines from '../engine';
-import * as laboratory from '../laboratory';
-import * as loads from '../loads';
+import * as laboratory from '../allocationSimulation';
+import * as loads from '../workloads';
 
 const { expect } = chai;
 
-const [USUAL] = loads.LOADS;
+const [USUAL_WORKLOAD] = loads.WORKLOADS;
 
-const BRIEF: loads.Load = { ...USUAL, seconds: 6 };
+const SHORT_WORKLOAD: loads.Workload = { ...USUAL_WORKLOAD, seconds: 6 };
 
-function play(changed: Partial<domain.allocation.weights.Weights> = {}): laboratory.Outcome[] {
+function simulate(changed: Partial<domain.allocation.weights.Weights> = {}): laboratory.Outcome[] {
   const weights = { ...domain.allocation.weights.WEIGHTS, ...changed };
-  return new laboratory.Laboratory({ load: BRIEF, seed: 3, weights }).run();
+  return new laboratory.AllocationSimulation({ load: SHORT_WORKLOAD, seed: 3, weights }).run();
 }
 
 describe('laboratory', () => {
@@ -25,17 +25,17 @@
    */
   it('reads in the order that the planner predicts', () => {
     const events = new eventQueue.EventQueue();
-    const engine = new engines.Engine(USUAL.engine, events);
+    const engine = new engines.Engine(USUAL_WORKLOAD.engine, events);
     const queue = new domain.allocation.readQueue.ReadQueue({ isWriting: false, passMs: () => 45 });
     const ends: number[][] = [];
     [171_000, 122_000, 206_000, 283_000].forEach((tokens, i) => {
       const at = 250 * i;
       events.at(at, () => {
-        const readMs = domain.allocation.cost.readMs(USUAL.engine, tokens, 6);
+        const readMs = domain.allocation.cost.readMs(USUAL_WORKLOAD.engine, tokens, 6);
         const reading = new domain.allocation.reading.Reading(`r${i}`, 1, 3_000, at);
         reading.addPlace(queue);
         queue.add({ reading, isPart: true, leftMs: readMs }, at);
-        engine.read(`r${i}`, tokens, 6, () => ends.push([i, events.now]));
+        engine.prefill(`r${i}`, tokens, 6, () => ends.push([i, events.now]));
       });
       events.at(749, () => undefined);
     });
@@ -51,14 +51,14 @@
   });
 
   it('gives the same outcomes for the same seed, and every request has one', () => {
-    const first = play();
-    expect(play()).to.deep.equal(first);
+    const first = simulate();
+    expect(simulate()).to.deep.equal(first);
     expect(first.length).to.be.greaterThan(100);
   });
 
   it('shows what helpers are worth', () => {
-    const whole = decisions.score(play());
-    const alone = decisions.score(play({ mostParts: 1 }));
+    const whole = decisions.score(simulate());
+    const alone = decisions.score(simulate({ mostParts: 1 }));
     expect(whole.worth - alone.worth).to.be.greaterThan(0.02);
     expect(whole.worth).to.be.within(0.85, 1);
   });
@@ -66,6 +66,6 @@
   it('asks for the same requests whatever is switched off', () => {
     const asked = (outcomes: readonly laboratory.Outcome[]): number[] =>
       outcomes.map(({ arrivedAt }) => arrivedAt).sort((a, b) => a - b);
-    expect(asked(play({ packGain: 0 }))).to.deep.equal(asked(play()));
+    expect(asked(simulate({ packGain: 0 }))).to.deep.equal(asked(simulate()));
   });
 });
--- a/packages/measure/src/decisions/laboratory.ts
+++ b/packages/measure/src/decisions/allocationSimulation.ts
@@ -6,13 +6,13 @@
 import * as domain from '@celerydrift/domain';
 import * as eventQueue from '../mixed/eventQueue';
 import * as engines from './engine';
-import type * as loads from './loads';
+import type * as loads from './workloads';
 
 type Placement = domain.allocation.allocator.Placement;
 
 /** What came of one request. */
 export interface Outcome {
-  kind: loads.Kind;
+  kind: loads.RequestKind;
   /** Seconds. */
   arrivedAt: number;
   result: 'inTime' | 'late' | 'refused' | 'lost';
@@ -20,24 +20,24 @@
   predictedMs: number;
 }
 
-export interface Setup {
-  load: loads.Load;
+export interface Options {
+  load: loads.Workload;
   seed: number;
   weights: domain.allocation.weights.Weights;
 }
 
 interface Request {
   id: string;
-  kind: loads.Kind;
+  kind: loads.RequestKind;
   tokens: number;
   events: number;
   at: number;
   attempt: number;
   firstAt: number;
   lastAt: number;
-  longestPauseMs: number;
+  longestGapMs: number;
   predictedMs: number;
-  isOver: boolean;
+  isFinished: boolean;
 }
 
 const SERVICE = 'engines';
@@ -49,16 +49,16 @@
 const HOP_MS = 1.5;
 
 /** Part of the time after which callers leave that a request may wait for a place. */
-const PATIENCE_SHARE = 0.3;
+const PLACEMENT_WAIT_SHARE = 0.3;
 
 /** A dark engine is noticed after its streams were silent for so long, milliseconds. */
-const NOTICED_MS = 900;
+const DETECTION_MS = 900;
 
-const MOST_ATTEMPTS = 2;
+const MAX_ATTEMPTS = 2;
 
 const ENTRY = 'entry';
 
-export class Laboratory {
+export class AllocationSimulation {
   readonly outcomes: Outcome[] = [];
 
   private readonly events = new eventQueue.EventQueue();
@@ -67,21 +67,21 @@
 
   private readonly allocator: domain.allocation.allocator.Allocator;
 
-  private readonly placing: placing.Placing;
+  private readonly placer: placing.Placing;
 
   private readonly engines = new Map<string, engines.Engine>();
 
-  private requests = 0;
+  private requestCount = 0;
 
-  constructor(private readonly setup: Setup) {
-    const { load, seed, weights } = setup;
+  constructor(private readonly options: Options) {
+    const { load, seed, weights } = options;
     this.random = domain.shared.random.independent(seed);
     this.allocator = new domain.allocation.allocator.Allocator(undefined, weights);
     this.allocator.setServices([
       { name: SERVICE, healthPath: '/', maxConnections: 1_000, engine: load.engine },
     ]);
     for (let i = 0; i < load.engines; i++) this.addEngine(`t${i}`);
-    this.placing = new placing.Placing({
+    this.placer = new placing.Placing({
       allocator: this.allocator,
       clock: {
         now: () => this.events.now,
@@ -90,19 +90,19 @@
       random: domain.shared.random.independent(seed + 1),
       onRefused: () => undefined,
     });
-    this.placing.open();
+    this.placer.open();
   }
 
   run(): Outcome[] {
-    const { load } = this.setup;
-    load.kinds.forEach((kind) => this.arrivals(kind));
-    load.troubles.forEach((trouble) => this.schedule(trouble));
+    const { load } = this.options;
+    load.kinds.forEach((kind) => this.scheduleArrivals(kind));
+    load.faults.forEach((trouble) => this.scheduleFault(trouble));
     while (this.events.size > 0) this.events.next();
     return this.outcomes;
   }
 
   private addEngine(id: string): void {
-    const { engine } = this.setup.load;
+    const { engine } = this.options.load;
     this.engines.set(id, new engines.Engine(engine, this.events));
     this.allocator.observe({
       id,
@@ -117,68 +117,68 @@
   }
 
   /** A Poisson stream, thinned to the rate of the moment. */
-  private arrivals(kind: loads.Kind): void {
-    const { load } = this.setup;
+  private scheduleArrivals(kind: loads.RequestKind): void {
+    const { load } = this.options;
     const rates = load.bursts.filter((burst) => burst.kind === 'all' || burst.kind === kind.name);
-    const most = kind.perSecond * Math.max(1, ...rates.map(({ times }) => times));
+    const most = kind.perSecond * Math.max(1, ...rates.map(({ rateFactor: times }) => times));
     const rateAt = (second: number): number => {
       const now = rates.filter(
         ({ fromSecond, toSecond }) => second >= fromSecond && second < toSecond,
       );
-      return kind.perSecond * now.reduce((times, burst) => times * burst.times, 1);
+      return kind.perSecond * now.reduce((times, burst) => times * burst.rateFactor, 1);
     };
     let second = 0;
     for (;;) {
       second += domain.shared.random.exponential(this.random, 1 / most);
       if (second >= load.seconds) return;
-      const request = this.draw(kind, second * 1_000);
+      const request = this.drawRequest(kind, second * 1_000);
       if (this.random.uniform() * most < rateAt(second)) {
-        this.events.at(request.at + HOP_MS, () => this.begin(request));
+        this.events.at(request.at + HOP_MS, () => this.requestPlacement(request));
       }
     }
   }
 
-  private draw(kind: loads.Kind, at: number): Request {
-    this.requests += 1;
-    const tokens = kind.tokens * Math.exp(kind.spread * this.normal() - kind.spread ** 2 / 2);
+  private drawRequest(kind: loads.RequestKind, at: number): Request {
+    this.requestCount += 1;
+    const tokens = kind.tokens * Math.exp(kind.spread * this.drawNormal() - kind.spread ** 2 / 2);
     const events = 1 + Math.floor(domain.shared.random.exponential(this.random, kind.events - 1));
     return {
-      id: `r${this.requests}`,
+      id: `r${this.requestCount}`,
       kind,
-      tokens: Math.min(kind.mostTokens, Math.max(100, Math.round(tokens))),
+      tokens: Math.min(kind.maxTokens, Math.max(100, Math.round(tokens))),
       events: Math.min(events, 3 * kind.events),
       at,
       attempt: 0,
       firstAt: 0,
       lastAt: 0,
-      longestPauseMs: 0,
+      longestGapMs: 0,
       predictedMs: 0,
-      isOver: false,
+      isFinished: false,
     };
   }
 
-  private normal(): number {
+  private drawNormal(): number {
     const radius = Math.sqrt(-2 * Math.log(1 - this.random.uniform()));
     return radius * Math.cos(2 * Math.PI * this.random.uniform());
   }
 
-  private schedule({ what, engines: count, fromSecond, toSecond }: loads.Trouble): void {
+  private scheduleFault({ kind: what, engines: count, fromSecond, toSecond }: loads.Fault): void {
     [...this.engines.values()].slice(0, count).forEach((engine) => {
       this.events.at(fromSecond * 1_000, () => {
-        if (what === 'dark') engine.isDark = true;
-        else engine.pace = 4;
+        if (what === 'dark') engine.isUnresponsive = true;
+        else engine.slowdown = 4;
       });
       this.events.at(toSecond * 1_000, () => {
         if (what === 'dark') engine.restart();
-        else engine.pace = 1;
+        else engine.slowdown = 1;
       });
     });
   }
 
-  private begin(request: Request): void {
+  private requestPlacement(request: Request): void {
     const { kind, tokens, events, at } = request;
     const giveUpMs = Math.max(2_000, 4 * kind.objectiveMs, 8 * kind.pauseMs);
-    this.placing.ask(
+    this.placer.ask(
       {
         id: `${request.id}/${request.attempt}`,
         entry: ENTRY,
@@ -190,16 +190,16 @@
         waitedMs: request.firstAt > 0 ? 0 : Math.min(kind.objectiveMs, this.events.now - at),
         dataCentre: '',
         excluded: [],
-        patienceMs: PATIENCE_SHARE * giveUpMs,
+        patienceMs: PLACEMENT_WAIT_SHARE * giveUpMs,
       },
       (answer) => {
-        if (answer.kind === 'placed') this.send(request, answer.placement);
-        else this.end(request, 'refused');
+        if (answer.kind === 'placed') this.dispatch(request, answer.placement);
+        else this.finish(request, 'refused');
       },
     );
   }
 
-  private send(request: Request, { target, helpers, firstTokenMs }: Placement): void {
+  private dispatch(request: Request, { target, helpers, firstTokenMs }: Placement): void {
     if (request.attempt === 0) request.predictedMs = this.events.now - request.at + firstTokenMs;
     request.attempt += 1;
     const id = `${request.id}/${request.attempt - 1}`;
@@ -207,60 +207,60 @@
     let left = names.length;
     const onRead = (): void => {
       left -= 1;
-      if (left === 0) this.startWriting(request, id, target, names.length);
+      if (left === 0) this.startDecoding(request, id, target, names.length);
     };
     names.forEach((name) => {
-      this.engines.get(name)?.read(id, request.tokens, names.length, onRead);
+      this.engines.get(name)?.prefill(id, request.tokens, names.length, onRead);
     });
-    this.watch(request, id, names);
+    this.watchEngines(request, id, names);
   }
 
-  private startWriting(request: Request, id: string, target: string, parts: number): void {
-    this.event(request, id, request.events <= 1);
-    if (request.isOver) return;
-    this.engines.get(target)?.write({
+  private startDecoding(request: Request, id: string, target: string, parts: number): void {
+    this.receiveEvent(request, id, request.events <= 1);
+    if (request.isFinished) return;
+    this.engines.get(target)?.decode({
       request: id,
       leftEvents: request.events - 1,
       contextTokens: request.tokens / parts,
-      onEvent: (isLast) => this.event(request, id, isLast),
+      onEvent: (isLast) => this.receiveEvent(request, id, isLast),
     });
   }
 
-  private event(request: Request, id: string, isLast: boolean): void {
+  private receiveEvent(request: Request, id: string, isLast: boolean): void {
     const now = this.events.now + HOP_MS;
     if (request.firstAt === 0) request.firstAt = now;
-    else request.longestPauseMs = Math.max(request.longestPauseMs, now - request.lastAt);
+    else request.longestGapMs = Math.max(request.longestGapMs, now - request.lastAt);
     request.lastAt = now;
     if (!isLast) return;
     this.release(id, 'done');
-    const { kind, firstAt, at, longestPauseMs } = request;
+    const { kind, firstAt, at, longestGapMs: longestPauseMs } = request;
     const isInTime = firstAt - at <= kind.objectiveMs && longestPauseMs <= kind.pauseMs;
-    this.end(request, isInTime ? 'inTime' : 'late');
+    this.finish(request, isInTime ? 'inTime' : 'late');
   }
 
   /** One of its engines is dark: the request goes elsewhere once, as its entry notices. */
-  private watch(request: Request, id: string, names: readonly string[]): void {
-    this.events.at(this.events.now + NOTICED_MS, () => {
-      if (request.isOver || !id.endsWith(`/${request.attempt - 1}`)) return;
-      const dark = names.find((name) => this.engines.get(name)?.isDark === true);
+  private watchEngines(request: Request, id: string, names: readonly string[]): void {
+    this.events.at(this.events.now + DETECTION_MS, () => {
+      if (request.isFinished || !id.endsWith(`/${request.attempt - 1}`)) return;
+      const dark = names.find((name) => this.engines.get(name)?.isUnresponsive === true);
       if (dark === undefined) {
-        this.watch(request, id, names);
+        this.watchEngines(request, id, names);
         return;
       }
       names.forEach((name) => this.engines.get(name)?.cancel(id));
       this.release(id, 'broken', dark);
-      if (request.attempt < MOST_ATTEMPTS) this.begin(request);
-      else this.end(request, 'lost');
+      if (request.attempt < MAX_ATTEMPTS) this.requestPlacement(request);
+      else this.finish(request, 'lost');
     });
   }
 
   private release(id: string, ending: 'done' | 'broken', faulty?: string): void {
     this.allocator.ended(id, ending, this.events.now, { faulty });
-    this.placing.serveSoon();
+    this.placer.serveSoon();
   }
 
-  private end(request: Request, result: Outcome['result']): void {
-    request.isOver = true;
+  private finish(request: Request, result: Outcome['result']): void {
+    request.isFinished = true;
     const { kind, at, firstAt, predictedMs } = request;
     this.outcomes.push({ kind, arrivedAt: at / 1_000, result, firstMs: firstAt - at, predictedMs });
   }
--- a/packages/measure/src/decisions/decisions.ts
+++ b/packages/measure/src/decisions/decisions.ts
@@ -4,15 +4,15 @@
  */
 import * as domain from '@celerydrift/domain';
 import * as statistics from '../statistics';
-import * as laboratory from './laboratory';
-import * as loads from './loads';
+import * as laboratory from './allocationSimulation';
+import * as loads from './workloads';
 
 type Weights = domain.allocation.weights.Weights;
 
 const { WEIGHTS } = domain.allocation.weights;
 
 /** Mechanisms, by what the planner weighs without them. */
-export const WITHOUT: Readonly<Record<string, Partial<Weights>>> = {
+export const ABLATIONS: Readonly<Record<string, Partial<Weights>>> = {
   helpers: { mostParts: 1 },
   oneHelpedAtMost: { mostHelped: 17 },
   moreThanFourParts: { mostParts: 4 },
@@ -40,16 +40,16 @@
 const WINDOW_SECONDS = 2;
 
 /** Windows with less are too small to judge. */
-const LEAST_IN_WINDOW = 3;
+const MIN_REQUESTS_IN_WINDOW = 3;
 
-function earned({ kind, result }: laboratory.Outcome): number {
+function earnedWorth({ kind, result }: laboratory.Outcome): number {
   if (result === 'inTime') return kind.worth;
   return result === 'late' ? kind.lateWorth : 0;
 }
 
-function share(outcomes: readonly laboratory.Outcome[]): number {
+function earnedFraction(outcomes: readonly laboratory.Outcome[]): number {
   const asked = outcomes.reduce((sum, { kind }) => sum + kind.worth, 0);
-  const got = outcomes.reduce((sum, each) => sum + earned(each), 0);
+  const got = outcomes.reduce((sum, each) => sum + earnedWorth(each), 0);
   return asked === 0 ? 1 : got / asked;
 }
 
@@ -60,8 +60,8 @@
     windows.set(index, [...(windows.get(index) ?? []), each]);
   });
   const worst = [...windows.values()]
-    .filter((each) => each.length >= LEAST_IN_WINDOW)
-    .map(share)
+    .filter((each) => each.length >= MIN_REQUESTS_IN_WINDOW)
+    .map(earnedFraction)
     .sort((a, b) => a - b)
     .slice(0, 2);
   const names = [...new Set(outcomes.map(({ kind }) => kind.name))];
@@ -73,15 +73,15 @@
     return [name, { asked: of.length, ...shares }];
   });
   return {
-    worth: share(outcomes),
+    worth: earnedFraction(outcomes),
     worst: worst.reduce((sum, each) => sum + each, 0) / Math.max(1, worst.length),
     kinds: Object.fromEntries(kinds) as Score['kinds'],
   };
 }
 
-function play(load: loads.Load, seed: number, changed: Partial<Weights> = {}): Score {
+function simulate(load: loads.Workload, seed: number, changed: Partial<Weights> = {}): Score {
   const weights = { ...WEIGHTS, ...changed };
-  return score(new laboratory.Laboratory({ load, seed, weights }).run());
+  return score(new laboratory.AllocationSimulation({ load, seed, weights }).run());
 }
 
 export interface Result {
@@ -104,22 +104,24 @@
   const seeds = quick ? SEEDS.quick : SEEDS.full;
   const numbers = Array.from({ length: seeds }, (_unused, i) => i + 1);
   const result: Result = { seeds, product: {}, worthOf: {}, worstOf: {} };
-  loads.LOADS.forEach((load) => {
-    const whole = numbers.map((seed) => play(load, seed));
+  loads.WORKLOADS.forEach((load) => {
+    const whole = numbers.map((seed) => simulate(load, seed));
     const worth = mean(whole.map((each) => each.worth));
     const worst = mean(whole.map((each) => each.worst));
     result.product[load.name] = { worth, worst };
     say(`${load.name}: worth ${worth.toFixed(3)}, worst windows ${worst.toFixed(3)}`);
     say(`  ${JSON.stringify(whole[0].kinds)}`);
-    Object.entries(WITHOUT).forEach(([name, changed]) => {
-      const without = numbers.map((seed) => play(load, seed, changed));
+    Object.entries(ABLATIONS).forEach(([name, changed]) => {
+      const without = numbers.map((seed) => simulate(load, seed, changed));
       const gains = whole.map((each, i) => each.worth - without[i].worth);
       const worstGains = whole.map((each, i) => each.worst - without[i].worst);
-      const worthGain = statistics.difference(gains);
-      const worstGain = statistics.difference(worstGains);
+      const worthGain = statistics.meanDifference(gains);
+      const worstGain = statistics.meanDifference(worstGains);
       result.worthOf[name] = { ...result.worthOf[name], [load.name]: worthGain };
       result.worstOf[name] = { ...result.worstOf[name], [load.name]: worstGain };
-      say(`  ${name}: ${statistics.tell(worthGain)}, worst windows ${statistics.tell(worstGain)}`);
+      say(
+        `  ${name}: ${statistics.formatDifference(worthGain)}, worst windows ${statistics.formatDifference(worstGain)}`,
+      );
     });
   });
   return result;
--- a/packages/measure/src/decisions/engine.ts
+++ b/packages/measure/src/decisions/engine.ts
@@ -6,9 +6,9 @@
 import * as domain from '@celerydrift/domain';
 import type * as eventQueue from '../mixed/eventQueue';
 
-type Figures = domain.catalogue.catalogue.Engine;
+type EngineParameters = domain.catalogue.catalogue.Engine;
 
-interface Reading {
+interface Prefill {
   request: string;
   isPart: boolean;
   leftTokens: number;
@@ -16,7 +16,7 @@
   onRead: () => void;
 }
 
-interface Writer {
+interface Decode {
   request: string;
   leftEvents: number;
   contextTokens: number;
@@ -24,106 +24,108 @@
 }
 
 export class Engine {
-  private parts: Reading[] = [];
+  private prefillParts: Prefill[] = [];
 
-  private wholes: Reading[] = [];
+  private wholePrefills: Prefill[] = [];
 
-  private writers: Writer[] = [];
+  private decodes: Decode[] = [];
 
-  private isRunning = false;
+  private isStepping = false;
 
   /** Dark engines do nothing and say nothing; slow ones take so many times as long. */
-  isDark = false;
+  isUnresponsive = false;
 
-  pace = 1;
+  slowdown = 1;
 
   constructor(
-    private readonly figures: Figures,
+    private readonly parameters: EngineParameters,
     private readonly events: eventQueue.EventQueue,
   ) {}
 
   /** Requests that write or wait for their reading here. */
   get slotsUsed(): number {
-    return this.writers.length;
+    return this.decodes.length;
   }
 
   /** Reads one of `parts` equal parts of a prompt. */
-  read(request: string, tokens: number, parts: number, onRead: () => void): void {
+  prefill(request: string, tokens: number, parts: number, onRead: () => void): void {
     const leftTokens = Math.max(1, tokens / parts);
-    const readMs = domain.allocation.cost.readMs(this.figures, tokens, parts);
+    const readMs = domain.allocation.cost.readMs(this.parameters, tokens, parts);
     const isPart = parts > 1;
     const reading = { request, isPart, leftTokens, msPerToken: readMs / leftTokens, onRead };
-    if (isPart) this.parts.unshift(reading);
-    else this.wholes.push(reading);
-    this.run();
+    if (isPart) this.prefillParts.unshift(reading);
+    else this.wholePrefills.push(reading);
+    this.startPass();
   }
 
-  write(writer: Writer): void {
-    this.writers.push(writer);
-    this.run();
+  decode(writer: Decode): void {
+    this.decodes.push(writer);
+    this.startPass();
   }
 
   cancel(request: string): void {
     const isOther = (each: { request: string }): boolean => each.request !== request;
-    this.parts = this.parts.filter(isOther);
-    this.wholes = this.wholes.filter(isOther);
-    this.writers = this.writers.filter(isOther);
+    this.prefillParts = this.prefillParts.filter(isOther);
+    this.wholePrefills = this.wholePrefills.filter(isOther);
+    this.decodes = this.decodes.filter(isOther);
   }
 
   /** Goes on after it was dark, without what it had. */
   restart(): void {
-    this.parts = [];
-    this.wholes = [];
-    this.writers = [];
-    this.isDark = false;
+    this.prefillParts = [];
+    this.wholePrefills = [];
+    this.decodes = [];
+    this.isUnresponsive = false;
   }
 
-  private run(): void {
-    if (this.isRunning || this.isDark) return;
-    if (this.parts.length + this.wholes.length + this.writers.length === 0) return;
-    this.isRunning = true;
-    const { chunkTokens, stepsPerPass } = this.figures;
-    const steps = this.writers.length > 0 ? stepsPerPass : 1;
-    const { readMs, done } = this.readUpTo(steps * chunkTokens);
-    const served = [...this.writers];
-    const ms = this.pace * (this.stepMs() * steps + readMs);
+  private startPass(): void {
+    if (this.isStepping || this.isUnresponsive) return;
+    if (this.prefillParts.length + this.wholePrefills.length + this.decodes.length === 0) return;
+    this.isStepping = true;
+    const { chunkTokens, stepsPerPass } = this.parameters;
+    const steps = this.decodes.length > 0 ? stepsPerPass : 1;
+    const { readMs, done } = this.prefillUpTo(steps * chunkTokens);
+    const served = [...this.decodes];
+    const ms = this.slowdown * (this.stepMs() * steps + readMs);
     this.events.at(this.events.now + ms, () => this.endPass(done, served));
   }
 
   private stepMs(): number {
-    const context = this.writers.reduce((sum, { contextTokens }) => sum + contextTokens, 0);
-    const { stepMs, writerStepMs, contextStepMs } = this.figures;
-    return stepMs + this.writers.length * writerStepMs + (context / 1_000) * contextStepMs;
+    const context = this.decodes.reduce((sum, { contextTokens }) => sum + contextTokens, 0);
+    const { stepMs, writerStepMs, contextStepMs } = this.parameters;
+    return stepMs + this.decodes.length * writerStepMs + (context / 1_000) * contextStepMs;
   }
 
-  private readUpTo(budget: number): { readMs: number; done: Reading[] } {
+  private prefillUpTo(budget: number): { readMs: number; done: Prefill[] } {
     let left = budget;
     let readMs = 0;
-    [...this.parts, ...this.wholes].forEach((reading) => {
+    [...this.prefillParts, ...this.wholePrefills].forEach((reading) => {
       const taken = Math.min(left, reading.leftTokens);
       reading.leftTokens -= taken;
       left -= taken;
       readMs += taken * reading.msPerToken;
     });
-    const isLeft = (reading: Reading): boolean => reading.leftTokens > 0;
-    const done = [...this.parts, ...this.wholes].filter((reading) => !isLeft(reading));
-    this.parts = this.parts.filter(isLeft);
-    this.wholes = this.wholes.filter(isLeft);
+    const isLeft = (reading: Prefill): boolean => reading.leftTokens > 0;
+    const done = [...this.prefillParts, ...this.wholePrefills].filter(
+      (reading) => !isLeft(reading),
+    );
+    this.prefillParts = this.prefillParts.filter(isLeft);
+    this.wholePrefills = this.wholePrefills.filter(isLeft);
     return { readMs, done };
   }
 
-  private endPass(done: readonly Reading[], served: readonly Writer[]): void {
-    this.isRunning = false;
-    if (this.isDark) return;
+  private endPass(done: readonly Prefill[], served: readonly Decode[]): void {
+    this.isStepping = false;
+    if (this.isUnresponsive) return;
     done.forEach(({ onRead }) => onRead());
-    served.filter((writer) => this.writers.includes(writer)).forEach((each) => this.emit(each));
-    this.run();
+    served.filter((writer) => this.decodes.includes(writer)).forEach((each) => this.emit(each));
+    this.startPass();
   }
 
-  private emit(writer: Writer): void {
+  private emit(writer: Decode): void {
     writer.leftEvents -= 1;
     const isLast = writer.leftEvents <= 0;
-    if (isLast) this.writers = this.writers.filter((each) => each !== writer);
+    if (isLast) this.decodes = this.decodes.filter((each) => each !== writer);
     writer.onEvent(isLast);
   }
 }
--- a/packages/measure/src/decisions/loads.ts
+++ b/packages/measure/src/decisions/workloads.ts
@@ -4,13 +4,13 @@
  */
 import * as domain from '@celerydrift/domain';
 
-export interface Kind {
+export interface RequestKind {
   name: string;
   perSecond: number;
   /** Mean prompt and its spread (standard deviation of the logarithm), tokens. */
   tokens: number;
   spread: number;
-  mostTokens: number;
+  maxTokens: number;
   /** Mean number of events of an answer. */
   events: number;
   objectiveMs: number;
@@ -25,24 +25,24 @@
   kind: string;
   fromSecond: number;
   toSecond: number;
-  times: number;
+  rateFactor: number;
 }
 
-export interface Trouble {
-  what: 'dark' | 'slow';
+export interface Fault {
+  kind: 'dark' | 'slow';
   engines: number;
   fromSecond: number;
   toSecond: number;
 }
 
-export interface Load {
+export interface Workload {
   name: string;
   engines: number;
   engine: domain.catalogue.catalogue.Engine;
   seconds: number;
-  kinds: readonly Kind[];
+  kinds: readonly RequestKind[];
   bursts: readonly Burst[];
-  troubles: readonly Trouble[];
+  faults: readonly Fault[];
 }
 
 const ENGINE: domain.catalogue.catalogue.Engine = {
@@ -59,12 +59,12 @@
   usualAnswerTokens: 1_600,
 };
 
-const SHORT: Kind = {
+const SHORT: RequestKind = {
   name: 'short',
   perSecond: 30,
   tokens: 4_960,
   spread: 0.8,
-  mostTokens: 23_800,
+  maxTokens: 23_800,
   events: 33,
   objectiveMs: 300,
   pauseMs: 250,
@@ -72,12 +72,12 @@
   lateWorth: 0.33,
 };
 
-const MEDIUM: Kind = {
+const MEDIUM: RequestKind = {
   name: 'medium',
   perSecond: 1.5,
   tokens: 45_000,
   spread: 0.5,
-  mostTokens: 110_000,
+  maxTokens: 110_000,
   events: 20,
   objectiveMs: 1_500,
   pauseMs: 600,
@@ -85,12 +85,12 @@
   lateWorth: 1,
 };
 
-const LONG: Kind = {
+const LONG: RequestKind = {
   name: 'long',
   perSecond: 0.92,
   tokens: 154_000,
   spread: 0.5,
-  mostTokens: 700_000,
+  maxTokens: 700_000,
   events: 16,
   objectiveMs: 3_000,
   pauseMs: 1_000,
@@ -98,19 +98,19 @@
   lateWorth: 5.2,
 };
 
-const USUAL = [SHORT, MEDIUM, LONG];
+const USUAL_KINDS = [SHORT, MEDIUM, LONG];
 
 /** Bursts that come one after the other, as on the users' heavy days. */
 const BURSTS: Burst[] = [
-  { kind: 'all', fromSecond: 2, toSecond: 11, times: 1.4 },
-  { kind: 'short', fromSecond: 12, toSecond: 21, times: 2.8 },
+  { kind: 'all', fromSecond: 2, toSecond: 11, rateFactor: 1.4 },
+  { kind: 'short', fromSecond: 12, toSecond: 21, rateFactor: 2.8 },
 ];
 
-const BASE = { engines: 21, engine: ENGINE, seconds: 30, bursts: [], troubles: [] };
+const BASE = { engines: 21, engine: ENGINE, seconds: 30, bursts: [], faults: [] };
 
-export const LOADS: readonly Load[] = [
-  { ...BASE, name: 'usual', kinds: USUAL },
-  { ...BASE, name: 'bursts', kinds: USUAL, bursts: BURSTS },
+export const WORKLOADS: readonly Workload[] = [
+  { ...BASE, name: 'usual', kinds: USUAL_KINDS },
+  { ...BASE, name: 'bursts', kinds: USUAL_KINDS, bursts: BURSTS },
   {
     ...BASE,
     name: 'grown',
@@ -126,14 +126,14 @@
   {
     ...BASE,
     name: 'dark',
-    kinds: USUAL,
-    troubles: [{ what: 'dark', engines: 4, fromSecond: 8, toSecond: 13 }],
+    kinds: USUAL_KINDS,
+    faults: [{ kind: 'dark', engines: 4, fromSecond: 8, toSecond: 13 }],
   },
   {
     ...BASE,
     name: 'slow',
-    kinds: USUAL,
-    troubles: [{ what: 'slow', engines: 4, fromSecond: 6, toSecond: 20 }],
+    kinds: USUAL_KINDS,
+    faults: [{ kind: 'slow', engines: 4, fromSecond: 6, toSecond: 20 }],
   },
   { ...BASE, name: 'onlyLong', kinds: [{ ...LONG, perSecond: 2 }] },
   {
@@ -153,12 +153,12 @@
         ...SHORT,
         name: 'chat',
         tokens: 20_000,
-        mostTokens: 60_000,
+        maxTokens: 60_000,
         objectiveMs: 900,
         perSecond: 9,
       },
       { ...MEDIUM, name: 'report', perSecond: 5, pauseMs: 300, objectiveMs: 2_000 },
     ],
-    bursts: [{ kind: 'report', fromSecond: 10, toSecond: 16, times: 2.5 }],
+    bursts: [{ kind: 'report', fromSecond: 10, toSecond: 16, rateFactor: 2.5 }],
   },
 ];
--- a/packages/measure/src/demo.ts
+++ b/packages/measure/src/demo.ts
@@ -5,14 +5,14 @@
  */
 import * as domain from '@celerydrift/domain';
 import * as client from './client';
-import * as workers from './faults/workers';
+import * as workers from './faults/loadGenerator';
 import * as fleet from './fleet';
 import * as processes from './processes';
 import * as statistics from './statistics';
 import * as teams from './teams';
 
 /** Faster than the measured stand-in, so that a million tokens fit into a demo. */
-const ENGINE = { tokenMs: 0.002, stepBaseMs: 4, attentionTokens: 400_000 };
+const FAST_ENGINE = { tokenMs: 0.002, stepBaseMs: 4, attentionTokens: 400_000 };
 
 const LENGTHS: readonly { name: string; tokens: number; count: number }[] = [
   { name: '1k', tokens: 1_000, count: 60 },
@@ -27,18 +27,18 @@
 
 const PARALLEL = 8;
 
-interface Sent {
+interface PromptResult {
   length: string;
   completion: client.Completion;
   wrong: boolean;
 }
 
-function say(line = ''): void {
+function print(line = ''): void {
   process.stdout.write(`${line}\n`);
 }
 
 /** All prompts in a seeded order, from both teams through all entries. */
-function plan(): { length: string; tokens: number; team: teams.Team; id: number }[] {
+function planPrompts(): { length: string; tokens: number; team: teams.Team; id: number }[] {
   const source = domain.shared.random.seeded(7);
   const all = LENGTHS.flatMap(({ name, tokens, count }) =>
     Array.from({ length: count }, () => ({ length: name, tokens })),
@@ -50,14 +50,14 @@
   });
 }
 
-async function send(
+async function sendPrompt(
   target: fleet.Fleet,
-  { length, tokens, team, id }: ReturnType<typeof plan>[number],
-): Promise<Sent> {
-  const prompt = client.promptOf(tokens, `demo${id}`);
+  { length, tokens, team, id }: ReturnType<typeof planPrompts>[number],
+): Promise<PromptResult> {
+  const prompt = client.promptOfLength(tokens, `demo${id}`);
   for (let turn = id; ; turn++) {
     const completion = await client.complete({
-      entry: target.entries[turn % target.entries.length],
+      entry: target.entryUrls[turn % target.entryUrls.length],
       key: team.key,
       model: team.model,
       prompt,
@@ -74,13 +74,16 @@
   }
 }
 
-async function sendAll(target: fleet.Fleet, onProgress: (done: number) => void): Promise<Sent[]> {
-  const waiting = plan();
-  const sent: Sent[] = [];
+async function sendAll(
+  target: fleet.Fleet,
+  onProgress: (done: number) => void,
+): Promise<PromptResult[]> {
+  const waiting = planPrompts();
+  const sent: PromptResult[] = [];
   await Promise.all(
     Array.from({ length: PARALLEL }, async () => {
       for (let next = waiting.shift(); next !== undefined; next = waiting.shift()) {
-        sent.push(await send(target, next));
+        sent.push(await sendPrompt(target, next));
         onProgress(sent.length);
       }
     }),
@@ -90,40 +93,40 @@
 
 /** The same hold through three daemons; one hold must go out. */
 async function resendHold(target: fleet.Fleet): Promise<{ runs: number; replayed: number }> {
-  const answers: client.Called[] = [];
-  for (const entry of target.entries) {
+  const answers: client.ServiceResponse[] = [];
+  for (const entry of target.entryUrls) {
     const hold = { id: 'hold-4711' };
     const path = '/services/parts/holds';
     answers.push(await client.callService(entry, teams.FITTERS.key, path, hold.id, hold));
   }
-  const runs = await target.standInCall<Record<string, number>>('parts-1', '/runs');
+  const runs = await target.callStandIn<Record<string, number>>('parts-1', '/runs');
   const replayed = answers.filter((answer) => answer.replayed).length;
   return { runs: runs['hold-4711'] ?? 0, replayed };
 }
 
-async function start(): Promise<fleet.Fleet> {
+async function startFleet(): Promise<fleet.Fleet> {
   const target = await fleet.Fleet.plan({
     daemons: ['industrial-area', 'ruaraka', 'athi-river'].map((dataCentre) => {
       return { dataCentre, disk: true, founder: true };
     }),
     logLevel: 'warn',
-    extra: '[timeouts]\nsilence-ms = 500\n',
+    extraSettings: '[timeouts]\nsilence-ms = 500\n',
   });
   target.startDaemons();
   for (const name of ['engine-1', 'engine-2', 'engine-3', 'engine-4']) {
-    await target.startEngine({ name, parameters: ENGINE });
+    await target.startEngine({ name, parameters: FAST_ENGINE });
   }
   await target.startService('parts-1', 'parts');
   await target.startService('ledger-1', 'ledger');
-  await target.apply(teams.FITTERS.name, teams.FITTERS.text, 0);
-  await target.apply(teams.PITS.name, teams.PITS.text, 0);
-  await target.untilReady();
-  await target.untilTargets(6);
+  await target.applySettings(teams.FITTERS.name, teams.FITTERS.settings, 0);
+  await target.applySettings(teams.PITS.name, teams.PITS.settings, 0);
+  await target.waitUntilReady();
+  await target.waitForTargets(6);
   return target;
 }
 
-function printLengths(sent: readonly Sent[]): void {
-  say('prompt   count   p50 ms   p95 ms   (time to first token)');
+function printLatencies(sent: readonly PromptResult[]): void {
+  print('prompt   count   p50 ms   p95 ms   (time to first token)');
   LENGTHS.forEach(({ name }) => {
     const times = sent
       .filter(({ length, completion }) => length === name && completion.whole)
@@ -135,51 +138,51 @@
       p50.toFixed(0).padStart(8),
       p95.toFixed(0).padStart(8),
     ];
-    say(`${name.padEnd(6)} ${cells.join(' ')}`);
+    print(`${name.padEnd(6)} ${cells.join(' ')}`);
   });
 }
 
 async function printAudit(target: fleet.Fleet): Promise<void> {
-  const { content } = await target.operatorCall<domain.control.state.Audit[]>(
+  const { content } = await target.callOperator<domain.control.state.Audit[]>(
     'GET',
     'audit?limit=12',
   );
-  say('audit trail, newest first');
+  print('audit trail, newest first');
   content.forEach(({ index, author, action, subject, detail }) => {
-    say(`  ${index} ${author} ${action} ${subject} ${detail.slice(0, 60)}`);
+    print(`  ${index} ${author} ${action} ${subject} ${detail.slice(0, 60)}`);
   });
 }
 
 /** One promise, and whether it was kept. */
-interface Kept {
+interface Guarantee {
   name: string;
   kept: boolean;
 }
 
-async function run(): Promise<Kept[]> {
-  const target = await start();
+async function run(): Promise<Guarantee[]> {
+  const target = await startFleet();
   try {
-    say('three daemons, four engines, two services: ready');
+    print('three daemons, four engines, two services: ready');
     const hold = await resendHold(target);
-    const total = plan().length;
+    const total = planPrompts().length;
     let killed = false;
     const sent = await sendAll(target, (done) => {
       if (done < total / 3 || killed) return;
       killed = true;
-      say('killing engine-2 and daemon vm-2');
+      print('killing engine-2 and daemon vm-2');
       void target.standIns.get('engine-2')?.process.kill();
       void target.daemon('vm-2').kill();
       setTimeout(() => target.startDaemon('vm-2'), 3_000);
     });
-    await target.untilReady();
+    await target.waitUntilReady();
     const after = await resendHold(target);
-    printLengths(sent);
+    printLatencies(sent);
     const outcomes = new Map<string, number>();
     sent.forEach(({ completion: { outcome } }) => {
       outcomes.set(outcome || 'lost', (outcomes.get(outcome || 'lost') ?? 0) + 1);
     });
-    say(`outcomes: ${JSON.stringify(Object.fromEntries(outcomes))}`);
-    say(
+    print(`outcomes: ${JSON.stringify(Object.fromEntries(outcomes))}`);
+    print(
       `hold sent six times: ran ${after.runs} time, ${hold.replayed + after.replayed} answers from the ledger`,
     );
     await printAudit(target);
@@ -196,6 +199,6 @@
 
 export async function main(): Promise<void> {
   const promises = await run();
-  promises.forEach(({ name, kept }) => say(`${kept ? 'kept  ' : 'BROKEN'} ${name}`));
+  promises.forEach(({ name, kept }) => print(`${kept ? 'kept  ' : 'BROKEN'} ${name}`));
   process.exit(promises.every(({ kept }) => kept) ? 0 : 1);
 }
--- a/packages/measure/src/faults/faults.ts
+++ b/packages/measure/src/faults/faults.ts
@@ -6,7 +6,7 @@
 import * as fleet from '../fleet';
 import * as processes from '../processes';
 import * as teams from '../teams';
-import * as workers from './workers';
+import * as workers from './loadGenerator';
 
 export interface Result {
   hung: number;
@@ -30,7 +30,7 @@
   errors: Record<string, number>;
 }
 
-interface Step {
+interface FaultStep {
   name: string;
   inject: (target: fleet.Fleet) => Promise<void>;
   /** What ends the fault, if the system can't. */
@@ -40,14 +40,14 @@
 }
 
 /** Engines ten times as fast as the usual stand-in, so that many requests meet each fault. */
-const FAST = { tokenMs: 0.0012, stepBaseMs: 2 };
+const FAST_ENGINE = { tokenMs: 0.0012, stepBaseMs: 2 };
 
 const ENGINES = ['engine-1', 'engine-2', 'engine-3', 'engine-4'];
 
 const PROBE_TOKENS = 3;
 
 async function restartEngine(target: fleet.Fleet, name: string): Promise<void> {
-  await target.startEngine({ name, parameters: FAST });
+  await target.startEngine({ name, parameters: FAST_ENGINE });
 }
 
 async function killEngine(target: fleet.Fleet, name: string): Promise<void> {
@@ -55,22 +55,22 @@
 }
 
 /** Daemons killed by a step, to be started again when it ends. */
-const killed: string[] = [];
+const downDaemons: string[] = [];
 
 async function killDaemon(target: fleet.Fleet, name: string): Promise<void> {
   await target.daemon(name).kill();
-  killed.push(name);
+  downDaemons.push(name);
 }
 
-async function restartKilled(target: fleet.Fleet): Promise<void> {
-  killed.splice(0).forEach((name) => target.startDaemon(name));
+async function restartDownDaemons(target: fleet.Fleet): Promise<void> {
+  downDaemons.splice(0).forEach((name) => target.startDaemon(name));
 }
 
-function fault(kind: string, count = 1, delayMs = 0): unknown {
+function faultRequest(kind: string, count = 1, delayMs = 0): unknown {
   return { kind, count, delayMs };
 }
 
-const STEPS: readonly Step[] = [
+const STEPS: readonly FaultStep[] = [
   {
     name: 'engineKilled',
     inject: (target) => killEngine(target, 'engine-1'),
@@ -80,36 +80,36 @@
   {
     name: 'connectionsSilent',
     inject: async (target) => {
-      await target.standInCall('engine-2', '/fault', fault('silent'));
+      await target.callStandIn('engine-2', '/fault', faultRequest('silent'));
     },
     lastsMs: 3_000,
   },
   {
     name: 'answersCrossed',
     inject: async (target) => {
-      await target.standInCall('engine-3', '/fault', fault('cross', 5));
+      await target.callStandIn('engine-3', '/fault', faultRequest('cross', 5));
     },
     lastsMs: 1_000,
   },
   {
     name: 'streamsCut',
     inject: async (target) => {
-      await target.standInCall('engine-3', '/fault', fault('cut', 5));
+      await target.callStandIn('engine-3', '/fault', faultRequest('cut', 5));
     },
     lastsMs: 1_000,
   },
   {
     name: 'answersLate',
     inject: async (target) => {
-      await target.standInCall('engine-4', '/fault', fault('late', 5, 1_000));
+      await target.callStandIn('engine-4', '/fault', faultRequest('late', 5, 1_000));
     },
     lastsMs: 1_500,
   },
   {
     name: 'serviceCutsAnswers',
     inject: async (target) => {
-      await target.standInCall('parts-1', '/fault', fault('cut', 3));
-      await target.standInCall('parts-2', '/fault', fault('refuse', 5));
+      await target.callStandIn('parts-1', '/fault', faultRequest('cut', 3));
+      await target.callStandIn('parts-2', '/fault', faultRequest('refuse', 5));
     },
     lastsMs: 1_000,
   },
@@ -121,19 +121,19 @@
   },
   {
     name: 'leaderKilled',
-    inject: async (target) => killDaemon(target, (await target.leader()).name),
-    heal: restartKilled,
+    inject: async (target) => killDaemon(target, (await target.findLeader()).name),
+    heal: restartDownDaemons,
     lastsMs: 2_500,
   },
   {
     name: 'leaderFrozen',
     inject: async (target) => {
-      const leader = (await target.leader()).name;
+      const leader = (await target.findLeader()).name;
       target.daemon(leader).signal('SIGSTOP');
-      killed.push(leader);
+      downDaemons.push(leader);
     },
     heal: async (target) => {
-      killed.splice(0).forEach((name) => target.daemon(name).signal('SIGCONT'));
+      downDaemons.splice(0).forEach((name) => target.daemon(name).signal('SIGCONT'));
     },
     lastsMs: 4_000,
   },
@@ -141,9 +141,9 @@
     name: 'diskLost',
     inject: async (target) => {
       await killDaemon(target, 'vm-2');
-      target.wipe('vm-2');
+      target.wipeData('vm-2');
     },
-    heal: restartKilled,
+    heal: restartDownDaemons,
     lastsMs: 500,
   },
   {
@@ -153,7 +153,7 @@
     },
     heal: async (target) => {
       await restartEngine(target, 'engine-3');
-      await restartKilled(target);
+      await restartDownDaemons(target);
     },
     lastsMs: 2_000,
   },
@@ -172,23 +172,23 @@
     name: 'plannedStopOfDaemon',
     inject: async (target) => {
       await target.daemon('vm-4').kill('SIGTERM');
-      killed.push('vm-4');
+      downDaemons.push('vm-4');
     },
-    heal: restartKilled,
+    heal: restartDownDaemons,
     lastsMs: 200,
   },
 ];
 
 /** Whether short prompts complete through every live entry. */
 async function isHealthy(target: fleet.Fleet, team: teams.Team): Promise<boolean> {
-  const live = target.plans.filter(({ name }) => !killed.includes(name));
+  const live = target.daemonPlans.filter(({ name }) => !downDaemons.includes(name));
   const results = await Promise.all(
     live.map(({ ports }, i) =>
       client.complete({
         entry: `http://127.0.0.1:${ports.callers}`,
         key: team.key,
         model: team.model,
-        prompt: client.promptOf(1_000, `probe${i}`),
+        prompt: client.promptOfLength(1_000, `probe${i}`),
         answerTokens: PROBE_TOKENS,
         deadlineMs: 1_500,
         signal: AbortSignal.timeout(2_000),
@@ -198,7 +198,11 @@
   return results.every(({ whole }) => whole);
 }
 
-async function recover(target: fleet.Fleet, team: teams.Team, since: number): Promise<number> {
+async function measureRecovery(
+  target: fleet.Fleet,
+  team: teams.Team,
+  since: number,
+): Promise<number> {
   while (Date.now() - since < 30_000) {
     if (await isHealthy(target, team)) break;
     await processes.sleep(50);
@@ -206,22 +210,22 @@
   return (Date.now() - since) / 1_000;
 }
 
-async function holdings(target: fleet.Fleet): Promise<number> {
+async function countLeases(target: fleet.Fleet): Promise<number> {
   const lists = await Promise.all(
     ENGINES.map((name) =>
-      target.standInCall<{ holdings: { system: string }[] }>(name, '/v1/holdings'),
+      target.callStandIn<{ holdings: { system: string }[] }>(name, '/v1/holdings'),
     ),
   );
   return lists.flatMap((list) => list.holdings).filter(({ system }) => system === 'celerydrift')
     .length;
 }
 
-async function holdingsAfter(target: fleet.Fleet): Promise<{ left: number; seconds: number }> {
+async function waitForNoLeases(target: fleet.Fleet): Promise<{ left: number; seconds: number }> {
   const since = Date.now();
-  let left = await holdings(target);
+  let left = await countLeases(target);
   while (left > 0 && Date.now() - since < 20_000) {
     await processes.sleep(100);
-    left = await holdings(target);
+    left = await countLeases(target);
   }
   return { left, seconds: (Date.now() - since) / 1_000 };
 }
@@ -231,39 +235,41 @@
   calls: readonly workers.Call[],
 ): Promise<{ ranTwice: number; notRunButRan: number }> {
   const runs = await Promise.all(
-    ['parts-1', 'parts-2'].map((name) => target.standInCall<Record<string, number>>(name, '/runs')),
+    ['parts-1', 'parts-2'].map((name) => target.callStandIn<Record<string, number>>(name, '/runs')),
   );
   const count = (id: string): number => runs.reduce((sum, each) => sum + (each[id] ?? 0), 0);
   const ranTwice = calls.filter(({ id }) => count(id) > 1).length;
-  const notRunButRan = calls.filter(({ id, told }) => told === 'not-run' && count(id) > 0).length;
+  const notRunButRan = calls.filter(
+    ({ id, outcome: told }) => told === 'not-run' && count(id) > 0,
+  ).length;
   return { ranTwice, notRunButRan };
 }
 
-async function startedOn(target: fleet.Fleet, name: string): Promise<number> {
-  const { started } = await target.standInCall<{ started: object }>(name, '/v1/holdings');
+async function countStarted(target: fleet.Fleet, name: string): Promise<number> {
+  const { started } = await target.callStandIn<{ started: object }>(name, '/v1/holdings');
   return Object.keys(started).length;
 }
 
 /** A planned stop of an engine under load: no new work after two seconds, and then safe. */
-async function plannedStop(
+async function measurePlannedStop(
   target: fleet.Fleet,
   name: string,
 ): Promise<{ newWork: number; seconds: number }> {
   const since = Date.now();
   const stop = { id: `stop-${name}`, subject: 'target', name, graceSeconds: 1 };
-  await target.operatorCall('POST', 'stops', stop);
+  await target.callOperator('POST', 'stops', stop);
   await processes.sleep(2_000);
-  const before = await startedOn(target, name);
+  const before = await countStarted(target, name);
   let isSafe = false;
   while (!isSafe && Date.now() - since < 20_000) {
-    const { content } = await target.operatorCall<{ progress: string }[]>('GET', 'stops');
+    const { content } = await target.callOperator<{ progress: string }[]>('GET', 'stops');
     isSafe = content[0]?.progress === 'safeToStop';
     await processes.sleep(50);
   }
   const seconds = (Date.now() - since) / 1_000;
   await processes.sleep(1_500);
-  const newWork = (await startedOn(target, name)) - before;
-  await target.operatorCall('DELETE', `stops/${stop.id}`);
+  const newWork = (await countStarted(target, name)) - before;
+  await target.callOperator('DELETE', `stops/${stop.id}`);
   return { newWork, seconds: isSafe ? seconds : Infinity };
 }
 
@@ -277,11 +283,11 @@
       { dataCentre: 'dc-1', disk: true, founder: false },
       { dataCentre: 'dc-2', disk: false, founder: false },
     ],
-    extra: '[timeouts]\nsilence-ms = 500\ndead-replica-ms = 3000\n',
+    extraSettings: '[timeouts]\nsilence-ms = 500\ndead-replica-ms = 3000\n',
     logLevel: 'warn',
   });
   target.startDaemons();
-  for (const name of ENGINES) await target.startEngine({ name, parameters: FAST });
+  for (const name of ENGINES) await target.startEngine({ name, parameters: FAST_ENGINE });
   await target.startService('parts-1', 'parts');
   await target.startService('parts-2', 'parts');
   return target;
@@ -291,10 +297,10 @@
   const target = await startFleet();
   const recoverySeconds: Record<string, number> = {};
   try {
-    await target.apply(teams.FITTERS.name, teams.FITTERS.text, 0);
-    await target.untilReady();
-    await target.untilTargets(ENGINES.length + 2);
-    const load = new workers.Workers(target, teams.FITTERS, '/services/parts/holds', 1);
+    await target.applySettings(teams.FITTERS.name, teams.FITTERS.settings, 0);
+    await target.waitUntilReady();
+    await target.waitForTargets(ENGINES.length + 2);
+    const load = new workers.LoadGenerator(target, teams.FITTERS, '/services/parts/holds', 1);
     const running = load.run(10, 3);
     let accepted = 0;
     const lostIn = new Map<string, number>();
@@ -302,21 +308,21 @@
       const since = Date.now();
       const lostBefore = load.counts.entryLost;
       await step.inject(target);
-      recoverySeconds[step.name] = await recover(target, teams.FITTERS, since);
+      recoverySeconds[step.name] = await measureRecovery(target, teams.FITTERS, since);
       await processes.sleep(Math.max(0, step.lastsMs - (Date.now() - since)));
       // A change in the middle of the fault: whatever is accepted must still be there at the end.
-      await target.apply(`probe-${accepted}`, `; ${step.name}\n`, 0, 15_000);
+      await target.applySettings(`probe-${accepted}`, `; ${step.name}\n`, 0, 15_000);
       accepted += 1;
       await step.heal?.(target);
-      await target.untilReady();
+      await target.waitUntilReady();
       lostIn.set(step.name, load.counts.entryLost - lostBefore);
       say(`${step.name}: ${recoverySeconds[step.name]?.toFixed(1)} s`);
     }
-    const stopped = await plannedStop(target, 'engine-2');
+    const stopped = await measurePlannedStop(target, 'engine-2');
     load.stop();
     await running;
-    const { left, seconds } = await holdingsAfter(target);
-    const { content } = await target.operatorCall<{ name: string }[]>('GET', 'subtrees');
+    const { left, seconds } = await waitForNoLeases(target);
+    const { content } = await target.callOperator<{ name: string }[]>('GET', 'subtrees');
     const kept = content.filter(({ name }) => name.startsWith('probe-')).length;
     const { hung, wrong, cut } = load.counts;
     return {
--- a/packages/measure/src/faults/workers.ts
+++ b/packages/measure/src/faults/loadGenerator.ts
@@ -33,12 +33,12 @@
 export interface Call {
   id: string;
   /** What the caller was told at last. */
-  told: 'completed' | 'not-run' | 'unknown' | 'failed' | 'lost';
+  outcome: 'completed' | 'not-run' | 'unknown' | 'failed' | 'lost';
 }
 
 const DEADLINE_MS = 20_000;
 
-const MARGIN_MS = 3_000;
+const TIMEOUT_MARGIN_MS = 3_000;
 
 const PROMPT_TOKENS: readonly number[] = [1_000, 1_000, 2_000, 4_000, 8_000, 30_000, 120_000];
 
@@ -52,7 +52,7 @@
   return Array.from({ length: tokens }, (_value, position) => `${digest}.${position} `).join('');
 }
 
-export class Workers {
+export class LoadGenerator {
   readonly counts: Counts = {
     prompts: 0,
     completed: 0,
@@ -72,47 +72,47 @@
   /** Explicit errors, for the report. */
   readonly errors = new Map<string, number>();
 
-  private running = true;
+  private isRunning = true;
 
-  private turn = 0;
+  private entryCursor = 0;
 
-  private readonly source: domain.shared.random.Random;
+  private readonly random: domain.shared.random.Random;
 
   constructor(
-    private readonly target: fleet.Fleet,
+    private readonly fleet: fleet.Fleet,
     private readonly team: teams.Team,
     private readonly servicePath: string,
     seed: number,
   ) {
-    this.source = domain.shared.random.seeded(seed);
+    this.random = domain.shared.random.seeded(seed);
   }
 
   /** Runs until stopped; resolves when every worker has its last answer. */
   async run(prompters: number, callers: number): Promise<void> {
     await Promise.all([
-      ...Array.from({ length: prompters }, () => this.loop(() => this.prompt())),
-      ...Array.from({ length: callers }, () => this.loop(() => this.call())),
+      ...Array.from({ length: prompters }, () => this.repeat(() => this.sendPrompt())),
+      ...Array.from({ length: callers }, () => this.repeat(() => this.callService())),
     ]);
   }
 
   stop(): void {
-    this.running = false;
+    this.isRunning = false;
   }
 
-  private async loop(action: () => Promise<void>): Promise<void> {
-    while (this.running) await action();
+  private async repeat(action: () => Promise<void>): Promise<void> {
+    while (this.isRunning) await action();
   }
 
   private nextEntry(): string {
-    this.turn += 1;
-    return this.target.entries[this.turn % this.target.entries.length];
+    this.entryCursor += 1;
+    return this.fleet.entryUrls[this.entryCursor % this.fleet.entryUrls.length];
   }
 
-  private async prompt(): Promise<void> {
+  private async sendPrompt(): Promise<void> {
     this.counts.prompts += 1;
-    const tokens = domain.shared.random.pick(this.source, PROMPT_TOKENS);
-    const prompt = client.promptOf(tokens, `p${this.counts.prompts}`);
-    const answerTokens = 2 + Math.floor(this.source.uniform() * 30);
+    const tokens = domain.shared.random.pick(this.random, PROMPT_TOKENS);
+    const prompt = client.promptOfLength(tokens, `p${this.counts.prompts}`);
+    const answerTokens = 2 + Math.floor(this.random.uniform() * 30);
     const startedAt = Date.now();
     const result = await client.complete({
       entry: this.nextEntry(),
@@ -121,34 +121,34 @@
       prompt,
       answerTokens,
       deadlineMs: DEADLINE_MS,
-      signal: AbortSignal.timeout(DEADLINE_MS + MARGIN_MS),
+      signal: AbortSignal.timeout(DEADLINE_MS + TIMEOUT_MARGIN_MS),
     });
-    this.judge(result, expectedText(prompt, answerTokens), Date.now() - startedAt);
-    if (result.status !== 200) await this.rest();
+    this.countResult(result, expectedText(prompt, answerTokens), Date.now() - startedAt);
+    if (result.status !== 200) await this.pause();
   }
 
-  private judge(result: client.Completion, expected: string, tookMs: number): void {
+  private countResult(result: client.Completion, expected: string, tookMs: number): void {
     const { counts } = this;
     if (!expected.startsWith(result.text)) counts.wrong += 1;
     if (result.whole && result.text === expected) counts.completed += 1;
     else if (result.whole) counts.cut += 1;
-    else if (tookMs >= DEADLINE_MS + MARGIN_MS) counts.hung += 1;
+    else if (tookMs >= DEADLINE_MS + TIMEOUT_MARGIN_MS) counts.hung += 1;
     else if (result.outcome === 'not-run') counts.notRun += 1;
-    else if (result.outcome === 'failed') this.explicit(result.error);
+    else if (result.outcome === 'failed') this.countFailure(result.error);
     else if (result.error.includes('ECONNREFUSED')) counts.entryDown += 1;
     else if (result.error !== '') counts.entryLost += 1;
     else counts.cut += 1;
   }
 
-  private explicit(error: string): void {
+  private countFailure(error: string): void {
     this.counts.failed += 1;
     this.errors.set(error, (this.errors.get(error) ?? 0) + 1);
   }
 
-  private async call(): Promise<void> {
+  private async callService(): Promise<void> {
     this.counts.calls += 1;
     const id = `call-${this.counts.calls}`;
-    let told: Call['told'] = 'lost';
+    let told: Call['outcome'] = 'lost';
     for (let tries = 0; tries < 4; tries++) {
       const answer = await client.callService(
         this.nextEntry(),
@@ -157,16 +157,16 @@
         id,
         { id },
       );
-      if (answer.outcome !== '') told = answer.outcome as Call['told'];
+      if (answer.outcome !== '') told = answer.outcome as Call['outcome'];
       if (told === 'completed') break;
-      await this.rest();
+      await this.pause();
     }
     if (told === 'unknown') this.counts.unknown += 1;
-    this.calls.push({ id, told });
-    await this.rest();
+    this.calls.push({ id, outcome: told });
+    await this.pause();
   }
 
-  private async rest(): Promise<void> {
+  private async pause(): Promise<void> {
     await new Promise((resolve) => {
       setTimeout(resolve, 40);
     });
--- a/packages/measure/src/fleet.ts
+++ b/packages/measure/src/fleet.ts
@@ -33,7 +33,7 @@
 export interface FleetOptions {
   daemons: { dataCentre: string; disk: boolean; founder: boolean }[];
   ledgerShards?: number;
-  extra?: string;
+  extraSettings?: string;
   logLevel?: string;
 }
 
@@ -61,7 +61,7 @@
 export class Fleet {
   readonly folder: string;
 
-  readonly plans: DaemonPlan[];
+  readonly daemonPlans: DaemonPlan[];
 
   readonly daemons = new Map<string, processes.Process>();
 
@@ -71,7 +71,7 @@
     plans: DaemonPlan[],
     private readonly options: FleetOptions,
   ) {
-    this.plans = plans;
+    this.daemonPlans = plans;
     this.folder = fs.mkdtempSync(path.join(os.tmpdir(), 'celerydrift-'));
   }
 
@@ -92,22 +92,22 @@
     return fleet;
   }
 
-  get entries(): string[] {
-    return this.plans.map(({ ports }) => `http://127.0.0.1:${ports.callers}`);
+  get entryUrls(): string[] {
+    return this.daemonPlans.map(({ ports }) => `http://127.0.0.1:${ports.callers}`);
   }
 
-  get operators(): string[] {
-    return this.plans.map(({ ports }) => `http://127.0.0.1:${ports.operators}`);
+  get operatorUrls(): string[] {
+    return this.daemonPlans.map(({ ports }) => `http://127.0.0.1:${ports.operators}`);
   }
 
   plan(name: string): DaemonPlan {
-    const plan = this.plans.find((each) => each.name === name);
+    const plan = this.daemonPlans.find((each) => each.name === name);
     if (plan === undefined) throw new Error(`no daemon ${name}`);
     return plan;
   }
 
   startDaemons(): void {
-    this.plans.forEach(({ name }) => this.startDaemon(name));
+    this.daemonPlans.forEach(({ name }) => this.startDaemon(name));
   }
 
   startDaemon(name: string): void {
@@ -123,9 +123,9 @@
   }
 
   /** The daemon that leads the settings log; the first one while nobody says that it does. */
-  async leader(): Promise<DaemonPlan> {
-    for (const [entry, plan] of this.plans.entries()) {
-      const answer = await this.operatorCall<{ replicaState?: string }>(
+  async findLeader(): Promise<DaemonPlan> {
+    for (const [entry, plan] of this.daemonPlans.entries()) {
+      const answer = await this.callOperator<{ replicaState?: string }>(
         'GET',
         'status',
         undefined,
@@ -133,11 +133,11 @@
       ).catch(() => undefined);
       if (answer?.content.replicaState === 'leader') return plan;
     }
-    return this.plans[0];
+    return this.daemonPlans[0];
   }
 
   /** Empties a data folder, as a VM that lost its disk. */
-  wipe(name: string): void {
+  wipeData(name: string): void {
     fs.rmSync(this.dataFolder(name), { recursive: true, force: true });
   }
 
@@ -159,25 +159,25 @@
     return this.startStandIn(name, ['service', ...options, '--service', service]);
   }
 
-  port(name: string): number {
+  standInPort(name: string): number {
     return this.standIns.get(name)?.port ?? 0;
   }
 
-  async standInCall<T>(name: string, call: string, body?: unknown): Promise<T> {
-    const answer = await fetch(`http://127.0.0.1:${this.port(name)}${call}`, {
+  async callStandIn<T>(name: string, call: string, body?: unknown): Promise<T> {
+    const answer = await fetch(`http://127.0.0.1:${this.standInPort(name)}${call}`, {
       method: body === undefined ? 'GET' : 'POST',
       ...(body === undefined ? {} : { body: JSON.stringify(body) }),
     });
     return (await answer.json()) as T;
   }
 
-  async operatorCall<T>(
+  async callOperator<T>(
     method: string,
     call: string,
     body?: unknown,
     entry = 0,
   ): Promise<{ status: number; content: T }> {
-    const answer = await fetch(`${this.operators[entry]}/v1/${call}`, {
+    const answer = await fetch(`${this.operatorUrls[entry]}/v1/${call}`, {
       method,
       headers: { authorization: `Bearer ${OPERATOR_TOKEN}` },
       ...(body === undefined ? {} : { body: JSON.stringify(body) }),
@@ -187,13 +187,18 @@
   }
 
   /** Applies a subtree, sending it again with the same id until there is an answer. */
-  async apply(subtree: string, text: string, basedOn: number, timeoutMs = 20_000): Promise<number> {
+  async applySettings(
+    subtree: string,
+    text: string,
+    basedOn: number,
+    timeoutMs = 20_000,
+  ): Promise<number> {
     const id = crypto.randomUUID();
     const until = Date.now() + timeoutMs;
     for (let turn = 0; Date.now() < until; turn++) {
-      const entry = turn % this.plans.length;
+      const entry = turn % this.daemonPlans.length;
       const call = { id, basedOn, text };
-      const answer = await this.operatorCall<{ kind: string; index: number }>(
+      const answer = await this.callOperator<{ kind: string; index: number }>(
         'PUT',
         `settings/${subtree}`,
         call,
@@ -208,8 +213,10 @@
     throw new Error('settings not accepted in time');
   }
 
-  async untilReady(timeoutMs = 20_000, names?: readonly string[]): Promise<void> {
-    const wanted = this.plans.filter(({ name }) => names === undefined || names.includes(name));
+  async waitUntilReady(timeoutMs = 20_000, names?: readonly string[]): Promise<void> {
+    const wanted = this.daemonPlans.filter(
+      ({ name }) => names === undefined || names.includes(name),
+    );
     const until = Date.now() + timeoutMs;
     for (const { name, ports } of wanted) {
       while (!(await isReady(ports.callers))) {
@@ -223,11 +230,11 @@
   }
 
   /** Waits until every daemon knows so many serving targets. */
-  async untilTargets(count: number, timeoutMs = 20_000): Promise<void> {
+  async waitForTargets(count: number, timeoutMs = 20_000): Promise<void> {
     const until = Date.now() + timeoutMs;
-    for (const entry of this.plans.keys()) {
+    for (const entry of this.daemonPlans.keys()) {
       for (;;) {
-        const { content } = await this.operatorCall<{ status: string }[]>(
+        const { content } = await this.callOperator<{ status: string }[]>(
           'GET',
           'targets',
           undefined,
@@ -250,7 +257,9 @@
   }
 
   private standInOptions(name: string, dataCentre = 'dc-1'): string[] {
-    const entries = this.plans.map(({ ports }) => `http://127.0.0.1:${ports.targets}`).join(',');
+    const entries = this.daemonPlans
+      .map(({ ports }) => `http://127.0.0.1:${ports.targets}`)
+      .join(',');
     return [
       '--name',
       name,
@@ -268,7 +277,7 @@
     const port = known === undefined ? [] : ['--port', String(known.port)];
     const made = new processes.Process(name, STANDIN_SCRIPT, [...parameters, ...port]);
     made.start();
-    const said = await made.line((line) => {
+    const said = await made.waitForLine((line) => {
       return line.startsWith('{') ? (JSON.parse(line) as { port: number }) : undefined;
     });
     this.standIns.set(name, { process: made, port: said.port });
@@ -285,8 +294,8 @@
 
   private writeSettings(plan: DaemonPlan): void {
     const peer = ({ ports }: DaemonPlan): string => `127.0.0.1:${ports.peers}`;
-    const founders = this.plans.filter(({ founder }) => founder);
-    const disks = this.plans.filter(({ disk }) => disk);
+    const founders = this.daemonPlans.filter(({ founder }) => founder);
+    const disks = this.daemonPlans.filter(({ disk }) => disk);
     const replicas = founders.length;
     const data = plan.disk
       ? `folder = ${this.dataFolder(plan.name)}\nfounders = ${founders.map(peer).join(',')}\n`
@@ -311,7 +320,7 @@
 operator-token = sha256:${sha256(OPERATOR_TOKEN)}
 [observe]
 level = ${this.options.logLevel ?? 'info'}
-${this.options.extra ?? ''}
+${this.options.extraSettings ?? ''}
 `;
     fs.writeFileSync(this.settingsFile(plan.name), text);
   }
--- a/packages/measure/src/leader/leader.ts
+++ b/packages/measure/src/leader/leader.ts
@@ -4,7 +4,7 @@
  * this machine's.
  */
 import * as domain from '@celerydrift/domain';
-import * as loads from '../decisions/loads';
+import * as loads from '../decisions/workloads';
 import * as statistics from '../statistics';
 
 type Allocator = domain.allocation.allocator.Allocator;
@@ -27,9 +27,9 @@
   slopes: Record<string, number>;
 }
 
-const SIZES = [24, 100, 300, 600, 3_000];
+const ENGINE_COUNTS = [24, 100, 300, 600, 3_000];
 
-const QUICK_SIZES = [24, 100];
+const QUICK_ENGINE_COUNTS = [24, 100];
 
 /** Decisions at each size; enough for the 99th percentile of the rarest kind. */
 const DECISIONS = 4_000;
@@ -39,17 +39,17 @@
 const DATA_CENTRES = 5;
 
 /** Prompts a second and engine, as on the users' largest fleet. */
-const RATE_PER_ENGINE = 1.6;
+const PROMPTS_PER_SECOND_PER_ENGINE = 1.6;
 
 /** How long an answer is written after its first token, milliseconds. */
-const WRITING_MS = 2_000;
+const DECODE_MS = 2_000;
 
 /** Times that the cheaper figures are taken. */
 const REPEATS = 200;
 
 const SERVICE = 'engines';
 
-interface Kind {
+interface PromptKind {
   name: string;
   /** Part of all prompts. */
   share: number;
@@ -57,7 +57,7 @@
 }
 
 /** Lengths, objectives and shares of the users' largest fleet. */
-const KINDS: readonly Kind[] = [
+const KINDS: readonly PromptKind[] = [
   {
     name: 'short',
     share: 0.91,
@@ -75,7 +75,7 @@
   },
 ];
 
-function target(i: number): domain.registry.registry.Announcement {
+function makeAnnouncement(i: number): domain.registry.registry.Announcement {
   return {
     id: `t${i}`,
     bornAt: 1,
@@ -88,15 +88,15 @@
   };
 }
 
-function fleet(engines: number): Allocator {
+function makeAllocator(engines: number): Allocator {
   const made = new domain.allocation.allocator.Allocator();
-  const { engine } = loads.LOADS[0];
+  const { engine } = loads.WORKLOADS[0];
   made.setServices([{ name: SERVICE, healthPath: '/', maxConnections: 200, engine }]);
-  for (let i = 0; i < engines; i++) made.observe(target(i));
+  for (let i = 0; i < engines; i++) made.observe(makeAnnouncement(i));
   return made;
 }
 
-function kindOf(draw: number): Kind {
+function kindAt(draw: number): PromptKind {
   let sum = 0;
   return (
     KINDS.find(({ share }) => {
@@ -106,25 +106,25 @@
   );
 }
 
-function msEach(action: () => unknown): number {
+function meanMs(action: () => unknown): number {
   const since = performance.now();
   for (let i = 0; i < REPEATS; i++) action();
   return (performance.now() - since) / REPEATS;
 }
 
-function costsOf(engines: number, decisions: number): Costs {
-  const tested = fleet(engines);
+function measureCosts(engines: number, decisions: number): Costs {
+  const tested = makeAllocator(engines);
   const random = domain.shared.random.seeded(engines);
   const spent = new Map<string, number[]>(KINDS.map(({ name }) => [name, []]));
   const ends: { at: number; id: string }[] = [];
   let now = 0;
   let firstHundredMs = 0;
   for (let i = 0; i < decisions; i++) {
-    now += 1_000 / (RATE_PER_ENGINE * engines);
+    now += 1_000 / (PROMPTS_PER_SECOND_PER_ENGINE * engines);
     while (ends.length > 0 && ends[0].at <= now) {
       tested.ended(ends.shift()?.id ?? '', 'done', now);
     }
-    const { name, prompt } = kindOf(random.uniform());
+    const { name, prompt } = kindAt(random.uniform());
     const dataCentre = `dc${i % DATA_CENTRES}`;
     const request = { ...prompt, id: `r${i}`, entry: 'e', service: SERVICE, waitedMs: 0 };
     const since = performance.now();
@@ -133,11 +133,11 @@
     spent.get(name)?.push(ms);
     if (i < 100) firstHundredMs += ms;
     if (placed === undefined) continue;
-    ends.push({ at: now + placed.firstTokenMs + WRITING_MS, id: `r${i}` });
+    ends.push({ at: now + placed.firstTokenMs + DECODE_MS, id: `r${i}` });
     ends.sort((a, b) => a.at - b.at);
   }
   const registry = new domain.registry.registry.Registry();
-  for (let i = 0; i < engines; i++) registry.announce(target(i), 0);
+  for (let i = 0; i < engines; i++) registry.announce(makeAnnouncement(i), 0);
   let sequence = 1;
   return {
     engines,
@@ -145,18 +145,18 @@
       [...spent].map(([name, all]) => [name, statistics.percentiles(all)]),
     ),
     firstHundredMs,
-    averagesMs: msEach(() => tested.averages()),
-    announcementMs: msEach(() => {
+    averagesMs: meanMs(() => tested.averages()),
+    announcementMs: meanMs(() => {
       sequence += 1;
-      registry.announce({ ...target(sequence % engines), sequence }, 0);
+      registry.announce({ ...makeAnnouncement(sequence % engines), sequence }, 0);
     }),
   };
 }
 
 export async function run(quick: boolean, say: (line: string) => void): Promise<Result> {
-  const sizes = quick ? QUICK_SIZES : SIZES;
+  const sizes = quick ? QUICK_ENGINE_COUNTS : ENGINE_COUNTS;
   const costs = sizes.map((engines) => {
-    const each = costsOf(engines, quick ? QUICK_DECISIONS : DECISIONS);
+    const each = measureCosts(engines, quick ? QUICK_DECISIONS : DECISIONS);
     const placing = Object.entries(each.placing)
       .map(([name, { p50, p99 }]) => `${name} ${p50.toFixed(2)} / ${p99.toFixed(2)} ms`)
       .join(', ');
@@ -169,7 +169,7 @@
   const slopes = Object.fromEntries(
     KINDS.map(({ name }) => {
       const points = costs.map(({ engines, placing }) => ({ x: engines, y: placing[name].p50 }));
-      return [name, statistics.fit(points).slope];
+      return [name, statistics.fitLine(points).slope];
     }),
   );
   return { costs, slopes };
--- a/packages/measure/src/ledger/ledger.ts
+++ b/packages/measure/src/ledger/ledger.ts
@@ -20,26 +20,31 @@
   unknown: number;
 }
 
-const HOLDS = '/services/parts/holds';
+const HOLDS_PATH = '/services/parts/holds';
 
-async function time(action: () => Promise<unknown>): Promise<number> {
+async function elapsedMs(action: () => Promise<unknown>): Promise<number> {
   const since = performance.now();
   await action();
   return performance.now() - since;
 }
 
-async function added(target: fleet.Fleet, count: number): Promise<{ p50: number; p99: number }> {
+async function measureAddedLatency(
+  target: fleet.Fleet,
+  count: number,
+): Promise<{ p50: number; p99: number }> {
   const claimed: number[] = [];
   const plain: number[] = [];
   for (let i = 0; i < count; i++) {
-    const entry = target.entries[i % 3];
+    const entry = target.entryUrls[i % 3];
     const key = `timed-${i}`;
     claimed.push(
-      await time(() => client.callService(entry, teams.FITTERS.key, HOLDS, key, { id: key })),
+      await elapsedMs(() =>
+        client.callService(entry, teams.FITTERS.key, HOLDS_PATH, key, { id: key }),
+      ),
     );
     const lookup = '/services/parts/lookups';
     plain.push(
-      await time(() => client.callService(entry, teams.FITTERS.key, lookup, '', { id: key })),
+      await elapsedMs(() => client.callService(entry, teams.FITTERS.key, lookup, '', { id: key })),
     );
   }
   const a = statistics.percentiles(claimed);
@@ -47,7 +52,7 @@
   return { p50: a.p50 - b.p50, p99: a.p99 - b.p99 };
 }
 
-async function rate(target: fleet.Fleet, count: number): Promise<number> {
+async function measureClaimRate(target: fleet.Fleet, count: number): Promise<number> {
   let next = 0;
   const since = performance.now();
   await Promise.all(
@@ -55,32 +60,32 @@
       while (next < count) {
         next += 1;
         const key = `rate-${next}`;
-        const entry = target.entries[next % 3];
-        await client.callService(entry, teams.FITTERS.key, HOLDS, key, { id: key });
+        const entry = target.entryUrls[next % 3];
+        await client.callService(entry, teams.FITTERS.key, HOLDS_PATH, key, { id: key });
       }
     }),
   );
   return count / ((performance.now() - since) / 1_000);
 }
 
-interface Told {
+interface CallRecord {
   id: string;
   outcomes: string[];
   texts: Set<string>;
 }
 
 /** Calls with resends through all entries while daemons are killed and started again. */
-async function underKills(target: fleet.Fleet, rounds: number): Promise<Told[]> {
-  const all: Told[] = [];
+async function callDuringKills(target: fleet.Fleet, rounds: number): Promise<CallRecord[]> {
+  const all: CallRecord[] = [];
   let running = true;
   const callers = Array.from({ length: 8 }, async (_value, caller) => {
     for (let i = 0; running; i++) {
-      const told: Told = { id: `killed-${caller}-${i}`, outcomes: [], texts: new Set() };
+      const told: CallRecord = { id: `killed-${caller}-${i}`, outcomes: [], texts: new Set() };
       all.push(told);
       // The caller gets impatient: it sends to two entries at once, then to the third.
       const send = async (entry: number): Promise<void> => {
-        const url = target.entries[(caller + entry) % 3];
-        const answer = await client.callService(url, teams.FITTERS.key, HOLDS, told.id, {
+        const url = target.entryUrls[(caller + entry) % 3];
+        const answer = await client.callService(url, teams.FITTERS.key, HOLDS_PATH, told.id, {
           id: told.id,
         });
         told.outcomes.push(answer.outcome);
@@ -91,12 +96,12 @@
     }
   });
   for (let round = 0; round < rounds; round++) {
-    const { name } = target.plans[round % 3];
+    const { name } = target.daemonPlans[round % 3];
     await processes.sleep(700 + 37 * round);
     await target.daemon(name).kill();
     await processes.sleep(500);
     target.startDaemon(name);
-    await target.untilReady();
+    await target.waitUntilReady();
   }
   running = false;
   await Promise.all(callers);
@@ -114,17 +119,17 @@
     target.startDaemons();
     await target.startService('parts-1', 'parts');
     await target.startService('parts-2', 'parts');
-    await target.apply(teams.FITTERS.name, teams.FITTERS.text, 0);
-    await target.untilReady();
-    await target.untilTargets(2);
-    const cost = await added(target, quick ? 150 : 1_000);
+    await target.applySettings(teams.FITTERS.name, teams.FITTERS.settings, 0);
+    await target.waitUntilReady();
+    await target.waitForTargets(2);
+    const cost = await measureAddedLatency(target, quick ? 150 : 1_000);
     say(`added by a claim: ${JSON.stringify(cost)}`);
-    const claimsPerSecond = await rate(target, quick ? 3_000 : 20_000);
+    const claimsPerSecond = await measureClaimRate(target, quick ? 3_000 : 20_000);
     say(`claims per second: ${claimsPerSecond.toFixed(0)}`);
-    const told = await underKills(target, quick ? 6 : 30);
+    const told = await callDuringKills(target, quick ? 6 : 30);
     const runs = await Promise.all(
       ['parts-1', 'parts-2'].map((name) => {
-        return target.standInCall<Record<string, number>>(name, '/runs');
+        return target.callStandIn<Record<string, number>>(name, '/runs');
       }),
     );
     const count = (id: string): number => runs.reduce((sum, each) => sum + (each[id] ?? 0), 0);
--- a/packages/measure/src/measure.ts
+++ b/packages/measure/src/measure.ts
@@ -13,9 +13,9 @@
 import * as slopes from './slopes/slopes';
 import * as state from './state/state';
 
-type Say = (line: string) => void;
+type Log = (line: string) => void;
 
-type Scenario = (quick: boolean, say: Say) => Promise<unknown>;
+type Scenario = (quick: boolean, say: Log) => Promise<unknown>;
 
 const SCENARIOS: Record<string, Scenario> = {
   decisions: decisions.run,
@@ -31,7 +31,7 @@
 };
 
 /** Folder of the last result of each scenario, for the report. */
-export const MEASURES_FOLDER = 'measures';
+export const RESULTS_FOLDER = 'measures';
 
 async function run(name: string, options: { quick?: boolean }): Promise<void> {
   const scenario = SCENARIOS[name];
@@ -40,12 +40,12 @@
     process.stderr.write(`measure: no scenario "${name}"; give one of ${known}\n`);
     process.exit(2);
   }
-  const say: Say = (line) => {
+  const say: Log = (line) => {
     process.stderr.write(`${line}\n`);
   };
   const result = await scenario(options.quick === true, say);
-  fs.mkdirSync(MEASURES_FOLDER, { recursive: true });
-  fs.writeFileSync(`${MEASURES_FOLDER}/${name}.json`, `${JSON.stringify(result, null, 1)}\n`);
+  fs.mkdirSync(RESULTS_FOLDER, { recursive: true });
+  fs.writeFileSync(`${RESULTS_FOLDER}/${name}.json`, `${JSON.stringify(result, null, 1)}\n`);
   process.stdout.write(`${JSON.stringify(result)}\n`);
   process.exit(0);
 }
--- a/packages/measure/src/mixed/mixed.ts
+++ b/packages/measure/src/mixed/mixed.ts
@@ -10,7 +10,7 @@
 
 const { policy, dispatcher } = domain.routing;
 
-export interface Setup {
+export interface Experiment {
   load: number;
   engines: number;
   daemons: number;
@@ -18,13 +18,13 @@
   longShare: number;
   skew: number;
   burst: number;
-  olderShare: number;
+  legacyShare: number;
   prefixShare: number;
   seed: number;
   parameters: standins.parameters.Parameters;
 }
 
-export const DEFAULT_SETUP: Setup = {
+export const DEFAULT_EXPERIMENT: Experiment = {
   load: 0.8,
   engines: 20,
   daemons: 8,
@@ -32,7 +32,7 @@
   longShare: 0.02,
   skew: 0.4,
   burst: 0,
-  olderShare: 0,
+  legacyShare: 0,
   prefixShare: 0.3,
   seed: 1,
   parameters: standins.parameters.DEFAULT_PARAMETERS,
@@ -64,31 +64,31 @@
   utilisation: number;
 }
 
-export interface Contender {
+export interface Candidate {
   name: string;
   policy: (source: domain.shared.random.Random) => domain.routing.policy.Policy;
   clairvoyant?: boolean;
   /** Each daemon places for itself instead of asking the allocator. */
-  alone?: boolean;
+  placesLocally?: boolean;
   options?: Partial<domain.routing.dispatcher.Options>;
 }
 
-export const CONTENDERS: readonly Contender[] = [
+export const CANDIDATES: readonly Candidate[] = [
   { name: 'product', policy: (source) => new policy.ElasticReserve(source) },
   {
     name: 'withoutAllocator',
     policy: (source) => new policy.ElasticReserve(source),
-    alone: true,
+    placesLocally: true,
   },
-  { name: 'naive.roundRobin', policy: () => new policy.RoundRobin(), alone: true },
+  { name: 'naive.roundRobin', policy: () => new policy.RoundRobin(), placesLocally: true },
   {
     name: 'naive.leastOutstanding',
     policy: (source) => new policy.LeastOutstanding(source),
-    alone: true,
+    placesLocally: true,
   },
-  { name: 'naive.fifo', policy: (source) => new policy.SharedFifo(source), alone: true },
-  { name: 'enginePriority', policy: () => new policy.EnginePriority(), alone: true },
-  { name: 'longCap', policy: () => new policy.LongCap(), alone: true },
+  { name: 'naive.fifo', policy: (source) => new policy.SharedFifo(source), placesLocally: true },
+  { name: 'enginePriority', policy: () => new policy.EnginePriority(), placesLocally: true },
+  { name: 'longCap', policy: () => new policy.LongCap(), placesLocally: true },
   {
     name: 'clairvoyant',
     policy: (source) => new policy.ElasticReserve(source),
@@ -103,8 +103,8 @@
  * Mean engine time of a request of the mix, in milliseconds, by the scarcer of computing and memory:
  * a request that holds half of an engine's memory for a second costs half a second.
  */
-function meanServiceMs(setup: Setup): number {
-  const mix = { ...mixOf(setup, 100), seconds: 400, burst: 0 };
+function meanServiceMs(setup: Experiment): number {
+  const mix = { ...workloadMix(setup, 100), seconds: 400, burst: 0 };
   const { tokenMs, attentionTokens, stepBaseMs, stepTokens, streamMs, memoryTokens } =
     setup.parameters;
   let computing = 0;
@@ -121,19 +121,19 @@
   return Math.max(computing, memory) / all.length;
 }
 
-function mixOf(setup: Setup, rate: number): workload.Mix {
+function workloadMix(setup: Experiment, rate: number): workload.Mix {
   const { seconds, daemons, longShare, skew, prefixShare, burst, seed } = setup;
   return { longShare, rate, seconds, daemons, skew, prefixShare, burst, seed };
 }
 
 /** Requests per second that keep the engines busy for `load` of the time. */
-export function rateOf(setup: Setup): number {
+export function requestsPerSecond(setup: Experiment): number {
   return (setup.load * setup.engines * 1_000) / meanServiceMs(setup);
 }
 
 function simulate(
-  setup: Setup,
-  contender: Contender,
+  setup: Experiment,
+  contender: Candidate,
   work: readonly workload.Arrival[],
   hash: domain.shared.hashing.Hash,
 ): simulation.Simulation {
@@ -145,9 +145,10 @@
     dispatcher: { ...dispatcher.DEFAULT_OPTIONS, ...contender.options },
     networkMs: HOP_MS,
     summaryMs: 1_000,
-    allocatorHopMs: contender.alone === true || contender.clairvoyant === true ? undefined : HOP_MS,
+    allocatorHopMs:
+      contender.placesLocally === true || contender.clairvoyant === true ? undefined : HOP_MS,
     clairvoyant: contender.clairvoyant === true,
-    olderShare: setup.olderShare,
+    legacyShare: setup.legacyShare,
     hash,
     seed: setup.seed,
   });
@@ -156,13 +157,19 @@
 }
 
 /** Runs one contender on the whole work and on its short requests alone. */
-export function run(setup: Setup, contender: Contender, hash: domain.shared.hashing.Hash): Result {
-  const work = workload.arrivals(mixOf(setup, rateOf(setup)));
+export function run(
+  setup: Experiment,
+  contender: Candidate,
+  hash: domain.shared.hashing.Hash,
+): Result {
+  const work = workload.arrivals(workloadMix(setup, requestsPerSecond(setup)));
   const shared = simulate(setup, contender, work, hash);
   const shortWork = work.filter(({ promptTokens }) => promptTokens <= SHORT_TOKENS);
   const alone = simulate(setup, contender, shortWork, hash);
-  const isShort = (served: simulation.Served): boolean => served.promptTokens <= SHORT_TOKENS;
-  const ttft = (list: readonly simulation.Served[]): number[] => list.map(({ ttftMs }) => ttftMs);
+  const isShort = (served: simulation.ServedRequest): boolean =>
+    served.promptTokens <= SHORT_TOKENS;
+  const ttft = (list: readonly simulation.ServedRequest[]): number[] =>
+    list.map(({ ttftMs }) => ttftMs);
   const short = statistics.percentiles(ttft(shared.served.filter(isShort)));
   const quiet = statistics.percentiles(ttft(alone.served));
   const buckets = BUCKETS.map(({ name, upTo }, i): [string, statistics.Percentiles] => {
--- a/packages/measure/src/mixed/mixedScenario.ts
+++ b/packages/measure/src/mixed/mixedScenario.ts
@@ -11,18 +11,18 @@
   longP95: Record<string, number>;
   shortP95Ms: Record<string, number>;
   /** Short slowdown p99 and long p95 by load or changed parameter, by policy. */
-  byLoad: Record<string, Record<string, Brief>>;
-  sensitivity: Record<string, Record<string, Brief>>;
+  byLoad: Record<string, Record<string, Summary>>;
+  sensitivity: Record<string, Record<string, Summary>>;
 }
 
-interface Brief {
+interface Summary {
   shortP95Ms: number;
   shortSlowdownP99: number;
   longP95Ms: number;
   refused: number;
 }
 
-function brief({ short, shortSlowdown, long, refused }: mixed.Result): Brief {
+function summarise({ short, shortSlowdown, long, refused }: mixed.Result): Summary {
   return {
     shortP95Ms: short.p95,
     shortSlowdownP99: shortSlowdown.p99,
@@ -32,33 +32,33 @@
 }
 
 function runAll(
-  setup: mixed.Setup,
+  setup: mixed.Experiment,
   names: readonly string[],
   hash: domain.shared.hashing.Hash,
   say: (line: string) => void,
 ): Results {
   const results: Results = {};
-  mixed.CONTENDERS.filter(({ name }) => names.includes(name)).forEach((contender) => {
+  mixed.CANDIDATES.filter(({ name }) => names.includes(name)).forEach((contender) => {
     const result = mixed.run(setup, contender, hash);
     results[contender.name] = result;
-    say(`${contender.name}: ${JSON.stringify(brief(result))}`);
+    say(`${contender.name}: ${JSON.stringify(summarise(result))}`);
   });
   return results;
 }
 
-const ALL = mixed.CONTENDERS.map(({ name }) => name);
+const ALL_POLICIES = mixed.CANDIDATES.map(({ name }) => name);
 
-const COMPARED: readonly string[] = ['product', 'naive.fifo', 'enginePriority'];
+const COMPARED_POLICIES: readonly string[] = ['product', 'naive.fifo', 'enginePriority'];
 
 const LOADS: readonly number[] = [0.5, 0.8, 0.95, 1.2];
 
 /** Other values of what the users did not give. */
-function variants(setup: mixed.Setup): Record<string, mixed.Setup> {
+function sensitivityVariants(setup: mixed.Experiment): Record<string, mixed.Experiment> {
   const { parameters } = setup;
-  const engine = (changed: Partial<mixed.Setup['parameters']>): mixed.Setup => {
+  const engine = (changed: Partial<mixed.Experiment['parameters']>): mixed.Experiment => {
     return { ...setup, parameters: { ...parameters, ...changed } };
   };
-  const steps = (factor: number): mixed.Setup =>
+  const steps = (factor: number): mixed.Experiment =>
     engine({
       stepBaseMs: parameters.stepBaseMs * factor,
       tokenMs: parameters.tokenMs * factor,
@@ -72,7 +72,7 @@
     reportLagTimesFour: engine({ loadLagMs: parameters.loadLagMs * 4 }),
     longShareTimesThree: { ...setup, longShare: setup.longShare * 3 },
     oneOrganisationWithMost: { ...setup, skew: 0.8 },
-    olderSystemTakesFifth: { ...setup, olderShare: 0.2, load: setup.load - 0.2 },
+    olderSystemTakesFifth: { ...setup, legacyShare: 0.2, load: setup.load - 0.2 },
     burstOfMillions: { ...setup, burst: 8 },
     oneDaemon: { ...setup, daemons: 1 },
   };
@@ -83,25 +83,28 @@
   say: (line: string) => void,
   hash: domain.shared.hashing.Hash,
 ): Promise<Result> {
-  const setup = { ...mixed.DEFAULT_SETUP, seconds: quick ? 40 : 120 };
-  const main = runAll(setup, ALL, hash, say);
+  const setup = { ...mixed.DEFAULT_EXPERIMENT, seconds: quick ? 40 : 120 };
+  const main = runAll(setup, ALL_POLICIES, hash, say);
   const pick = <T>(read: (result: mixed.Result) => T): Record<string, T> =>
     Object.fromEntries(Object.entries(main).map(([name, result]) => [name, read(result)]));
-  const table = (setups: [string, mixed.Setup][]): Record<string, Record<string, Brief>> =>
+  const table = (setups: [string, mixed.Experiment][]): Record<string, Record<string, Summary>> =>
     Object.fromEntries(
       setups.map(([name, changed]) => {
         say(name);
-        const results = runAll(changed, COMPARED, hash, say);
-        const briefs = Object.entries(results).map(([policy, result]) => [policy, brief(result)]);
-        return [name, Object.fromEntries(briefs) as Record<string, Brief>];
+        const results = runAll(changed, COMPARED_POLICIES, hash, say);
+        const briefs = Object.entries(results).map(([policy, result]) => [
+          policy,
+          summarise(result),
+        ]);
+        return [name, Object.fromEntries(briefs) as Record<string, Summary>];
       }),
     );
   const shorter = { ...setup, seconds: quick ? 15 : 60 };
-  const loads = (quick ? LOADS.slice(0, 2) : LOADS).map((load): [string, mixed.Setup] => [
+  const loads = (quick ? LOADS.slice(0, 2) : LOADS).map((load): [string, mixed.Experiment] => [
     String(load),
     { ...shorter, load },
   ]);
-  const changed = Object.entries(variants(shorter)).slice(0, quick ? 0 : undefined);
+  const changed = Object.entries(sensitivityVariants(shorter)).slice(0, quick ? 0 : undefined);
   return {
     ttft: pick(({ ttft }) => ttft),
     shortSlowdown: pick(({ shortSlowdown }) => shortSlowdown),
--- a/packages/measure/src/mixed/simulation.ts
+++ b/packages/measure/src/mixed/simulation.ts
@@ -27,12 +27,12 @@
   /** Whether dispatchers see the engines' true state at every moment. */
   clairvoyant: boolean;
   /** Part of each engine that an older system uses, unseen but for load reports. */
-  olderShare: number;
+  legacyShare: number;
   hash: domain.shared.hashing.Hash;
   seed: number;
 }
 
-export interface Served {
+export interface ServedRequest {
   promptTokens: number;
   ttftMs: number;
   organisation: string;
@@ -48,12 +48,12 @@
 const { REPORT_EVERY } = standins.engineModel;
 
 /** Requests of the older system: medium prompts in a steady stream. */
-const OLDER_PROMPT_TOKENS = 4_000;
+const LEGACY_PROMPT_TOKENS = 4_000;
 
-const OLDER_ANSWER_TOKENS = 100;
+const LEGACY_ANSWER_TOKENS = 100;
 
 /** The dispatcher that places for all. */
-const ALLOCATOR = 0;
+const ALLOCATOR_INDEX = 0;
 
 const POLL_MS = 5;
 
@@ -77,20 +77,20 @@
   private readonly owners = new Map<string, number>();
 
   /** Memory that other engines lend to a long prompt. */
-  private readonly lent = new Map<string, { engine: Engine; tokens: number }[]>();
+  private readonly remoteReservations = new Map<string, { engine: Engine; tokens: number }[]>();
 
-  private readonly source: domain.shared.random.Random;
+  private readonly random: domain.shared.random.Random;
 
-  readonly served: Served[] = [];
+  readonly served: ServedRequest[] = [];
 
   refused = 0;
 
-  private older = 0;
+  private legacyJobs = 0;
 
   private busyMs = 0;
 
   constructor(private readonly options: Options) {
-    this.source = domain.shared.random.seeded(options.seed);
+    this.random = domain.shared.random.seeded(options.seed);
     for (let i = 0; i < options.engines; i++) {
       const name = `engine-${String(i).padStart(3, '0')}`;
       const model = new standins.engineModel.EngineModel(options.parameters);
@@ -104,14 +104,14 @@
     return this.busyMs / (seconds * 1_000 * this.engines.size);
   }
 
-  run(work: readonly workload.Arrival[]): Served[] {
+  run(work: readonly workload.Arrival[]): ServedRequest[] {
     work.forEach((arrival) => {
       this.arrivals.set(arrival.id, arrival);
-      this.events.at(arrival.at + this.hop, () => this.arrive(arrival));
+      this.events.at(arrival.at + this.allocatorHopMs, () => this.enqueue(arrival));
     });
     const end = (work.at(-1)?.at ?? 0) + DRAIN_MS;
-    if (this.options.olderShare > 0) this.scheduleOlder(0, work.at(-1)?.at ?? 0);
-    this.everyMs(POLL_MS, end, () => this.pollWaiting());
+    if (this.options.legacyShare > 0) this.scheduleLegacyJob(0, work.at(-1)?.at ?? 0);
+    this.everyMs(POLL_MS, end, () => this.pollQueues());
     this.everyMs(this.options.summaryMs, end, () => this.exchangeSummaries());
     while (this.events.size > 0 && this.served.length + this.refused < work.length) {
       this.events.next();
@@ -156,12 +156,12 @@
     this.events.at(period, tick);
   }
 
-  private get hop(): number {
+  private get allocatorHopMs(): number {
     return this.options.allocatorHopMs ?? 0;
   }
 
-  private arrive(arrival: workload.Arrival): void {
-    const index = this.options.allocatorHopMs === undefined ? arrival.daemon : ALLOCATOR;
+  private enqueue(arrival: workload.Arrival): void {
+    const index = this.options.allocatorHopMs === undefined ? arrival.daemon : ALLOCATOR_INDEX;
     const dispatcher = this.dispatchers[index];
     const refusal = dispatcher.enqueue(
       {
@@ -183,7 +183,7 @@
     else this.refused += 1;
   }
 
-  private pollWaiting(): void {
+  private pollQueues(): void {
     this.dispatchers.forEach((dispatcher, index) => {
       if (dispatcher.queueLength > 0) this.poll(index);
     });
@@ -191,7 +191,7 @@
 
   private poll(index: number): void {
     const dispatcher = this.dispatchers[index];
-    if (this.options.clairvoyant) this.tellTruth(dispatcher);
+    if (this.options.clairvoyant) this.reportTrueState(dispatcher);
     dispatcher.poll(this.now).forEach((dispatch) => this.dispatch(index, dispatch));
   }
 
@@ -205,7 +205,7 @@
     const priority = dispatch.enginePriority;
     const job = { id, promptTokens, answerTokens, priority, prefixKeys, remoteTokens };
     const engine = this.engines.get(dispatch.target.name) as Engine;
-    this.events.at(this.now + this.hop + this.options.networkMs, () => {
+    this.events.at(this.now + this.allocatorHopMs + this.options.networkMs, () => {
       this.submit(index, engine, job, dispatch.needsRoom);
     });
   }
@@ -216,15 +216,15 @@
     job: standins.engineModel.Job,
     needsRoom: boolean,
   ): void {
-    const gathered = job.remoteTokens === 0 || this.gather(engine, job);
+    const gathered = job.remoteTokens === 0 || this.reserveRemoteMemory(engine, job);
     if (gathered && !(needsRoom && !engine.model.hasRoom(job))) {
       engine.model.submit(job, this.now);
       this.step(engine);
       return;
     }
-    if (gathered) this.giveBack(job.id);
+    if (gathered) this.releaseRemoteMemory(job.id);
     const report = { ...engine.model.trueLoad(this.now), measuredAt: this.now };
-    const wait = gathered ? this.options.networkMs + this.hop : RETRY_MS;
+    const wait = gathered ? this.options.networkMs + this.allocatorHopMs : RETRY_MS;
     this.events.at(this.now + wait, () => {
       this.dispatchers[index].refused(job.id, report, this.now);
       this.poll(index);
@@ -232,7 +232,7 @@
   }
 
   /** Reserves memory on other engines for a prompt that one can't hold: all of it or none. */
-  private gather({ name }: Engine, job: standins.engineModel.Job): boolean {
+  private reserveRemoteMemory({ name }: Engine, job: standins.engineModel.Job): boolean {
     const others = [...this.engines.values()].filter((other) => other.name !== name);
     const free = (other: Engine): number => other.model.trueLoad(this.now).freeTokens;
     const most = this.options.parameters.memoryTokens * domain.memory.gathering.HELPER_SHARE;
@@ -246,15 +246,17 @@
         parts.push({ engine, tokens });
         missing -= tokens;
       });
-    this.lent.set(job.id, parts);
+    this.remoteReservations.set(job.id, parts);
     if (missing <= 0) return true;
-    this.giveBack(job.id);
+    this.releaseRemoteMemory(job.id);
     return false;
   }
 
-  private giveBack(id: string): void {
-    this.lent.get(id)?.forEach(({ engine, tokens }) => engine.model.unreserve(tokens));
-    this.lent.delete(id);
+  private releaseRemoteMemory(id: string): void {
+    this.remoteReservations
+      .get(id)
+      ?.forEach(({ engine, tokens }) => engine.model.unreserve(tokens));
+    this.remoteReservations.delete(id);
   }
 
   private step(engine: Engine): void {
@@ -271,7 +273,7 @@
   private emit(engine: Engine, token: standins.engineModel.Token): void {
     const owner = this.owners.get(token.id);
     if (owner === undefined) return;
-    if (token.last) this.giveBack(token.id);
+    if (token.last) this.releaseRemoteMemory(token.id);
     // An allocator hears of loads only with first and last tokens.
     const every = this.options.allocatorHopMs === undefined ? REPORT_EVERY : Infinity;
     const reports = token.position % every === 0 || token.last;
@@ -279,8 +281,8 @@
     const { loadLagMs } = this.options.parameters;
     const load = engine.model.load(this.now);
     const measuredAt = this.now - loadLagMs;
-    if (token.position === 0) this.serveFirst(token.id);
-    this.events.at(this.now + this.options.networkMs + this.hop, () => {
+    if (token.position === 0) this.recordFirstToken(token.id);
+    this.events.at(this.now + this.options.networkMs + this.allocatorHopMs, () => {
       const dispatcher = this.dispatchers[owner];
       if (token.position === 0) dispatcher.firstToken(token.id, this.now);
       if (token.last) dispatcher.ended(token.id, this.now);
@@ -290,7 +292,7 @@
   }
 
   /** The entry passes the first token on at once; only the allocator hears of it a hop later. */
-  private serveFirst(id: string): void {
+  private recordFirstToken(id: string): void {
     const { at, promptTokens, organisation } = this.arrivals.get(id) as workload.Arrival;
     const ttftMs = this.now + this.options.networkMs - at;
     this.served.push({ promptTokens, ttftMs, organisation });
@@ -321,7 +323,7 @@
   }
 
   /** The clairvoyant dispatcher knows every daemon's outstanding work at this moment. */
-  private tellTruth(dispatcher: Dispatcher): void {
+  private reportTrueState(dispatcher: Dispatcher): void {
     const others = this.dispatchers.filter((other) => other !== dispatcher);
     const all = others.map((other) => other.outstanding());
     this.engines.forEach(({ name, model }) => {
@@ -334,17 +336,17 @@
     });
   }
 
-  private scheduleOlder(at: number, end: number): void {
+  private scheduleLegacyJob(at: number, end: number): void {
     const { tokenMs } = this.options.parameters;
-    const workMs = OLDER_PROMPT_TOKENS * tokenMs;
-    const gap = workMs / (this.options.olderShare * this.engines.size);
+    const workMs = LEGACY_PROMPT_TOKENS * tokenMs;
+    const gap = workMs / (this.options.legacyShare * this.engines.size);
     this.events.at(at, () => {
-      this.older += 1;
-      const engine = domain.shared.random.pick(this.source, [...this.engines.values()]);
+      this.legacyJobs += 1;
+      const engine = domain.shared.random.pick(this.random, [...this.engines.values()]);
       const job: standins.engineModel.Job = {
-        id: `older-${this.older}`,
-        promptTokens: OLDER_PROMPT_TOKENS,
-        answerTokens: OLDER_ANSWER_TOKENS,
+        id: `older-${this.legacyJobs}`,
+        promptTokens: LEGACY_PROMPT_TOKENS,
+        answerTokens: LEGACY_ANSWER_TOKENS,
         priority: 1,
         prefixKeys: [],
         remoteTokens: 0,
@@ -352,7 +354,7 @@
       engine.model.submit(job, this.now);
       this.step(engine);
       if (at < end)
-        this.scheduleOlder(at + domain.shared.random.exponential(this.source, gap), end);
+        this.scheduleLegacyJob(at + domain.shared.random.exponential(this.random, gap), end);
     });
   }
 }
--- a/packages/measure/src/overhead/overhead.ts
+++ b/packages/measure/src/overhead/overhead.ts
@@ -28,7 +28,7 @@
 }
 
 /** An engine that takes almost no time, so that what is left is the daemon's. */
-const INSTANT = { tokenMs: 0, stepBaseMs: 0.2, streamMs: 0, memoryTokens: 50_000_000 };
+const INSTANT_ENGINE = { tokenMs: 0, stepBaseMs: 0.2, streamMs: 0, memoryTokens: 50_000_000 };
 
 const TOKEN_GAP_MS = 53;
 
@@ -38,12 +38,12 @@
   counters: Record<string, number>;
 }
 
-async function cpuOf(target: fleet.Fleet): Promise<number> {
-  return (await target.operatorCall<Status>('GET', 'status')).content.cpuMicroseconds / 1_000;
+async function readCpuMs(target: fleet.Fleet): Promise<number> {
+  return (await target.callOperator<Status>('GET', 'status')).content.cpuMicroseconds / 1_000;
 }
 
 /** Time to the first token of an engine asked directly, in its own protocol. */
-async function direct(port: number, id: string, prompt: string): Promise<number> {
+async function directTtftMs(port: number, id: string, prompt: string): Promise<number> {
   const since = performance.now();
   const { body } = await undici.request(`http://127.0.0.1:${port}/v1/generate`, {
     method: 'POST',
@@ -71,14 +71,14 @@
   return first;
 }
 
-async function through(
+async function daemonTtftMs(
   target: fleet.Fleet,
   prompt: string,
   answerTokens: number,
   entry = 0,
 ): Promise<number> {
   const { ttftMs, whole } = await client.complete({
-    entry: target.entries[entry],
+    entry: target.entryUrls[entry],
     key: teams.FITTERS.key,
     model: teams.FITTERS.model,
     prompt,
@@ -88,14 +88,17 @@
   return ttftMs;
 }
 
-async function latency(target: fleet.Fleet, count: number): Promise<{ p50: number; p99: number }> {
-  const port = target.port('engine-1');
+async function measureAddedLatency(
+  target: fleet.Fleet,
+  count: number,
+): Promise<{ p50: number; p99: number }> {
+  const port = target.standInPort('engine-1');
   const bare: number[] = [];
   const served: number[] = [];
   for (let i = 0; i < count; i++) {
-    const prompt = client.promptOf(1_000, `latency${i}`);
-    bare.push(await direct(port, `direct-${i}`, prompt));
-    served.push(await through(target, prompt, 1));
+    const prompt = client.promptOfLength(1_000, `latency${i}`);
+    bare.push(await directTtftMs(port, `direct-${i}`, prompt));
+    served.push(await daemonTtftMs(target, prompt, 1));
   }
   // The first ones warm up connections and code on both ways.
   const warm = Math.floor(count / 5);
@@ -105,7 +108,7 @@
 }
 
 /** Processor time of the daemon for `count` requests, less what it uses when idle. */
-async function cpuFor(
+async function measureCpuMsPerRequest(
   target: fleet.Fleet,
   count: number,
   tokens: number,
@@ -113,21 +116,25 @@
   parallel: number,
 ): Promise<number> {
   const idleSince = performance.now();
-  const idleBefore = await cpuOf(target);
+  const idleBefore = await readCpuMs(target);
   await processes.sleep(1_000);
-  const idlePerMs = ((await cpuOf(target)) - idleBefore) / (performance.now() - idleSince);
-  const before = await cpuOf(target);
+  const idlePerMs = ((await readCpuMs(target)) - idleBefore) / (performance.now() - idleSince);
+  const before = await readCpuMs(target);
   const since = performance.now();
   let next = 0;
   await Promise.all(
     Array.from({ length: parallel }, async () => {
       while (next < count) {
         next += 1;
-        await through(target, client.promptOf(tokens, `cpu${tokens}-${next}`), answerTokens);
+        await daemonTtftMs(
+          target,
+          client.promptOfLength(tokens, `cpu${tokens}-${next}`),
+          answerTokens,
+        );
       }
     }),
   );
-  const used = (await cpuOf(target)) - before;
+  const used = (await readCpuMs(target)) - before;
   return (used - idlePerMs * (performance.now() - since)) / count;
 }
 
@@ -143,7 +150,7 @@
 }
 
 /** Two daemons, requests through each: one of them is the allocator of both. */
-async function allocation(count: number): Promise<Allocation> {
+async function measureAllocation(count: number): Promise<Allocation> {
   const target = await fleet.Fleet.plan({
     daemons: [
       { dataCentre: 'dc-1', disk: true, founder: true },
@@ -153,16 +160,18 @@
   });
   try {
     target.startDaemons();
-    await target.startEngine({ name: 'engine-1', parameters: INSTANT });
-    await target.apply(teams.FITTERS.name, teams.FITTERS.text, 0);
-    await target.untilReady();
-    await target.untilTargets(1);
+    await target.startEngine({ name: 'engine-1', parameters: INSTANT_ENGINE });
+    await target.applySettings(teams.FITTERS.name, teams.FITTERS.settings, 0);
+    await target.waitUntilReady();
+    await target.waitForTargets(1);
     const times: number[][] = [[], []];
     for (let i = 0; i < count * 2; i++) {
-      times[i % 2]?.push(await through(target, client.promptOf(1_000, `both${i}`), 1, i % 2));
+      times[i % 2]?.push(
+        await daemonTtftMs(target, client.promptOfLength(1_000, `both${i}`), 1, i % 2),
+      );
     }
     const status = async (entry: number): Promise<Status> =>
-      (await target.operatorCall<Status>('GET', 'status', undefined, entry)).content;
+      (await target.callOperator<Status>('GET', 'status', undefined, entry)).content;
     const statuses = [await status(0), await status(1)];
     const [a = 0, b = 0] = statuses.map(allocationBytes);
     const allocator = a > b ? 0 : 1;
@@ -171,7 +180,7 @@
     const sent = Math.max(a, b);
     const parallel = Array.from({ length: 8 }, async (_value, worker) => {
       for (let i = 0; i < count / 8; i++) {
-        await through(target, client.promptOf(1_000, `ask${worker}-${i}`), 1, asking);
+        await daemonTtftMs(target, client.promptOfLength(1_000, `ask${worker}-${i}`), 1, asking);
       }
     });
     await Promise.all(parallel);
@@ -195,19 +204,19 @@
   const scale = quick ? 1 : 5;
   try {
     target.startDaemons();
-    await target.startEngine({ name: 'engine-1', parameters: INSTANT });
-    await target.apply(teams.FITTERS.name, teams.FITTERS.text, 0);
-    await target.untilReady();
-    await target.untilTargets(1);
-    const added = await latency(target, 300 * scale);
+    await target.startEngine({ name: 'engine-1', parameters: INSTANT_ENGINE });
+    await target.applySettings(teams.FITTERS.name, teams.FITTERS.settings, 0);
+    await target.waitUntilReady();
+    await target.waitForTargets(1);
+    const added = await measureAddedLatency(target, 300 * scale);
     say(`added: ${JSON.stringify(added)}`);
-    await cpuFor(target, 500, 1_000, 1, 16);
-    const perRequest = await cpuFor(target, 1_000 * scale, 1_000, 1, 16);
+    await measureCpuMsPerRequest(target, 500, 1_000, 1, 16);
+    const perRequest = await measureCpuMsPerRequest(target, 1_000 * scale, 1_000, 1, 16);
     say(`cpu per request: ${perRequest.toFixed(3)} ms`);
-    const long = await cpuFor(target, 60 * scale, 1_000, 1_001, 16);
+    const long = await measureCpuMsPerRequest(target, 60 * scale, 1_000, 1_001, 16);
     const perToken = (long - perRequest) / 1_000;
-    const allocated = await allocation(400 * scale);
-    const million = await cpuFor(target, 3 * scale, 1_000_000, 1, 1);
+    const allocated = await measureAllocation(400 * scale);
+    const million = await measureCpuMsPerRequest(target, 3 * scale, 1_000_000, 1, 1);
     return {
       addedMsP50: added.p50,
       addedMsP99: added.p99,
--- a/packages/measure/src/processes.ts
+++ b/packages/measure/src/processes.ts
@@ -81,7 +81,7 @@
   }
 
   /** The first line that `parse` takes. */
-  async line<T>(parse: (line: string) => T | undefined, timeoutMs = 15_000): Promise<T> {
+  async waitForLine<T>(parse: (line: string) => T | undefined, timeoutMs = 15_000): Promise<T> {
     const until = Date.now() + timeoutMs;
     while (Date.now() < until) {
       for (const line of this.lines) {
--- a/packages/measure/src/quarantine/quarantine.ts
+++ b/packages/measure/src/quarantine/quarantine.ts
@@ -23,18 +23,18 @@
   blameFullMs: number;
 }
 
-const BODIES = [300, 25_000, 1_000_000];
+const BODY_BYTES = [300, 25_000, 1_000_000];
 
 const REPEATS = 20_000;
 
 const QUICK_REPEATS = 2_000;
 
-const BLAMES = 500;
+const CRASH_REPORTS = 500;
 
 /** Length of bodies that no measured request has. */
 const OTHER_BYTES = 7;
 
-function table(suspects: number, bodyBytes: number): Quarantine {
+function makeTable(suspects: number, bodyBytes: number): Quarantine {
   const made = new domain.quarantine.quarantine.Quarantine();
   for (let i = 0; i < suspects; i++) {
     const lifetime = domain.quarantine.endedLifetimes.lifetimeOf({ id: `i-${i}`, bornAt: i });
@@ -44,7 +44,7 @@
 }
 
 /** What an entry does before it sends a request. */
-function microseconds(quarantine: Quarantine, body: Buffer, repeats: number): number {
+function lookupMicroseconds(quarantine: Quarantine, body: Buffer, repeats: number): number {
   const content = { host: 'a.example', method: 'POST', path: '/a/1', organisation: 'o', body };
   const look = (): void => {
     if (quarantine.mayKnow(body.length)) quarantine.standing(fingerprint.of(content));
@@ -55,41 +55,45 @@
   return (1_000 * (performance.now() - since)) / repeats;
 }
 
-function heap(): number {
+function usedHeapBytes(): number {
   globalThis.gc?.();
   return process.memoryUsage().heapUsed;
 }
 
-function blameFullMs(full: Quarantine): number {
+function crashReportMs(full: Quarantine): number {
   const since = performance.now();
-  for (let i = 0; i < BLAMES; i++) {
+  for (let i = 0; i < CRASH_REPORTS; i++) {
     full.blame(`${OTHER_BYTES}-new${i}`, `new${i}/0`, { sentAt: 0, isTrial: false }, 10_000 + i);
   }
-  return (performance.now() - since) / BLAMES;
+  return (performance.now() - since) / CRASH_REPORTS;
 }
 
 export async function run(quick: boolean, say: (line: string) => void): Promise<Result> {
   const { MOST_SUSPECTS: most } = domain.quarantine.quarantine;
-  const costs = BODIES.map((bodyBytes) => {
+  const costs = BODY_BYTES.map((bodyBytes) => {
     const body = Buffer.alloc(bodyBytes, 'x');
     const usual = quick ? QUICK_REPEATS : REPEATS;
-    const repeats = Math.max(100, Math.round((usual * BODIES[0]) / bodyBytes));
+    const repeats = Math.max(100, Math.round((usual * BODY_BYTES[0]) / bodyBytes));
     const cost = {
       bodyBytes,
-      noSuspects: microseconds(table(0, 0), body, usual),
-      otherLengths: microseconds(table(most, OTHER_BYTES), body, usual),
-      sameLength: microseconds(table(most, bodyBytes), body, repeats),
+      noSuspects: lookupMicroseconds(makeTable(0, 0), body, usual),
+      otherLengths: lookupMicroseconds(makeTable(most, OTHER_BYTES), body, usual),
+      sameLength: lookupMicroseconds(makeTable(most, bodyBytes), body, repeats),
     };
     say(JSON.stringify(cost));
     return cost;
   });
-  const before = heap();
-  const full = table(most, OTHER_BYTES);
-  const heapBytes = heap() - before;
+  const before = usedHeapBytes();
+  const full = makeTable(most, OTHER_BYTES);
+  const heapBytes = usedHeapBytes() - before;
   const copyBytes = registryCopies.pack({
     records: [],
     suspects: full.reports(0),
     limits: [],
   }).length;
-  return { costs, full: { suspects: most, heapBytes, copyBytes }, blameFullMs: blameFullMs(full) };
+  return {
+    costs,
+    full: { suspects: most, heapBytes, copyBytes },
+    blameFullMs: crashReportMs(full),
+  };
 }
--- a/packages/measure/src/report.ts
+++ b/packages/measure/src/report.ts
@@ -5,19 +5,19 @@
 import type * as settings from './settings/settings';
 import type * as slopes from './slopes/slopes';
 
-const FOLDER = 'measures';
+const RESULTS_FOLDER = 'measures';
 
-const PAGE = `${FOLDER}/report.html`;
+const PAGE_FILE = `${RESULTS_FOLDER}/report.html`;
 
-const SIZE = { width: 900, height: 380 };
+const CHART_SIZE = { width: 900, height: 380 };
 
-function read<T>(name: string): T | undefined {
-  const file = `${FOLDER}/${name}.json`;
+function readResult<T>(name: string): T | undefined {
+  const file = `${RESULTS_FOLDER}/${name}.json`;
   return fs.existsSync(file) ? (JSON.parse(fs.readFileSync(file, 'utf8')) as T) : undefined;
 }
 
 /** What is used of the charting library; its own types don't resolve from CommonJS. */
-interface Library {
+interface ChartLibrary {
   init(
     dom: null,
     theme: null,
@@ -26,11 +26,11 @@
 }
 
 /** Draws one plot as SVG. */
-type Draw = (option: object) => string;
+type RenderSvg = (option: object) => string;
 
-function drawWith(library: Library): Draw {
+function createRenderer(library: ChartLibrary): RenderSvg {
   return (option) => {
-    const drawn = library.init(null, null, { renderer: 'svg', ssr: true, ...SIZE });
+    const drawn = library.init(null, null, { renderer: 'svg', ssr: true, ...CHART_SIZE });
     drawn.setOption({ animation: false, legend: { top: 24 }, grid: { top: 70 }, ...option });
     const svg = drawn.renderToSVGString();
     drawn.dispose();
@@ -38,20 +38,20 @@
   };
 }
 
-type Kind = 'bar' | 'line';
+type ChartType = 'bar' | 'line';
 
 interface Series {
   name: string;
   values: number[];
 }
 
-function chart(
-  draw: Draw,
+function renderChart(
+  draw: RenderSvg,
   title: string,
   unit: string,
   categories: string[],
   series: Series[],
-  kind: Kind,
+  kind: ChartType,
   scale: 'value' | 'log',
 ): string {
   return draw({
@@ -62,12 +62,12 @@
   });
 }
 
-function ttftPlot(draw: Draw, result: mixedScenario.Result): string {
+function renderTtft(draw: RenderSvg, result: mixedScenario.Result): string {
   const buckets = Object.keys(result.ttft.product ?? {});
   const series = Object.entries(result.ttft).map(([name, byBucket]) => {
     return { name, values: buckets.map((bucket) => byBucket[bucket]?.p95 ?? 0) };
   });
-  return chart(
+  return renderChart(
     draw,
     'p95 time to first token by prompt length',
     'ms',
@@ -78,29 +78,33 @@
   );
 }
 
-function briefPlot(draw: Draw, title: string, table: mixedScenario.Result['byLoad']): string {
+function renderSlowdown(
+  draw: RenderSvg,
+  title: string,
+  table: mixedScenario.Result['byLoad'],
+): string {
   const categories = Object.keys(table);
   const policies = [...new Set(categories.flatMap((each) => Object.keys(table[each] ?? {})))];
   const series = policies.map((name) => {
     return { name, values: categories.map((each) => table[each]?.[name]?.shortSlowdownP99 ?? 0) };
   });
-  return chart(draw, title, 'ratio', categories, series, 'bar', 'log');
+  return renderChart(draw, title, 'ratio', categories, series, 'bar', 'log');
 }
 
-function recoveryPlot(draw: Draw, { recoverySeconds }: faults.Result): string {
+function renderRecovery(draw: RenderSvg, { recoverySeconds }: faults.Result): string {
   const names = Object.keys(recoverySeconds);
   const series = [{ name: 'recovery', values: names.map((name) => recoverySeconds[name] ?? 0) }];
-  return chart(draw, 'recovery after each fault', 's', names, series, 'bar', 'value');
+  return renderChart(draw, 'recovery after each fault', 's', names, series, 'bar', 'value');
 }
 
-function slopePlot(draw: Draw, { points }: slopes.Result): string {
+function renderTraffic(draw: RenderSvg, { points }: slopes.Result): string {
   const idle = points.filter(({ targets, changesPerSecond }) => targets + changesPerSecond === 0);
   const categories = idle.map(({ daemons }) => String(daemons));
   const series = [
     { name: 'mean daemon', values: idle.map(({ bytesPerSecond }) => bytesPerSecond) },
     { name: 'busiest', values: idle.map(({ leaderBytesPerSecond }) => leaderBytesPerSecond) },
   ];
-  return chart(
+  return renderChart(
     draw,
     'control traffic by number of daemons',
     'B/s',
@@ -111,41 +115,41 @@
   );
 }
 
-function escaped(text: string): string {
+function escapeHtml(text: string): string {
   return text.replaceAll('&', '&amp;').replaceAll('<', '&lt;');
 }
 
-function section(name: string, plots: string[], content: unknown): string {
-  const figures = escaped(JSON.stringify(content, null, 1));
+function renderSection(name: string, plots: string[], content: unknown): string {
+  const figures = escapeHtml(JSON.stringify(content, null, 1));
   return `<h2>${name}</h2>${plots.join('')}<details><summary>figures</summary><pre>${figures}</pre></details>`;
 }
 
-function sections(draw: Draw): string[] {
+function renderSections(draw: RenderSvg): string[] {
   const list: string[] = [];
-  const mixed = read<mixedScenario.Result>('mixed');
+  const mixed = readResult<mixedScenario.Result>('mixed');
   if (mixed !== undefined) {
     const plots = [
-      ttftPlot(draw, mixed),
-      briefPlot(draw, 'short slowdown p99 by load', mixed.byLoad),
-      briefPlot(draw, 'short slowdown p99 with other parameters', mixed.sensitivity),
+      renderTtft(draw, mixed),
+      renderSlowdown(draw, 'short slowdown p99 by load', mixed.byLoad),
+      renderSlowdown(draw, 'short slowdown p99 with other parameters', mixed.sensitivity),
     ];
-    list.push(section('mixed', plots, mixed));
+    list.push(renderSection('mixed', plots, mixed));
   }
-  const fault = read<faults.Result>('faults');
-  if (fault !== undefined) list.push(section('faults', [recoveryPlot(draw, fault)], fault));
-  const setting = read<settings.Result>('settings');
-  if (setting !== undefined) list.push(section('settings', [], setting));
-  const slope = read<slopes.Result>('slopes');
-  if (slope !== undefined) list.push(section('slopes', [slopePlot(draw, slope)], slope));
+  const fault = readResult<faults.Result>('faults');
+  if (fault !== undefined) list.push(renderSection('faults', [renderRecovery(draw, fault)], fault));
+  const setting = readResult<settings.Result>('settings');
+  if (setting !== undefined) list.push(renderSection('settings', [], setting));
+  const slope = readResult<slopes.Result>('slopes');
+  if (slope !== undefined) list.push(renderSection('slopes', [renderTraffic(draw, slope)], slope));
   ['overhead', 'ledger'].forEach((name) => {
-    const content = read<unknown>(name);
-    if (content !== undefined) list.push(section(name, [], content));
+    const content = readResult<unknown>(name);
+    if (content !== undefined) list.push(renderSection(name, [], content));
   });
   return list;
 }
 
 export async function main(): Promise<void> {
-  const found = sections(drawWith(await import('echarts')));
+  const found = renderSections(createRenderer(await import('echarts')));
   if (found.length === 0) {
     process.stderr.write('report: no measures yet; run `npm run measure -- mixed` first\n');
     process.exitCode = 2;
@@ -153,6 +157,6 @@
   }
   const style = 'body{font-family:sans-serif;max-width:960px;margin:auto}pre{overflow:auto}';
   const page = `<!doctype html><meta charset="utf-8"><title>celerydrift measures</title><style>${style}</style><h1>celerydrift measures</h1>${found.join('')}`;
-  fs.writeFileSync(PAGE, page);
-  process.stdout.write(`${PAGE}\n`);
+  fs.writeFileSync(PAGE_FILE, page);
+  process.stdout.write(`${PAGE_FILE}\n`);
 }
--- a/packages/measure/src/settings/partitions.ts
+++ b/packages/measure/src/settings/partitions.ts
@@ -14,29 +14,29 @@
 
 interface Member {
   daemon: Daemon;
-  address: string;
-  operators: string;
+  peerAddress: string;
+  operatorUrl: string;
 }
 
-export interface Shape {
+export interface PartitionShape {
   name: string;
   /** Indexes of the side that is cut off; the leader is 0 after sorting. */
-  cut: readonly number[];
-  lastsMs: number;
+  isolated: readonly number[];
+  durationMs: number;
 }
 
 /** Five daemons, the first three with disks; the leader is moved to the front. */
-export const SHAPES: readonly Shape[] = [
-  { name: 'oneEntryCut', cut: [4], lastsMs: 7_000 },
-  { name: 'twoEntriesCutTogether', cut: [3, 4], lastsMs: 7_000 },
-  { name: 'leaderCut', cut: [0], lastsMs: 7_000 },
-  { name: 'leaderAndEntryCut', cut: [0, 4], lastsMs: 7_000 },
-  { name: 'replicasCutFromEntries', cut: [0, 1, 2], lastsMs: 7_000 },
+export const SHAPES: readonly PartitionShape[] = [
+  { name: 'oneEntryCut', isolated: [4], durationMs: 7_000 },
+  { name: 'twoEntriesCutTogether', isolated: [3, 4], durationMs: 7_000 },
+  { name: 'leaderCut', isolated: [0], durationMs: 7_000 },
+  { name: 'leaderAndEntryCut', isolated: [0, 4], durationMs: 7_000 },
+  { name: 'replicasCutFromEntries', isolated: [0, 1, 2], durationMs: 7_000 },
 ];
 
-const COUNT = 5;
+const DAEMONS = 5;
 
-const SAMPLE_MS = 20;
+const SAMPLE_INTERVAL_MS = 20;
 
 function settingsText(name: string, index: number, ports: number[], folder: string): string {
   const peer = (i: number): string => `127.0.0.1:${ports[i * 4 + 3]}`;
@@ -65,9 +65,9 @@
 }
 
 async function startAll(folder: string): Promise<Member[]> {
-  const ports = await processes.freePorts(COUNT * 4);
+  const ports = await processes.freePorts(DAEMONS * 4);
   const members: Member[] = [];
-  for (let i = 0; i < COUNT; i++) {
+  for (let i = 0; i < DAEMONS; i++) {
     const read = daemonPackage.configuration.read(settingsText(`vm-${i}`, i, ports, folder));
     if (read.err) throw new Error(JSON.stringify(read.val));
     const started = await daemonPackage.daemon.Daemon.start(read.val, (error) => {
@@ -76,24 +76,24 @@
     if (started.err) throw new Error(started.val.detail);
     members.push({
       daemon: started.val,
-      address: `127.0.0.1:${ports[i * 4 + 3]}`,
-      operators: `http://127.0.0.1:${ports[i * 4 + 2]}`,
+      peerAddress: `127.0.0.1:${ports[i * 4 + 3]}`,
+      operatorUrl: `http://127.0.0.1:${ports[i * 4 + 2]}`,
     });
   }
   return members;
 }
 
-async function change(
+async function applyChange(
   members: readonly Member[],
   subtree: string,
   id: string,
   basedOn: number,
 ): Promise<number | undefined> {
-  for (const { operators } of members) {
+  for (const { operatorUrl: operators } of members) {
     const answer = await fetch(`${operators}/v1/settings/${subtree}`, {
       method: 'PUT',
       headers: { authorization: `Bearer ${fleet.OPERATOR_TOKEN}` },
-      body: JSON.stringify({ id, basedOn, text: `; ${id}\n${teams.FITTERS.text}` }),
+      body: JSON.stringify({ id, basedOn, text: `; ${id}\n${teams.FITTERS.settings}` }),
       signal: AbortSignal.timeout(15_000),
     }).catch(() => undefined);
     if (answer?.status === 200) return ((await answer.json()) as { index: number }).index;
@@ -106,7 +106,7 @@
 }
 
 /** The leader first, the other daemons with disks next, the rest last. */
-function ordered(members: readonly Member[]): Member[] {
+function orderByRole(members: readonly Member[]): Member[] {
   const rank = (member: Member): number => {
     if (isLeader(member)) return 0;
     return member.daemon.control.host === undefined ? 2 : 1;
@@ -114,21 +114,21 @@
   return [...members].sort((a, b) => rank(a) - rank(b));
 }
 
-function setCut(side: readonly Member[], rest: readonly Member[], cut: boolean): void {
+function setPartition(side: readonly Member[], rest: readonly Member[], cut: boolean): void {
   side.forEach((a) => {
     rest.forEach((b) => {
       if (cut) {
-        a.daemon.peers.cut.add(b.address);
-        b.daemon.peers.cut.add(a.address);
+        a.daemon.peers.cut.add(b.peerAddress);
+        b.daemon.peers.cut.add(a.peerAddress);
       } else {
-        a.daemon.peers.cut.delete(b.address);
-        b.daemon.peers.cut.delete(a.address);
+        a.daemon.peers.cut.delete(b.peerAddress);
+        b.daemon.peers.cut.delete(a.peerAddress);
       }
     });
   });
 }
 
-async function untilReady(members: readonly Member[], timeoutMs = 15_000): Promise<boolean> {
+async function waitUntilReady(members: readonly Member[], timeoutMs = 15_000): Promise<boolean> {
   const until = Date.now() + timeoutMs;
   while (members.some(({ daemon }) => daemon.unready() !== undefined)) {
     if (Date.now() > until) return false;
@@ -137,7 +137,7 @@
   return true;
 }
 
-export interface ShapeResult {
+export interface PartitionResult {
   /** Longest time after an acceptance for which some daemon admitted without the change. */
   servedStaleMs: number;
   accepted: number;
@@ -146,9 +146,12 @@
   healed: boolean;
 }
 
-async function runShape(members: readonly Member[], shape: Shape): Promise<ShapeResult> {
-  const sorted = ordered(members);
-  const side = shape.cut.map((index) => sorted[index]);
+async function runPartition(
+  members: readonly Member[],
+  shape: PartitionShape,
+): Promise<PartitionResult> {
+  const sorted = orderByRole(members);
+  const side = shape.isolated.map((index) => sorted[index]);
   const rest = sorted.filter((member) => !side.includes(member));
   const acceptances: { index: number; at: number }[] = [];
   let servedStaleMs = 0;
@@ -160,35 +163,36 @@
       if (missed !== undefined) servedStaleMs = Math.max(servedStaleMs, now - missed.at);
     });
   };
-  setCut(side, rest, true);
-  const timer = setInterval(sample, SAMPLE_MS);
-  const until = Date.now() + shape.lastsMs;
+  setPartition(side, rest, true);
+  const timer = setInterval(sample, SAMPLE_INTERVAL_MS);
+  const until = Date.now() + shape.durationMs;
   for (let n = 0; Date.now() < until; n++) {
     const subtree = `team-${shape.name.toLowerCase()}`;
-    const index = await change([...rest, ...side], subtree, `${subtree}-${n}`, n);
+    const index = await applyChange([...rest, ...side], subtree, `${subtree}-${n}`, n);
     if (index !== undefined) acceptances.push({ index, at: Date.now() });
     else n -= 1;
     await processes.sleep(100);
   }
   const admitting = members.filter(({ daemon }) => daemon.unready() === undefined).length;
   clearInterval(timer);
-  setCut(side, rest, false);
-  const healed = await untilReady(members);
+  setPartition(side, rest, false);
+  const healed = await waitUntilReady(members);
   return { servedStaleMs, accepted: acceptances.length, admitting, healed };
 }
 
 export async function run(
-  shapes: readonly Shape[],
+  shapes: readonly PartitionShape[],
   say: (line: string) => void,
-): Promise<Record<string, ShapeResult>> {
+): Promise<Record<string, PartitionResult>> {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'celerydrift-'));
   const members = await startAll(folder);
-  const results: Record<string, ShapeResult> = {};
+  const results: Record<string, PartitionResult> = {};
   try {
-    while ((await change(members, 'fitters', 'first', 0)) === undefined) await processes.sleep(100);
-    await untilReady(members);
+    while ((await applyChange(members, 'fitters', 'first', 0)) === undefined)
+      await processes.sleep(100);
+    await waitUntilReady(members);
     for (const shape of shapes) {
-      const result = await runShape(members, shape);
+      const result = await runPartition(members, shape);
       results[shape.name] = result;
       say(`${shape.name}: ${JSON.stringify(result)}`);
       await processes.sleep(500);
--- a/packages/measure/src/settings/settings.ts
+++ b/packages/measure/src/settings/settings.ts
@@ -20,16 +20,16 @@
   catchUpMs: number;
   changesPerSecond: number;
   servedStaleMsMax: Record<string, number>;
-  partitions: Record<string, partitions.ShapeResult>;
+  partitions: Record<string, partitions.PartitionResult>;
 }
 
-interface Force {
+interface InForceStatus {
   registered: number;
   inForce: number;
   missing: string[];
 }
 
-interface Answer {
+interface ChangeResponse {
   kind: string;
   revision: number;
   index: number;
@@ -39,13 +39,13 @@
 
 const MISSED_CHANGES = 500;
 
-function textOf(mark: string): string {
-  return `; ${mark}\n${teams.FITTERS.text}`;
+function settingsText(mark: string): string {
+  return `; ${mark}\n${teams.FITTERS.settings}`;
 }
 
-async function untilInForce(target: fleet.Fleet, index: number, entry: number): Promise<void> {
+async function waitUntilInForce(target: fleet.Fleet, index: number, entry: number): Promise<void> {
   for (;;) {
-    const { status, content } = await target.operatorCall<Force>(
+    const { status, content } = await target.callOperator<InForceStatus>(
       'GET',
       `force/${index}`,
       undefined,
@@ -56,16 +56,21 @@
   }
 }
 
-async function put(
+async function putSettings(
   target: fleet.Fleet,
   subtree: string,
   id: string,
   basedOn: number,
   entry: number,
-): Promise<{ status: number; content: Answer } | undefined> {
-  const body = { id, basedOn, text: textOf(id) };
+): Promise<{ status: number; content: ChangeResponse } | undefined> {
+  const body = { id, basedOn, text: settingsText(id) };
   return target
-    .operatorCall<Answer>('PUT', `settings/${subtree}`, body, entry % target.plans.length)
+    .callOperator<ChangeResponse>(
+      'PUT',
+      `settings/${subtree}`,
+      body,
+      entry % target.daemonPlans.length,
+    )
     .catch(() => undefined);
 }
 
@@ -76,9 +81,9 @@
   id: string,
   basedOn: number,
   entry: number,
-): Promise<Answer> {
+): Promise<ChangeResponse> {
   for (let turn = entry; ; turn++) {
-    const answer = await put(target, subtree, id, basedOn, turn);
+    const answer = await putSettings(target, subtree, id, basedOn, turn);
     if (answer !== undefined && answer.status !== 503) return answer.content;
     await processes.sleep(20);
   }
@@ -89,13 +94,17 @@
   for (let i = 0; i < count; i++) {
     const since = performance.now();
     const { index } = await putUntilAnswered(target, 'timed', `timed-${i}`, i, i);
-    await untilInForce(target, index, i % target.plans.length);
+    await waitUntilInForce(target, index, i % target.daemonPlans.length);
     times.push(performance.now() - since);
   }
   return statistics.percentiles(times);
 }
 
-async function rate(target: fleet.Fleet, operators: number, each: number): Promise<number> {
+async function measureChangeRate(
+  target: fleet.Fleet,
+  operators: number,
+  each: number,
+): Promise<number> {
   const since = performance.now();
   await Promise.all(
     Array.from({ length: operators }, async (_value, operator) => {
@@ -108,7 +117,7 @@
 }
 
 /** Two operators with equal numbers, each round; both accepted would be one too many. */
-async function race(target: fleet.Fleet, rounds: number): Promise<number> {
+async function countRaceViolations(target: fleet.Fleet, rounds: number): Promise<number> {
   let twice = 0;
   for (let i = 0; i < rounds; i++) {
     const answers = await Promise.all([
@@ -121,7 +130,7 @@
 }
 
 /** The same id through three entries must be accepted once, at one revision. */
-async function resend(target: fleet.Fleet, rounds: number): Promise<number> {
+async function countResendViolations(target: fleet.Fleet, rounds: number): Promise<number> {
   let twice = 0;
   for (let i = 0; i < rounds; i++) {
     const answers = await Promise.all(
@@ -133,33 +142,33 @@
   return twice;
 }
 
-async function takeover(
+async function measureTakeover(
   target: fleet.Fleet,
 ): Promise<{ takeoverMs: number; inForceMs: number; acceptedTwice: number }> {
-  const { name } = await target.leader();
-  const leader = target.plans.findIndex((plan) => plan.name === name);
+  const { name } = await target.findLeader();
+  const leader = target.daemonPlans.findIndex((plan) => plan.name === name);
   const first = await putUntilAnswered(target, 'taken', 'taken-0', 0, 1);
   const since = performance.now();
   void target.daemon(name).kill();
-  const entry = (leader + 1) % target.plans.length;
+  const entry = (leader + 1) % target.daemonPlans.length;
   const next = await putUntilAnswered(target, 'taken', 'taken-1', 1, entry);
   const takeoverMs = performance.now() - since;
-  await untilInForce(target, next.index, entry);
+  await waitUntilInForce(target, next.index, entry);
   const inForceMs = performance.now() - since;
   // A resend from before the takeover gets its first answer from the new leader.
   const again = await putUntilAnswered(target, 'taken', 'taken-0', 0, entry);
   const acceptedTwice = again.index === first.index ? 0 : 1;
   target.startDaemon(name);
-  await target.untilReady();
+  await target.waitUntilReady();
   return { takeoverMs, inForceMs, acceptedTwice };
 }
 
 /** Every accepted change must be there at its last revision, on every daemon. */
-async function audit(
+async function countLostChanges(
   target: fleet.Fleet,
   expected: ReadonlyMap<string, number>,
 ): Promise<{ lost: number; reverted: number }> {
-  const { content } = await target.operatorCall<{ name: string; revision: number }[]>(
+  const { content } = await target.callOperator<{ name: string; revision: number }[]>(
     'GET',
     'subtrees',
   );
@@ -187,18 +196,18 @@
   const rounds = quick ? 20 : 100;
   try {
     target.startDaemons();
-    await target.apply('fitters', teams.FITTERS.text, 0);
-    await target.untilReady();
+    await target.applySettings('fitters', teams.FITTERS.settings, 0);
+    await target.waitUntilReady();
     const times = await timeChanges(target, timed);
     say(`in force: ${JSON.stringify(times)}`);
     const each = quick ? 40 : 200;
-    const changesPerSecond = await rate(target, 8, each);
+    const changesPerSecond = await measureChangeRate(target, 8, each);
     say(`changes per second: ${changesPerSecond.toFixed(0)}`);
-    const raced = await race(target, rounds);
-    const resent = await resend(target, rounds);
-    const taken = await takeover(target);
+    const raced = await countRaceViolations(target, rounds);
+    const resent = await countResendViolations(target, rounds);
+    const taken = await measureTakeover(target);
     say(`takeover: ${JSON.stringify(taken)}`);
-    const catchUpMs = await catchUp(target);
+    const catchUpMs = await measureCatchUp(target);
     const expected = new Map([
       ['timed', timed],
       ['raced', rounds],
@@ -206,7 +215,7 @@
       ['taken', 2],
       ...Array.from({ length: 8 }, (_v, i): [string, number] => [`rate-${i}`, each]),
     ]);
-    const found = await audit(target, expected);
+    const found = await countLostChanges(target, expected);
     await target.stopAll();
     const shapes = quick ? partitions.SHAPES.slice(0, 3) : partitions.SHAPES;
     const shaped = await partitions.run(shapes, say);
@@ -230,8 +239,8 @@
 }
 
 /** From the start of the process to ready, after many missed changes. */
-async function catchUp(target: fleet.Fleet): Promise<number> {
-  const { name, ports } = target.plans.at(-1) as fleet.DaemonPlan;
+async function measureCatchUp(target: fleet.Fleet): Promise<number> {
+  const { name, ports } = target.daemonPlans.at(-1) as fleet.DaemonPlan;
   await target.daemon(name).kill();
   await Promise.all(
     [0, 1, 2, 3].map(async (operator) => {
--- a/packages/measure/src/slopes/slopes.ts
+++ b/packages/measure/src/slopes/slopes.ts
@@ -26,7 +26,7 @@
 export interface Result {
   points: Point[];
   /** Per daemon, target or change per second: bytes/s, share of a core, MB. */
-  slopes: Record<string, Record<string, statistics.Fit>>;
+  slopes: Record<string, Record<string, statistics.LineFit>>;
 }
 
 interface Status {
@@ -42,15 +42,15 @@
 
 const DATA_CENTRE_SIZE = 8;
 
-const ANNOUNCE_MS = 2_000;
+const ANNOUNCE_INTERVAL_MS = 2_000;
 
 /** Until first gossip is over and code is warm. */
 const SETTLE_MS = 8_000;
 
-async function sample(target: fleet.Fleet): Promise<Sample> {
+async function takeSample(target: fleet.Fleet): Promise<Sample> {
   const statuses = await Promise.all(
-    target.plans.map(async (_plan, entry) => {
-      return (await target.operatorCall<Status>('GET', 'status', undefined, entry)).content;
+    target.daemonPlans.map(async (_plan, entry) => {
+      return (await target.callOperator<Status>('GET', 'status', undefined, entry)).content;
     }),
   );
   return { at: performance.now(), statuses };
@@ -62,7 +62,7 @@
     .reduce((sum, [, bytes]) => sum + bytes, 0);
 }
 
-function kinds(before: Sample, after: Sample, seconds: number): Record<string, number> {
+function bytesByKind(before: Sample, after: Sample, seconds: number): Record<string, number> {
   const sums = new Map<string, number>();
   after.statuses.forEach(({ counters }, i) => {
     Object.entries(counters).forEach(([name, value]) => {
@@ -77,7 +77,7 @@
 }
 
 /** Announces targets that do nothing else, with loads that move now and then. */
-class Announcements {
+class AnnouncementSender {
   private timer: NodeJS.Timeout | undefined;
 
   private sequence = 0;
@@ -90,7 +90,7 @@
   ) {}
 
   start(): void {
-    this.timer = setInterval(() => this.announceAll(), ANNOUNCE_MS);
+    this.timer = setInterval(() => this.announceAll(), ANNOUNCE_INTERVAL_MS);
     this.announceAll();
   }
 
@@ -104,7 +104,7 @@
   }
 
   private async announce(i: number): Promise<void> {
-    const { plans } = this.target;
+    const { daemonPlans: plans } = this.target;
     const { ports } = plans[(i + this.sequence) % plans.length];
     const dataCentres = Math.ceil(plans.length / DATA_CENTRE_SIZE);
     const load = (1 + Math.floor(this.sequence / 8 + i)) % 7;
@@ -132,14 +132,14 @@
   }
 }
 
-async function changes(
+async function applyChanges(
   target: fleet.Fleet,
   perSecond: number,
   until: number,
   tag: string,
 ): Promise<void> {
   for (let i = 0; perSecond > 0 && Date.now() < until; i++) {
-    await target.apply(`slope-${tag}`, `; ${i}\n${teams.FITTERS.text}`, i);
+    await target.applySettings(`slope-${tag}`, `; ${i}\n${teams.FITTERS.settings}`, i);
     await processes.sleep(1_000 / perSecond);
   }
 }
@@ -150,14 +150,14 @@
   changesPerSecond: number,
   seconds: number,
 ): Promise<Point> {
-  const announcements = new Announcements(target, targets);
+  const announcements = new AnnouncementSender(target, targets);
   announcements.start();
   await processes.sleep(SETTLE_MS);
   const tag = `${targets}-${changesPerSecond}`;
-  const changing = changes(target, changesPerSecond, Date.now() + seconds * 1_000 + 500, tag);
-  const before = await sample(target);
+  const changing = applyChanges(target, changesPerSecond, Date.now() + seconds * 1_000 + 500, tag);
+  const before = await takeSample(target);
   await processes.sleep(seconds * 1_000);
-  const after = await sample(target);
+  const after = await takeSample(target);
   await changing;
   announcements.stop();
   const elapsed = (after.at - before.at) / 1_000;
@@ -172,7 +172,7 @@
   const mean = (read: (one: (typeof each)[number]) => number): number =>
     each.reduce((sum, one) => sum + read(one), 0) / each.length;
   return {
-    daemons: target.plans.length,
+    daemons: target.daemonPlans.length,
     targets,
     changesPerSecond,
     bytesPerSecond: mean(({ bytes }) => bytes),
@@ -180,7 +180,7 @@
     residentMb: mean(({ resident }) => resident),
     leaderBytesPerSecond: Math.max(...each.map(({ bytes }) => bytes)),
     leaderCpuShare: Math.max(...each.map(({ cpu }) => cpu)),
-    byKind: kinds(before, after, elapsed),
+    byKind: bytesByKind(before, after, elapsed),
   };
 }
 
@@ -195,21 +195,21 @@
     logLevel: 'error',
   });
   // All at once would keep the machine busy with starting instead of with founding.
-  for (const { name } of target.plans) {
+  for (const { name } of target.daemonPlans) {
     target.startDaemon(name);
     if (daemons > 16) await processes.sleep(60);
   }
-  await target.apply('fitters', teams.FITTERS.text, 0, 60_000);
-  await target.untilReady(60_000);
+  await target.applySettings('fitters', teams.FITTERS.settings, 0, 60_000);
+  await target.waitUntilReady(60_000);
   return target;
 }
 
-function fitted(
+function fitLines(
   points: readonly Point[],
   x: (point: Point) => number,
-): Record<string, statistics.Fit> {
-  const line = (y: (point: Point) => number): statistics.Fit =>
-    statistics.fit(points.map((point) => ({ x: x(point), y: y(point) })));
+): Record<string, statistics.LineFit> {
+  const line = (y: (point: Point) => number): statistics.LineFit =>
+    statistics.fitLine(points.map((point) => ({ x: x(point), y: y(point) })));
   return {
     bytesPerSecond: line(({ bytesPerSecond }) => bytesPerSecond),
     cpuShare: line(({ cpuShare }) => cpuShare),
@@ -254,9 +254,9 @@
   return {
     points,
     slopes: {
-      daemons: fitted(idle, ({ daemons }) => daemons),
-      targets: fitted(byTargets, ({ targets }) => targets),
-      changesPerSecond: fitted(byChanges, ({ changesPerSecond }) => changesPerSecond),
+      daemons: fitLines(idle, ({ daemons }) => daemons),
+      targets: fitLines(byTargets, ({ targets }) => targets),
+      changesPerSecond: fitLines(byChanges, ({ changesPerSecond }) => changesPerSecond),
     },
   };
 }
--- a/packages/measure/src/state/state.ts
+++ b/packages/measure/src/state/state.ts
@@ -24,22 +24,22 @@
   snapshotMsPerThousandClaims: number;
 }
 
-const COUNT = 1_000;
+const ITEMS = 1_000;
 
 const CLAIMS = 20_000;
 
-function heap(): number {
+function usedHeapBytes(): number {
   (globalThis as { gc?: () => void }).gc?.();
   return process.memoryUsage().heapUsed;
 }
 
-function bytesEach<T>(count: number, make: () => T): { bytes: number; made: T } {
-  const before = heap();
+function measureBytes<T>(count: number, make: () => T): { bytes: number; made: T } {
+  const before = usedHeapBytes();
   const made = make();
-  return { bytes: (heap() - before) / count, made };
+  return { bytes: (usedHeapBytes() - before) / count, made };
 }
 
-function msOf(action: () => unknown, times: number): number {
+function meanMs(action: () => unknown, times: number): number {
   action();
   const since = performance.now();
   for (let i = 0; i < times; i++) action();
@@ -47,22 +47,22 @@
 }
 
 /** A text of its own, as if it had come over the network. */
-function copy(text: string): string {
+function unsharedCopy(text: string): string {
   return Buffer.from(text).toString();
 }
 
-function subtree(i: number, index: number): domain.settings.tree.Subtree {
-  const text = copy(teams.FITTERS.text.replaceAll('kisumu', `org-${i}`));
+function makeSubtree(i: number, index: number): domain.settings.tree.Subtree {
+  const text = unsharedCopy(teams.FITTERS.settings.replaceAll('kisumu', `org-${i}`));
   return { name: `team-${i}`, revision: 1, text, author: 'a', at: 0, index };
 }
 
-function target(i: number): domain.target.target.Target {
+function makeTarget(i: number): domain.target.target.Target {
   return {
-    name: copy(`engine-${i}`),
+    name: unsharedCopy(`engine-${i}`),
     incarnation: 1,
     sequence: 1,
     kind: 'engine',
-    address: copy(`10.0.${i}.1:8000`),
+    address: unsharedCopy(`10.0.${i}.1:8000`),
     dataCentre: `dc-${i % 17}`,
     status: 'serving',
     fencing: 'checked',
@@ -81,21 +81,25 @@
     const content = crypto.createHash('sha256').update(key).digest('hex');
     const claim = { kind: 'claim', key, organisation: `o${i % 99}`, content, attempt } as const;
     shard.apply({ ...claim, deadline: 1_000, at: i });
-    const answer = { status: 201, contentType: 'application/json', body: copy('x'.repeat(200)) };
+    const answer = {
+      status: 201,
+      contentType: 'application/json',
+      body: unsharedCopy('x'.repeat(200)),
+    };
     const settle = { kind: 'settle', key, attempt, settlement: 'completed' } as const;
     shard.apply({ ...settle, answer, at: i });
   }
   return shard;
 }
 
-function placeMs(hash: domain.shared.hashing.Hash): number {
+function measurePlacementMs(hash: domain.shared.hashing.Hash): number {
   const choice = new domain.routing.policy.ElasticReserve(domain.shared.random.seeded(1));
   const dispatcher = new domain.routing.dispatcher.Dispatcher('dc-1', hash, choice);
-  dispatcher.setTargets(Array.from({ length: 32 }, (_value, i) => target(i)));
+  dispatcher.setTargets(Array.from({ length: 32 }, (_value, i) => makeTarget(i)));
   let now = 0;
   let made = 0;
   const model = { base: 'base', adapter: '', version: '1' };
-  return msOf(() => {
+  return meanMs(() => {
     made += 1;
     now += 5;
     const request: domain.routing.dispatcher.Request = {
@@ -123,27 +127,27 @@
 export async function run(_quick: boolean, _say: (line: string) => void): Promise<Result> {
   const hash = await domain.shared.hashing.load();
   const view = new domain.control.view.View();
-  const numbers = Array.from({ length: COUNT }, (_value, i) => i);
-  const subtrees = bytesEach(COUNT, () => {
-    const list = numbers.map((i) => subtree(i, i + 1));
+  const numbers = Array.from({ length: ITEMS }, (_value, i) => i);
+  const subtrees = measureBytes(ITEMS, () => {
+    const list = numbers.map((i) => makeSubtree(i, i + 1));
     const deltas = list.map((each, i): domain.control.state.Delta => {
       return { kind: 'subtree', index: i + 1, name: each.name, subtree: each };
     });
-    view.advance(deltas, COUNT);
+    view.advance(deltas, ITEMS);
     return new domain.settings.directory.Directory(list);
   });
-  const daemons = bytesEach(COUNT, () => {
+  const daemons = measureBytes(ITEMS, () => {
     numbers.forEach((i) => {
-      const daemon = { id: copy(`vm-${i}`), address: copy(`10.1.${i}.1:8083`) };
+      const daemon = { id: unsharedCopy(`vm-${i}`), address: unsharedCopy(`10.1.${i}.1:8083`) };
       const registered = { ...daemon, dataCentre: `dc-${i % 17}`, replica: '' };
-      const index = COUNT + 1 + i;
+      const index = ITEMS + 1 + i;
       view.advance([{ kind: 'daemon', index, id: daemon.id, daemon: registered }], index);
     });
     return view;
   });
-  const targets = bytesEach(COUNT, () => new Map(numbers.map((i) => [`e${i}`, target(i)])));
-  const claims = bytesEach(CLAIMS, () => fillLedger(CLAIMS));
-  const tombstones = bytesEach(CLAIMS, () => {
+  const targets = measureBytes(ITEMS, () => new Map(numbers.map((i) => [`e${i}`, makeTarget(i)])));
+  const claims = measureBytes(CLAIMS, () => fillLedger(CLAIMS));
+  const tombstones = measureBytes(CLAIMS, () => {
     const shard = fillLedger(CLAIMS);
     const { retention } = domain.ledger.ledger.DEFAULT_BOUNDS;
     shard.apply({ kind: 'release', key: '', attempt: '', at: retention + CLAIMS + 1 });
@@ -165,11 +169,11 @@
     bytesPerTarget: targets.bytes,
     bytesPerClaim: claims.bytes,
     bytesPerTombstone: tombstones.bytes,
-    digestMs: msOf(() => view.digest(hash), 20),
-    directoryMs: msOf(() => new Directory(all), 5),
-    directoryAfterChangeMs: msOf(() => new Directory(changed, former), 20),
-    cellMs: msOf(() => domain.routing.cell.cellOf(hash, self, fleet, engines), 20),
-    placeMs: placeMs(hash),
-    snapshotMsPerThousandClaims: msOf(() => claims.made.snapshot(), 5) / (CLAIMS / 1_000),
+    digestMs: meanMs(() => view.digest(hash), 20),
+    directoryMs: meanMs(() => new Directory(all), 5),
+    directoryAfterChangeMs: meanMs(() => new Directory(changed, former), 20),
+    cellMs: meanMs(() => domain.routing.cell.cellOf(hash, self, fleet, engines), 20),
+    placeMs: measurePlacementMs(hash),
+    snapshotMsPerThousandClaims: meanMs(() => claims.made.snapshot(), 5) / (CLAIMS / 1_000),
   };
 }
--- a/packages/measure/src/statistics.ts
+++ b/packages/measure/src/statistics.ts
@@ -18,13 +18,13 @@
   return { p50: at(50), p95: at(95), p99: at(99), count: values.length };
 }
 
-export interface Fit {
+export interface LineFit {
   slope: number;
   intercept: number;
 }
 
 /** Least squares through points (x, y). */
-export function fit(points: readonly { x: number; y: number }[]): Fit {
+export function fitLine(points: readonly { x: number; y: number }[]): LineFit {
   const n = points.length;
   const meanX = points.reduce((sum, { x }) => sum + x, 0) / n;
   const meanY = points.reduce((sum, { y }) => sum + y, 0) / n;
@@ -43,7 +43,7 @@
 /** 97.5th percentile of the normal distribution. */
 const NORMAL_975 = 1.96;
 
-export function difference(values: readonly number[]): Difference {
+export function meanDifference(values: readonly number[]): Difference {
   const n = values.length;
   const mean = values.reduce((sum, value) => sum + value, 0) / n;
   const squares = values.reduce((sum, value) => sum + (value - mean) ** 2, 0);
@@ -51,6 +51,6 @@
   return { mean, within: (NORMAL_975 * deviation) / Math.sqrt(n) };
 }
 
-export function tell({ mean, within }: Difference): string {
+export function formatDifference({ mean, within }: Difference): string {
   return `${mean >= 0 ? '+' : ''}${mean.toFixed(4)} ± ${within.toFixed(4)}`;
 }
--- a/packages/measure/src/teams.ts
+++ b/packages/measure/src/teams.ts
@@ -5,10 +5,10 @@
   name: string;
   key: string;
   model: string;
-  text: string;
+  settings: string;
 }
 
-function team(name: string, organisation: string, model: string, services: string): Team {
+function makeTeam(name: string, organisation: string, model: string, services: string): Team {
   const key = `key-of-${organisation}`;
   const text = `[organisation.${organisation}]
 key = sha256:${fleet.sha256(key)}
@@ -18,10 +18,10 @@
 base = base
 version = 1
 ${services}`;
-  return { name, key, model, text };
+  return { name, key, model, settings: text };
 }
 
-export const FITTERS = team(
+export const FITTERS = makeTeam(
   'fitters',
   'kisumu',
   'quotes',
@@ -31,7 +31,7 @@
 `,
 );
 
-export const PITS = team(
+export const PITS = makeTeam(
   'pits',
   'maypen',
   'summaries',
