--- a/packages/measure/src/decisions/__tests__/allocationSimulation.test.ts
+++ b/packages/measure/src/decisions/__tests__/allocationSimulation.test.ts
@@ -1,29 +1,36 @@
-/** The laboratory: engines compute as predicted, and the same seed gives the same result. */
+/** Tests that the simulated engines match the planner's predictions and that a seed fixes the result. */
 import * as chai from 'chai';
 import * as domain from '@celerydrift/domain';
 import * as eventQueue from '../../mixed/eventQueue';
 import * as decisions from '../decisions';
 import * as engines from '../engine';
-import * as laboratory from '../allocationSimulation';
-import * as loads from '../workloads';
+import * as allocationSimulation from '../allocationSimulation';
+import * as workloads from '../workloads';
 
 const { expect } = chai;
 
-const [USUAL_WORKLOAD] = loads.WORKLOADS;
+const [USUAL_WORKLOAD] = workloads.WORKLOADS;
 
-const SHORT_WORKLOAD: loads.Workload = { ...USUAL_WORKLOAD, seconds: 6 };
+const SHORT_WORKLOAD: workloads.Workload = { ...USUAL_WORKLOAD, seconds: 6 };
 
-function simulate(changed: Partial<domain.allocation.weights.Weights> = {}): laboratory.Outcome[] {
-  const weights = { ...domain.allocation.weights.WEIGHTS, ...changed };
-  return new laboratory.AllocationSimulation({ load: SHORT_WORKLOAD, seed: 3, weights }).run();
+function simulate(
+  changedWeights: Partial<domain.allocation.weights.Weights> = {},
+): allocationSimulation.Outcome[] {
+  const weights = { ...domain.allocation.weights.WEIGHTS, ...changedWeights };
+  return new allocationSimulation.AllocationSimulation({
+    workload: SHORT_WORKLOAD,
+    seed: 3,
+    weights,
+  }).run();
 }
 
-describe('laboratory', () => {
+describe('allocationSimulation', () => {
   /*
-   * A model of the engines that differs from the one that places requests would judge policies by its own errors. The
-   * parts of four prompts on one engine end where the planner's queue says, within the steps that it leaves out.
+   * If the simulated engines differed from the planner's model of engines, the simulation would measure that difference
+   * instead of the policies. Parts of four prompts on one engine must end when the planner's queue predicts, within the
+   * engine steps that the prediction leaves out.
    */
-  it('reads in the order that the planner predicts', () => {
+  it('prefills in the order that the planner predicts', () => {
     const events = new eventQueue.EventQueue();
     const engine = new engines.Engine(USUAL_WORKLOAD.engine, events);
     const queue = new domain.allocation.readQueue.ReadQueue({ isWriting: false, passMs: () => 45 });
@@ -31,10 +38,10 @@
     [171_000, 122_000, 206_000, 283_000].forEach((tokens, i) => {
       const at = 250 * i;
       events.at(at, () => {
-        const readMs = domain.allocation.cost.readMs(USUAL_WORKLOAD.engine, tokens, 6);
+        const prefillMs = domain.allocation.cost.readMs(USUAL_WORKLOAD.engine, tokens, 6);
         const reading = new domain.allocation.reading.Reading(`r${i}`, 1, 3_000, at);
         reading.addPlace(queue);
-        queue.add({ reading, isPart: true, leftMs: readMs }, at);
+        queue.add({ reading, isPart: true, leftMs: prefillMs }, at);
         engine.prefill(`r${i}`, tokens, 6, () => ends.push([i, events.now]));
       });
       events.at(749, () => undefined);
@@ -50,22 +57,22 @@
     });
   });
 
-  it('gives the same outcomes for the same seed, and every request has one', () => {
+  it('gives the same outcomes for the same seed, one for each request', () => {
     const first = simulate();
     expect(simulate()).to.deep.equal(first);
     expect(first.length).to.be.greaterThan(100);
   });
 
-  it('shows what helpers are worth', () => {
-    const whole = decisions.score(simulate());
-    const alone = decisions.score(simulate({ mostParts: 1 }));
-    expect(whole.worth - alone.worth).to.be.greaterThan(0.02);
-    expect(whole.worth).to.be.within(0.85, 1);
+  it('shows that prefill helpers increase earned worth', () => {
+    const complete = decisions.score(simulate());
+    const withoutHelpers = decisions.score(simulate({ mostParts: 1 }));
+    expect(complete.worth - withoutHelpers.worth).to.be.greaterThan(0.02);
+    expect(complete.worth).to.be.within(0.85, 1);
   });
 
-  it('asks for the same requests whatever is switched off', () => {
-    const asked = (outcomes: readonly laboratory.Outcome[]): number[] =>
+  it('draws the same requests whatever mechanism is switched off', () => {
+    const arrivalTimes = (outcomes: readonly allocationSimulation.Outcome[]): number[] =>
       outcomes.map(({ arrivedAt }) => arrivedAt).sort((a, b) => a - b);
-    expect(asked(simulate({ packGain: 0 }))).to.deep.equal(asked(simulate()));
+    expect(arrivalTimes(simulate({ packGain: 0 }))).to.deep.equal(arrivalTimes(simulate()));
   });
 });
--- a/packages/measure/src/decisions/allocationSimulation.ts
+++ b/packages/measure/src/decisions/allocationSimulation.ts
@@ -1,19 +1,19 @@
 /**
- * Plays a load in virtual time: the product's allocator, waiting and refusing, before engines that compute as the users
- * publish it. A seed gives the same requests whatever is switched off, so that mechanisms are compared pair by pair.
+ * Runs a workload in virtual time against the production allocator, wait queue and admission, with simulated engines. A
+ * seed gives the same requests whatever mechanism is switched off, so that results can be compared in pairs.
  */
 import { placing } from '@celerydrift/daemon';
 import * as domain from '@celerydrift/domain';
 import * as eventQueue from '../mixed/eventQueue';
 import * as engines from './engine';
-import type * as loads from './workloads';
+import type * as workloads from './workloads';
 
 type Placement = domain.allocation.allocator.Placement;
 
-/** What came of one request. */
+/** The result of one request. */
 export interface Outcome {
-  kind: loads.RequestKind;
-  /** Seconds. */
+  kind: workloads.RequestKind;
+  /** Seconds since the start of the workload. */
   arrivedAt: number;
   result: 'inTime' | 'late' | 'refused' | 'lost';
   firstMs: number;
@@ -21,14 +21,14 @@
 }
 
 export interface Options {
-  load: loads.Workload;
+  workload: workloads.Workload;
   seed: number;
   weights: domain.allocation.weights.Weights;
 }
 
 interface Request {
   id: string;
-  kind: loads.RequestKind;
+  kind: workloads.RequestKind;
   tokens: number;
   events: number;
   at: number;
@@ -42,16 +42,16 @@
 
 const SERVICE = 'engines';
 
-/** Tokens of an event: the steps of a pass. */
+/** An engine sends one event for each pass, with a token for each of its steps. */
 const EVENT_TOKENS = 51;
 
-/** An entry asks the leader and the target over the network; one way, milliseconds. */
+/** One-way network delay between an entry and the leader or a target, milliseconds. */
 const HOP_MS = 1.5;
 
-/** Part of the time after which callers leave that a request may wait for a place. */
+/** The part of a caller's timeout that a request may spend waiting for placement. */
 const PLACEMENT_WAIT_SHARE = 0.3;
 
-/** A dark engine is noticed after its streams were silent for so long, milliseconds. */
+/** Time without events after which an entry detects an unresponsive engine, milliseconds. */
 const DETECTION_MS = 900;
 
 const MAX_ATTEMPTS = 2;
@@ -74,13 +74,13 @@
   private requestCount = 0;
 
   constructor(private readonly options: Options) {
-    const { load, seed, weights } = options;
+    const { workload, seed, weights } = options;
     this.random = domain.shared.random.independent(seed);
     this.allocator = new domain.allocation.allocator.Allocator(undefined, weights);
     this.allocator.setServices([
-      { name: SERVICE, healthPath: '/', maxConnections: 1_000, engine: load.engine },
+      { name: SERVICE, healthPath: '/', maxConnections: 1_000, engine: workload.engine },
     ]);
-    for (let i = 0; i < load.engines; i++) this.addEngine(`t${i}`);
+    for (let i = 0; i < workload.engines; i++) this.addEngine(`t${i}`);
     this.placer = new placing.Placing({
       allocator: this.allocator,
       clock: {
@@ -94,15 +94,15 @@
   }
 
   run(): Outcome[] {
-    const { load } = this.options;
-    load.kinds.forEach((kind) => this.scheduleArrivals(kind));
-    load.faults.forEach((trouble) => this.scheduleFault(trouble));
+    const { workload } = this.options;
+    workload.kinds.forEach((kind) => this.scheduleArrivals(kind));
+    workload.faults.forEach((fault) => this.scheduleFault(fault));
     while (this.events.size > 0) this.events.next();
     return this.outcomes;
   }
 
   private addEngine(id: string): void {
-    const { engine } = this.options.load;
+    const { engine } = this.options.workload;
     this.engines.set(id, new engines.Engine(engine, this.events));
     this.allocator.observe({
       id,
@@ -116,29 +116,31 @@
     });
   }
 
-  /** A Poisson stream, thinned to the rate of the moment. */
-  private scheduleArrivals(kind: loads.RequestKind): void {
-    const { load } = this.options;
-    const rates = load.bursts.filter((burst) => burst.kind === 'all' || burst.kind === kind.name);
-    const most = kind.perSecond * Math.max(1, ...rates.map(({ rateFactor: times }) => times));
+  /** Schedules a Poisson process at the peak rate, thinned to the rate at each time. */
+  private scheduleArrivals(kind: workloads.RequestKind): void {
+    const { workload } = this.options;
+    const bursts = workload.bursts.filter(
+      (burst) => burst.kind === 'all' || burst.kind === kind.name,
+    );
+    const peakRate = kind.perSecond * Math.max(1, ...bursts.map(({ rateFactor }) => rateFactor));
     const rateAt = (second: number): number => {
-      const now = rates.filter(
+      const active = bursts.filter(
         ({ fromSecond, toSecond }) => second >= fromSecond && second < toSecond,
       );
-      return kind.perSecond * now.reduce((times, burst) => times * burst.rateFactor, 1);
+      return kind.perSecond * active.reduce((factor, burst) => factor * burst.rateFactor, 1);
     };
     let second = 0;
     for (;;) {
-      second += domain.shared.random.exponential(this.random, 1 / most);
-      if (second >= load.seconds) return;
+      second += domain.shared.random.exponential(this.random, 1 / peakRate);
+      if (second >= workload.seconds) return;
       const request = this.drawRequest(kind, second * 1_000);
-      if (this.random.uniform() * most < rateAt(second)) {
+      if (this.random.uniform() * peakRate < rateAt(second)) {
         this.events.at(request.at + HOP_MS, () => this.requestPlacement(request));
       }
     }
   }
 
-  private drawRequest(kind: loads.RequestKind, at: number): Request {
+  private drawRequest(kind: workloads.RequestKind, at: number): Request {
     this.requestCount += 1;
     const tokens = kind.tokens * Math.exp(kind.spread * this.drawNormal() - kind.spread ** 2 / 2);
     const events = 1 + Math.floor(domain.shared.random.exponential(this.random, kind.events - 1));
@@ -162,14 +164,14 @@
     return radius * Math.cos(2 * Math.PI * this.random.uniform());
   }
 
-  private scheduleFault({ kind: what, engines: count, fromSecond, toSecond }: loads.Fault): void {
+  private scheduleFault({ kind, engines: count, fromSecond, toSecond }: workloads.Fault): void {
     [...this.engines.values()].slice(0, count).forEach((engine) => {
       this.events.at(fromSecond * 1_000, () => {
-        if (what === 'dark') engine.isUnresponsive = true;
+        if (kind === 'unresponsive') engine.isUnresponsive = true;
         else engine.slowdown = 4;
       });
       this.events.at(toSecond * 1_000, () => {
-        if (what === 'dark') engine.restart();
+        if (kind === 'unresponsive') engine.restart();
         else engine.slowdown = 1;
       });
     });
@@ -177,7 +179,7 @@
 
   private requestPlacement(request: Request): void {
     const { kind, tokens, events, at } = request;
-    const giveUpMs = Math.max(2_000, 4 * kind.objectiveMs, 8 * kind.pauseMs);
+    const callerTimeoutMs = Math.max(2_000, 4 * kind.objectiveMs, 8 * kind.pauseMs);
     this.placer.ask(
       {
         id: `${request.id}/${request.attempt}`,
@@ -190,10 +192,10 @@
         waitedMs: request.firstAt > 0 ? 0 : Math.min(kind.objectiveMs, this.events.now - at),
         dataCentre: '',
         excluded: [],
-        patienceMs: PLACEMENT_WAIT_SHARE * giveUpMs,
+        patienceMs: PLACEMENT_WAIT_SHARE * callerTimeoutMs,
       },
-      (answer) => {
-        if (answer.kind === 'placed') this.dispatch(request, answer.placement);
+      (result) => {
+        if (result.kind === 'placed') this.dispatch(request, result.placement);
         else this.finish(request, 'refused');
       },
     );
@@ -203,16 +205,16 @@
     if (request.attempt === 0) request.predictedMs = this.events.now - request.at + firstTokenMs;
     request.attempt += 1;
     const id = `${request.id}/${request.attempt - 1}`;
-    const names = [target, ...helpers.map((each) => each.target)];
-    let left = names.length;
-    const onRead = (): void => {
-      left -= 1;
-      if (left === 0) this.startDecoding(request, id, target, names.length);
+    const targets = [target, ...helpers.map((helper) => helper.target)];
+    let remaining = targets.length;
+    const onPrefilled = (): void => {
+      remaining -= 1;
+      if (remaining === 0) this.startDecoding(request, id, target, targets.length);
     };
-    names.forEach((name) => {
-      this.engines.get(name)?.prefill(id, request.tokens, names.length, onRead);
+    targets.forEach((each) => {
+      this.engines.get(each)?.prefill(id, request.tokens, targets.length, onPrefilled);
     });
-    this.watchEngines(request, id, names);
+    this.watchEngines(request, id, targets);
   }
 
   private startDecoding(request: Request, id: string, target: string, parts: number): void {
@@ -220,7 +222,7 @@
     if (request.isFinished) return;
     this.engines.get(target)?.decode({
       request: id,
-      leftEvents: request.events - 1,
+      remainingEvents: request.events - 1,
       contextTokens: request.tokens / parts,
       onEvent: (isLast) => this.receiveEvent(request, id, isLast),
     });
@@ -233,29 +235,29 @@
     request.lastAt = now;
     if (!isLast) return;
     this.release(id, 'done');
-    const { kind, firstAt, at, longestGapMs: longestPauseMs } = request;
-    const isInTime = firstAt - at <= kind.objectiveMs && longestPauseMs <= kind.pauseMs;
+    const { kind, firstAt, at, longestGapMs } = request;
+    const isInTime = firstAt - at <= kind.objectiveMs && longestGapMs <= kind.pauseMs;
     this.finish(request, isInTime ? 'inTime' : 'late');
   }
 
-  /** One of its engines is dark: the request goes elsewhere once, as its entry notices. */
-  private watchEngines(request: Request, id: string, names: readonly string[]): void {
+  /** Retries a request elsewhere, up to `MAX_ATTEMPTS`, once one of its engines has become unresponsive. */
+  private watchEngines(request: Request, id: string, targets: readonly string[]): void {
     this.events.at(this.events.now + DETECTION_MS, () => {
       if (request.isFinished || !id.endsWith(`/${request.attempt - 1}`)) return;
-      const dark = names.find((name) => this.engines.get(name)?.isUnresponsive === true);
-      if (dark === undefined) {
-        this.watchEngines(request, id, names);
+      const faulty = targets.find((target) => this.engines.get(target)?.isUnresponsive === true);
+      if (faulty === undefined) {
+        this.watchEngines(request, id, targets);
         return;
       }
-      names.forEach((name) => this.engines.get(name)?.cancel(id));
-      this.release(id, 'broken', dark);
+      targets.forEach((target) => this.engines.get(target)?.cancel(id));
+      this.release(id, 'broken', faulty);
       if (request.attempt < MAX_ATTEMPTS) this.requestPlacement(request);
       else this.finish(request, 'lost');
     });
   }
 
-  private release(id: string, ending: 'done' | 'broken', faulty?: string): void {
-    this.allocator.ended(id, ending, this.events.now, { faulty });
+  private release(id: string, outcome: 'done' | 'broken', faulty?: string): void {
+    this.allocator.ended(id, outcome, this.events.now, { faulty });
     this.placer.serveSoon();
   }
 
--- a/packages/measure/src/decisions/decisions.ts
+++ b/packages/measure/src/decisions/decisions.ts
@@ -1,17 +1,17 @@
 /**
- * Scenario `decisions`: every load of the laboratory with the product's policy, then with each mechanism switched off;
- * the mean difference of worth pair by pair, with its 95% interval.
+ * Scenario `decisions`: simulates every workload with all placement mechanisms, then with each of them switched off.
+ * Reports the mean paired difference in earned worth over the seeds, with its 95% confidence interval.
  */
 import * as domain from '@celerydrift/domain';
 import * as statistics from '../statistics';
-import * as laboratory from './allocationSimulation';
-import * as loads from './workloads';
+import * as allocationSimulation from './allocationSimulation';
+import * as workloads from './workloads';
 
 type Weights = domain.allocation.weights.Weights;
 
 const { WEIGHTS } = domain.allocation.weights;
 
-/** Mechanisms, by what the planner weighs without them. */
+/** The weights that switch off one mechanism of the planner each, by the mechanism's name in the report. */
 export const ABLATIONS: Readonly<Record<string, Partial<Weights>>> = {
   helpers: { mostParts: 1 },
   oneHelpedAtMost: { mostHelped: 17 },
@@ -29,32 +29,32 @@
 };
 
 export interface Score {
-  /** Worth earned against worth asked for. */
+  /** Earned worth as a fraction of the worth of all requests. */
   worth: number;
-  /** The same in the two worst windows of two seconds. */
+  /** Mean of that fraction over the two worst windows of `WINDOW_SECONDS`. */
   worst: number;
-  /** By kind: shares in time, late, and refused or lost. */
+  /** Number of requests of each kind, and the fractions that were in time, late, and refused or lost. */
   kinds: Record<string, { asked: number; inTime: number; late: number; refused: number }>;
 }
 
 const WINDOW_SECONDS = 2;
 
-/** Windows with less are too small to judge. */
+/** The fraction of worth earned by fewer requests says too little. */
 const MIN_REQUESTS_IN_WINDOW = 3;
 
-function earnedWorth({ kind, result }: laboratory.Outcome): number {
+function earnedWorth({ kind, result }: allocationSimulation.Outcome): number {
   if (result === 'inTime') return kind.worth;
   return result === 'late' ? kind.lateWorth : 0;
 }
 
-function earnedFraction(outcomes: readonly laboratory.Outcome[]): number {
+function earnedFraction(outcomes: readonly allocationSimulation.Outcome[]): number {
   const asked = outcomes.reduce((sum, { kind }) => sum + kind.worth, 0);
-  const got = outcomes.reduce((sum, each) => sum + earnedWorth(each), 0);
-  return asked === 0 ? 1 : got / asked;
+  const earned = outcomes.reduce((sum, each) => sum + earnedWorth(each), 0);
+  return asked === 0 ? 1 : earned / asked;
 }
 
-export function score(outcomes: readonly laboratory.Outcome[]): Score {
-  const windows = new Map<number, laboratory.Outcome[]>();
+export function score(outcomes: readonly allocationSimulation.Outcome[]): Score {
+  const windows = new Map<number, allocationSimulation.Outcome[]>();
   outcomes.forEach((each) => {
     const index = Math.floor(each.arrivedAt / WINDOW_SECONDS);
     windows.set(index, [...(windows.get(index) ?? []), each]);
@@ -66,11 +66,15 @@
     .slice(0, 2);
   const names = [...new Set(outcomes.map(({ kind }) => kind.name))];
   const kinds = names.map((name) => {
-    const of = outcomes.filter(({ kind }) => kind.name === name);
-    const part = (...results: laboratory.Outcome['result'][]): number =>
-      of.filter(({ result }) => results.includes(result)).length / of.length;
-    const shares = { inTime: part('inTime'), late: part('late'), refused: part('refused', 'lost') };
-    return [name, { asked: of.length, ...shares }];
+    const ofKind = outcomes.filter(({ kind }) => kind.name === name);
+    const fractionOf = (...results: allocationSimulation.Outcome['result'][]): number =>
+      ofKind.filter(({ result }) => results.includes(result)).length / ofKind.length;
+    const fractions = {
+      inTime: fractionOf('inTime'),
+      late: fractionOf('late'),
+      refused: fractionOf('refused', 'lost'),
+    };
+    return [name, { asked: ofKind.length, ...fractions }];
   });
   return {
     worth: earnedFraction(outcomes),
@@ -79,18 +83,22 @@
   };
 }
 
-function simulate(load: loads.Workload, seed: number, changed: Partial<Weights> = {}): Score {
-  const weights = { ...WEIGHTS, ...changed };
-  return score(new laboratory.AllocationSimulation({ load, seed, weights }).run());
+function simulate(
+  workload: workloads.Workload,
+  seed: number,
+  changedWeights: Partial<Weights> = {},
+): Score {
+  const weights = { ...WEIGHTS, ...changedWeights };
+  return score(new allocationSimulation.AllocationSimulation({ workload, seed, weights }).run());
 }
 
 export interface Result {
   seeds: number;
-  /** Mean worth and worst windows with the whole policy, by load. */
+  /** Mean earned worth with all mechanisms, overall and in the worst windows, by workload. */
   product: Record<string, { worth: number; worst: number }>;
-  /** What each mechanism adds to worth, by load: mean difference and half of its 95% interval. */
+  /** Earned worth that each mechanism adds, by mechanism and workload. */
   worthOf: Record<string, Record<string, statistics.Difference>>;
-  /** The same for the worst windows. */
+  /** The same in the worst windows. */
   worstOf: Record<string, Record<string, statistics.Difference>>;
 }
 
@@ -100,26 +108,26 @@
   return values.reduce((sum, each) => sum + each, 0) / values.length;
 }
 
-export async function run(quick: boolean, say: (line: string) => void): Promise<Result> {
+export async function run(quick: boolean, log: (line: string) => void): Promise<Result> {
   const seeds = quick ? SEEDS.quick : SEEDS.full;
-  const numbers = Array.from({ length: seeds }, (_unused, i) => i + 1);
+  const seedValues = Array.from({ length: seeds }, (_unused, i) => i + 1);
   const result: Result = { seeds, product: {}, worthOf: {}, worstOf: {} };
-  loads.WORKLOADS.forEach((load) => {
-    const whole = numbers.map((seed) => simulate(load, seed));
-    const worth = mean(whole.map((each) => each.worth));
-    const worst = mean(whole.map((each) => each.worst));
-    result.product[load.name] = { worth, worst };
-    say(`${load.name}: worth ${worth.toFixed(3)}, worst windows ${worst.toFixed(3)}`);
-    say(`  ${JSON.stringify(whole[0].kinds)}`);
-    Object.entries(ABLATIONS).forEach(([name, changed]) => {
-      const without = numbers.map((seed) => simulate(load, seed, changed));
-      const gains = whole.map((each, i) => each.worth - without[i].worth);
-      const worstGains = whole.map((each, i) => each.worst - without[i].worst);
+  workloads.WORKLOADS.forEach((workload) => {
+    const complete = seedValues.map((seed) => simulate(workload, seed));
+    const worth = mean(complete.map((each) => each.worth));
+    const worst = mean(complete.map((each) => each.worst));
+    result.product[workload.name] = { worth, worst };
+    log(`${workload.name}: worth ${worth.toFixed(3)}, worst windows ${worst.toFixed(3)}`);
+    log(`  ${JSON.stringify(complete[0].kinds)}`);
+    Object.entries(ABLATIONS).forEach(([name, changedWeights]) => {
+      const without = seedValues.map((seed) => simulate(workload, seed, changedWeights));
+      const gains = complete.map((each, i) => each.worth - without[i].worth);
+      const worstGains = complete.map((each, i) => each.worst - without[i].worst);
       const worthGain = statistics.meanDifference(gains);
       const worstGain = statistics.meanDifference(worstGains);
-      result.worthOf[name] = { ...result.worthOf[name], [load.name]: worthGain };
-      result.worstOf[name] = { ...result.worstOf[name], [load.name]: worstGain };
-      say(
+      result.worthOf[name] = { ...result.worthOf[name], [workload.name]: worthGain };
+      result.worstOf[name] = { ...result.worstOf[name], [workload.name]: worstGain };
+      log(
         `  ${name}: ${statistics.formatDifference(worthGain)}, worst windows ${statistics.formatDifference(worstGain)}`,
       );
     });
--- a/packages/measure/src/decisions/engine.ts
+++ b/packages/measure/src/decisions/engine.ts
@@ -1,7 +1,7 @@
 /**
- * A model of one engine as the users publish it: passes in which all writers get their next tokens and prompts are read
- * in pieces. Parts of prompts that several engines read come before others, the newest first; the order was found by
- * replaying the dispatches of a played day.
+ * Simulated engine with the published performance parameters. It works in passes of one or more engine steps; a pass
+ * decodes for all active requests and prefills waiting prompts in chunks. Parts of prompts that several engines prefill
+ * come before whole prompts, the newest part first: the order that a replay of recorded dispatches showed.
  */
 import * as domain from '@celerydrift/domain';
 import type * as eventQueue from '../mixed/eventQueue';
@@ -11,14 +11,14 @@
 interface Prefill {
   request: string;
   isPart: boolean;
-  leftTokens: number;
+  remainingTokens: number;
   msPerToken: number;
-  onRead: () => void;
+  onPrefilled: () => void;
 }
 
 interface Decode {
   request: string;
-  leftEvents: number;
+  remainingEvents: number;
   contextTokens: number;
   onEvent: (isLast: boolean) => void;
 }
@@ -32,9 +32,10 @@
 
   private isStepping = false;
 
-  /** Dark engines do nothing and say nothing; slow ones take so many times as long. */
+  /** An unresponsive engine runs no passes and reports nothing. */
   isUnresponsive = false;
 
+  /** Factor on the duration of each pass. */
   slowdown = 1;
 
   constructor(
@@ -42,24 +43,30 @@
     private readonly events: eventQueue.EventQueue,
   ) {}
 
-  /** Requests that write or wait for their reading here. */
+  /** Number of requests that decode here. */
   get slotsUsed(): number {
     return this.decodes.length;
   }
 
-  /** Reads one of `parts` equal parts of a prompt. */
-  prefill(request: string, tokens: number, parts: number, onRead: () => void): void {
-    const leftTokens = Math.max(1, tokens / parts);
-    const readMs = domain.allocation.cost.readMs(this.parameters, tokens, parts);
+  /** Queues one of `parts` equal parts of a prompt of `tokens`; calls `onPrefilled` when it is done. */
+  prefill(request: string, tokens: number, parts: number, onPrefilled: () => void): void {
+    const remainingTokens = Math.max(1, tokens / parts);
+    const prefillMs = domain.allocation.cost.readMs(this.parameters, tokens, parts);
     const isPart = parts > 1;
-    const reading = { request, isPart, leftTokens, msPerToken: readMs / leftTokens, onRead };
-    if (isPart) this.prefillParts.unshift(reading);
-    else this.wholePrefills.push(reading);
+    const part = {
+      request,
+      isPart,
+      remainingTokens,
+      msPerToken: prefillMs / remainingTokens,
+      onPrefilled,
+    };
+    if (isPart) this.prefillParts.unshift(part);
+    else this.wholePrefills.push(part);
     this.startPass();
   }
 
-  decode(writer: Decode): void {
-    this.decodes.push(writer);
+  decode(decode: Decode): void {
+    this.decodes.push(decode);
     this.startPass();
   }
 
@@ -70,7 +77,7 @@
     this.decodes = this.decodes.filter(isOther);
   }
 
-  /** Goes on after it was dark, without what it had. */
+  /** Comes back after being unresponsive, without the requests it had. */
   restart(): void {
     this.prefillParts = [];
     this.wholePrefills = [];
@@ -84,10 +91,10 @@
     this.isStepping = true;
     const { chunkTokens, stepsPerPass } = this.parameters;
     const steps = this.decodes.length > 0 ? stepsPerPass : 1;
-    const { readMs, done } = this.prefillUpTo(steps * chunkTokens);
-    const served = [...this.decodes];
-    const ms = this.slowdown * (this.stepMs() * steps + readMs);
-    this.events.at(this.events.now + ms, () => this.endPass(done, served));
+    const { prefillMs, done } = this.prefillUpTo(steps * chunkTokens);
+    const decoding = [...this.decodes];
+    const ms = this.slowdown * (this.stepMs() * steps + prefillMs);
+    this.events.at(this.events.now + ms, () => this.endPass(done, decoding));
   }
 
   private stepMs(): number {
@@ -96,36 +103,36 @@
     return stepMs + this.decodes.length * writerStepMs + (context / 1_000) * contextStepMs;
   }
 
-  private prefillUpTo(budget: number): { readMs: number; done: Prefill[] } {
-    let left = budget;
-    let readMs = 0;
-    [...this.prefillParts, ...this.wholePrefills].forEach((reading) => {
-      const taken = Math.min(left, reading.leftTokens);
-      reading.leftTokens -= taken;
-      left -= taken;
-      readMs += taken * reading.msPerToken;
+  private prefillUpTo(budgetTokens: number): { prefillMs: number; done: Prefill[] } {
+    let remaining = budgetTokens;
+    let prefillMs = 0;
+    [...this.prefillParts, ...this.wholePrefills].forEach((prefill) => {
+      const taken = Math.min(remaining, prefill.remainingTokens);
+      prefill.remainingTokens -= taken;
+      remaining -= taken;
+      prefillMs += taken * prefill.msPerToken;
     });
-    const isLeft = (reading: Prefill): boolean => reading.leftTokens > 0;
+    const isUnfinished = (prefill: Prefill): boolean => prefill.remainingTokens > 0;
     const done = [...this.prefillParts, ...this.wholePrefills].filter(
-      (reading) => !isLeft(reading),
+      (prefill) => !isUnfinished(prefill),
     );
-    this.prefillParts = this.prefillParts.filter(isLeft);
-    this.wholePrefills = this.wholePrefills.filter(isLeft);
-    return { readMs, done };
+    this.prefillParts = this.prefillParts.filter(isUnfinished);
+    this.wholePrefills = this.wholePrefills.filter(isUnfinished);
+    return { prefillMs, done };
   }
 
-  private endPass(done: readonly Prefill[], served: readonly Decode[]): void {
+  private endPass(done: readonly Prefill[], decoding: readonly Decode[]): void {
     this.isStepping = false;
     if (this.isUnresponsive) return;
-    done.forEach(({ onRead }) => onRead());
-    served.filter((writer) => this.decodes.includes(writer)).forEach((each) => this.emit(each));
+    done.forEach(({ onPrefilled }) => onPrefilled());
+    decoding.filter((decode) => this.decodes.includes(decode)).forEach((each) => this.emit(each));
     this.startPass();
   }
 
-  private emit(writer: Decode): void {
-    writer.leftEvents -= 1;
-    const isLast = writer.leftEvents <= 0;
-    if (isLast) this.decodes = this.decodes.filter((each) => each !== writer);
-    writer.onEvent(isLast);
+  private emit(decode: Decode): void {
+    decode.remainingEvents -= 1;
+    const isLast = decode.remainingEvents <= 0;
+    if (isLast) this.decodes = this.decodes.filter((each) => each !== decode);
+    decode.onEvent(isLast);
   }
 }
--- a/packages/measure/src/decisions/workloads.ts
+++ b/packages/measure/src/decisions/workloads.ts
@@ -1,35 +1,41 @@
 /**
- * Loads of the laboratory, as data: who asks for what, when it comes in bursts, and which engines fail. The first three are
- * as the users' sheets describe their traffic; the others are unlike any of them.
+ * Workloads of the allocation simulation, as data: kinds of requests, bursts, and faults of engines. The first three
+ * follow the known traffic of deployments; the others differ from all of them on purpose.
  */
 import * as domain from '@celerydrift/domain';
 
 export interface RequestKind {
   name: string;
   perSecond: number;
-  /** Mean prompt and its spread (standard deviation of the logarithm), tokens. */
+  /** Mean length of the prompts, which is log-normal, tokens. */
   tokens: number;
+  /** Standard deviation of the logarithm of the length. */
   spread: number;
   maxTokens: number;
-  /** Mean number of events of an answer. */
+  /** Mean number of events in an answer. */
   events: number;
+  /** Time to first token up to which an answer is in time, milliseconds. */
   objectiveMs: number;
+  /** Longest gap between two events up to which an answer is in time, milliseconds. */
   pauseMs: number;
-  /** What an answer in time and a late one are worth. */
+  /** Worth of an answer in time. */
   worth: number;
+  /** Worth of a late answer. */
   lateWorth: number;
 }
 
 export interface Burst {
-  /** Name of a kind, or all. */
+  /** Name of a request kind, or `all`. */
   kind: string;
   fromSecond: number;
   toSecond: number;
+  /** Factor on the arrival rate. */
   rateFactor: number;
 }
 
 export interface Fault {
-  kind: 'dark' | 'slow';
+  kind: 'unresponsive' | 'slow';
+  /** Number of engines that it affects. */
   engines: number;
   fromSecond: number;
   toSecond: number;
@@ -100,7 +106,7 @@
 
 const USUAL_KINDS = [SHORT, MEDIUM, LONG];
 
-/** Bursts that come one after the other, as on the users' heavy days. */
+/** Two bursts in succession, as in the heaviest known traffic: one of all requests, then one of short requests. */
 const BURSTS: Burst[] = [
   { kind: 'all', fromSecond: 2, toSecond: 11, rateFactor: 1.4 },
   { kind: 'short', fromSecond: 12, toSecond: 21, rateFactor: 2.8 },
@@ -127,7 +133,7 @@
     ...BASE,
     name: 'dark',
     kinds: USUAL_KINDS,
-    faults: [{ kind: 'dark', engines: 4, fromSecond: 8, toSecond: 13 }],
+    faults: [{ kind: 'unresponsive', engines: 4, fromSecond: 8, toSecond: 13 }],
   },
   {
     ...BASE,
--- a/packages/measure/src/demo.ts
+++ b/packages/measure/src/demo.ts
@@ -28,9 +28,9 @@
 const PARALLEL = 8;
 
 interface PromptResult {
-  length: string;
+  lengthName: string;
   completion: client.Completion;
-  wrong: boolean;
+  isWrong: boolean;
 }
 
 function print(line = ''): void {
@@ -69,7 +69,8 @@
     // Like the balancer, goes to another entry when this one is down or refuses as not run.
     const again = completion.status === 0 || completion.outcome === 'not-run';
     const lost = !completion.whole && completion.outcome === '';
-    if (wrong || !(again || lost) || turn > id + 6) return { length, completion, wrong };
+    if (wrong || !(again || lost) || turn > id + 6)
+      return { lengthName: length, completion, isWrong: wrong };
     await processes.sleep(100);
   }
 }
@@ -129,7 +130,7 @@
   print('prompt   count   p50 ms   p95 ms   (time to first token)');
   LENGTHS.forEach(({ name }) => {
     const times = sent
-      .filter(({ length, completion }) => length === name && completion.whole)
+      .filter(({ lengthName: length, completion }) => length === name && completion.whole)
       .map(({ completion }) => completion.ttftMs);
     if (times.length === 0) return;
     const { p50, p95, count } = statistics.percentiles(times);
@@ -189,7 +190,7 @@
     return [
       { name: 'every prompt answered', kept: sent.length === total },
       { name: 'every answer whole', kept: sent.every(({ completion }) => completion.whole) },
-      { name: 'no answer of another prompt', kept: sent.every(({ wrong }) => !wrong) },
+      { name: 'no answer of another prompt', kept: sent.every(({ isWrong: wrong }) => !wrong) },
       { name: 'the hold ran once', kept: after.runs === 1 },
     ];
   } finally {
--- a/packages/measure/src/faults/faults.ts
+++ b/packages/measure/src/faults/faults.ts
@@ -1,50 +1,56 @@
 /**
- * Scenario `faults`: each failure of the brief under load, alone, together and twice, on real
- * processes; then counts of everything that must not happen, and how long recovery took.
+ * Scenario `faults`: injects faults into real processes under load, one at a time, combined and repeated. Counts
+ * violations of the guarantees and measures how long recovery from each fault takes.
  */
 import * as client from '../client';
 import * as fleet from '../fleet';
 import * as processes from '../processes';
 import * as teams from '../teams';
-import * as workers from './loadGenerator';
+import * as loadGenerator from './loadGenerator';
 
 export interface Result {
+  /** See `loadGenerator.Counts` for these three. */
   hung: number;
   wrong: number;
   cut: number;
+  /** Service calls that ran more than once. */
   ranTwice: number;
+  /** Service calls that ran although the caller's last answer was `not-run`. */
   notRunButRan: number;
+  /** Leased resources that are still held on engines after the load has ended. */
   holdingsLeft: number;
-  /** Settings accepted during the faults and missing at the end. */
+  /** Settings changes that were accepted during the faults and are missing at the end. */
   settingsLost: number;
-  /** Requests that lost their connection to a daemon under a planned stop. */
+  /** Requests that lost their connection to a daemon during its planned stop. */
   cutByPlannedStop: number;
-  /** Prompts started on a target later than two seconds after its planned stop was announced. */
+  /** Prompts that started on a target more than two seconds after its planned stop was announced. */
   newWorkAfterStop: number;
-  /** From the announcement to "safe to stop", in seconds. */
+  /** Time from the announcement of a planned stop until it is safe to stop, seconds. */
   safeToStopSeconds: number;
-  /** From the fault until short prompts complete through all live entries, the fault still there. */
+  /** Time from each fault until short prompts complete through all live entries while it lasts, seconds. */
   recoverySeconds: Record<string, number>;
+  /** Time from the end of the load until no leased resource is held, seconds. */
   holdingsZeroSeconds: number;
-  counts: workers.Counts;
+  counts: loadGenerator.Counts;
+  /** Number of explicit errors by message. */
   errors: Record<string, number>;
 }
 
 interface FaultStep {
   name: string;
   inject: (target: fleet.Fleet) => Promise<void>;
-  /** What ends the fault, if the system can't. */
+  /** Ends the fault where it doesn't end by itself. */
   heal?: (target: fleet.Fleet) => Promise<void>;
-  /** Time under the fault, in milliseconds. */
-  lastsMs: number;
+  /** How long the fault lasts, milliseconds. */
+  durationMs: number;
 }
 
-/** Engines ten times as fast as the usual stand-in, so that many requests meet each fault. */
+/** Ten times as fast as the default stand-in engine, so that each fault affects many requests. */
 const FAST_ENGINE = { tokenMs: 0.0012, stepBaseMs: 2 };
 
 const ENGINES = ['engine-1', 'engine-2', 'engine-3', 'engine-4'];
 
-const PROBE_TOKENS = 3;
+const PROBE_ANSWER_TOKENS = 3;
 
 async function restartEngine(target: fleet.Fleet, name: string): Promise<void> {
   await target.startEngine({ name, parameters: FAST_ENGINE });
@@ -54,7 +60,7 @@
   await target.standIns.get(name)?.process.kill();
 }
 
-/** Daemons killed by a step, to be started again when it ends. */
+/** Daemons that the current step has killed or frozen; it restarts or resumes them when it ends. */
 const downDaemons: string[] = [];
 
 async function killDaemon(target: fleet.Fleet, name: string): Promise<void> {
@@ -75,35 +81,35 @@
     name: 'engineKilled',
     inject: (target) => killEngine(target, 'engine-1'),
     heal: (target) => restartEngine(target, 'engine-1'),
-    lastsMs: 1_500,
+    durationMs: 1_500,
   },
   {
     name: 'connectionsSilent',
     inject: async (target) => {
       await target.callStandIn('engine-2', '/fault', faultRequest('silent'));
     },
-    lastsMs: 3_000,
+    durationMs: 3_000,
   },
   {
     name: 'answersCrossed',
     inject: async (target) => {
       await target.callStandIn('engine-3', '/fault', faultRequest('cross', 5));
     },
-    lastsMs: 1_000,
+    durationMs: 1_000,
   },
   {
     name: 'streamsCut',
     inject: async (target) => {
       await target.callStandIn('engine-3', '/fault', faultRequest('cut', 5));
     },
-    lastsMs: 1_000,
+    durationMs: 1_000,
   },
   {
     name: 'answersLate',
     inject: async (target) => {
       await target.callStandIn('engine-4', '/fault', faultRequest('late', 5, 1_000));
     },
-    lastsMs: 1_500,
+    durationMs: 1_500,
   },
   {
     name: 'serviceCutsAnswers',
@@ -111,19 +117,19 @@
       await target.callStandIn('parts-1', '/fault', faultRequest('cut', 3));
       await target.callStandIn('parts-2', '/fault', faultRequest('refuse', 5));
     },
-    lastsMs: 1_000,
+    durationMs: 1_000,
   },
   {
     name: 'engineFrozen',
     inject: async (target) => target.standIns.get('engine-1')?.process.signal('SIGSTOP'),
     heal: async (target) => target.standIns.get('engine-1')?.process.signal('SIGCONT'),
-    lastsMs: 4_000,
+    durationMs: 4_000,
   },
   {
     name: 'leaderKilled',
     inject: async (target) => killDaemon(target, (await target.findLeader()).name),
     heal: restartDownDaemons,
-    lastsMs: 2_500,
+    durationMs: 2_500,
   },
   {
     name: 'leaderFrozen',
@@ -135,7 +141,7 @@
     heal: async (target) => {
       downDaemons.splice(0).forEach((name) => target.daemon(name).signal('SIGCONT'));
     },
-    lastsMs: 4_000,
+    durationMs: 4_000,
   },
   {
     name: 'diskLost',
@@ -144,7 +150,7 @@
       target.wipeData('vm-2');
     },
     heal: restartDownDaemons,
-    lastsMs: 500,
+    durationMs: 500,
   },
   {
     name: 'engineAndDaemonKilled',
@@ -155,7 +161,7 @@
       await restartEngine(target, 'engine-3');
       await restartDownDaemons(target);
     },
-    lastsMs: 2_000,
+    durationMs: 2_000,
   },
   {
     name: 'engineKilledTwice',
@@ -166,7 +172,7 @@
       await killEngine(target, 'engine-4');
     },
     heal: (target) => restartEngine(target, 'engine-4'),
-    lastsMs: 500,
+    durationMs: 500,
   },
   {
     name: 'plannedStopOfDaemon',
@@ -175,7 +181,7 @@
       downDaemons.push('vm-4');
     },
     heal: restartDownDaemons,
-    lastsMs: 200,
+    durationMs: 200,
   },
 ];
 
@@ -189,7 +195,7 @@
         key: team.key,
         model: team.model,
         prompt: client.promptOfLength(1_000, `probe${i}`),
-        answerTokens: PROBE_TOKENS,
+        answerTokens: PROBE_ANSWER_TOKENS,
         deadlineMs: 1_500,
         signal: AbortSignal.timeout(2_000),
       }),
@@ -211,13 +217,14 @@
 }
 
 async function countLeases(target: fleet.Fleet): Promise<number> {
-  const lists = await Promise.all(
+  const responses = await Promise.all(
     ENGINES.map((name) =>
       target.callStandIn<{ holdings: { system: string }[] }>(name, '/v1/holdings'),
     ),
   );
-  return lists.flatMap((list) => list.holdings).filter(({ system }) => system === 'celerydrift')
-    .length;
+  return responses
+    .flatMap((response) => response.holdings)
+    .filter(({ system }) => system === 'celerydrift').length;
 }
 
 async function waitForNoLeases(target: fleet.Fleet): Promise<{ left: number; seconds: number }> {
@@ -232,7 +239,7 @@
 
 async function checkCalls(
   target: fleet.Fleet,
-  calls: readonly workers.Call[],
+  calls: readonly loadGenerator.Call[],
 ): Promise<{ ranTwice: number; notRunButRan: number }> {
   const runs = await Promise.all(
     ['parts-1', 'parts-2'].map((name) => target.callStandIn<Record<string, number>>(name, '/runs')),
@@ -240,7 +247,7 @@
   const count = (id: string): number => runs.reduce((sum, each) => sum + (each[id] ?? 0), 0);
   const ranTwice = calls.filter(({ id }) => count(id) > 1).length;
   const notRunButRan = calls.filter(
-    ({ id, outcome: told }) => told === 'not-run' && count(id) > 0,
+    ({ id, outcome }) => outcome === 'not-run' && count(id) > 0,
   ).length;
   return { ranTwice, notRunButRan };
 }
@@ -250,7 +257,7 @@
   return Object.keys(started).length;
 }
 
-/** A planned stop of an engine under load: no new work after two seconds, and then safe. */
+/** Announces a planned stop of an engine under load; counts work that starts there after two seconds. */
 async function measurePlannedStop(
   target: fleet.Fleet,
   name: string,
@@ -273,7 +280,7 @@
   return { newWork, seconds: isSafe ? seconds : Infinity };
 }
 
-/** Five daemons: three replicas in three data centres, a spare with a disk, one without. */
+/** Starts five daemons: three replicas in three data centres, a spare with a disk, and one without a disk. */
 export async function startFleet(): Promise<fleet.Fleet> {
   const target = await fleet.Fleet.plan({
     daemons: [
@@ -293,32 +300,32 @@
   return target;
 }
 
-export async function run(say: (line: string) => void): Promise<Result> {
+export async function run(log: (line: string) => void): Promise<Result> {
   const target = await startFleet();
   const recoverySeconds: Record<string, number> = {};
   try {
     await target.applySettings(teams.FITTERS.name, teams.FITTERS.settings, 0);
     await target.waitUntilReady();
     await target.waitForTargets(ENGINES.length + 2);
-    const load = new workers.LoadGenerator(target, teams.FITTERS, '/services/parts/holds', 1);
+    const load = new loadGenerator.LoadGenerator(target, teams.FITTERS, '/services/parts/holds', 1);
     const running = load.run(10, 3);
     let accepted = 0;
-    const lostIn = new Map<string, number>();
+    const entryLostIn = new Map<string, number>();
     for (const step of STEPS) {
       const since = Date.now();
       const lostBefore = load.counts.entryLost;
       await step.inject(target);
       recoverySeconds[step.name] = await measureRecovery(target, teams.FITTERS, since);
-      await processes.sleep(Math.max(0, step.lastsMs - (Date.now() - since)));
-      // A change in the middle of the fault: whatever is accepted must still be there at the end.
+      await processes.sleep(Math.max(0, step.durationMs - (Date.now() - since)));
+      // Changes settings during the fault; every accepted change must still be there at the end.
       await target.applySettings(`probe-${accepted}`, `; ${step.name}\n`, 0, 15_000);
       accepted += 1;
       await step.heal?.(target);
       await target.waitUntilReady();
-      lostIn.set(step.name, load.counts.entryLost - lostBefore);
-      say(`${step.name}: ${recoverySeconds[step.name]?.toFixed(1)} s`);
+      entryLostIn.set(step.name, load.counts.entryLost - lostBefore);
+      log(`${step.name}: ${recoverySeconds[step.name]?.toFixed(1)} s`);
     }
-    const stopped = await measurePlannedStop(target, 'engine-2');
+    const plannedStop = await measurePlannedStop(target, 'engine-2');
     load.stop();
     await running;
     const { left, seconds } = await waitForNoLeases(target);
@@ -332,9 +339,9 @@
       ...(await checkCalls(target, load.calls)),
       holdingsLeft: left,
       settingsLost: accepted - kept,
-      cutByPlannedStop: lostIn.get('plannedStopOfDaemon') ?? 0,
-      newWorkAfterStop: stopped.newWork,
-      safeToStopSeconds: stopped.seconds,
+      cutByPlannedStop: entryLostIn.get('plannedStopOfDaemon') ?? 0,
+      newWorkAfterStop: plannedStop.newWork,
+      safeToStopSeconds: plannedStop.seconds,
       recoverySeconds,
       holdingsZeroSeconds: seconds,
       counts: load.counts,
--- a/packages/measure/src/faults/loadGenerator.ts
+++ b/packages/measure/src/faults/loadGenerator.ts
@@ -1,7 +1,7 @@
 /**
- * Callers that never rest: prompts of unlike lengths and calls that run once, through all entries, each
- * answer checked against what it must be. A caller whose entry died sends again to another, with the
- * same idempotency key, as real ones do.
+ * Load generator: concurrent callers that send prompts of different lengths and run-once service calls through all
+ * entries, and check each response. Like real callers, they resend a service call to another entry with the same
+ * idempotency key when the first entry fails.
  */
 import * as crypto from 'node:crypto';
 import * as domain from '@celerydrift/domain';
@@ -12,27 +12,28 @@
 export interface Counts {
   prompts: number;
   completed: number;
-  /** No final answer within the deadline and a margin. */
+  /** No final event within the deadline and `TIMEOUT_MARGIN_MS`. */
   hung: number;
-  /** Text of another prompt, or out of order. */
+  /** Text that belongs to another prompt or is out of order. */
   wrong: number;
-  /** A stream that ended without its last token and without saying so. */
+  /** Streams that ended before the last token without an error. */
   cut: number;
-  /** Ended with an explicit error. */
+  /** Requests that ended with an explicit error. */
   failed: number;
-  /** Refused as not run; the caller came again. */
+  /** Requests refused with the outcome `not-run`; a caller may resend them. */
   notRun: number;
-  /** The entry was not listening; the balancer would have known. */
+  /** Refused connections to an entry; a load balancer would have skipped it. */
   entryDown: number;
-  /** The entry died under the caller; it sent again. */
+  /** Connections lost while the entry handled the request. */
   entryLost: number;
   calls: number;
+  /** Service calls whose last outcome was `unknown`. */
   unknown: number;
 }
 
 export interface Call {
   id: string;
-  /** What the caller was told at last. */
+  /** The last outcome that the caller received. */
   outcome: 'completed' | 'not-run' | 'unknown' | 'failed' | 'lost';
 }
 
@@ -42,11 +43,12 @@
 
 const PROMPT_TOKENS: readonly number[] = [1_000, 1_000, 2_000, 4_000, 8_000, 30_000, 120_000];
 
+/** Digest by which the stand-in engine marks each token of the answer to a prompt. */
 export function digestOf(prompt: string): string {
   return crypto.createHash('sha1').update(prompt).digest('hex').slice(0, 6);
 }
 
-/** What the stand-in answers to a prompt, token by token. */
+/** The text that the stand-in engine generates for a prompt. */
 export function expectedText(prompt: string, tokens: number): string {
   const digest = digestOf(prompt);
   return Array.from({ length: tokens }, (_value, position) => `${digest}.${position} `).join('');
@@ -69,7 +71,7 @@
 
   readonly calls: Call[] = [];
 
-  /** Explicit errors, for the report. */
+  /** Number of explicit errors by message. */
   readonly errors = new Map<string, number>();
 
   private isRunning = true;
@@ -87,11 +89,11 @@
     this.random = domain.shared.random.seeded(seed);
   }
 
-  /** Runs until stopped; resolves when every worker has its last answer. */
-  async run(prompters: number, callers: number): Promise<void> {
+  /** Runs until `stop` is called; resolves when every caller has its last response. */
+  async run(promptCallers: number, serviceCallers: number): Promise<void> {
     await Promise.all([
-      ...Array.from({ length: prompters }, () => this.repeat(() => this.sendPrompt())),
-      ...Array.from({ length: callers }, () => this.repeat(() => this.callService())),
+      ...Array.from({ length: promptCallers }, () => this.repeat(() => this.sendPrompt())),
+      ...Array.from({ length: serviceCallers }, () => this.repeat(() => this.callService())),
     ]);
   }
 
@@ -114,7 +116,7 @@
     const prompt = client.promptOfLength(tokens, `p${this.counts.prompts}`);
     const answerTokens = 2 + Math.floor(this.random.uniform() * 30);
     const startedAt = Date.now();
-    const result = await client.complete({
+    const completion = await client.complete({
       entry: this.nextEntry(),
       key: this.team.key,
       model: this.team.model,
@@ -123,20 +125,20 @@
       deadlineMs: DEADLINE_MS,
       signal: AbortSignal.timeout(DEADLINE_MS + TIMEOUT_MARGIN_MS),
     });
-    this.countResult(result, expectedText(prompt, answerTokens), Date.now() - startedAt);
-    if (result.status !== 200) await this.pause();
+    this.countResult(completion, expectedText(prompt, answerTokens), Date.now() - startedAt);
+    if (completion.status !== 200) await this.pause();
   }
 
-  private countResult(result: client.Completion, expected: string, tookMs: number): void {
+  private countResult(completion: client.Completion, expected: string, elapsedMs: number): void {
     const { counts } = this;
-    if (!expected.startsWith(result.text)) counts.wrong += 1;
-    if (result.whole && result.text === expected) counts.completed += 1;
-    else if (result.whole) counts.cut += 1;
-    else if (tookMs >= DEADLINE_MS + TIMEOUT_MARGIN_MS) counts.hung += 1;
-    else if (result.outcome === 'not-run') counts.notRun += 1;
-    else if (result.outcome === 'failed') this.countFailure(result.error);
-    else if (result.error.includes('ECONNREFUSED')) counts.entryDown += 1;
-    else if (result.error !== '') counts.entryLost += 1;
+    if (!expected.startsWith(completion.text)) counts.wrong += 1;
+    if (completion.whole && completion.text === expected) counts.completed += 1;
+    else if (completion.whole) counts.cut += 1;
+    else if (elapsedMs >= DEADLINE_MS + TIMEOUT_MARGIN_MS) counts.hung += 1;
+    else if (completion.outcome === 'not-run') counts.notRun += 1;
+    else if (completion.outcome === 'failed') this.countFailure(completion.error);
+    else if (completion.error.includes('ECONNREFUSED')) counts.entryDown += 1;
+    else if (completion.error !== '') counts.entryLost += 1;
     else counts.cut += 1;
   }
 
@@ -148,21 +150,21 @@
   private async callService(): Promise<void> {
     this.counts.calls += 1;
     const id = `call-${this.counts.calls}`;
-    let told: Call['outcome'] = 'lost';
-    for (let tries = 0; tries < 4; tries++) {
-      const answer = await client.callService(
+    let outcome: Call['outcome'] = 'lost';
+    for (let attempt = 0; attempt < 4; attempt++) {
+      const response = await client.callService(
         this.nextEntry(),
         this.team.key,
         this.servicePath,
         id,
         { id },
       );
-      if (answer.outcome !== '') told = answer.outcome as Call['outcome'];
-      if (told === 'completed') break;
+      if (response.outcome !== '') outcome = response.outcome as Call['outcome'];
+      if (outcome === 'completed') break;
       await this.pause();
     }
-    if (told === 'unknown') this.counts.unknown += 1;
-    this.calls.push({ id, outcome: told });
+    if (outcome === 'unknown') this.counts.unknown += 1;
+    this.calls.push({ id, outcome });
     await this.pause();
   }
 
--- a/packages/measure/src/leader/leader.ts
+++ b/packages/measure/src/leader/leader.ts
@@ -1,29 +1,29 @@
 /**
- * Scenario `leader`: what one leader's decisions cost with more and more engines, as slopes for docs/CAPACITY.md. Prompts
- * of three lengths come and go in virtual time at the rate that the fleet's engines bear; the time of each decision is
- * this machine's.
+ * Scenario `leader`: the cost of one leader's placement decisions against the number of engines, with the slopes that
+ * docs/CAPACITY.md uses. Prompts of three lengths arrive and end in virtual time at a rate that the engines can sustain;
+ * the duration of each decision is measured on the machine that runs it.
  */
 import * as domain from '@celerydrift/domain';
-import * as loads from '../decisions/workloads';
+import * as workloads from '../decisions/workloads';
 import * as statistics from '../statistics';
 
 type Allocator = domain.allocation.allocator.Allocator;
 
 export interface Costs {
   engines: number;
-  /** Milliseconds a decision, by the kind of prompt. */
+  /** Duration of a placement decision by kind of prompt, milliseconds. */
   placing: Record<string, statistics.Percentiles>;
-  /** Milliseconds a decision, over the first hundred of a process, when the code is cold. */
+  /** Total duration of the first hundred decisions, milliseconds; the first fleet measured runs cold code. */
   firstHundredMs: number;
-  /** Milliseconds to work out the averages over all engines that entries are told. */
+  /** Duration of computing the averages over all engines that entries receive, milliseconds. */
   averagesMs: number;
-  /** Milliseconds to take an announcement of a target that is known. */
+  /** Duration of processing an announcement of a known target, milliseconds. */
   announcementMs: number;
 }
 
 export interface Result {
   costs: Costs[];
-  /** Milliseconds a decision for each engine more, by the kind of prompt. */
+  /** Added median duration of a decision for each additional engine by kind of prompt, milliseconds. */
   slopes: Record<string, number>;
 }
 
@@ -31,32 +31,32 @@
 
 const QUICK_ENGINE_COUNTS = [24, 100];
 
-/** Decisions at each size; enough for the 99th percentile of the rarest kind. */
+/** Decisions for each number of engines; enough for the 99th percentile of the rarest kind. */
 const DECISIONS = 4_000;
 
 const QUICK_DECISIONS = 800;
 
 const DATA_CENTRES = 5;
 
-/** Prompts a second and engine, as on the users' largest fleet. */
+/** As in the largest known fleet. */
 const PROMPTS_PER_SECOND_PER_ENGINE = 1.6;
 
-/** How long an answer is written after its first token, milliseconds. */
+/** How long an answer is decoded after its first token, milliseconds. */
 const DECODE_MS = 2_000;
 
-/** Times that the cheaper figures are taken. */
+/** Number of repetitions over which the shorter durations are averaged. */
 const REPEATS = 200;
 
 const SERVICE = 'engines';
 
 interface PromptKind {
   name: string;
-  /** Part of all prompts. */
+  /** Fraction of all prompts. */
   share: number;
   prompt: { tokens: number; answerTokens: number; objectiveMs: number; pauseMs: number };
 }
 
-/** Lengths, objectives and shares of the users' largest fleet. */
+/** Lengths, objectives and shares as in the largest known fleet. */
 const KINDS: readonly PromptKind[] = [
   {
     name: 'short',
@@ -89,19 +89,19 @@
 }
 
 function makeAllocator(engines: number): Allocator {
-  const made = new domain.allocation.allocator.Allocator();
-  const { engine } = loads.WORKLOADS[0];
-  made.setServices([{ name: SERVICE, healthPath: '/', maxConnections: 200, engine }]);
-  for (let i = 0; i < engines; i++) made.observe(makeAnnouncement(i));
-  return made;
+  const allocator = new domain.allocation.allocator.Allocator();
+  const { engine } = workloads.WORKLOADS[0];
+  allocator.setServices([{ name: SERVICE, healthPath: '/', maxConnections: 200, engine }]);
+  for (let i = 0; i < engines; i++) allocator.observe(makeAnnouncement(i));
+  return allocator;
 }
 
-function kindAt(draw: number): PromptKind {
+function kindAt(quantile: number): PromptKind {
   let sum = 0;
   return (
     KINDS.find(({ share }) => {
       sum += share;
-      return draw < sum;
+      return quantile < sum;
     }) ?? KINDS[0]
   );
 }
@@ -113,28 +113,28 @@
 }
 
 function measureCosts(engines: number, decisions: number): Costs {
-  const tested = makeAllocator(engines);
+  const allocator = makeAllocator(engines);
   const random = domain.shared.random.seeded(engines);
-  const spent = new Map<string, number[]>(KINDS.map(({ name }) => [name, []]));
-  const ends: { at: number; id: string }[] = [];
+  const durations = new Map<string, number[]>(KINDS.map(({ name }) => [name, []]));
+  const completions: { at: number; id: string }[] = [];
   let now = 0;
   let firstHundredMs = 0;
   for (let i = 0; i < decisions; i++) {
     now += 1_000 / (PROMPTS_PER_SECOND_PER_ENGINE * engines);
-    while (ends.length > 0 && ends[0].at <= now) {
-      tested.ended(ends.shift()?.id ?? '', 'done', now);
+    while (completions.length > 0 && completions[0].at <= now) {
+      allocator.ended(completions.shift()?.id ?? '', 'done', now);
     }
     const { name, prompt } = kindAt(random.uniform());
     const dataCentre = `dc${i % DATA_CENTRES}`;
     const request = { ...prompt, id: `r${i}`, entry: 'e', service: SERVICE, waitedMs: 0 };
     const since = performance.now();
-    const placed = tested.place({ ...request, dataCentre, excluded: [] }, now);
+    const placement = allocator.place({ ...request, dataCentre, excluded: [] }, now);
     const ms = performance.now() - since;
-    spent.get(name)?.push(ms);
+    durations.get(name)?.push(ms);
     if (i < 100) firstHundredMs += ms;
-    if (placed === undefined) continue;
-    ends.push({ at: now + placed.firstTokenMs + DECODE_MS, id: `r${i}` });
-    ends.sort((a, b) => a.at - b.at);
+    if (placement === undefined) continue;
+    completions.push({ at: now + placement.firstTokenMs + DECODE_MS, id: `r${i}` });
+    completions.sort((a, b) => a.at - b.at);
   }
   const registry = new domain.registry.registry.Registry();
   for (let i = 0; i < engines; i++) registry.announce(makeAnnouncement(i), 0);
@@ -142,10 +142,10 @@
   return {
     engines,
     placing: Object.fromEntries(
-      [...spent].map(([name, all]) => [name, statistics.percentiles(all)]),
+      [...durations].map(([name, all]) => [name, statistics.percentiles(all)]),
     ),
     firstHundredMs,
-    averagesMs: meanMs(() => tested.averages()),
+    averagesMs: meanMs(() => allocator.averages()),
     announcementMs: meanMs(() => {
       sequence += 1;
       registry.announce({ ...makeAnnouncement(sequence % engines), sequence }, 0);
@@ -153,14 +153,14 @@
   };
 }
 
-export async function run(quick: boolean, say: (line: string) => void): Promise<Result> {
-  const sizes = quick ? QUICK_ENGINE_COUNTS : ENGINE_COUNTS;
-  const costs = sizes.map((engines) => {
+export async function run(quick: boolean, log: (line: string) => void): Promise<Result> {
+  const engineCounts = quick ? QUICK_ENGINE_COUNTS : ENGINE_COUNTS;
+  const costs = engineCounts.map((engines) => {
     const each = measureCosts(engines, quick ? QUICK_DECISIONS : DECISIONS);
     const placing = Object.entries(each.placing)
       .map(([name, { p50, p99 }]) => `${name} ${p50.toFixed(2)} / ${p99.toFixed(2)} ms`)
       .join(', ');
-    say(
+    log(
       `${engines} engines: ${placing} (p50 / p99); first hundred ${each.firstHundredMs.toFixed(0)} ms; ` +
         `averages ${each.averagesMs.toFixed(3)} ms; announcement ${each.announcementMs.toFixed(4)} ms`,
     );
--- a/packages/measure/src/ledger/ledger.ts
+++ b/packages/measure/src/ledger/ledger.ts
@@ -1,6 +1,6 @@
 /**
- * Scenario `ledger`: what a claim costs a call that runs once, and whether any call runs twice while
- * daemons and leaders die at every step and callers send again through other entries.
+ * Scenario `ledger`: the latency that a claim adds to a run-once call, the rate of claims, and whether any call runs
+ * twice while daemons and leaders are killed and callers resend through other entries.
  */
 import * as client from '../client';
 import * as fleet from '../fleet';
@@ -10,13 +10,18 @@
 
 export interface Result {
   claimsPerSecond: number;
+  /** Latency of a claimed call minus that of a plain one, milliseconds. */
   addedMsP50: number;
   addedMsP99: number;
+  /** Calls that ran more than once. */
   ranTwice: number;
+  /** Calls that ran although every response said `not-run`. */
   notRunButRan: number;
-  /** Resends after everything, through all entries: their answer and how often the call ran. */
+  /** Number of times that calls were resent. */
   resends: number;
+  /** Calls that completed with different answers. */
   resendsUnlikeFirst: number;
+  /** Calls whose last outcome was `unknown`. */
   unknown: number;
 }
 
@@ -42,14 +47,16 @@
         client.callService(entry, teams.FITTERS.key, HOLDS_PATH, key, { id: key }),
       ),
     );
-    const lookup = '/services/parts/lookups';
+    const lookupsPath = '/services/parts/lookups';
     plain.push(
-      await elapsedMs(() => client.callService(entry, teams.FITTERS.key, lookup, '', { id: key })),
+      await elapsedMs(() =>
+        client.callService(entry, teams.FITTERS.key, lookupsPath, '', { id: key }),
+      ),
     );
   }
-  const a = statistics.percentiles(claimed);
-  const b = statistics.percentiles(plain);
-  return { p50: a.p50 - b.p50, p99: a.p99 - b.p99 };
+  const withClaim = statistics.percentiles(claimed);
+  const withoutClaim = statistics.percentiles(plain);
+  return { p50: withClaim.p50 - withoutClaim.p50, p99: withClaim.p99 - withoutClaim.p99 };
 }
 
 async function measureClaimRate(target: fleet.Fleet, count: number): Promise<number> {
@@ -74,22 +81,22 @@
   texts: Set<string>;
 }
 
-/** Calls with resends through all entries while daemons are killed and started again. */
+/** Sends and resends calls through all entries while daemons are killed and restarted one after the other. */
 async function callDuringKills(target: fleet.Fleet, rounds: number): Promise<CallRecord[]> {
-  const all: CallRecord[] = [];
-  let running = true;
+  const records: CallRecord[] = [];
+  let isRunning = true;
   const callers = Array.from({ length: 8 }, async (_value, caller) => {
-    for (let i = 0; running; i++) {
-      const told: CallRecord = { id: `killed-${caller}-${i}`, outcomes: [], texts: new Set() };
-      all.push(told);
-      // The caller gets impatient: it sends to two entries at once, then to the third.
+    for (let i = 0; isRunning; i++) {
+      const record: CallRecord = { id: `killed-${caller}-${i}`, outcomes: [], texts: new Set() };
+      records.push(record);
+      // Sends each call to two entries at once, like an impatient caller, and then to the third.
       const send = async (entry: number): Promise<void> => {
         const url = target.entryUrls[(caller + entry) % 3];
-        const answer = await client.callService(url, teams.FITTERS.key, HOLDS_PATH, told.id, {
-          id: told.id,
+        const response = await client.callService(url, teams.FITTERS.key, HOLDS_PATH, record.id, {
+          id: record.id,
         });
-        told.outcomes.push(answer.outcome);
-        if (answer.outcome === 'completed') told.texts.add(answer.text);
+        record.outcomes.push(response.outcome);
+        if (response.outcome === 'completed') record.texts.add(response.text);
       };
       await Promise.all([send(0), send(1)]);
       await send(2);
@@ -103,12 +110,12 @@
     target.startDaemon(name);
     await target.waitUntilReady();
   }
-  running = false;
+  isRunning = false;
   await Promise.all(callers);
-  return all;
+  return records;
 }
 
-export async function run(quick: boolean, say: (line: string) => void): Promise<Result> {
+export async function run(quick: boolean, log: (line: string) => void): Promise<Result> {
   const target = await fleet.Fleet.plan({
     daemons: ['dc-1', 'dc-2', 'dc-3'].map((dataCentre) => {
       return { dataCentre, disk: true, founder: true };
@@ -122,27 +129,27 @@
     await target.applySettings(teams.FITTERS.name, teams.FITTERS.settings, 0);
     await target.waitUntilReady();
     await target.waitForTargets(2);
-    const cost = await measureAddedLatency(target, quick ? 150 : 1_000);
-    say(`added by a claim: ${JSON.stringify(cost)}`);
+    const addedLatency = await measureAddedLatency(target, quick ? 150 : 1_000);
+    log(`added by a claim: ${JSON.stringify(addedLatency)}`);
     const claimsPerSecond = await measureClaimRate(target, quick ? 3_000 : 20_000);
-    say(`claims per second: ${claimsPerSecond.toFixed(0)}`);
-    const told = await callDuringKills(target, quick ? 6 : 30);
+    log(`claims per second: ${claimsPerSecond.toFixed(0)}`);
+    const records = await callDuringKills(target, quick ? 6 : 30);
     const runs = await Promise.all(
       ['parts-1', 'parts-2'].map((name) => {
         return target.callStandIn<Record<string, number>>(name, '/runs');
       }),
     );
     const count = (id: string): number => runs.reduce((sum, each) => sum + (each[id] ?? 0), 0);
-    const never = told.filter(({ outcomes }) => outcomes.every((each) => each === 'not-run'));
+    const neverRun = records.filter(({ outcomes }) => outcomes.every((each) => each === 'not-run'));
     return {
       claimsPerSecond,
-      addedMsP50: cost.p50,
-      addedMsP99: cost.p99,
-      ranTwice: told.filter(({ id }) => count(id) > 1).length,
-      notRunButRan: never.filter(({ id }) => count(id) > 0).length,
-      resends: told.reduce((sum, { outcomes }) => sum + outcomes.length - 1, 0),
-      resendsUnlikeFirst: told.filter(({ texts }) => texts.size > 1).length,
-      unknown: told.filter(({ outcomes }) => outcomes.at(-1) === 'unknown').length,
+      addedMsP50: addedLatency.p50,
+      addedMsP99: addedLatency.p99,
+      ranTwice: records.filter(({ id }) => count(id) > 1).length,
+      notRunButRan: neverRun.filter(({ id }) => count(id) > 0).length,
+      resends: records.reduce((sum, { outcomes }) => sum + outcomes.length - 1, 0),
+      resendsUnlikeFirst: records.filter(({ texts }) => texts.size > 1).length,
+      unknown: records.filter(({ outcomes }) => outcomes.at(-1) === 'unknown').length,
     };
   } finally {
     await target.stopAll();
--- a/packages/measure/src/quarantine/quarantine.ts
+++ b/packages/measure/src/quarantine/quarantine.ts
@@ -1,6 +1,6 @@
 /**
- * Scenario `quarantine`: what the guard against requests that crash targets costs a request that nobody suspects, and what a
- * full table takes in memory and on the wire. Times are this machine's.
+ * Scenario `quarantine`: the cost of the quarantine check for a request that isn't suspect, and the size of a full table
+ * of suspect requests in memory and on the wire. Durations are measured on the machine that runs it.
  */
 import * as domain from '@celerydrift/domain';
 import { fingerprint, registryCopies } from '@celerydrift/daemon';
@@ -9,17 +9,19 @@
 
 export interface Cost {
   bodyBytes: number;
-  /** Microseconds a request, by what the table holds. */
+  /** Microseconds per request while the table is empty. */
   noSuspects: number;
+  /** The same with a full table of suspects whose bodies have another length. */
   otherLengths: number;
+  /** The same with a full table of suspects whose bodies have the same length, so that it is fingerprinted. */
   sameLength: number;
 }
 
 export interface Result {
   costs: Cost[];
-  /** Suspects of a full table, its heap and its packed copy for an entry that starts, bytes. */
+  /** Suspects in a full table, its heap and the packed snapshot that a starting entry receives, bytes. */
   full: { suspects: number; heapBytes: number; copyBytes: number };
-  /** Milliseconds that a leader takes for a blame that must make room in a full table. */
+  /** Time in which a leader processes a crash report that evicts a suspect from a full table, milliseconds. */
   blameFullMs: number;
 }
 
@@ -31,27 +33,27 @@
 
 const CRASH_REPORTS = 500;
 
-/** Length of bodies that no measured request has. */
+/** A length that no body of `BODY_BYTES` has. */
 const OTHER_BYTES = 7;
 
 function makeTable(suspects: number, bodyBytes: number): Quarantine {
-  const made = new domain.quarantine.quarantine.Quarantine();
+  const quarantine = new domain.quarantine.quarantine.Quarantine();
   for (let i = 0; i < suspects; i++) {
     const lifetime = domain.quarantine.endedLifetimes.lifetimeOf({ id: `i-${i}`, bornAt: i });
-    made.blame(`${bodyBytes}-${i}`, lifetime, { sentAt: i, isTrial: false }, i);
+    quarantine.blame(`${bodyBytes}-${i}`, lifetime, { sentAt: i, isTrial: false }, i);
   }
-  return made;
+  return quarantine;
 }
 
-/** What an entry does before it sends a request. */
+/** Time of the check that an entry does before it sends a request. */
 function lookupMicroseconds(quarantine: Quarantine, body: Buffer, repeats: number): number {
-  const content = { host: 'a.example', method: 'POST', path: '/a/1', organisation: 'o', body };
-  const look = (): void => {
-    if (quarantine.mayKnow(body.length)) quarantine.standing(fingerprint.of(content));
+  const request = { host: 'a.example', method: 'POST', path: '/a/1', organisation: 'o', body };
+  const check = (): void => {
+    if (quarantine.mayKnow(body.length)) quarantine.standing(fingerprint.of(request));
   };
-  for (let i = 0; i < repeats / 10; i++) look();
+  for (let i = 0; i < repeats / 10; i++) check();
   const since = performance.now();
-  for (let i = 0; i < repeats; i++) look();
+  for (let i = 0; i < repeats; i++) check();
   return (1_000 * (performance.now() - since)) / repeats;
 }
 
@@ -68,23 +70,23 @@
   return (performance.now() - since) / CRASH_REPORTS;
 }
 
-export async function run(quick: boolean, say: (line: string) => void): Promise<Result> {
-  const { MOST_SUSPECTS: most } = domain.quarantine.quarantine;
+export async function run(quick: boolean, log: (line: string) => void): Promise<Result> {
+  const { MOST_SUSPECTS: maxSuspects } = domain.quarantine.quarantine;
   const costs = BODY_BYTES.map((bodyBytes) => {
     const body = Buffer.alloc(bodyBytes, 'x');
-    const usual = quick ? QUICK_REPEATS : REPEATS;
-    const repeats = Math.max(100, Math.round((usual * BODY_BYTES[0]) / bodyBytes));
+    const defaultRepeats = quick ? QUICK_REPEATS : REPEATS;
+    const repeats = Math.max(100, Math.round((defaultRepeats * BODY_BYTES[0]) / bodyBytes));
     const cost = {
       bodyBytes,
-      noSuspects: lookupMicroseconds(makeTable(0, 0), body, usual),
-      otherLengths: lookupMicroseconds(makeTable(most, OTHER_BYTES), body, usual),
-      sameLength: lookupMicroseconds(makeTable(most, bodyBytes), body, repeats),
+      noSuspects: lookupMicroseconds(makeTable(0, 0), body, defaultRepeats),
+      otherLengths: lookupMicroseconds(makeTable(maxSuspects, OTHER_BYTES), body, defaultRepeats),
+      sameLength: lookupMicroseconds(makeTable(maxSuspects, bodyBytes), body, repeats),
     };
-    say(JSON.stringify(cost));
+    log(JSON.stringify(cost));
     return cost;
   });
   const before = usedHeapBytes();
-  const full = makeTable(most, OTHER_BYTES);
+  const full = makeTable(maxSuspects, OTHER_BYTES);
   const heapBytes = usedHeapBytes() - before;
   const copyBytes = registryCopies.pack({
     records: [],
@@ -93,7 +95,7 @@
   }).length;
   return {
     costs,
-    full: { suspects: most, heapBytes, copyBytes },
+    full: { suspects: maxSuspects, heapBytes, copyBytes },
     blameFullMs: crashReportMs(full),
   };
 }
--- a/packages/measure/src/state/state.ts
+++ b/packages/measure/src/state/state.ts
@@ -1,23 +1,25 @@
 /**
- * Scenario `state`: memory of one item of each kind that a daemon holds, and the time of what is done
- * over all of them, as slopes for docs/CAPACITY.md.
+ * Scenario `state`: the memory of one item of each kind of state that a daemon keeps, and the duration of operations
+ * over all items. docs/CAPACITY.md uses the results as slopes.
  */
 import * as crypto from 'node:crypto';
 import * as domain from '@celerydrift/domain';
 import * as teams from '../teams';
 
 export interface Result {
-  /** Bytes of heap for each. */
+  /** Heap per item, bytes. */
   bytesPerSubtree: number;
   bytesPerDaemon: number;
   bytesPerTarget: number;
   bytesPerClaim: number;
   bytesPerTombstone: number;
-  /** Milliseconds for a view of a thousand subtrees and a thousand daemons. */
+  /** Milliseconds to compute the digest of a view of a thousand subtrees and a thousand daemons. */
   digestMs: number;
+  /** Milliseconds to build the directory of a thousand subtrees. */
   directoryMs: number;
+  /** Milliseconds to rebuild it from the former one after a change of one subtree. */
   directoryAfterChangeMs: number;
-  /** Milliseconds to find the own cell among 810 daemons and 2,400 targets. */
+  /** Milliseconds in which a daemon computes its own cell among 810 daemons and 2,400 targets. */
   cellMs: number;
   /** Milliseconds to place one request among 32 targets. */
   placeMs: number;
@@ -46,7 +48,7 @@
   return (performance.now() - since) / times;
 }
 
-/** A text of its own, as if it had come over the network. */
+/** Copies a string into memory of its own, like one received over the network. */
 function unsharedCopy(text: string): string {
   return Buffer.from(text).toString();
 }
@@ -93,43 +95,43 @@
 }
 
 function measurePlacementMs(hash: domain.shared.hashing.Hash): number {
-  const choice = new domain.routing.policy.ElasticReserve(domain.shared.random.seeded(1));
-  const dispatcher = new domain.routing.dispatcher.Dispatcher('dc-1', hash, choice);
+  const policy = new domain.routing.policy.ElasticReserve(domain.shared.random.seeded(1));
+  const dispatcher = new domain.routing.dispatcher.Dispatcher('dc-1', hash, policy);
   dispatcher.setTargets(Array.from({ length: 32 }, (_value, i) => makeTarget(i)));
   let now = 0;
-  let made = 0;
+  let requests = 0;
   const model = { base: 'base', adapter: '', version: '1' };
   return meanMs(() => {
-    made += 1;
+    requests += 1;
     now += 5;
     const request: domain.routing.dispatcher.Request = {
-      id: `r${made}`,
+      id: `r${requests}`,
       organisation: 'o',
       share: 1,
       priority: 'normal',
       model,
       promptTokens: 3_000,
       answerTokens: 200,
-      prefixKeys: [made, made + 1],
+      prefixKeys: [requests, requests + 1],
       enqueuedAt: now,
       deadline: now + 60_000,
       excluded: new Set(),
     };
     dispatcher.enqueue(request, now);
     dispatcher.poll(now);
-    if (made > 100) {
-      dispatcher.firstToken(`r${made - 10}`, now);
-      dispatcher.ended(`r${made - 100}`, now);
+    if (requests > 100) {
+      dispatcher.firstToken(`r${requests - 10}`, now);
+      dispatcher.ended(`r${requests - 100}`, now);
     }
   }, 5_000);
 }
 
-export async function run(_quick: boolean, _say: (line: string) => void): Promise<Result> {
+export async function run(_quick: boolean, _log: (line: string) => void): Promise<Result> {
   const hash = await domain.shared.hashing.load();
   const view = new domain.control.view.View();
-  const numbers = Array.from({ length: ITEMS }, (_value, i) => i);
+  const indexes = Array.from({ length: ITEMS }, (_value, i) => i);
   const subtrees = measureBytes(ITEMS, () => {
-    const list = numbers.map((i) => makeSubtree(i, i + 1));
+    const list = indexes.map((i) => makeSubtree(i, i + 1));
     const deltas = list.map((each, i): domain.control.state.Delta => {
       return { kind: 'subtree', index: i + 1, name: each.name, subtree: each };
     });
@@ -137,7 +139,7 @@
     return new domain.settings.directory.Directory(list);
   });
   const daemons = measureBytes(ITEMS, () => {
-    numbers.forEach((i) => {
+    indexes.forEach((i) => {
       const daemon = { id: unsharedCopy(`vm-${i}`), address: unsharedCopy(`10.1.${i}.1:8083`) };
       const registered = { ...daemon, dataCentre: `dc-${i % 17}`, replica: '' };
       const index = ITEMS + 1 + i;
@@ -145,7 +147,7 @@
     });
     return view;
   });
-  const targets = measureBytes(ITEMS, () => new Map(numbers.map((i) => [`e${i}`, makeTarget(i)])));
+  const targets = measureBytes(ITEMS, () => new Map(indexes.map((i) => [`e${i}`, makeTarget(i)])));
   const claims = measureBytes(CLAIMS, () => fillLedger(CLAIMS));
   const tombstones = measureBytes(CLAIMS, () => {
     const shard = fillLedger(CLAIMS);
@@ -153,15 +155,15 @@
     shard.apply({ kind: 'release', key: '', attempt: '', at: retention + CLAIMS + 1 });
     return shard;
   });
-  const all = [...view.subtrees.values()];
-  const changed = all.map((each, i) => (i === 0 ? { ...each, index: 1e6 } : each));
+  const unchanged = [...view.subtrees.values()];
+  const changed = unchanged.map((each, i) => (i === 0 ? { ...each, index: 1e6 } : each));
   const { Directory } = domain.settings.directory;
-  const former = subtrees.made;
-  const place = (prefix: string, i: number): domain.routing.cell.Placed => {
+  const formerDirectory = subtrees.made;
+  const placedAt = (prefix: string, i: number): domain.routing.cell.Placed => {
     return { id: `${prefix}${i}`, dataCentre: `dc-${i % 17}` };
   };
-  const fleet = Array.from({ length: 810 }, (_value, i) => place('vm', i));
-  const engines = Array.from({ length: 2_400 }, (_value, i) => place('e', i));
+  const fleet = Array.from({ length: 810 }, (_value, i) => placedAt('vm', i));
+  const engines = Array.from({ length: 2_400 }, (_value, i) => placedAt('e', i));
   const self = fleet[0];
   return {
     bytesPerSubtree: subtrees.bytes,
@@ -170,8 +172,8 @@
     bytesPerClaim: claims.bytes,
     bytesPerTombstone: tombstones.bytes,
     digestMs: meanMs(() => view.digest(hash), 20),
-    directoryMs: meanMs(() => new Directory(all), 5),
-    directoryAfterChangeMs: meanMs(() => new Directory(changed, former), 20),
+    directoryMs: meanMs(() => new Directory(unchanged), 5),
+    directoryAfterChangeMs: meanMs(() => new Directory(changed, formerDirectory), 20),
     cellMs: meanMs(() => domain.routing.cell.cellOf(hash, self, fleet, engines), 20),
     placeMs: measurePlacementMs(hash),
     snapshotMsPerThousandClaims: meanMs(() => claims.made.snapshot(), 5) / (CLAIMS / 1_000),
