--- a/packages/measure/src/client.ts
+++ b/packages/measure/src/client.ts
@@ -1,4 +1,4 @@
-/** A caller: streams completions and calls services, and tells how each ended. */
+/** Client of an entry: streams completions and calls services, and reports the outcome of each request. */
 import * as stringDecoder from 'node:string_decoder';
 import * as eventSource from 'eventsource-parser';
 import * as undici from 'undici';
@@ -11,14 +11,14 @@
   totalMs: number;
   text: string;
   tokens: number;
-  /** Terminal frame seen. */
+  /** Whether the stream ended with its terminal event. */
   whole: boolean;
   error: string;
 }
 
 const agent = new undici.Agent({ connections: 512, headersTimeout: 0, bodyTimeout: 0 });
 
-/** A text of about so many tokens, different for each seed from its first words. */
+/** A prompt of about `tokens` tokens; prompts of different seeds differ from their first words on. */
 export function promptOfLength(tokens: number, seed: string): string {
   const word = `${seed} `;
   const length = Math.max(1, tokens * 4 - 8);
@@ -35,7 +35,7 @@
   signal?: AbortSignal;
 }
 
-export async function complete(wish: CompletionRequest): Promise<Completion> {
+export async function complete(request: CompletionRequest): Promise<Completion> {
   const startedAt = performance.now();
   const result: Completion = {
     status: 0,
@@ -48,19 +48,21 @@
     error: '',
   };
   try {
-    const { statusCode, headers, body } = await undici.request(`${wish.entry}/v1/completions`, {
+    const { statusCode, headers, body } = await undici.request(`${request.entry}/v1/completions`, {
       method: 'POST',
       dispatcher: agent,
-      signal: wish.signal,
+      signal: request.signal,
       headers: {
-        authorization: `Bearer ${wish.key}`,
+        authorization: `Bearer ${request.key}`,
         'content-type': 'application/json',
-        ...(wish.deadlineMs === undefined ? {} : { 'x-deadline-ms': String(wish.deadlineMs) }),
+        ...(request.deadlineMs === undefined
+          ? {}
+          : { 'x-deadline-ms': String(request.deadlineMs) }),
       },
       body: JSON.stringify({
-        model: wish.model,
-        prompt: wish.prompt,
-        max_tokens: wish.answerTokens,
+        model: request.model,
+        prompt: request.prompt,
+        max_tokens: request.answerTokens,
         stream: true,
       }),
     });
@@ -112,6 +114,7 @@
 export interface ServiceResponse {
   status: number;
   outcome: string;
+  /** Whether the response was replayed from the ledger. */
   replayed: boolean;
   text: string;
 }
@@ -124,7 +127,7 @@
   body: unknown,
 ): Promise<ServiceResponse> {
   try {
-    const answer = await undici.request(`${entry}${path}`, {
+    const response = await undici.request(`${entry}${path}`, {
       method: 'POST',
       dispatcher: agent,
       headers: {
@@ -135,10 +138,10 @@
       body: JSON.stringify(body),
     });
     return {
-      status: answer.statusCode,
-      outcome: String(answer.headers['x-celerydrift-outcome'] ?? ''),
-      replayed: answer.headers['x-celerydrift-replayed'] === 'true',
-      text: await answer.body.text(),
+      status: response.statusCode,
+      outcome: String(response.headers['x-celerydrift-outcome'] ?? ''),
+      replayed: response.headers['x-celerydrift-replayed'] === 'true',
+      text: await response.body.text(),
     };
   } catch (error) {
     return { status: 0, outcome: '', replayed: false, text: String(error) };
--- a/packages/measure/src/demo.ts
+++ b/packages/measure/src/demo.ts
@@ -1,17 +1,17 @@
 /**
- * `npm run demo`: three daemons with data folders, three engines, two services, two teams' settings;
- * prompts from a thousand to a million tokens, a resent parts hold, an engine and a daemon killed on the
- * way. Prints time to first token, outcomes and the audit trail; exits 1 if a promise broke.
+ * `npm run demo`: runs three daemons with data folders, four engines and two services with the settings of two teams.
+ * Sends prompts from a thousand to a million tokens and a service call that is resent, and kills an engine and a daemon
+ * meanwhile. Prints times to first token, outcomes and the audit trail; exits 1 if a guarantee was violated.
  */
 import * as domain from '@celerydrift/domain';
 import * as client from './client';
-import * as workers from './faults/loadGenerator';
+import * as loadGenerator from './faults/loadGenerator';
 import * as fleet from './fleet';
 import * as processes from './processes';
 import * as statistics from './statistics';
 import * as teams from './teams';
 
-/** Faster than the measured stand-in, so that a million tokens fit into a demo. */
+/** Faster than the default stand-in engine, so that a prompt of a million tokens fits into a demo. */
 const FAST_ENGINE = { tokenMs: 0.002, stepBaseMs: 4, attentionTokens: 400_000 };
 
 const LENGTHS: readonly { name: string; tokens: number; count: number }[] = [
@@ -37,14 +37,14 @@
   process.stdout.write(`${line}\n`);
 }
 
-/** All prompts in a seeded order, from both teams through all entries. */
+/** All prompts in a seeded order, alternating between the teams. */
 function planPrompts(): { length: string; tokens: number; team: teams.Team; id: number }[] {
   const source = domain.shared.random.seeded(7);
   const all = LENGTHS.flatMap(({ name, tokens, count }) =>
     Array.from({ length: count }, () => ({ length: name, tokens })),
   );
   const rest = all.slice(0, -1).sort(() => source.uniform() - 0.5);
-  // The longest first, so that it runs beside all the others.
+  // The longest comes first, so that it runs beside all the others.
   return [all.at(-1) as (typeof all)[number], ...rest].map((each, id) => {
     return { ...each, team: id % 2 === 0 ? teams.FITTERS : teams.PITS, id };
   });
@@ -55,22 +55,22 @@
   { length, tokens, team, id }: ReturnType<typeof planPrompts>[number],
 ): Promise<PromptResult> {
   const prompt = client.promptOfLength(tokens, `demo${id}`);
-  for (let turn = id; ; turn++) {
+  for (let attempt = id; ; attempt++) {
     const completion = await client.complete({
-      entry: target.entryUrls[turn % target.entryUrls.length],
+      entry: target.entryUrls[attempt % target.entryUrls.length],
       key: team.key,
       model: team.model,
       prompt,
       answerTokens: ANSWER_TOKENS,
       deadlineMs: 45_000,
     });
-    const expected = workers.expectedText(prompt, ANSWER_TOKENS);
-    const wrong = !expected.startsWith(completion.text);
-    // Like the balancer, goes to another entry when this one is down or refuses as not run.
-    const again = completion.status === 0 || completion.outcome === 'not-run';
-    const lost = !completion.whole && completion.outcome === '';
-    if (wrong || !(again || lost) || turn > id + 6)
-      return { lengthName: length, completion, isWrong: wrong };
+    const expected = loadGenerator.expectedText(prompt, ANSWER_TOKENS);
+    const isWrong = !expected.startsWith(completion.text);
+    // Like a load balancer, retries through another entry when this one is down or answers `not-run`.
+    const isRefused = completion.status === 0 || completion.outcome === 'not-run';
+    const isLost = !completion.whole && completion.outcome === '';
+    if (isWrong || !(isRefused || isLost) || attempt > id + 6)
+      return { lengthName: length, completion, isWrong };
     await processes.sleep(100);
   }
 }
@@ -79,29 +79,29 @@
   target: fleet.Fleet,
   onProgress: (done: number) => void,
 ): Promise<PromptResult[]> {
-  const waiting = planPrompts();
-  const sent: PromptResult[] = [];
+  const queue = planPrompts();
+  const results: PromptResult[] = [];
   await Promise.all(
     Array.from({ length: PARALLEL }, async () => {
-      for (let next = waiting.shift(); next !== undefined; next = waiting.shift()) {
-        sent.push(await sendPrompt(target, next));
-        onProgress(sent.length);
+      for (let next = queue.shift(); next !== undefined; next = queue.shift()) {
+        results.push(await sendPrompt(target, next));
+        onProgress(results.length);
       }
     }),
   );
-  return sent;
+  return results;
 }
 
-/** The same hold through three daemons; one hold must go out. */
+/** Sends the same hold through each daemon; the service must run it once. */
 async function resendHold(target: fleet.Fleet): Promise<{ runs: number; replayed: number }> {
-  const answers: client.ServiceResponse[] = [];
+  const responses: client.ServiceResponse[] = [];
   for (const entry of target.entryUrls) {
     const hold = { id: 'hold-4711' };
     const path = '/services/parts/holds';
-    answers.push(await client.callService(entry, teams.FITTERS.key, path, hold.id, hold));
+    responses.push(await client.callService(entry, teams.FITTERS.key, path, hold.id, hold));
   }
   const runs = await target.callStandIn<Record<string, number>>('parts-1', '/runs');
-  const replayed = answers.filter((answer) => answer.replayed).length;
+  const replayed = responses.filter((response) => response.replayed).length;
   return { runs: runs['hold-4711'] ?? 0, replayed };
 }
 
@@ -126,11 +126,11 @@
   return target;
 }
 
-function printLatencies(sent: readonly PromptResult[]): void {
+function printLatencies(results: readonly PromptResult[]): void {
   print('prompt   count   p50 ms   p95 ms   (time to first token)');
   LENGTHS.forEach(({ name }) => {
-    const times = sent
-      .filter(({ lengthName: length, completion }) => length === name && completion.whole)
+    const times = results
+      .filter(({ lengthName, completion }) => lengthName === name && completion.whole)
       .map(({ completion }) => completion.ttftMs);
     if (times.length === 0) return;
     const { p50, p95, count } = statistics.percentiles(times);
@@ -154,7 +154,7 @@
   });
 }
 
-/** One promise, and whether it was kept. */
+/** A guarantee, and whether it held. */
 interface Guarantee {
   name: string;
   kept: boolean;
@@ -164,12 +164,12 @@
   const target = await startFleet();
   try {
     print('three daemons, four engines, two services: ready');
-    const hold = await resendHold(target);
+    const first = await resendHold(target);
     const total = planPrompts().length;
-    let killed = false;
-    const sent = await sendAll(target, (done) => {
-      if (done < total / 3 || killed) return;
-      killed = true;
+    let isKilled = false;
+    const results = await sendAll(target, (done) => {
+      if (done < total / 3 || isKilled) return;
+      isKilled = true;
       print('killing engine-2 and daemon vm-2');
       void target.standIns.get('engine-2')?.process.kill();
       void target.daemon('vm-2').kill();
@@ -177,20 +177,23 @@
     });
     await target.waitUntilReady();
     const after = await resendHold(target);
-    printLatencies(sent);
+    printLatencies(results);
     const outcomes = new Map<string, number>();
-    sent.forEach(({ completion: { outcome } }) => {
+    results.forEach(({ completion: { outcome } }) => {
       outcomes.set(outcome || 'lost', (outcomes.get(outcome || 'lost') ?? 0) + 1);
     });
     print(`outcomes: ${JSON.stringify(Object.fromEntries(outcomes))}`);
     print(
-      `hold sent six times: ran ${after.runs} time, ${hold.replayed + after.replayed} answers from the ledger`,
+      `hold sent six times; runs: ${after.runs}, ${first.replayed + after.replayed} answers from the ledger`,
     );
     await printAudit(target);
     return [
-      { name: 'every prompt answered', kept: sent.length === total },
-      { name: 'every answer whole', kept: sent.every(({ completion }) => completion.whole) },
-      { name: 'no answer of another prompt', kept: sent.every(({ isWrong: wrong }) => !wrong) },
+      { name: 'every prompt answered', kept: results.length === total },
+      { name: 'every answer complete', kept: results.every(({ completion }) => completion.whole) },
+      {
+        name: 'no answer that belongs to another prompt',
+        kept: results.every(({ isWrong }) => !isWrong),
+      },
       { name: 'the hold ran once', kept: after.runs === 1 },
     ];
   } finally {
@@ -199,7 +202,7 @@
 }
 
 export async function main(): Promise<void> {
-  const promises = await run();
-  promises.forEach(({ name, kept }) => print(`${kept ? 'kept  ' : 'BROKEN'} ${name}`));
-  process.exit(promises.every(({ kept }) => kept) ? 0 : 1);
+  const guarantees = await run();
+  guarantees.forEach(({ name, kept }) => print(`${kept ? 'held    ' : 'VIOLATED'} ${name}`));
+  process.exit(guarantees.every(({ kept }) => kept) ? 0 : 1);
 }
--- a/packages/measure/src/fleet.ts
+++ b/packages/measure/src/fleet.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet of real processes on loopback for measurements and the demo: daemons with their settings
- * files, engines and services, each started here and ended here by its process id.
+ * A fleet of real processes on the loopback interface, for measurements and the demo: daemons with their settings
+ * files, stand-in engines and stand-in services. Each process is ended by its own process id.
  */
 import * as crypto from 'node:crypto';
 import * as fs from 'node:fs';
@@ -25,7 +25,7 @@
   name: string;
   dataCentre: string;
   disk: boolean;
-  /** Members of the first replica set. */
+  /** Whether it is a member of the first replica set. */
   founder: boolean;
   ports: Ports;
 }
@@ -75,7 +75,7 @@
     this.folder = fs.mkdtempSync(path.join(os.tmpdir(), 'celerydrift-'));
   }
 
-  /** Plans a fleet and writes its settings files; nothing runs yet. */
+  /** Allocates ports and writes the settings files; starts no process. */
   static async plan(options: FleetOptions): Promise<Fleet> {
     const ports = await processes.freePorts(options.daemons.length * 4);
     const plans = options.daemons.map((daemon, i): DaemonPlan => {
@@ -102,7 +102,7 @@
 
   plan(name: string): DaemonPlan {
     const plan = this.daemonPlans.find((each) => each.name === name);
-    if (plan === undefined) throw new Error(`no daemon ${name}`);
+    if (plan === undefined) throw new Error(`no daemon is named ${name}`);
     return plan;
   }
 
@@ -122,21 +122,21 @@
     return daemon;
   }
 
-  /** The daemon that leads the settings log; the first one while nobody says that it does. */
+  /** The daemon that leads the settings log; the first one if no daemon reports that it leads. */
   async findLeader(): Promise<DaemonPlan> {
     for (const [entry, plan] of this.daemonPlans.entries()) {
-      const answer = await this.callOperator<{ replicaState?: string }>(
+      const response = await this.callOperator<{ replicaState?: string }>(
         'GET',
         'status',
         undefined,
         entry,
       ).catch(() => undefined);
-      if (answer?.content.replicaState === 'leader') return plan;
+      if (response?.content.replicaState === 'leader') return plan;
     }
     return this.daemonPlans[0];
   }
 
-  /** Empties a data folder, as a VM that lost its disk. */
+  /** Deletes a data folder, as if the VM had lost its disk. */
   wipeData(name: string): void {
     fs.rmSync(this.dataFolder(name), { recursive: true, force: true });
   }
@@ -163,30 +163,30 @@
     return this.standIns.get(name)?.port ?? 0;
   }
 
-  async callStandIn<T>(name: string, call: string, body?: unknown): Promise<T> {
-    const answer = await fetch(`http://127.0.0.1:${this.standInPort(name)}${call}`, {
+  async callStandIn<T>(name: string, urlPath: string, body?: unknown): Promise<T> {
+    const response = await fetch(`http://127.0.0.1:${this.standInPort(name)}${urlPath}`, {
       method: body === undefined ? 'GET' : 'POST',
       ...(body === undefined ? {} : { body: JSON.stringify(body) }),
     });
-    return (await answer.json()) as T;
+    return (await response.json()) as T;
   }
 
   async callOperator<T>(
     method: string,
-    call: string,
+    urlPath: string,
     body?: unknown,
     entry = 0,
   ): Promise<{ status: number; content: T }> {
-    const answer = await fetch(`${this.operatorUrls[entry]}/v1/${call}`, {
+    const response = await fetch(`${this.operatorUrls[entry]}/v1/${urlPath}`, {
       method,
       headers: { authorization: `Bearer ${OPERATOR_TOKEN}` },
       ...(body === undefined ? {} : { body: JSON.stringify(body) }),
       signal: AbortSignal.timeout(12_000),
     });
-    return { status: answer.status, content: (await answer.json()) as T };
+    return { status: response.status, content: (await response.json()) as T };
   }
 
-  /** Applies a subtree, sending it again with the same id until there is an answer. */
+  /** Applies a settings subtree; resends it with the same id until a daemon accepts or refuses it. */
   async applySettings(
     subtree: string,
     text: string,
@@ -195,41 +195,41 @@
   ): Promise<number> {
     const id = crypto.randomUUID();
     const until = Date.now() + timeoutMs;
-    for (let turn = 0; Date.now() < until; turn++) {
-      const entry = turn % this.daemonPlans.length;
-      const call = { id, basedOn, text };
-      const answer = await this.callOperator<{ kind: string; index: number }>(
+    for (let attempt = 0; Date.now() < until; attempt++) {
+      const entry = attempt % this.daemonPlans.length;
+      const change = { id, basedOn, text };
+      const response = await this.callOperator<{ kind: string; index: number }>(
         'PUT',
         `settings/${subtree}`,
-        call,
+        change,
         entry,
       ).catch(() => undefined);
-      if (answer?.status === 200) return answer.content.index;
-      if (answer !== undefined && answer.status !== 503) {
-        throw new Error(`settings refused: ${JSON.stringify(answer.content)}`);
+      if (response?.status === 200) return response.content.index;
+      if (response !== undefined && response.status !== 503) {
+        throw new Error(`settings of ${subtree} refused: ${JSON.stringify(response.content)}`);
       }
       await processes.sleep(50);
     }
-    throw new Error('settings not accepted in time');
+    throw new Error(`settings of ${subtree} not accepted within ${timeoutMs} ms`);
   }
 
   async waitUntilReady(timeoutMs = 20_000, names?: readonly string[]): Promise<void> {
-    const wanted = this.daemonPlans.filter(
+    const awaited = this.daemonPlans.filter(
       ({ name }) => names === undefined || names.includes(name),
     );
     const until = Date.now() + timeoutMs;
-    for (const { name, ports } of wanted) {
+    for (const { name, ports } of awaited) {
       while (!(await isReady(ports.callers))) {
         if (Date.now() > until) {
           const lines = this.daemons.get(name)?.lines.slice(-8).join('\n');
-          throw new Error(`${name} did not turn ready:\n${lines}`);
+          throw new Error(`${name} not ready within ${timeoutMs} ms:\n${lines}`);
         }
         await processes.sleep(25);
       }
     }
   }
 
-  /** Waits until every daemon knows so many serving targets. */
+  /** Waits until every daemon knows at least `count` serving targets. */
   async waitForTargets(count: number, timeoutMs = 20_000): Promise<void> {
     const until = Date.now() + timeoutMs;
     for (const entry of this.daemonPlans.keys()) {
@@ -241,7 +241,8 @@
           entry,
         );
         if (content.filter(({ status }) => status === 'serving').length >= count) break;
-        if (Date.now() > until) throw new Error(`vm-${entry + 1} knows ${content.length} targets`);
+        if (Date.now() > until)
+          throw new Error(`vm-${entry + 1} knows ${content.length} of ${count} targets`);
         await processes.sleep(50);
       }
     }
@@ -273,15 +274,16 @@
   }
 
   private async startStandIn(name: string, parameters: string[]): Promise<number> {
-    const known = this.standIns.get(name);
-    const port = known === undefined ? [] : ['--port', String(known.port)];
-    const made = new processes.Process(name, STANDIN_SCRIPT, [...parameters, ...port]);
-    made.start();
-    const said = await made.waitForLine((line) => {
+    const former = this.standIns.get(name);
+    // A restarted stand-in keeps its address.
+    const portOption = former === undefined ? [] : ['--port', String(former.port)];
+    const standIn = new processes.Process(name, STANDIN_SCRIPT, [...parameters, ...portOption]);
+    standIn.start();
+    const announced = await standIn.waitForLine((line) => {
       return line.startsWith('{') ? (JSON.parse(line) as { port: number }) : undefined;
     });
-    this.standIns.set(name, { process: made, port: said.port });
-    return said.port;
+    this.standIns.set(name, { process: standIn, port: announced.port });
+    return announced.port;
   }
 
   private settingsFile(name: string): string {
@@ -293,12 +295,12 @@
   }
 
   private writeSettings(plan: DaemonPlan): void {
-    const peer = ({ ports }: DaemonPlan): string => `127.0.0.1:${ports.peers}`;
+    const peerAddress = ({ ports }: DaemonPlan): string => `127.0.0.1:${ports.peers}`;
     const founders = this.daemonPlans.filter(({ founder }) => founder);
-    const disks = this.daemonPlans.filter(({ disk }) => disk);
+    const withDisk = this.daemonPlans.filter(({ disk }) => disk);
     const replicas = founders.length;
-    const data = plan.disk
-      ? `folder = ${this.dataFolder(plan.name)}\nfounders = ${founders.map(peer).join(',')}\n`
+    const dataSettings = plan.disk
+      ? `folder = ${this.dataFolder(plan.name)}\nfounders = ${founders.map(peerAddress).join(',')}\n`
       : '';
     const { callers, targets, operators, peers } = plan.ports;
     const text = `[daemon]
@@ -310,10 +312,10 @@
 operators = 127.0.0.1:${operators}
 peers = 127.0.0.1:${peers}
 [peers]
-seeds = ${disks.map(peer).join(',')}
+seeds = ${withDisk.map(peerAddress).join(',')}
 secret = ${PEER_SECRET}
 [data]
-${data}replicas = ${replicas}
+${dataSettings}replicas = ${replicas}
 ledger-shards = ${this.options.ledgerShards ?? 1}
 [security]
 target-secret = ${TARGET_SECRET}
@@ -328,9 +330,9 @@
 
 async function isReady(port: number): Promise<boolean> {
   try {
-    const answer = await fetch(`http://127.0.0.1:${port}/readyz`);
-    await answer.arrayBuffer();
-    return answer.status === 200;
+    const response = await fetch(`http://127.0.0.1:${port}/readyz`);
+    await response.arrayBuffer();
+    return response.status === 200;
   } catch {
     return false;
   }
--- a/packages/measure/src/leader/leader.ts
+++ b/packages/measure/src/leader/leader.ts
@@ -1,7 +1,7 @@
 /**
  * Scenario `leader`: the cost of one leader's placement decisions against the number of engines, with the slopes that
- * docs/CAPACITY.md uses. Prompts of three lengths arrive and end in virtual time at a rate that the engines can sustain;
- * the duration of each decision is measured on the machine that runs it.
+ * docs/CAPACITY.md uses. Prompts of three lengths arrive and end in virtual time at a rate that the engines can
+ * sustain; the duration of each decision is measured on the machine that runs it.
  */
 import * as domain from '@celerydrift/domain';
 import * as workloads from '../decisions/workloads';
--- a/packages/measure/src/measure.ts
+++ b/packages/measure/src/measure.ts
@@ -1,4 +1,4 @@
-/** `npm run measure -- SCENARIO [--quick]`: runs a scenario; its last line is one JSON object. */
+/** `npm run measure -- SCENARIO [--quick]`: runs a scenario and prints its result as one line of JSON. */
 import * as fs from 'node:fs';
 import * as domain from '@celerydrift/domain';
 import * as commander from 'commander';
@@ -15,13 +15,13 @@
 
 type Log = (line: string) => void;
 
-type Scenario = (quick: boolean, say: Log) => Promise<unknown>;
+type Scenario = (quick: boolean, log: Log) => Promise<unknown>;
 
 const SCENARIOS: Record<string, Scenario> = {
   decisions: decisions.run,
-  mixed: async (quick, say) => mixed.run(quick, say, await domain.shared.hashing.load()),
+  mixed: async (quick, log) => mixed.run(quick, log, await domain.shared.hashing.load()),
   overhead: overhead.run,
-  faults: (_quick, say) => faults.run(say),
+  faults: (_quick, log) => faults.run(log),
   settings: settings.run,
   leader: leader.run,
   ledger: ledger.run,
@@ -30,20 +30,20 @@
   state: state.run,
 };
 
-/** Folder of the last result of each scenario, for the report. */
+/** Folder in which the latest result of each scenario is stored for the report. */
 export const RESULTS_FOLDER = 'measures';
 
 async function run(name: string, options: { quick?: boolean }): Promise<void> {
   const scenario = SCENARIOS[name];
   if (scenario === undefined) {
     const known = Object.keys(SCENARIOS).join(', ');
-    process.stderr.write(`measure: no scenario "${name}"; give one of ${known}\n`);
+    process.stderr.write(`measure: unknown scenario "${name}"; expected one of ${known}\n`);
     process.exit(2);
   }
-  const say: Log = (line) => {
+  const log: Log = (line) => {
     process.stderr.write(`${line}\n`);
   };
-  const result = await scenario(options.quick === true, say);
+  const result = await scenario(options.quick === true, log);
   fs.mkdirSync(RESULTS_FOLDER, { recursive: true });
   fs.writeFileSync(`${RESULTS_FOLDER}/${name}.json`, `${JSON.stringify(result, null, 1)}\n`);
   process.stdout.write(`${JSON.stringify(result)}\n`);
@@ -53,7 +53,7 @@
 export async function main(argv: readonly string[]): Promise<void> {
   await new commander.Command('measure')
     .argument('<scenario>', Object.keys(SCENARIOS).join(', '))
-    .option('--quick', 'within 50 seconds, with fewer samples')
+    .option('--quick', 'take fewer samples and finish within 50 seconds')
     .action(run)
     .parseAsync([...argv]);
 }
--- a/packages/measure/src/mixed/eventQueue.ts
+++ b/packages/measure/src/mixed/eventQueue.ts
@@ -1,4 +1,4 @@
-/** Events of a virtual clock in order of time: a binary heap, ties in order of insertion. */
+/** Event queue with a virtual clock: a binary heap ordered by time, ties by insertion. */
 
 interface Entry {
   at: number;
@@ -21,13 +21,14 @@
     return this.heap.length;
   }
 
+  /** Schedules an action; one in the past runs at the current time. */
   at(time: number, action: () => void): void {
     this.inserted += 1;
     this.heap.push({ at: Math.max(time, this.now), order: this.inserted, action });
     this.siftUp(this.heap.length - 1);
   }
 
-  /** Runs the next event and moves the clock to it. */
+  /** Advances the clock to the next event and runs it. */
   next(): void {
     const first = this.heap[0];
     const last = this.heap.pop();
@@ -65,8 +66,8 @@
   }
 
   private swap(a: number, b: number): void {
-    const kept = this.heap[a];
+    const swapped = this.heap[a];
     this.heap[a] = this.heap[b];
-    this.heap[b] = kept;
+    this.heap[b] = swapped;
   }
 }
--- a/packages/measure/src/mixed/mixed.ts
+++ b/packages/measure/src/mixed/mixed.ts
@@ -1,6 +1,6 @@
 /**
- * Scenario `mixed`: time to first token by prompt length, and the slowdown of short requests when long
- * ones share the fleet, for the product, naive policies and a clairvoyant one, on the same work.
+ * Experiments of the scenario `mixed`: time to first token by prompt length, and the slowdown of short requests when
+ * long ones share the fleet. Compares the production policy, naive policies and a clairvoyant one on the same arrivals.
  */
 import * as domain from '@celerydrift/domain';
 import * as standins from '@celerydrift/standins';
@@ -11,6 +11,7 @@
 const { policy, dispatcher } = domain.routing;
 
 export interface Experiment {
+  /** Fraction of the time for which the arrivals keep the engines busy. */
   load: number;
   engines: number;
   daemons: number;
@@ -18,6 +19,7 @@
   longShare: number;
   skew: number;
   burst: number;
+  /** Fraction of each engine that a legacy system uses. */
   legacyShare: number;
   prefixShare: number;
   seed: number;
@@ -38,7 +40,7 @@
   parameters: standins.parameters.DEFAULT_PARAMETERS,
 };
 
-/** Upper ends of the buckets of prompt length, in tokens. */
+/** Upper bounds of the prompt length buckets, tokens. */
 export const BUCKETS: readonly { name: string; upTo: number }[] = [
   { name: '1k', upTo: 2_000 },
   { name: '4k', upTo: 8_000 },
@@ -48,14 +50,16 @@
   { name: '1M', upTo: 1_100_000 },
 ];
 
-/** One-way delay between VMs of the first user's data centres, in milliseconds. */
+/** One-way delay between VMs, as between the data centres of a known deployment, milliseconds. */
 const HOP_MS = 0.5;
 
-/** Requests up to this length are the short ones of the users. */
+/** Longest prompt of a short request, tokens. */
 export const SHORT_TOKENS = 8_000;
 
 export interface Result {
+  /** Time to first token by bucket of prompt length, milliseconds. */
   ttft: Record<string, statistics.Percentiles>;
+  /** Time to first token of short requests relative to a fleet that serves only these. */
   shortSlowdown: { p50: number; p99: number };
   short: statistics.Percentiles;
   long: statistics.Percentiles;
@@ -67,8 +71,9 @@
 export interface Candidate {
   name: string;
   policy: (source: domain.shared.random.Random) => domain.routing.policy.Policy;
+  /** Dispatchers see the true state of the engines. */
   clairvoyant?: boolean;
-  /** Each daemon places for itself instead of asking the allocator. */
+  /** Each daemon places its own requests instead of using the allocator. */
   placesLocally?: boolean;
   options?: Partial<domain.routing.dispatcher.Options>;
 }
@@ -96,97 +101,97 @@
   },
 ];
 
-/** Assumed time between two tokens of an answer, for the memory it holds; milliseconds. */
+/** Assumed inter-token gap, for the time in which an answer occupies memory; milliseconds. */
 const TOKEN_GAP_MS = 30;
 
 /**
- * Mean engine time of a request of the mix, in milliseconds, by the scarcer of computing and memory:
- * a request that holds half of an engine's memory for a second costs half a second.
+ * Mean engine time of a request of the mix, milliseconds, by the scarcer resource of compute and memory: a request that
+ * occupies half of an engine's memory for a second costs half a second.
  */
-function meanServiceMs(setup: Experiment): number {
-  const mix = { ...workloadMix(setup, 100), seconds: 400, burst: 0 };
+function meanServiceMs(experiment: Experiment): number {
+  const mix = { ...workloadMix(experiment, 100), seconds: 400, burst: 0 };
   const { tokenMs, attentionTokens, stepBaseMs, stepTokens, streamMs, memoryTokens } =
-    setup.parameters;
-  let computing = 0;
+    experiment.parameters;
+  let compute = 0;
   let memory = 0;
-  const all = workload.arrivals(mix);
-  all.forEach(({ promptTokens, answerTokens }) => {
-    const attention = 1 + promptTokens / 2 / attentionTokens;
-    const prefill = promptTokens * tokenMs * attention;
-    const steps = Math.ceil(promptTokens / stepTokens) * stepBaseMs;
-    computing += prefill + steps + answerTokens * streamMs;
-    const held = prefill + steps + answerTokens * TOKEN_GAP_MS;
-    memory += (held * (promptTokens + answerTokens)) / memoryTokens;
+  const arrivals = workload.arrivals(mix);
+  arrivals.forEach(({ promptTokens, answerTokens }) => {
+    const attentionFactor = 1 + promptTokens / 2 / attentionTokens;
+    const prefillMs = promptTokens * tokenMs * attentionFactor;
+    const stepMs = Math.ceil(promptTokens / stepTokens) * stepBaseMs;
+    compute += prefillMs + stepMs + answerTokens * streamMs;
+    const occupiedMs = prefillMs + stepMs + answerTokens * TOKEN_GAP_MS;
+    memory += (occupiedMs * (promptTokens + answerTokens)) / memoryTokens;
   });
-  return Math.max(computing, memory) / all.length;
+  return Math.max(compute, memory) / arrivals.length;
 }
 
-function workloadMix(setup: Experiment, rate: number): workload.Mix {
-  const { seconds, daemons, longShare, skew, prefixShare, burst, seed } = setup;
+function workloadMix(experiment: Experiment, rate: number): workload.Mix {
+  const { seconds, daemons, longShare, skew, prefixShare, burst, seed } = experiment;
   return { longShare, rate, seconds, daemons, skew, prefixShare, burst, seed };
 }
 
-/** Requests per second that keep the engines busy for `load` of the time. */
-export function requestsPerSecond(setup: Experiment): number {
-  return (setup.load * setup.engines * 1_000) / meanServiceMs(setup);
+/** Requests per second that keep the engines busy for the fraction `load` of the time. */
+export function requestsPerSecond(experiment: Experiment): number {
+  return (experiment.load * experiment.engines * 1_000) / meanServiceMs(experiment);
 }
 
 function simulate(
-  setup: Experiment,
-  contender: Candidate,
-  work: readonly workload.Arrival[],
+  experiment: Experiment,
+  candidate: Candidate,
+  arrivals: readonly workload.Arrival[],
   hash: domain.shared.hashing.Hash,
 ): simulation.Simulation {
-  const made = new simulation.Simulation({
-    engines: setup.engines,
-    daemons: setup.daemons,
-    parameters: setup.parameters,
-    policy: contender.policy,
-    dispatcher: { ...dispatcher.DEFAULT_OPTIONS, ...contender.options },
+  const simulated = new simulation.Simulation({
+    engines: experiment.engines,
+    daemons: experiment.daemons,
+    parameters: experiment.parameters,
+    policy: candidate.policy,
+    dispatcher: { ...dispatcher.DEFAULT_OPTIONS, ...candidate.options },
     networkMs: HOP_MS,
     summaryMs: 1_000,
     allocatorHopMs:
-      contender.placesLocally === true || contender.clairvoyant === true ? undefined : HOP_MS,
-    clairvoyant: contender.clairvoyant === true,
-    legacyShare: setup.legacyShare,
+      candidate.placesLocally === true || candidate.clairvoyant === true ? undefined : HOP_MS,
+    clairvoyant: candidate.clairvoyant === true,
+    legacyShare: experiment.legacyShare,
     hash,
-    seed: setup.seed,
+    seed: experiment.seed,
   });
-  made.run(work);
-  return made;
+  simulated.run(arrivals);
+  return simulated;
 }
 
-/** Runs one contender on the whole work and on its short requests alone. */
+/** Simulates one candidate with all requests, and again with the short ones only. */
 export function run(
-  setup: Experiment,
-  contender: Candidate,
+  experiment: Experiment,
+  candidate: Candidate,
   hash: domain.shared.hashing.Hash,
 ): Result {
-  const work = workload.arrivals(workloadMix(setup, requestsPerSecond(setup)));
-  const shared = simulate(setup, contender, work, hash);
-  const shortWork = work.filter(({ promptTokens }) => promptTokens <= SHORT_TOKENS);
-  const alone = simulate(setup, contender, shortWork, hash);
+  const arrivals = workload.arrivals(workloadMix(experiment, requestsPerSecond(experiment)));
+  const mixed = simulate(experiment, candidate, arrivals, hash);
+  const shortArrivals = arrivals.filter(({ promptTokens }) => promptTokens <= SHORT_TOKENS);
+  const shortOnly = simulate(experiment, candidate, shortArrivals, hash);
   const isShort = (served: simulation.ServedRequest): boolean =>
     served.promptTokens <= SHORT_TOKENS;
   const ttft = (list: readonly simulation.ServedRequest[]): number[] =>
     list.map(({ ttftMs }) => ttftMs);
-  const short = statistics.percentiles(ttft(shared.served.filter(isShort)));
-  const quiet = statistics.percentiles(ttft(alone.served));
+  const short = statistics.percentiles(ttft(mixed.served.filter(isShort)));
+  const baseline = statistics.percentiles(ttft(shortOnly.served));
   const buckets = BUCKETS.map(({ name, upTo }, i): [string, statistics.Percentiles] => {
     const from = BUCKETS[i - 1]?.upTo ?? 0;
-    const inside = shared.served.filter((each) => {
+    const inside = mixed.served.filter((each) => {
       return each.promptTokens > from && each.promptTokens <= upTo;
     });
     return [name, statistics.percentiles(ttft(inside))];
   });
-  const long = shared.served.filter(({ promptTokens }) => promptTokens > 100_000);
+  const long = mixed.served.filter(({ promptTokens }) => promptTokens > 100_000);
   return {
     ttft: Object.fromEntries(buckets),
-    shortSlowdown: { p50: short.p50 / quiet.p50, p99: short.p99 / quiet.p99 },
+    shortSlowdown: { p50: short.p50 / baseline.p50, p99: short.p99 / baseline.p99 },
     short,
     long: statistics.percentiles(ttft(long)),
-    served: shared.served.length,
-    refused: shared.refused,
-    utilisation: shared.utilisation(setup.seconds),
+    served: mixed.served.length,
+    refused: mixed.refused,
+    utilisation: mixed.utilisation(experiment.seconds),
   };
 }
--- a/packages/measure/src/mixed/mixedScenario.ts
+++ b/packages/measure/src/mixed/mixedScenario.ts
@@ -1,4 +1,4 @@
-/** Scenario `mixed` as a command: the contenders at the usual load, then loads, policies, sensitivity. */
+/** Scenario `mixed`: compares all policies at the default load, then three of them by load and by changed parameter. */
 import type * as domain from '@celerydrift/domain';
 import * as mixed from './mixed';
 
@@ -7,11 +7,12 @@
 export interface Result {
   ttft: Record<string, mixed.Result['ttft']>;
   shortSlowdown: Record<string, { p50: number; p99: number }>;
-  /** p95 of prompts over 100k tokens. */
+  /** 95th percentile of the time to first token of prompts over 100k tokens, milliseconds. */
   longP95: Record<string, number>;
   shortP95Ms: Record<string, number>;
-  /** Short slowdown p99 and long p95 by load or changed parameter, by policy. */
+  /** By load, by policy. */
   byLoad: Record<string, Record<string, Summary>>;
+  /** By changed parameter, by policy. */
   sensitivity: Record<string, Record<string, Summary>>;
 }
 
@@ -32,16 +33,16 @@
 }
 
 function runAll(
-  setup: mixed.Experiment,
+  experiment: mixed.Experiment,
   names: readonly string[],
   hash: domain.shared.hashing.Hash,
-  say: (line: string) => void,
+  log: (line: string) => void,
 ): Results {
   const results: Results = {};
-  mixed.CANDIDATES.filter(({ name }) => names.includes(name)).forEach((contender) => {
-    const result = mixed.run(setup, contender, hash);
-    results[contender.name] = result;
-    say(`${contender.name}: ${JSON.stringify(summarise(result))}`);
+  mixed.CANDIDATES.filter(({ name }) => names.includes(name)).forEach((candidate) => {
+    const result = mixed.run(experiment, candidate, hash);
+    results[candidate.name] = result;
+    log(`${candidate.name}: ${JSON.stringify(summarise(result))}`);
   });
   return results;
 }
@@ -52,65 +53,67 @@
 
 const LOADS: readonly number[] = [0.5, 0.8, 0.95, 1.2];
 
-/** Other values of what the users did not give. */
-function sensitivityVariants(setup: mixed.Experiment): Record<string, mixed.Experiment> {
-  const { parameters } = setup;
-  const engine = (changed: Partial<mixed.Experiment['parameters']>): mixed.Experiment => {
-    return { ...setup, parameters: { ...parameters, ...changed } };
+/** Experiments with other values of the parameters that are assumptions. */
+function sensitivityVariants(experiment: mixed.Experiment): Record<string, mixed.Experiment> {
+  const { parameters } = experiment;
+  const withParameters = (changed: Partial<mixed.Experiment['parameters']>): mixed.Experiment => {
+    return { ...experiment, parameters: { ...parameters, ...changed } };
   };
-  const steps = (factor: number): mixed.Experiment =>
-    engine({
+  const withStepTime = (factor: number): mixed.Experiment =>
+    withParameters({
       stepBaseMs: parameters.stepBaseMs * factor,
       tokenMs: parameters.tokenMs * factor,
       streamMs: parameters.streamMs * factor,
     });
   return {
-    stepTimeHalf: steps(0.5),
-    stepTimeDouble: steps(2),
-    memoryHalf: engine({ memoryTokens: parameters.memoryTokens / 2 }),
-    memoryDouble: engine({ memoryTokens: parameters.memoryTokens * 2 }),
-    reportLagTimesFour: engine({ loadLagMs: parameters.loadLagMs * 4 }),
-    longShareTimesThree: { ...setup, longShare: setup.longShare * 3 },
-    oneOrganisationWithMost: { ...setup, skew: 0.8 },
-    olderSystemTakesFifth: { ...setup, legacyShare: 0.2, load: setup.load - 0.2 },
-    burstOfMillions: { ...setup, burst: 8 },
-    oneDaemon: { ...setup, daemons: 1 },
+    stepTimeHalf: withStepTime(0.5),
+    stepTimeDouble: withStepTime(2),
+    memoryHalf: withParameters({ memoryTokens: parameters.memoryTokens / 2 }),
+    memoryDouble: withParameters({ memoryTokens: parameters.memoryTokens * 2 }),
+    reportLagTimesFour: withParameters({ loadLagMs: parameters.loadLagMs * 4 }),
+    longShareTimesThree: { ...experiment, longShare: experiment.longShare * 3 },
+    oneOrganisationWithMost: { ...experiment, skew: 0.8 },
+    olderSystemTakesFifth: { ...experiment, legacyShare: 0.2, load: experiment.load - 0.2 },
+    burstOfMillions: { ...experiment, burst: 8 },
+    oneDaemon: { ...experiment, daemons: 1 },
   };
 }
 
 export async function run(
   quick: boolean,
-  say: (line: string) => void,
+  log: (line: string) => void,
   hash: domain.shared.hashing.Hash,
 ): Promise<Result> {
-  const setup = { ...mixed.DEFAULT_EXPERIMENT, seconds: quick ? 40 : 120 };
-  const main = runAll(setup, ALL_POLICIES, hash, say);
-  const pick = <T>(read: (result: mixed.Result) => T): Record<string, T> =>
-    Object.fromEntries(Object.entries(main).map(([name, result]) => [name, read(result)]));
-  const table = (setups: [string, mixed.Experiment][]): Record<string, Record<string, Summary>> =>
+  const defaults = { ...mixed.DEFAULT_EXPERIMENT, seconds: quick ? 40 : 120 };
+  const allResults = runAll(defaults, ALL_POLICIES, hash, log);
+  const pick = <T>(select: (result: mixed.Result) => T): Record<string, T> =>
+    Object.fromEntries(Object.entries(allResults).map(([name, result]) => [name, select(result)]));
+  const summaryTable = (
+    experiments: [string, mixed.Experiment][],
+  ): Record<string, Record<string, Summary>> =>
     Object.fromEntries(
-      setups.map(([name, changed]) => {
-        say(name);
-        const results = runAll(changed, COMPARED_POLICIES, hash, say);
-        const briefs = Object.entries(results).map(([policy, result]) => [
+      experiments.map(([name, experiment]) => {
+        log(name);
+        const results = runAll(experiment, COMPARED_POLICIES, hash, log);
+        const summaries = Object.entries(results).map(([policy, result]) => [
           policy,
           summarise(result),
         ]);
-        return [name, Object.fromEntries(briefs) as Record<string, Summary>];
+        return [name, Object.fromEntries(summaries) as Record<string, Summary>];
       }),
     );
-  const shorter = { ...setup, seconds: quick ? 15 : 60 };
+  const shorter = { ...defaults, seconds: quick ? 15 : 60 };
   const loads = (quick ? LOADS.slice(0, 2) : LOADS).map((load): [string, mixed.Experiment] => [
     String(load),
     { ...shorter, load },
   ]);
-  const changed = Object.entries(sensitivityVariants(shorter)).slice(0, quick ? 0 : undefined);
+  const variants = Object.entries(sensitivityVariants(shorter)).slice(0, quick ? 0 : undefined);
   return {
     ttft: pick(({ ttft }) => ttft),
     shortSlowdown: pick(({ shortSlowdown }) => shortSlowdown),
     longP95: pick(({ long }) => long.p95),
     shortP95Ms: pick(({ short }) => short.p95),
-    byLoad: table(loads),
-    sensitivity: table(changed),
+    byLoad: summaryTable(loads),
+    sensitivity: summaryTable(variants),
   };
 }
--- a/packages/measure/src/mixed/simulation.ts
+++ b/packages/measure/src/mixed/simulation.ts
@@ -1,7 +1,7 @@
 /**
- * An experiment with a virtual clock: the daemons' dispatchers and the engine model, exactly as they
- * run in processes, joined by network delays, lagged reports and peers' summaries. A fixed seed gives
- * the same result every time, so policies can be compared on the same work.
+ * Simulation with a virtual clock: the daemons' dispatchers and the stand-in's engine model, as they run in real
+ * processes, connected by network delays, delayed load reports and summaries between daemons. A fixed seed gives the
+ * same result every time, so that policies can be compared on the same arrivals.
  */
 import * as domain from '@celerydrift/domain';
 import * as standins from '@celerydrift/standins';
@@ -18,15 +18,15 @@
   parameters: Parameters;
   policy: (source: domain.shared.random.Random) => Policy;
   dispatcher: domain.routing.dispatcher.Options;
-  /** One-way delay between daemon and engine, in milliseconds. */
+  /** One-way delay between a daemon and an engine, milliseconds. */
   networkMs: number;
-  /** Period of the peers' summaries, in milliseconds. */
+  /** Interval between summaries of the daemons, milliseconds. */
   summaryMs: number;
-  /** One daemon places for all, a hop of so many milliseconds away; undefined: each for itself. */
+  /** One-way delay to the daemon that places all requests, milliseconds; undefined if each daemon places its own. */
   allocatorHopMs: number | undefined;
-  /** Whether dispatchers see the engines' true state at every moment. */
+  /** Whether dispatchers always see the true state of the engines. */
   clairvoyant: boolean;
-  /** Part of each engine that an older system uses, unseen but for load reports. */
+  /** Fraction of each engine that a legacy system uses; dispatchers see its work in load reports only. */
   legacyShare: number;
   hash: domain.shared.hashing.Hash;
   seed: number;
@@ -47,20 +47,20 @@
 
 const { REPORT_EVERY } = standins.engineModel;
 
-/** Requests of the older system: medium prompts in a steady stream. */
+/** The legacy system sends medium prompts at a steady rate. */
 const LEGACY_PROMPT_TOKENS = 4_000;
 
 const LEGACY_ANSWER_TOKENS = 100;
 
-/** The dispatcher that places for all. */
+/** Index of the dispatcher that places all requests if there is an allocator. */
 const ALLOCATOR_INDEX = 0;
 
 const POLL_MS = 5;
 
-/** Time after the last arrival during which requests may still finish, in milliseconds. */
+/** Time after the last arrival in which requests may still finish, milliseconds. */
 const DRAIN_MS = 300_000;
 
-/** Pause after memory could not be gathered, in milliseconds. */
+/** Delay of a retry after memory could not be reserved on other engines, milliseconds. */
 const RETRY_MS = 250;
 
 const DEADLINE_MS = 600_000;
@@ -76,7 +76,7 @@
 
   private readonly owners = new Map<string, number>();
 
-  /** Memory that other engines lend to a long prompt. */
+  /** Memory reserved on other engines for long prompts, by request. */
   private readonly remoteReservations = new Map<string, { engine: Engine; tokens: number }[]>();
 
   private readonly random: domain.shared.random.Random;
@@ -99,21 +99,21 @@
     for (let i = 0; i < options.daemons; i++) this.dispatchers.push(this.makeDispatcher(i));
   }
 
-  /** Mean share of time in which engines were stepping. */
+  /** Mean fraction of the time in which engines ran steps. */
   utilisation(seconds: number): number {
     return this.busyMs / (seconds * 1_000 * this.engines.size);
   }
 
-  run(work: readonly workload.Arrival[]): ServedRequest[] {
-    work.forEach((arrival) => {
+  run(arrivals: readonly workload.Arrival[]): ServedRequest[] {
+    arrivals.forEach((arrival) => {
       this.arrivals.set(arrival.id, arrival);
       this.events.at(arrival.at + this.allocatorHopMs, () => this.enqueue(arrival));
     });
-    const end = (work.at(-1)?.at ?? 0) + DRAIN_MS;
-    if (this.options.legacyShare > 0) this.scheduleLegacyJob(0, work.at(-1)?.at ?? 0);
+    const end = (arrivals.at(-1)?.at ?? 0) + DRAIN_MS;
+    if (this.options.legacyShare > 0) this.scheduleLegacyJob(0, arrivals.at(-1)?.at ?? 0);
     this.everyMs(POLL_MS, end, () => this.pollQueues());
     this.everyMs(this.options.summaryMs, end, () => this.exchangeSummaries());
-    while (this.events.size > 0 && this.served.length + this.refused < work.length) {
+    while (this.events.size > 0 && this.served.length + this.refused < arrivals.length) {
       this.events.next();
     }
     return this.served;
@@ -124,12 +124,17 @@
   }
 
   private makeDispatcher(index: number): Dispatcher {
-    const { hash, dispatcher: options } = this.options;
+    const { hash, dispatcher: dispatcherOptions } = this.options;
     const policy = this.options.policy(domain.shared.random.seeded(this.options.seed + index));
-    const made = new domain.routing.dispatcher.Dispatcher('dc-1', hash, policy, options);
-    made.setPosition(index, this.options.daemons);
+    const dispatcher = new domain.routing.dispatcher.Dispatcher(
+      'dc-1',
+      hash,
+      policy,
+      dispatcherOptions,
+    );
+    dispatcher.setPosition(index, this.options.daemons);
     const { memoryTokens } = this.options.parameters;
-    made.setTargets(
+    dispatcher.setTargets(
       [...this.engines.keys()].map((name) => ({
         name,
         incarnation: 1,
@@ -145,15 +150,15 @@
         load: { queuedTokens: 0, streams: 0, freeTokens: memoryTokens },
       })),
     );
-    return made;
+    return dispatcher;
   }
 
-  private everyMs(period: number, end: number, action: () => void): void {
+  private everyMs(intervalMs: number, end: number, action: () => void): void {
     const tick = (): void => {
       action();
-      if (this.now < end) this.events.at(this.now + period, tick);
+      if (this.now < end) this.events.at(this.now + intervalMs, tick);
     };
-    this.events.at(period, tick);
+    this.events.at(intervalMs, tick);
   }
 
   private get allocatorHopMs(): number {
@@ -200,8 +205,8 @@
     this.owners.set(id, index);
     const { promptTokens, answerTokens, prefixKeys } = this.arrivals.get(id) as workload.Arrival;
     const { memoryTokens } = this.options.parameters;
-    const primary = Math.floor(memoryTokens * domain.routing.dispatcher.PRIMARY_SHARE);
-    const remoteTokens = Math.max(0, promptTokens + answerTokens - primary);
+    const localTokens = Math.floor(memoryTokens * domain.routing.dispatcher.PRIMARY_SHARE);
+    const remoteTokens = Math.max(0, promptTokens + answerTokens - localTokens);
     const priority = dispatch.enginePriority;
     const job = { id, promptTokens, answerTokens, priority, prefixKeys, remoteTokens };
     const engine = this.engines.get(dispatch.target.name) as Engine;
@@ -216,37 +221,38 @@
     job: standins.engineModel.Job,
     needsRoom: boolean,
   ): void {
-    const gathered = job.remoteTokens === 0 || this.reserveRemoteMemory(engine, job);
-    if (gathered && !(needsRoom && !engine.model.hasRoom(job))) {
+    const isReserved = job.remoteTokens === 0 || this.reserveRemoteMemory(engine, job);
+    if (isReserved && !(needsRoom && !engine.model.hasRoom(job))) {
       engine.model.submit(job, this.now);
       this.step(engine);
       return;
     }
-    if (gathered) this.releaseRemoteMemory(job.id);
+    if (isReserved) this.releaseRemoteMemory(job.id);
     const report = { ...engine.model.trueLoad(this.now), measuredAt: this.now };
-    const wait = gathered ? this.options.networkMs + this.allocatorHopMs : RETRY_MS;
-    this.events.at(this.now + wait, () => {
+    const delayMs = isReserved ? this.options.networkMs + this.allocatorHopMs : RETRY_MS;
+    this.events.at(this.now + delayMs, () => {
       this.dispatchers[index].refused(job.id, report, this.now);
       this.poll(index);
     });
   }
 
-  /** Reserves memory on other engines for a prompt that one can't hold: all of it or none. */
+  /** Reserves memory on other engines for a prompt that exceeds one engine's: all of it or none. */
   private reserveRemoteMemory({ name }: Engine, job: standins.engineModel.Job): boolean {
     const others = [...this.engines.values()].filter((other) => other.name !== name);
-    const free = (other: Engine): number => other.model.trueLoad(this.now).freeTokens;
-    const most = this.options.parameters.memoryTokens * domain.memory.gathering.HELPER_SHARE;
-    const parts: { engine: Engine; tokens: number }[] = [];
+    const freeTokens = (other: Engine): number => other.model.trueLoad(this.now).freeTokens;
+    const maxPerEngine =
+      this.options.parameters.memoryTokens * domain.memory.gathering.HELPER_SHARE;
+    const reservations: { engine: Engine; tokens: number }[] = [];
     let missing = job.remoteTokens;
     others
-      .sort((a, b) => free(b) - free(a))
+      .sort((a, b) => freeTokens(b) - freeTokens(a))
       .forEach((engine) => {
-        const tokens = Math.min(missing, most, free(engine));
+        const tokens = Math.min(missing, maxPerEngine, freeTokens(engine));
         if (tokens <= 0 || !engine.model.reserve(tokens)) return;
-        parts.push({ engine, tokens });
+        reservations.push({ engine, tokens });
         missing -= tokens;
       });
-    this.remoteReservations.set(job.id, parts);
+    this.remoteReservations.set(job.id, reservations);
     if (missing <= 0) return true;
     this.releaseRemoteMemory(job.id);
     return false;
@@ -261,10 +267,10 @@
 
   private step(engine: Engine): void {
     if (engine.model.stepping) return;
-    const duration = engine.model.begin();
-    if (duration === undefined) return;
-    this.busyMs += duration;
-    this.events.at(this.now + duration, () => {
+    const durationMs = engine.model.begin();
+    if (durationMs === undefined) return;
+    this.busyMs += durationMs;
+    this.events.at(this.now + durationMs, () => {
       engine.model.finish(this.now).forEach((token) => this.emit(engine, token));
       this.step(engine);
     });
@@ -274,10 +280,10 @@
     const owner = this.owners.get(token.id);
     if (owner === undefined) return;
     if (token.last) this.releaseRemoteMemory(token.id);
-    // An allocator hears of loads only with first and last tokens.
-    const every = this.options.allocatorHopMs === undefined ? REPORT_EVERY : Infinity;
-    const reports = token.position % every === 0 || token.last;
-    if (!reports) return;
+    // An allocator receives loads only with first and last tokens.
+    const reportEvery = this.options.allocatorHopMs === undefined ? REPORT_EVERY : Infinity;
+    const isReported = token.position % reportEvery === 0 || token.last;
+    if (!isReported) return;
     const { loadLagMs } = this.options.parameters;
     const load = engine.model.load(this.now);
     const measuredAt = this.now - loadLagMs;
@@ -291,14 +297,14 @@
     });
   }
 
-  /** The entry passes the first token on at once; only the allocator hears of it a hop later. */
+  /** The entry forwards the first token at once; only the allocator is notified a hop later. */
   private recordFirstToken(id: string): void {
     const { at, promptTokens, organisation } = this.arrivals.get(id) as workload.Arrival;
     const ttftMs = this.now + this.options.networkMs - at;
     this.served.push({ promptTokens, ttftMs, organisation });
   }
 
-  /** What gossip carries between daemons: medium and long work, and demand. */
+  /** Sends what daemons exchange by gossip: outstanding medium and long work, and demand. */
   private exchangeSummaries(): void {
     const summaries = this.dispatchers.map((dispatcher) => ({
       outstanding: dispatcher.outstanding(),
@@ -309,8 +315,8 @@
       this.engines.forEach(({ name }) => {
         const sum = (band: domain.routing.band.Band): number =>
           others.reduce((all, { outstanding }) => all + (outstanding.get(name)?.[band] ?? 0), 0);
-        const told = { short: 0, medium: sum('medium'), long: sum('long') };
-        dispatcher.peersReported(name, told, this.now);
+        const reported = { short: 0, medium: sum('medium'), long: sum('long') };
+        dispatcher.peersReported(name, reported, this.now);
       });
       const demand = (band: domain.routing.band.Band): number =>
         others.reduce((all, other) => all + other.demand[band], 0);
@@ -322,15 +328,18 @@
     });
   }
 
-  /** The clairvoyant dispatcher knows every daemon's outstanding work at this moment. */
+  /** Gives a clairvoyant dispatcher every daemon's current outstanding work and every engine's true load. */
   private reportTrueState(dispatcher: Dispatcher): void {
     const others = this.dispatchers.filter((other) => other !== dispatcher);
-    const all = others.map((other) => other.outstanding());
+    const outstandingOfOthers = others.map((other) => other.outstanding());
     this.engines.forEach(({ name, model }) => {
       const sum = (band: domain.routing.band.Band): number =>
-        all.reduce((total, outstanding) => total + (outstanding.get(name)?.[band] ?? 0), 0);
-      const told = { short: sum('short'), medium: sum('medium'), long: sum('long') };
-      dispatcher.peersReported(name, told, this.now);
+        outstandingOfOthers.reduce(
+          (total, outstanding) => total + (outstanding.get(name)?.[band] ?? 0),
+          0,
+        );
+      const reported = { short: sum('short'), medium: sum('medium'), long: sum('long') };
+      dispatcher.peersReported(name, reported, this.now);
       const load = model.trueLoad(this.now);
       dispatcher.reported(name, { ...load, measuredAt: this.now });
     });
@@ -339,7 +348,7 @@
   private scheduleLegacyJob(at: number, end: number): void {
     const { tokenMs } = this.options.parameters;
     const workMs = LEGACY_PROMPT_TOKENS * tokenMs;
-    const gap = workMs / (this.options.legacyShare * this.engines.size);
+    const meanGapMs = workMs / (this.options.legacyShare * this.engines.size);
     this.events.at(at, () => {
       this.legacyJobs += 1;
       const engine = domain.shared.random.pick(this.random, [...this.engines.values()]);
@@ -354,7 +363,7 @@
       engine.model.submit(job, this.now);
       this.step(engine);
       if (at < end)
-        this.scheduleLegacyJob(at + domain.shared.random.exponential(this.random, gap), end);
+        this.scheduleLegacyJob(at + domain.shared.random.exponential(this.random, meanGapMs), end);
     });
   }
 }
--- a/packages/measure/src/mixed/workload.ts
+++ b/packages/measure/src/mixed/workload.ts
@@ -1,58 +1,59 @@
-/** The requests of an experiment: arrival times, lengths, organisations, shared prefixes. */
+/** Draws the requests of an experiment: arrival times, lengths, organisations, shared prefixes. */
 import * as domain from '@celerydrift/domain';
 
 const { random } = domain.shared;
 
 export interface Arrival {
   id: string;
+  /** Milliseconds since the start. */
   at: number;
   promptTokens: number;
   answerTokens: number;
   organisation: string;
   prefixKeys: number[];
-  /** Daemon that the balancer gives it to. */
+  /** Index of the daemon that the load balancer sends it to. */
   daemon: number;
 }
 
 export interface Mix {
-  /** Share of prompts over a hundred thousand tokens. */
+  /** Fraction of prompts over a hundred thousand tokens. */
   longShare: number;
-  /** Requests per second over all. */
+  /** Requests per second over all daemons. */
   rate: number;
   seconds: number;
   daemons: number;
-  /** Share of requests of the largest of ten organisations. */
+  /** Fraction of requests that the largest of ten organisations sends. */
   skew: number;
-  /** Share of requests that start with one of a few common prefixes. */
+  /** Fraction of requests that start with one of the common prefixes. */
   prefixShare: number;
-  /** Million-token prompts that arrive at once in the middle. */
+  /** Number of million-token prompts that arrive together in the middle of the experiment. */
   burst: number;
   seed: number;
 }
 
-/** Shortest and longest prompts, and the length that `longShare` of them exceed. */
-const PROMPT_LENGTH = { least: 1_000, most: 1_000_000, long: 100_000 };
+/** Bounds of the prompt length, and the length that a fraction `longShare` exceeds, tokens. */
+const PROMPT_LENGTH = { min: 1_000, max: 1_000_000, long: 100_000 };
 
 const COMMON_PREFIXES = 40;
 
-/** Answer lengths: 245 tokens on average, as 4.9 M tokens/s over 20,000 requests/s. */
-const ANSWER_LENGTH = { least: 20, mean: 225, most: 2_000 };
+/** Answer lengths, tokens: 245 on average, that is 4.9 M tokens/s at 20,000 requests/s. */
+const ANSWER_LENGTH = { min: 20, mean: 225, max: 2_000 };
 
 /**
- * A bounded Pareto length. The letter's three figures fix its one exponent: with one in fifty prompts
- * over a hundred times the shortest, it is ln 50 / ln 100 = 0.85.
+ * Draws a prompt length from a bounded Pareto distribution. The shortest length, the long length and `longShare` fix
+ * its exponent: with one in fifty prompts over a hundred times the shortest, it is ln 50 / ln 100 = 0.85.
  */
 function drawPromptTokens(source: domain.shared.random.Random, longShare: number): number {
-  const { least, most, long } = PROMPT_LENGTH;
-  const exponent = -Math.log(longShare) / Math.log(long / least);
-  const cut = (least / most) ** exponent;
-  const rank = source.uniform() * (1 - cut);
-  return Math.round(least / (1 - rank) ** (1 / exponent));
+  const { min, max, long } = PROMPT_LENGTH;
+  const exponent = -Math.log(longShare) / Math.log(long / min);
+  const tail = (min / max) ** exponent;
+  const quantile = source.uniform() * (1 - tail);
+  return Math.round(min / (1 - quantile) ** (1 / exponent));
 }
 
 function drawAnswerTokens(source: domain.shared.random.Random): number {
-  const { least, mean, most } = ANSWER_LENGTH;
-  return Math.min(most, Math.round(least + random.exponential(source, mean)));
+  const { min, mean, max } = ANSWER_LENGTH;
+  return Math.min(max, Math.round(min + random.exponential(source, mean)));
 }
 
 function drawOrganisation(source: domain.shared.random.Random, skew: number): string {
@@ -65,15 +66,15 @@
   share: number,
 ): number[] {
   const blocks = Math.floor(tokens / domain.routing.prefixIndex.BLOCK_TOKENS);
-  const shared = source.uniform() < share ? 1 + random.below(source, COMMON_PREFIXES) : 0;
-  const own = Math.floor(source.uniform() * 2 ** 30);
-  const common = shared === 0 ? 0 : Math.min(blocks, 2 + (shared % 6));
+  const prefix = source.uniform() < share ? 1 + random.below(source, COMMON_PREFIXES) : 0;
+  const ownKey = Math.floor(source.uniform() * 2 ** 30);
+  const common = prefix === 0 ? 0 : Math.min(blocks, 2 + (prefix % 6));
   return Array.from({ length: blocks }, (_value, block) =>
-    block < common ? shared * 1_000 + block : own + block,
+    block < common ? prefix * 1_000 + block : ownKey + block,
   );
 }
 
-/** All arrivals of a mix, in order of time. */
+/** Draws all arrivals of a mix, ordered by time. */
 export function arrivals(mix: Mix): Arrival[] {
   const source = random.seeded(mix.seed);
   const list: Arrival[] = [];
@@ -88,8 +89,8 @@
       daemon: random.below(source, mix.daemons),
     });
   };
-  const gap = 1_000 / mix.rate;
-  for (let at = 0; at < mix.seconds * 1_000; at += random.exponential(source, gap)) {
+  const meanGapMs = 1_000 / mix.rate;
+  for (let at = 0; at < mix.seconds * 1_000; at += random.exponential(source, meanGapMs)) {
     add(at, drawPromptTokens(source, mix.longShare));
   }
   for (let i = 0; i < mix.burst; i++) add(mix.seconds * 500 + i, 1_000_000);
--- a/packages/measure/src/overhead/overhead.ts
+++ b/packages/measure/src/overhead/overhead.ts
@@ -1,6 +1,6 @@
 /**
- * Scenario `overhead`: what one daemon adds to a request and to a streamed token against a direct
- * connection to the engine, in time and in processor time.
+ * Scenario `overhead`: the latency and processor time that one daemon adds to a request and to a streamed token,
+ * compared with a direct connection to the engine.
  */
 import * as undici from 'undici';
 import * as client from '../client';
@@ -10,24 +10,26 @@
 import * as teams from '../teams';
 
 export interface Result {
+  /** Added time to first token, milliseconds. */
   addedMsP50: number;
   addedMsP99: number;
-  /** Requests of a thousand tokens, answered with one, per second of one core. */
+  /** Requests with a prompt of a thousand tokens and an answer of one, per second of processor time. */
   requestsPerCoreSecond: number;
   cpuMsPerRequest: number;
   cpuMicrosecondsPerToken: number;
-  /** Streams at 53 ms between tokens that one core carries. */
+  /** Streams with an inter-token gap of `TOKEN_GAP_MS` that one core sustains. */
   streamsPerCore: number;
-  /** Processor time of a request with a prompt of a million tokens, in milliseconds. */
+  /** Processor time of a request with a prompt of a million tokens, milliseconds. */
   cpuMsPerMillionTokenPrompt: number;
-  /** What asking the allocator costs a request: bytes both ways, processor time of the allocator. */
+  /** Bytes that are exchanged with the allocator for a request, both ways. */
   allocationBytes: number;
+  /** Processor time of the allocator for a request of another daemon, milliseconds. */
   allocatorCpuMs: number;
-  /** Added to the time to first token by asking, p50. */
+  /** Median time to first token that placement by another daemon adds, milliseconds. */
   allocationMsP50: number;
 }
 
-/** An engine that takes almost no time, so that what is left is the daemon's. */
+/** Takes almost no time, so that the measured time is the daemon's. */
 const INSTANT_ENGINE = { tokenMs: 0, stepBaseMs: 0.2, streamMs: 0, memoryTokens: 50_000_000 };
 
 const TOKEN_GAP_MS = 53;
@@ -42,7 +44,7 @@
   return (await target.callOperator<Status>('GET', 'status')).content.cpuMicroseconds / 1_000;
 }
 
-/** Time to the first token of an engine asked directly, in its own protocol. */
+/** Time to first token of a request sent directly to the engine, in the engine's protocol. */
 async function directTtftMs(port: number, id: string, prompt: string): Promise<number> {
   const since = performance.now();
   const { body } = await undici.request(`http://127.0.0.1:${port}/v1/generate`, {
@@ -84,7 +86,7 @@
     prompt,
     answerTokens,
   });
-  if (!whole) throw new Error('a request failed');
+  if (!whole) throw new Error('a request through the daemon did not complete');
   return ttftMs;
 }
 
@@ -93,25 +95,25 @@
   count: number,
 ): Promise<{ p50: number; p99: number }> {
   const port = target.standInPort('engine-1');
-  const bare: number[] = [];
-  const served: number[] = [];
+  const direct: number[] = [];
+  const throughDaemon: number[] = [];
   for (let i = 0; i < count; i++) {
     const prompt = client.promptOfLength(1_000, `latency${i}`);
-    bare.push(await directTtftMs(port, `direct-${i}`, prompt));
-    served.push(await daemonTtftMs(target, prompt, 1));
+    direct.push(await directTtftMs(port, `direct-${i}`, prompt));
+    throughDaemon.push(await daemonTtftMs(target, prompt, 1));
   }
-  // The first ones warm up connections and code on both ways.
-  const warm = Math.floor(count / 5);
-  const a = statistics.percentiles(served.slice(warm));
-  const b = statistics.percentiles(bare.slice(warm));
-  return { p50: a.p50 - b.p50, p99: a.p99 - b.p99 };
+  // The first requests warm up connections and code on both paths.
+  const warmUp = Math.floor(count / 5);
+  const daemonTtft = statistics.percentiles(throughDaemon.slice(warmUp));
+  const directTtft = statistics.percentiles(direct.slice(warmUp));
+  return { p50: daemonTtft.p50 - directTtft.p50, p99: daemonTtft.p99 - directTtft.p99 };
 }
 
-/** Processor time of the daemon for `count` requests, less what it uses when idle. */
+/** Processor time of the daemon per request over `count` requests, less its idle use; milliseconds. */
 async function measureCpuMsPerRequest(
   target: fleet.Fleet,
   count: number,
-  tokens: number,
+  promptTokens: number,
   answerTokens: number,
   parallel: number,
 ): Promise<number> {
@@ -128,14 +130,14 @@
         next += 1;
         await daemonTtftMs(
           target,
-          client.promptOfLength(tokens, `cpu${tokens}-${next}`),
+          client.promptOfLength(promptTokens, `cpu${promptTokens}-${next}`),
           answerTokens,
         );
       }
     }),
   );
-  const used = (await readCpuMs(target)) - before;
-  return (used - idlePerMs * (performance.now() - since)) / count;
+  const usedMs = (await readCpuMs(target)) - before;
+  return (usedMs - idlePerMs * (performance.now() - since)) / count;
 }
 
 interface Allocation {
@@ -149,7 +151,7 @@
   return kinds.reduce((sum, kind) => sum + (counters[kind] ?? 0), 0);
 }
 
-/** Two daemons, requests through each: one of them is the allocator of both. */
+/** Sends requests through two daemons, one of which is the allocator of both. */
 async function measureAllocation(count: number): Promise<Allocation> {
   const target = await fleet.Fleet.plan({
     daemons: [
@@ -175,28 +177,28 @@
     const statuses = [await status(0), await status(1)];
     const [a = 0, b = 0] = statuses.map(allocationBytes);
     const allocator = a > b ? 0 : 1;
-    const asking = 1 - allocator;
+    const other = 1 - allocator;
     const before = (await status(allocator)).cpuMicroseconds;
-    const sent = Math.max(a, b);
-    const parallel = Array.from({ length: 8 }, async (_value, worker) => {
+    const bytesBefore = Math.max(a, b);
+    const senders = Array.from({ length: 8 }, async (_value, sender) => {
       for (let i = 0; i < count / 8; i++) {
-        await daemonTtftMs(target, client.promptOfLength(1_000, `ask${worker}-${i}`), 1, asking);
+        await daemonTtftMs(target, client.promptOfLength(1_000, `ask${sender}-${i}`), 1, other);
       }
     });
-    await Promise.all(parallel);
+    await Promise.all(senders);
     const after = await status(allocator);
     const p50 = (entry: number): number => statistics.percentiles(times[entry] ?? []).p50;
     return {
-      allocationBytes: (allocationBytes(after) - sent) / count,
+      allocationBytes: (allocationBytes(after) - bytesBefore) / count,
       allocatorCpuMs: (after.cpuMicroseconds - before) / 1_000 / count,
-      allocationMsP50: p50(asking) - p50(allocator),
+      allocationMsP50: p50(other) - p50(allocator),
     };
   } finally {
     await target.stopAll();
   }
 }
 
-export async function run(quick: boolean, say: (line: string) => void): Promise<Result> {
+export async function run(quick: boolean, log: (line: string) => void): Promise<Result> {
   const target = await fleet.Fleet.plan({
     daemons: [{ dataCentre: 'dc-1', disk: true, founder: true }],
     logLevel: 'error',
@@ -209,22 +211,22 @@
     await target.waitUntilReady();
     await target.waitForTargets(1);
     const added = await measureAddedLatency(target, 300 * scale);
-    say(`added: ${JSON.stringify(added)}`);
+    log(`added: ${JSON.stringify(added)}`);
     await measureCpuMsPerRequest(target, 500, 1_000, 1, 16);
-    const perRequest = await measureCpuMsPerRequest(target, 1_000 * scale, 1_000, 1, 16);
-    say(`cpu per request: ${perRequest.toFixed(3)} ms`);
-    const long = await measureCpuMsPerRequest(target, 60 * scale, 1_000, 1_001, 16);
-    const perToken = (long - perRequest) / 1_000;
+    const perRequestMs = await measureCpuMsPerRequest(target, 1_000 * scale, 1_000, 1, 16);
+    log(`cpu per request: ${perRequestMs.toFixed(3)} ms`);
+    const longMs = await measureCpuMsPerRequest(target, 60 * scale, 1_000, 1_001, 16);
+    const perTokenMs = (longMs - perRequestMs) / 1_000;
     const allocated = await measureAllocation(400 * scale);
-    const million = await measureCpuMsPerRequest(target, 3 * scale, 1_000_000, 1, 1);
+    const millionTokensMs = await measureCpuMsPerRequest(target, 3 * scale, 1_000_000, 1, 1);
     return {
       addedMsP50: added.p50,
       addedMsP99: added.p99,
-      requestsPerCoreSecond: 1_000 / perRequest,
-      cpuMsPerRequest: perRequest,
-      cpuMicrosecondsPerToken: perToken * 1_000,
-      streamsPerCore: TOKEN_GAP_MS / perToken,
-      cpuMsPerMillionTokenPrompt: million,
+      requestsPerCoreSecond: 1_000 / perRequestMs,
+      cpuMsPerRequest: perRequestMs,
+      cpuMicrosecondsPerToken: perTokenMs * 1_000,
+      streamsPerCore: TOKEN_GAP_MS / perTokenMs,
+      cpuMsPerMillionTokenPrompt: millionTokensMs,
       ...allocated,
     };
   } finally {
--- a/packages/measure/src/processes.ts
+++ b/packages/measure/src/processes.ts
@@ -1,4 +1,4 @@
-/** Processes of measurements: started on free ports of loopback, read line by line, and ended by their ids. */
+/** Child processes of measurements: starts them, keeps their output line by line, and ends them by process id. */
 import * as childProcess from 'node:child_process';
 import * as net from 'node:net';
 import * as readline from 'node:readline';
@@ -9,7 +9,7 @@
   });
 }
 
-/** Free ports of the loopback address; held only for the moment of asking. */
+/** Finds free ports of the loopback address. They are released before it returns, so another process may take them. */
 export async function freePorts(count: number): Promise<number[]> {
   const servers = await Promise.all(
     Array.from(
@@ -33,7 +33,7 @@
   return ports;
 }
 
-/** A process whose lines are kept. */
+/** A child process whose latest output lines are kept. */
 export class Process {
   private child: childProcess.ChildProcess | undefined;
 
@@ -66,21 +66,21 @@
     if (this.child?.exitCode === null) this.child.kill(name);
   }
 
-  /** Kills it at once and waits for its end. */
+  /** Sends a signal, SIGKILL by default, and waits for the process to exit; resolves with its exit code. */
   async kill(name: NodeJS.Signals = 'SIGKILL'): Promise<number | null> {
     const { child } = this;
     if (child === undefined || child.exitCode !== null || child.signalCode !== null) {
       return child?.exitCode ?? null;
     }
-    const ended = new Promise<number | null>((resolve) => {
+    const exited = new Promise<number | null>((resolve) => {
       child.once('exit', (code) => resolve(code));
     });
     child.kill(name);
     if (name !== 'SIGTERM') child.kill('SIGCONT');
-    return ended;
+    return exited;
   }
 
-  /** The first line that `parse` takes. */
+  /** Waits for the first line for which `parse` returns a value, and returns that value. */
   async waitForLine<T>(parse: (line: string) => T | undefined, timeoutMs = 15_000): Promise<T> {
     const until = Date.now() + timeoutMs;
     while (Date.now() < until) {
@@ -90,6 +90,8 @@
       }
       await sleep(20);
     }
-    throw new Error(`${this.name} said nothing expected: ${this.lines.slice(-5).join('\n')}`);
+    throw new Error(
+      `${this.name} printed no expected line within ${timeoutMs} ms: ${this.lines.slice(-5).join('\n')}`,
+    );
   }
 }
--- a/packages/measure/src/quarantine/quarantine.ts
+++ b/packages/measure/src/quarantine/quarantine.ts
@@ -1,6 +1,6 @@
 /**
- * Scenario `quarantine`: the cost of the quarantine check for a request that isn't suspect, and the size of a full table
- * of suspect requests in memory and on the wire. Durations are measured on the machine that runs it.
+ * Scenario `quarantine`: the cost of the quarantine check for a request that isn't suspect, and the size of a full
+ * table of suspect requests in memory and on the wire. Durations are measured on the machine that runs it.
  */
 import * as domain from '@celerydrift/domain';
 import { fingerprint, registryCopies } from '@celerydrift/daemon';
--- a/packages/measure/src/report.ts
+++ b/packages/measure/src/report.ts
@@ -1,4 +1,4 @@
-/** `npm run report`: renders the last measures to one self-contained HTML page with plots. */
+/** `npm run report`: renders the latest results as one self-contained HTML page with charts. */
 import * as fs from 'node:fs';
 import type * as faults from './faults/faults';
 import type * as mixedScenario from './mixed/mixedScenario';
@@ -16,7 +16,7 @@
   return fs.existsSync(file) ? (JSON.parse(fs.readFileSync(file, 'utf8')) as T) : undefined;
 }
 
-/** What is used of the charting library; its own types don't resolve from CommonJS. */
+/** The part of the charting library in use; its own types don't resolve from CommonJS. */
 interface ChartLibrary {
   init(
     dom: null,
@@ -25,15 +25,15 @@
   ): { setOption(option: object): void; renderToSVGString(): string; dispose(): void };
 }
 
-/** Draws one plot as SVG. */
+/** Renders a chart with the given options as SVG. */
 type RenderSvg = (option: object) => string;
 
 function createRenderer(library: ChartLibrary): RenderSvg {
   return (option) => {
-    const drawn = library.init(null, null, { renderer: 'svg', ssr: true, ...CHART_SIZE });
-    drawn.setOption({ animation: false, legend: { top: 24 }, grid: { top: 70 }, ...option });
-    const svg = drawn.renderToSVGString();
-    drawn.dispose();
+    const chart = library.init(null, null, { renderer: 'svg', ssr: true, ...CHART_SIZE });
+    chart.setOption({ animation: false, legend: { top: 24 }, grid: { top: 70 }, ...option });
+    const svg = chart.renderToSVGString();
+    chart.dispose();
     return svg;
   };
 }
@@ -46,29 +46,29 @@
 }
 
 function renderChart(
-  draw: RenderSvg,
+  renderSvg: RenderSvg,
   title: string,
   unit: string,
   categories: string[],
   series: Series[],
-  kind: ChartType,
+  chartType: ChartType,
   scale: 'value' | 'log',
 ): string {
-  return draw({
+  return renderSvg({
     title: { text: title, textStyle: { fontSize: 14 } },
     xAxis: { type: 'category', data: categories, axisLabel: { rotate: 20 } },
     yAxis: { type: scale, name: unit },
-    series: series.map(({ name, values }) => ({ name, type: kind, data: values })),
+    series: series.map(({ name, values }) => ({ name, type: chartType, data: values })),
   });
 }
 
-function renderTtft(draw: RenderSvg, result: mixedScenario.Result): string {
+function renderTtft(renderSvg: RenderSvg, result: mixedScenario.Result): string {
   const buckets = Object.keys(result.ttft.product ?? {});
   const series = Object.entries(result.ttft).map(([name, byBucket]) => {
     return { name, values: buckets.map((bucket) => byBucket[bucket]?.p95 ?? 0) };
   });
   return renderChart(
-    draw,
+    renderSvg,
     'p95 time to first token by prompt length',
     'ms',
     buckets,
@@ -79,7 +79,7 @@
 }
 
 function renderSlowdown(
-  draw: RenderSvg,
+  renderSvg: RenderSvg,
   title: string,
   table: mixedScenario.Result['byLoad'],
 ): string {
@@ -88,16 +88,16 @@
   const series = policies.map((name) => {
     return { name, values: categories.map((each) => table[each]?.[name]?.shortSlowdownP99 ?? 0) };
   });
-  return renderChart(draw, title, 'ratio', categories, series, 'bar', 'log');
+  return renderChart(renderSvg, title, 'ratio', categories, series, 'bar', 'log');
 }
 
-function renderRecovery(draw: RenderSvg, { recoverySeconds }: faults.Result): string {
+function renderRecovery(renderSvg: RenderSvg, { recoverySeconds }: faults.Result): string {
   const names = Object.keys(recoverySeconds);
   const series = [{ name: 'recovery', values: names.map((name) => recoverySeconds[name] ?? 0) }];
-  return renderChart(draw, 'recovery after each fault', 's', names, series, 'bar', 'value');
+  return renderChart(renderSvg, 'recovery after each fault', 's', names, series, 'bar', 'value');
 }
 
-function renderTraffic(draw: RenderSvg, { points }: slopes.Result): string {
+function renderTraffic(renderSvg: RenderSvg, { points }: slopes.Result): string {
   const idle = points.filter(({ targets, changesPerSecond }) => targets + changesPerSecond === 0);
   const categories = idle.map(({ daemons }) => String(daemons));
   const series = [
@@ -105,7 +105,7 @@
     { name: 'busiest', values: idle.map(({ leaderBytesPerSecond }) => leaderBytesPerSecond) },
   ];
   return renderChart(
-    draw,
+    renderSvg,
     'control traffic by number of daemons',
     'B/s',
     categories,
@@ -119,44 +119,46 @@
   return text.replaceAll('&', '&amp;').replaceAll('<', '&lt;');
 }
 
-function renderSection(name: string, plots: string[], content: unknown): string {
+function renderSection(name: string, charts: string[], content: unknown): string {
   const figures = escapeHtml(JSON.stringify(content, null, 1));
-  return `<h2>${name}</h2>${plots.join('')}<details><summary>figures</summary><pre>${figures}</pre></details>`;
+  return `<h2>${name}</h2>${charts.join('')}<details><summary>figures</summary><pre>${figures}</pre></details>`;
 }
 
-function renderSections(draw: RenderSvg): string[] {
-  const list: string[] = [];
+function renderSections(renderSvg: RenderSvg): string[] {
+  const rendered: string[] = [];
   const mixed = readResult<mixedScenario.Result>('mixed');
   if (mixed !== undefined) {
-    const plots = [
-      renderTtft(draw, mixed),
-      renderSlowdown(draw, 'short slowdown p99 by load', mixed.byLoad),
-      renderSlowdown(draw, 'short slowdown p99 with other parameters', mixed.sensitivity),
+    const charts = [
+      renderTtft(renderSvg, mixed),
+      renderSlowdown(renderSvg, 'short slowdown p99 by load', mixed.byLoad),
+      renderSlowdown(renderSvg, 'short slowdown p99 with other parameters', mixed.sensitivity),
     ];
-    list.push(renderSection('mixed', plots, mixed));
+    rendered.push(renderSection('mixed', charts, mixed));
   }
-  const fault = readResult<faults.Result>('faults');
-  if (fault !== undefined) list.push(renderSection('faults', [renderRecovery(draw, fault)], fault));
-  const setting = readResult<settings.Result>('settings');
-  if (setting !== undefined) list.push(renderSection('settings', [], setting));
-  const slope = readResult<slopes.Result>('slopes');
-  if (slope !== undefined) list.push(renderSection('slopes', [renderTraffic(draw, slope)], slope));
+  const faultResult = readResult<faults.Result>('faults');
+  if (faultResult !== undefined)
+    rendered.push(renderSection('faults', [renderRecovery(renderSvg, faultResult)], faultResult));
+  const settingsResult = readResult<settings.Result>('settings');
+  if (settingsResult !== undefined) rendered.push(renderSection('settings', [], settingsResult));
+  const slopesResult = readResult<slopes.Result>('slopes');
+  if (slopesResult !== undefined)
+    rendered.push(renderSection('slopes', [renderTraffic(renderSvg, slopesResult)], slopesResult));
   ['overhead', 'ledger'].forEach((name) => {
     const content = readResult<unknown>(name);
-    if (content !== undefined) list.push(renderSection(name, [], content));
+    if (content !== undefined) rendered.push(renderSection(name, [], content));
   });
-  return list;
+  return rendered;
 }
 
 export async function main(): Promise<void> {
-  const found = renderSections(createRenderer(await import('echarts')));
-  if (found.length === 0) {
-    process.stderr.write('report: no measures yet; run `npm run measure -- mixed` first\n');
+  const rendered = renderSections(createRenderer(await import('echarts')));
+  if (rendered.length === 0) {
+    process.stderr.write('report: no results found; run `npm run measure -- mixed` first\n');
     process.exitCode = 2;
     return;
   }
   const style = 'body{font-family:sans-serif;max-width:960px;margin:auto}pre{overflow:auto}';
-  const page = `<!doctype html><meta charset="utf-8"><title>celerydrift measures</title><style>${style}</style><h1>celerydrift measures</h1>${found.join('')}`;
+  const page = `<!doctype html><meta charset="utf-8"><title>celerydrift measures</title><style>${style}</style><h1>celerydrift measures</h1>${rendered.join('')}`;
   fs.writeFileSync(PAGE_FILE, page);
   process.stdout.write(`${PAGE_FILE}\n`);
 }
--- a/packages/measure/src/settings/partitions.ts
+++ b/packages/measure/src/settings/partitions.ts
@@ -1,6 +1,6 @@
 /**
- * Partitions of every shape between daemons that run in this process, so that single paths can be cut:
- * how long does a daemon on the wrong side go on admitting under settings that no longer hold?
+ * Network partitions between daemons that run in this process, so that single connections can be cut. Measures how long
+ * a daemon on the isolated side goes on admitting requests under settings that have been replaced.
  */
 import * as fs from 'node:fs';
 import * as os from 'node:os';
@@ -20,12 +20,12 @@
 
 export interface PartitionShape {
   name: string;
-  /** Indexes of the side that is cut off; the leader is 0 after sorting. */
+  /** Indexes of the isolated daemons in the order of `orderByRole`, where the leader is 0. */
   isolated: readonly number[];
   durationMs: number;
 }
 
-/** Five daemons, the first three with disks; the leader is moved to the front. */
+/** Partitions of five daemons; the first three have disks, and the first of these leads. */
 export const SHAPES: readonly PartitionShape[] = [
   { name: 'oneEntryCut', isolated: [4], durationMs: 7_000 },
   { name: 'twoEntriesCutTogether', isolated: [3, 4], durationMs: 7_000 },
@@ -39,9 +39,9 @@
 const SAMPLE_INTERVAL_MS = 20;
 
 function settingsText(name: string, index: number, ports: number[], folder: string): string {
-  const peer = (i: number): string => `127.0.0.1:${ports[i * 4 + 3]}`;
+  const peerAddress = (i: number): string => `127.0.0.1:${ports[i * 4 + 3]}`;
   const [callers, targets, operators, peers] = ports.slice(index * 4);
-  const disk = index < 3;
+  const hasDisk = index < 3;
   return `[daemon]
 name = ${name}
 data-centre = dc-${(index % 3) + 1}
@@ -51,11 +51,11 @@
 operators = 127.0.0.1:${operators}
 peers = 127.0.0.1:${peers}
 [peers]
-seeds = ${[0, 1, 2].map(peer).join(',')}
+seeds = ${[0, 1, 2].map(peerAddress).join(',')}
 secret = secret-of-the-partition-run
 [data]
-founders = ${[0, 1, 2].map(peer).join(',')}
-${disk ? `folder = ${path.join(folder, name)}` : ''}
+founders = ${[0, 1, 2].map(peerAddress).join(',')}
+${hasDisk ? `folder = ${path.join(folder, name)}` : ''}
 [security]
 target-secret = secret-of-the-partition-run
 operator-token = sha256:${fleet.sha256(fleet.OPERATOR_TOKEN)}
@@ -68,9 +68,11 @@
   const ports = await processes.freePorts(DAEMONS * 4);
   const members: Member[] = [];
   for (let i = 0; i < DAEMONS; i++) {
-    const read = daemonPackage.configuration.read(settingsText(`vm-${i}`, i, ports, folder));
-    if (read.err) throw new Error(JSON.stringify(read.val));
-    const started = await daemonPackage.daemon.Daemon.start(read.val, (error) => {
+    const configuration = daemonPackage.configuration.read(
+      settingsText(`vm-${i}`, i, ports, folder),
+    );
+    if (configuration.err) throw new Error(JSON.stringify(configuration.val));
+    const started = await daemonPackage.daemon.Daemon.start(configuration.val, (error) => {
       throw error;
     });
     if (started.err) throw new Error(started.val.detail);
@@ -89,14 +91,14 @@
   id: string,
   basedOn: number,
 ): Promise<number | undefined> {
-  for (const { operatorUrl: operators } of members) {
-    const answer = await fetch(`${operators}/v1/settings/${subtree}`, {
+  for (const { operatorUrl } of members) {
+    const response = await fetch(`${operatorUrl}/v1/settings/${subtree}`, {
       method: 'PUT',
       headers: { authorization: `Bearer ${fleet.OPERATOR_TOKEN}` },
       body: JSON.stringify({ id, basedOn, text: `; ${id}\n${teams.FITTERS.settings}` }),
       signal: AbortSignal.timeout(15_000),
     }).catch(() => undefined);
-    if (answer?.status === 200) return ((await answer.json()) as { index: number }).index;
+    if (response?.status === 200) return ((await response.json()) as { index: number }).index;
   }
   return undefined;
 }
@@ -105,7 +107,7 @@
   return daemon.control.host?.isLeader === true;
 }
 
-/** The leader first, the other daemons with disks next, the rest last. */
+/** Orders the daemons: the leader, then the others with disks, then the rest. */
 function orderByRole(members: readonly Member[]): Member[] {
   const rank = (member: Member): number => {
     if (isLeader(member)) return 0;
@@ -114,10 +116,14 @@
   return [...members].sort((a, b) => rank(a) - rank(b));
 }
 
-function setPartition(side: readonly Member[], rest: readonly Member[], cut: boolean): void {
-  side.forEach((a) => {
-    rest.forEach((b) => {
-      if (cut) {
+function setPartition(
+  isolated: readonly Member[],
+  others: readonly Member[],
+  isCut: boolean,
+): void {
+  isolated.forEach((a) => {
+    others.forEach((b) => {
+      if (isCut) {
         a.daemon.peers.cut.add(b.peerAddress);
         b.daemon.peers.cut.add(a.peerAddress);
       } else {
@@ -138,11 +144,13 @@
 }
 
 export interface PartitionResult {
-  /** Longest time after an acceptance for which some daemon admitted without the change. */
+  /** Longest time after the acceptance of a change for which a daemon admitted requests without it, milliseconds. */
   servedStaleMs: number;
+  /** Number of changes accepted during the partition. */
   accepted: number;
-  /** Daemons that admitted at the end of the partition. */
+  /** Number of daemons that admitted requests at the end of the partition. */
   admitting: number;
+  /** Whether all daemons became ready after the partition. */
   healed: boolean;
 }
 
@@ -151,38 +159,38 @@
   shape: PartitionShape,
 ): Promise<PartitionResult> {
   const sorted = orderByRole(members);
-  const side = shape.isolated.map((index) => sorted[index]);
-  const rest = sorted.filter((member) => !side.includes(member));
+  const isolated = shape.isolated.map((index) => sorted[index]);
+  const others = sorted.filter((member) => !isolated.includes(member));
   const acceptances: { index: number; at: number }[] = [];
   let servedStaleMs = 0;
   const sample = (): void => {
     const now = Date.now();
     members.forEach(({ daemon }) => {
       if (daemon.unready() !== undefined) return;
-      const missed = acceptances.find(({ index }) => index > daemon.control.view.index);
-      if (missed !== undefined) servedStaleMs = Math.max(servedStaleMs, now - missed.at);
+      const missing = acceptances.find(({ index }) => index > daemon.control.view.index);
+      if (missing !== undefined) servedStaleMs = Math.max(servedStaleMs, now - missing.at);
     });
   };
-  setPartition(side, rest, true);
+  setPartition(isolated, others, true);
   const timer = setInterval(sample, SAMPLE_INTERVAL_MS);
   const until = Date.now() + shape.durationMs;
   for (let n = 0; Date.now() < until; n++) {
     const subtree = `team-${shape.name.toLowerCase()}`;
-    const index = await applyChange([...rest, ...side], subtree, `${subtree}-${n}`, n);
+    const index = await applyChange([...others, ...isolated], subtree, `${subtree}-${n}`, n);
     if (index !== undefined) acceptances.push({ index, at: Date.now() });
     else n -= 1;
     await processes.sleep(100);
   }
   const admitting = members.filter(({ daemon }) => daemon.unready() === undefined).length;
   clearInterval(timer);
-  setPartition(side, rest, false);
+  setPartition(isolated, others, false);
   const healed = await waitUntilReady(members);
   return { servedStaleMs, accepted: acceptances.length, admitting, healed };
 }
 
 export async function run(
   shapes: readonly PartitionShape[],
-  say: (line: string) => void,
+  log: (line: string) => void,
 ): Promise<Record<string, PartitionResult>> {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'celerydrift-'));
   const members = await startAll(folder);
@@ -194,7 +202,7 @@
     for (const shape of shapes) {
       const result = await runPartition(members, shape);
       results[shape.name] = result;
-      say(`${shape.name}: ${JSON.stringify(result)}`);
+      log(`${shape.name}: ${JSON.stringify(result)}`);
       await processes.sleep(500);
     }
   } finally {
--- a/packages/measure/src/settings/settings.ts
+++ b/packages/measure/src/settings/settings.ts
@@ -1,6 +1,6 @@
 /**
- * Scenario `settings`: how fast changes are in force everywhere; what races, resends, a leader's death
- * and a long absence do to them.
+ * Scenario `settings`: how fast a change is in force on all daemons, and whether changes survive races between
+ * operators, resends, a leader failure, a daemon's long downtime and network partitions.
  */
 import * as fleet from '../fleet';
 import * as processes from '../processes';
@@ -11,14 +11,20 @@
 export interface Result {
   inForceMsP50: number;
   inForceMsP99: number;
-  /** Longest from sending to in force while the leader dies. */
+  /** Time from the leader's death until a change sent then is in force everywhere, milliseconds. */
   inForceThroughTakeoverMs: number;
+  /** Accepted changes whose subtree is missing at the end. */
   lost: number;
+  /** Accepted changes whose subtree has an older revision at the end. */
   reverted: number;
+  /** Rounds in which conflicting changes, or one change more than once, were accepted. */
   acceptedTwice: number;
+  /** Time from the leader's death until a change is accepted, milliseconds. */
   takeoverMs: number;
+  /** Time from the start of a daemon that missed many changes until it is ready, milliseconds. */
   catchUpMs: number;
   changesPerSecond: number;
+  /** `servedStaleMs` of each partition. */
   servedStaleMsMax: Record<string, number>;
   partitions: Record<string, partitions.PartitionResult>;
 }
@@ -39,8 +45,8 @@
 
 const MISSED_CHANGES = 500;
 
-function settingsText(mark: string): string {
-  return `; ${mark}\n${teams.FITTERS.settings}`;
+function settingsText(id: string): string {
+  return `; ${id}\n${teams.FITTERS.settings}`;
 }
 
 async function waitUntilInForce(target: fleet.Fleet, index: number, entry: number): Promise<void> {
@@ -74,7 +80,7 @@
     .catch(() => undefined);
 }
 
-/** Sends until there is an answer other than "try again", always with the same id. */
+/** Resends a change with the same id until the response isn't 503. */
 async function putUntilAnswered(
   target: fleet.Fleet,
   subtree: string,
@@ -82,9 +88,9 @@
   basedOn: number,
   entry: number,
 ): Promise<ChangeResponse> {
-  for (let turn = entry; ; turn++) {
-    const answer = await putSettings(target, subtree, id, basedOn, turn);
-    if (answer !== undefined && answer.status !== 503) return answer.content;
+  for (let attempt = entry; ; attempt++) {
+    const response = await putSettings(target, subtree, id, basedOn, attempt);
+    if (response !== undefined && response.status !== 503) return response.content;
     await processes.sleep(20);
   }
 }
@@ -103,43 +109,43 @@
 async function measureChangeRate(
   target: fleet.Fleet,
   operators: number,
-  each: number,
+  changesEach: number,
 ): Promise<number> {
   const since = performance.now();
   await Promise.all(
     Array.from({ length: operators }, async (_value, operator) => {
-      for (let i = 0; i < each; i++) {
+      for (let i = 0; i < changesEach; i++) {
         await putUntilAnswered(target, `rate-${operator}`, `rate-${operator}-${i}`, i, operator);
       }
     }),
   );
-  return (operators * each) / ((performance.now() - since) / 1_000);
+  return (operators * changesEach) / ((performance.now() - since) / 1_000);
 }
 
-/** Two operators with equal numbers, each round; both accepted would be one too many. */
+/** Each round, two operators send changes based on the same revision; counts rounds without exactly one acceptance. */
 async function countRaceViolations(target: fleet.Fleet, rounds: number): Promise<number> {
-  let twice = 0;
+  let violations = 0;
   for (let i = 0; i < rounds; i++) {
-    const answers = await Promise.all([
+    const responses = await Promise.all([
       putUntilAnswered(target, 'raced', `raced-a-${i}`, i, i),
       putUntilAnswered(target, 'raced', `raced-b-${i}`, i, i + 1),
     ]);
-    if (answers.filter(({ kind }) => kind === 'accepted').length !== 1) twice += 1;
+    if (responses.filter(({ kind }) => kind === 'accepted').length !== 1) violations += 1;
   }
-  return twice;
+  return violations;
 }
 
-/** The same id through three entries must be accepted once, at one revision. */
+/** Each round, sends one change through three entries; counts rounds in which it wasn't accepted at a single index. */
 async function countResendViolations(target: fleet.Fleet, rounds: number): Promise<number> {
-  let twice = 0;
+  let violations = 0;
   for (let i = 0; i < rounds; i++) {
-    const answers = await Promise.all(
+    const responses = await Promise.all(
       [0, 1, 2].map((entry) => putUntilAnswered(target, 'resent', `resent-${i}`, i, entry)),
     );
-    const indexes = new Set(answers.map(({ index }) => index));
-    if (indexes.size !== 1 || answers.some(({ kind }) => kind !== 'accepted')) twice += 1;
+    const indexes = new Set(responses.map(({ index }) => index));
+    if (indexes.size !== 1 || responses.some(({ kind }) => kind !== 'accepted')) violations += 1;
   }
-  return twice;
+  return violations;
 }
 
 async function measureTakeover(
@@ -155,15 +161,15 @@
   const takeoverMs = performance.now() - since;
   await waitUntilInForce(target, next.index, entry);
   const inForceMs = performance.now() - since;
-  // A resend from before the takeover gets its first answer from the new leader.
-  const again = await putUntilAnswered(target, 'taken', 'taken-0', 0, entry);
-  const acceptedTwice = again.index === first.index ? 0 : 1;
+  // The new leader must response a resent change from before the takeover as the former leader did.
+  const resent = await putUntilAnswered(target, 'taken', 'taken-0', 0, entry);
+  const acceptedTwice = resent.index === first.index ? 0 : 1;
   target.startDaemon(name);
   await target.waitUntilReady();
   return { takeoverMs, inForceMs, acceptedTwice };
 }
 
-/** Every accepted change must be there at its last revision, on every daemon. */
+/** Counts subtrees that are missing or older than the last accepted revision. */
 async function countLostChanges(
   target: fleet.Fleet,
   expected: ReadonlyMap<string, number>,
@@ -183,7 +189,7 @@
   return { lost, reverted };
 }
 
-export async function run(quick: boolean, say: (line: string) => void): Promise<Result> {
+export async function run(quick: boolean, log: (line: string) => void): Promise<Result> {
   const target = await fleet.Fleet.plan({
     daemons: Array.from({ length: DAEMONS }, (_value, i) => ({
       dataCentre: `dc-${(i % 3) + 1}`,
@@ -199,46 +205,46 @@
     await target.applySettings('fitters', teams.FITTERS.settings, 0);
     await target.waitUntilReady();
     const times = await timeChanges(target, timed);
-    say(`in force: ${JSON.stringify(times)}`);
-    const each = quick ? 40 : 200;
-    const changesPerSecond = await measureChangeRate(target, 8, each);
-    say(`changes per second: ${changesPerSecond.toFixed(0)}`);
-    const raced = await countRaceViolations(target, rounds);
-    const resent = await countResendViolations(target, rounds);
-    const taken = await measureTakeover(target);
-    say(`takeover: ${JSON.stringify(taken)}`);
+    log(`in force: ${JSON.stringify(times)}`);
+    const changesEach = quick ? 40 : 200;
+    const changesPerSecond = await measureChangeRate(target, 8, changesEach);
+    log(`changes per second: ${changesPerSecond.toFixed(0)}`);
+    const raceViolations = await countRaceViolations(target, rounds);
+    const resendViolations = await countResendViolations(target, rounds);
+    const takeover = await measureTakeover(target);
+    log(`takeover: ${JSON.stringify(takeover)}`);
     const catchUpMs = await measureCatchUp(target);
     const expected = new Map([
       ['timed', timed],
       ['raced', rounds],
       ['resent', rounds],
       ['taken', 2],
-      ...Array.from({ length: 8 }, (_v, i): [string, number] => [`rate-${i}`, each]),
+      ...Array.from({ length: 8 }, (_v, i): [string, number] => [`rate-${i}`, changesEach]),
     ]);
-    const found = await countLostChanges(target, expected);
+    const losses = await countLostChanges(target, expected);
     await target.stopAll();
     const shapes = quick ? partitions.SHAPES.slice(0, 3) : partitions.SHAPES;
-    const shaped = await partitions.run(shapes, say);
+    const partitionResults = await partitions.run(shapes, log);
     return {
       inForceMsP50: times.p50,
       inForceMsP99: times.p99,
-      inForceThroughTakeoverMs: taken.inForceMs,
-      ...found,
-      acceptedTwice: raced + resent + taken.acceptedTwice,
-      takeoverMs: taken.takeoverMs,
+      inForceThroughTakeoverMs: takeover.inForceMs,
+      ...losses,
+      acceptedTwice: raceViolations + resendViolations + takeover.acceptedTwice,
+      takeoverMs: takeover.takeoverMs,
       catchUpMs,
       changesPerSecond,
       servedStaleMsMax: Object.fromEntries(
-        Object.entries(shaped).map(([name, { servedStaleMs }]) => [name, servedStaleMs]),
+        Object.entries(partitionResults).map(([name, { servedStaleMs }]) => [name, servedStaleMs]),
       ),
-      partitions: shaped,
+      partitions: partitionResults,
     };
   } finally {
     await target.stopAll();
   }
 }
 
-/** From the start of the process to ready, after many missed changes. */
+/** Time from the start of a daemon's process until it is ready, after it missed many changes. */
 async function measureCatchUp(target: fleet.Fleet): Promise<number> {
   const { name, ports } = target.daemonPlans.at(-1) as fleet.DaemonPlan;
   await target.daemon(name).kill();
@@ -258,8 +264,8 @@
   const since = performance.now();
   target.startDaemon(name);
   for (;;) {
-    const answer = await fetch(`http://127.0.0.1:${ports.callers}/readyz`).catch(() => undefined);
-    if (answer?.status === 200) return performance.now() - since;
+    const response = await fetch(`http://127.0.0.1:${ports.callers}/readyz`).catch(() => undefined);
+    if (response?.status === 200) return performance.now() - since;
     await processes.sleep(2);
   }
 }
--- a/packages/measure/src/slopes/slopes.ts
+++ b/packages/measure/src/slopes/slopes.ts
@@ -1,6 +1,6 @@
 /**
- * Scenario `slopes`: control traffic, processor time and memory of a daemon against the number of
- * daemons, of targets and of settings changes, with a straight line through each.
+ * Scenario `slopes`: control traffic, processor time and memory of a daemon against the number of daemons, targets and
+ * settings changes, with a line fitted to each.
  */
 import * as undici from 'undici';
 import * as fleet from '../fleet';
@@ -12,20 +12,23 @@
   daemons: number;
   targets: number;
   changesPerSecond: number;
-  /** Means per daemon. Bytes count what it sends. */
+  /** Bytes sent per second, mean of the daemons. */
   bytesPerSecond: number;
+  /** Fraction of a core, mean of the daemons. */
   cpuShare: number;
+  /** Resident memory, mean of the daemons, MiB. */
   residentMb: number;
-  /** The busiest daemon, which is the leader. */
+  /** Bytes sent per second by the busiest daemon, which is the leader. */
   leaderBytesPerSecond: number;
+  /** Largest fraction of a core, which is the leader's. */
   leaderCpuShare: number;
-  /** Bytes sent per second by kind of message, over all daemons together. */
+  /** Bytes sent per second by kind of message, total of the daemons. */
   byKind: Record<string, number>;
 }
 
 export interface Result {
   points: Point[];
-  /** Per daemon, target or change per second: bytes/s, share of a core, MB. */
+  /** Line fits of the figures above against daemons, targets and changes per second. */
   slopes: Record<string, Record<string, statistics.LineFit>>;
 }
 
@@ -44,7 +47,7 @@
 
 const ANNOUNCE_INTERVAL_MS = 2_000;
 
-/** Until first gossip is over and code is warm. */
+/** Time until the initial gossip is over and the code is warm. */
 const SETTLE_MS = 8_000;
 
 async function takeSample(target: fleet.Fleet): Promise<Sample> {
@@ -69,14 +72,14 @@
       const match = /^rpc\.out\.(\w+)\.bytes$/.exec(name);
       if (match === null) return;
       const kind = match[1];
-      const grown = value - (before.statuses[i]?.counters[name] ?? 0);
-      sums.set(kind, (sums.get(kind) ?? 0) + grown / seconds);
+      const increase = value - (before.statuses[i]?.counters[name] ?? 0);
+      sums.set(kind, (sums.get(kind) ?? 0) + increase / seconds);
     });
   });
   return Object.fromEntries([...sums].map(([kind, rate]) => [kind, Math.round(rate)]));
 }
 
-/** Announces targets that do nothing else, with loads that move now and then. */
+/** Announces idle targets whose reported load changes from time to time. */
 class AnnouncementSender {
   private timer: NodeJS.Timeout | undefined;
 
@@ -104,11 +107,11 @@
   }
 
   private async announce(i: number): Promise<void> {
-    const { daemonPlans: plans } = this.target;
-    const { ports } = plans[(i + this.sequence) % plans.length];
-    const dataCentres = Math.ceil(plans.length / DATA_CENTRE_SIZE);
+    const { daemonPlans } = this.target;
+    const { ports } = daemonPlans[(i + this.sequence) % daemonPlans.length];
+    const dataCentres = Math.ceil(daemonPlans.length / DATA_CENTRE_SIZE);
     const load = (1 + Math.floor(this.sequence / 8 + i)) % 7;
-    const answer = await undici
+    const response = await undici
       .request(`http://127.0.0.1:${ports.targets}/targets/announce`, {
         method: 'POST',
         headers: { authorization: `Bearer ${fleet.TARGET_SECRET}` },
@@ -128,7 +131,7 @@
         }),
       })
       .catch(() => undefined);
-    await answer?.body.dump();
+    await response?.body.dump();
   }
 }
 
@@ -154,14 +157,14 @@
   announcements.start();
   await processes.sleep(SETTLE_MS);
   const tag = `${targets}-${changesPerSecond}`;
-  const changing = applyChanges(target, changesPerSecond, Date.now() + seconds * 1_000 + 500, tag);
+  const applied = applyChanges(target, changesPerSecond, Date.now() + seconds * 1_000 + 500, tag);
   const before = await takeSample(target);
   await processes.sleep(seconds * 1_000);
   const after = await takeSample(target);
-  await changing;
+  await applied;
   announcements.stop();
   const elapsed = (after.at - before.at) / 1_000;
-  const each = after.statuses.map((status, i) => {
+  const usages = after.statuses.map((status, i) => {
     const earlier = before.statuses[i];
     return {
       bytes: (sentBytes(status) - sentBytes(earlier)) / elapsed,
@@ -169,8 +172,8 @@
       resident: status.memoryBytes / 2 ** 20,
     };
   });
-  const mean = (read: (one: (typeof each)[number]) => number): number =>
-    each.reduce((sum, one) => sum + read(one), 0) / each.length;
+  const mean = (select: (usage: (typeof usages)[number]) => number): number =>
+    usages.reduce((sum, usage) => sum + select(usage), 0) / usages.length;
   return {
     daemons: target.daemonPlans.length,
     targets,
@@ -178,8 +181,8 @@
     bytesPerSecond: mean(({ bytes }) => bytes),
     cpuShare: mean(({ cpu }) => cpu),
     residentMb: mean(({ resident }) => resident),
-    leaderBytesPerSecond: Math.max(...each.map(({ bytes }) => bytes)),
-    leaderCpuShare: Math.max(...each.map(({ cpu }) => cpu)),
+    leaderBytesPerSecond: Math.max(...usages.map(({ bytes }) => bytes)),
+    leaderCpuShare: Math.max(...usages.map(({ cpu }) => cpu)),
     byKind: bytesByKind(before, after, elapsed),
   };
 }
@@ -194,7 +197,7 @@
     })),
     logLevel: 'error',
   });
-  // All at once would keep the machine busy with starting instead of with founding.
+  // Starting all daemons at once would delay the founding of the replica set by the load of starting processes.
   for (const { name } of target.daemonPlans) {
     target.startDaemon(name);
     if (daemons > 16) await processes.sleep(60);
@@ -219,15 +222,15 @@
   };
 }
 
-export async function run(quick: boolean, say: (line: string) => void): Promise<Result> {
+export async function run(quick: boolean, log: (line: string) => void): Promise<Result> {
   const seconds = quick ? 4 : 15;
   const sizes = quick ? [4, 8, 16] : [4, 8, 16, 32, 64];
   const targetCounts = quick ? [40] : [20, 40, 80];
   const rates = quick ? [5] : [2, 5, 10];
   const points: Point[] = [];
-  const take = (point: Point): Point => {
+  const record = (point: Point): Point => {
     const { byKind, ...rest } = point;
-    say(JSON.stringify(rest));
+    log(JSON.stringify(rest));
     points.push(point);
     return point;
   };
@@ -237,15 +240,15 @@
   for (const daemons of sizes) {
     const target = await startFleet(daemons);
     try {
-      const still = take(await measure(target, 0, 0, seconds));
-      idle.push(still);
+      const idlePoint = record(await measure(target, 0, 0, seconds));
+      idle.push(idlePoint);
       if (daemons === 8) {
-        byTargets.push(still);
-        byChanges.push(still);
+        byTargets.push(idlePoint);
+        byChanges.push(idlePoint);
         for (const count of targetCounts)
-          byTargets.push(take(await measure(target, count, 0, seconds)));
+          byTargets.push(record(await measure(target, count, 0, seconds)));
         await processes.sleep(8_000);
-        for (const rate of rates) byChanges.push(take(await measure(target, 0, rate, seconds)));
+        for (const rate of rates) byChanges.push(record(await measure(target, 0, rate, seconds)));
       }
     } finally {
       await target.stopAll();
--- a/packages/measure/src/statistics.ts
+++ b/packages/measure/src/statistics.ts
@@ -1,4 +1,4 @@
-/** Percentiles and straight lines through measured points. */
+/** Percentiles, line fits and confidence intervals of measured values. */
 import * as hdr from 'hdr-histogram-js';
 
 export interface Percentiles {
@@ -8,13 +8,13 @@
   count: number;
 }
 
-/** Recorded in hundredths, as the histogram holds whole numbers. */
+/** Values are recorded in hundredths, as the histogram holds integers only. */
 const SCALE = 100;
 
 export function percentiles(values: readonly number[]): Percentiles {
   const histogram = hdr.build({ numberOfSignificantValueDigits: 3 });
   values.forEach((value) => histogram.recordValue(Math.max(1, Math.round(value * SCALE))));
-  const at = (share: number): number => histogram.getValueAtPercentile(share) / SCALE;
+  const at = (percentile: number): number => histogram.getValueAtPercentile(percentile) / SCALE;
   return { p50: at(50), p95: at(95), p99: at(99), count: values.length };
 }
 
@@ -23,7 +23,7 @@
   intercept: number;
 }
 
-/** Least squares through points (x, y). */
+/** Fits a line by least squares. */
 export function fitLine(points: readonly { x: number; y: number }[]): LineFit {
   const n = points.length;
   const meanX = points.reduce((sum, { x }) => sum + x, 0) / n;
@@ -34,13 +34,14 @@
   return { slope, intercept: meanY - slope * meanX };
 }
 
-/** A mean of paired differences, and half of its 95% interval. */
+/** Mean of paired differences with its 95% confidence interval. */
 export interface Difference {
   mean: number;
+  /** Half of the width of the interval. */
   within: number;
 }
 
-/** 97.5th percentile of the normal distribution. */
+/** 97.5th percentile of the standard normal distribution. */
 const NORMAL_975 = 1.96;
 
 export function meanDifference(values: readonly number[]): Difference {
--- a/packages/measure/src/teams.ts
+++ b/packages/measure/src/teams.ts
@@ -1,4 +1,4 @@
-/** Settings of two teams, one like each user, for measurements and the demo. */
+/** Settings of two teams with a model and a service each, for measurements and the demo. */
 import * as fleet from './fleet';
 
 export interface Team {
@@ -10,7 +10,7 @@
 
 function makeTeam(name: string, organisation: string, model: string, services: string): Team {
   const key = `key-of-${organisation}`;
-  const text = `[organisation.${organisation}]
+  const settings = `[organisation.${organisation}]
 key = sha256:${fleet.sha256(key)}
 share = 2
 deadline-seconds = 120
@@ -18,7 +18,7 @@
 base = base
 version = 1
 ${services}`;
-  return { name, key, model, settings: text };
+  return { name, key, model, settings };
 }
 
 export const FITTERS = makeTeam(
