--- a/packages/measure/src/demo.ts
+++ b/packages/measure/src/demo.ts
@@ -38,10 +38,10 @@
 }
 
 /** All prompts in a seeded order, alternating between the teams. */
-function planPrompts(): { length: string; tokens: number; team: teams.Team; id: number }[] {
+function planPrompts(): { lengthName: string; tokens: number; team: teams.Team; id: number }[] {
   const source = domain.shared.random.seeded(7);
   const all = LENGTHS.flatMap(({ name, tokens, count }) =>
-    Array.from({ length: count }, () => ({ length: name, tokens })),
+    Array.from({ length: count }, () => ({ lengthName: name, tokens })),
   );
   const rest = all.slice(0, -1).sort(() => source.uniform() - 0.5);
   // The longest comes first, so that it runs beside all the others.
@@ -52,7 +52,7 @@
 
 async function sendPrompt(
   target: fleet.Fleet,
-  { length, tokens, team, id }: ReturnType<typeof planPrompts>[number],
+  { lengthName, tokens, team, id }: ReturnType<typeof planPrompts>[number],
 ): Promise<PromptResult> {
   const prompt = client.promptOfLength(tokens, `demo${id}`);
   for (let attempt = id; ; attempt++) {
@@ -70,7 +70,7 @@
     const isRefused = completion.status === 0 || completion.outcome === 'not-run';
     const isLost = !completion.whole && completion.outcome === '';
     if (isWrong || !(isRefused || isLost) || attempt > id + 6)
-      return { lengthName: length, completion, isWrong };
+      return { lengthName, completion, isWrong };
     await processes.sleep(100);
   }
 }
