--- a/packages/measure/src/settings/settings.ts
+++ b/packages/measure/src/settings/settings.ts
@@ -17,7 +17,7 @@
   lost: number;
   /** Accepted changes whose subtree has an older revision at the end. */
   reverted: number;
-  /** Rounds in which conflicting changes, or one change more than once, were accepted. */
+  /** Race, resend and takeover checks in which a change wasn't accepted exactly once. */
   acceptedTwice: number;
   /** Time from the leader's death until a change is accepted, milliseconds. */
   takeoverMs: number;
