--- a/packages/measure/src/decisions/engine.ts
+++ b/packages/measure/src/decisions/engine.ts
@@ -1,129 +1,138 @@
 /**
- * A model of one engine as the users publish it: passes in which all writers get their next tokens and prompts are read
- * in pieces. Parts of prompts that several engines read come before others, the newest first; the order was found by
- * replaying the dispatches of a played day.
+ * Simulated engine with the published performance parameters. It works in passes of one or more engine steps; a pass
+ * decodes for all active requests and prefills waiting prompts in chunks. Parts of prompts that several engines prefill
+ * come before whole prompts, the newest part first: the order that a replay of recorded dispatches showed.
  */
 import * as domain from '@celerydrift/domain';
 import type * as eventQueue from '../mixed/eventQueue';
 
-type Figures = domain.catalogue.catalogue.Engine;
+type EngineParameters = domain.catalogue.catalogue.Engine;
 
-interface Reading {
+interface Prefill {
   request: string;
   isPart: boolean;
-  leftTokens: number;
+  remainingTokens: number;
   msPerToken: number;
-  onRead: () => void;
+  onPrefilled: () => void;
 }
 
-interface Writer {
+interface Decode {
   request: string;
-  leftEvents: number;
+  remainingEvents: number;
   contextTokens: number;
   onEvent: (isLast: boolean) => void;
 }
 
 export class Engine {
-  private parts: Reading[] = [];
+  private prefillParts: Prefill[] = [];
 
-  private wholes: Reading[] = [];
+  private wholePrefills: Prefill[] = [];
 
-  private writers: Writer[] = [];
+  private decodes: Decode[] = [];
 
-  private isRunning = false;
+  private isStepping = false;
 
-  /** Dark engines do nothing and say nothing; slow ones take so many times as long. */
-  isDark = false;
+  /** An unresponsive engine runs no passes and reports nothing. */
+  isUnresponsive = false;
 
-  pace = 1;
+  /** Factor on the duration of each pass. */
+  slowdown = 1;
 
   constructor(
-    private readonly figures: Figures,
+    private readonly parameters: EngineParameters,
     private readonly events: eventQueue.EventQueue,
   ) {}
 
-  /** Requests that write or wait for their reading here. */
+  /** Number of requests that decode here. */
   get slotsUsed(): number {
-    return this.writers.length;
+    return this.decodes.length;
   }
 
-  /** Reads one of `parts` equal parts of a prompt. */
-  read(request: string, tokens: number, parts: number, onRead: () => void): void {
-    const leftTokens = Math.max(1, tokens / parts);
-    const readMs = domain.allocation.cost.readMs(this.figures, tokens, parts);
+  /** Queues one of `parts` equal parts of a prompt of `tokens`; calls `onPrefilled` when it is done. */
+  prefill(request: string, tokens: number, parts: number, onPrefilled: () => void): void {
+    const remainingTokens = Math.max(1, tokens / parts);
+    const prefillMs = domain.allocation.cost.readMs(this.parameters, tokens, parts);
     const isPart = parts > 1;
-    const reading = { request, isPart, leftTokens, msPerToken: readMs / leftTokens, onRead };
-    if (isPart) this.parts.unshift(reading);
-    else this.wholes.push(reading);
-    this.run();
+    const part = {
+      request,
+      isPart,
+      remainingTokens,
+      msPerToken: prefillMs / remainingTokens,
+      onPrefilled,
+    };
+    if (isPart) this.prefillParts.unshift(part);
+    else this.wholePrefills.push(part);
+    this.startPass();
   }
 
-  write(writer: Writer): void {
-    this.writers.push(writer);
-    this.run();
+  decode(decode: Decode): void {
+    this.decodes.push(decode);
+    this.startPass();
   }
 
   cancel(request: string): void {
     const isOther = (each: { request: string }): boolean => each.request !== request;
-    this.parts = this.parts.filter(isOther);
-    this.wholes = this.wholes.filter(isOther);
-    this.writers = this.writers.filter(isOther);
+    this.prefillParts = this.prefillParts.filter(isOther);
+    this.wholePrefills = this.wholePrefills.filter(isOther);
+    this.decodes = this.decodes.filter(isOther);
   }
 
-  /** Goes on after it was dark, without what it had. */
+  /** Comes back after being unresponsive, without the requests it had. */
   restart(): void {
-    this.parts = [];
-    this.wholes = [];
-    this.writers = [];
-    this.isDark = false;
+    this.prefillParts = [];
+    this.wholePrefills = [];
+    this.decodes = [];
+    this.isUnresponsive = false;
   }
 
-  private run(): void {
-    if (this.isRunning || this.isDark) return;
-    if (this.parts.length + this.wholes.length + this.writers.length === 0) return;
-    this.isRunning = true;
-    const { chunkTokens, stepsPerPass } = this.figures;
-    const steps = this.writers.length > 0 ? stepsPerPass : 1;
-    const { readMs, done } = this.readUpTo(steps * chunkTokens);
-    const served = [...this.writers];
-    const ms = this.pace * (this.stepMs() * steps + readMs);
-    this.events.at(this.events.now + ms, () => this.endPass(done, served));
+  private startPass(): void {
+    if (this.isStepping || this.isUnresponsive) return;
+    if (this.prefillParts.length + this.wholePrefills.length + this.decodes.length === 0) return;
+    this.isStepping = true;
+    const { chunkTokens, stepsPerPass } = this.parameters;
+    const steps = this.decodes.length > 0 ? stepsPerPass : 1;
+    const { prefillMs, done } = this.prefillUpTo(steps * chunkTokens);
+    const decoding = [...this.decodes];
+    const ms = this.slowdown * (this.stepMs() * steps + prefillMs);
+    this.events.at(this.events.now + ms, () => this.endPass(done, decoding));
   }
 
   private stepMs(): number {
-    const context = this.writers.reduce((sum, { contextTokens }) => sum + contextTokens, 0);
-    const { stepMs, writerStepMs, contextStepMs } = this.figures;
-    return stepMs + this.writers.length * writerStepMs + (context / 1_000) * contextStepMs;
+    const context = this.decodes.reduce((sum, { contextTokens }) => sum + contextTokens, 0);
+    const { stepMs, writerStepMs, contextStepMs } = this.parameters;
+    return stepMs + this.decodes.length * writerStepMs + (context / 1_000) * contextStepMs;
   }
 
-  private readUpTo(budget: number): { readMs: number; done: Reading[] } {
-    let left = budget;
-    let readMs = 0;
-    [...this.parts, ...this.wholes].forEach((reading) => {
-      const taken = Math.min(left, reading.leftTokens);
-      reading.leftTokens -= taken;
-      left -= taken;
-      readMs += taken * reading.msPerToken;
+  private prefillUpTo(budgetTokens: number): { prefillMs: number; done: Prefill[] } {
+    let remaining = budgetTokens;
+    let prefillMs = 0;
+    [...this.prefillParts, ...this.wholePrefills].forEach((prefill) => {
+      const taken = Math.min(remaining, prefill.remainingTokens);
+      prefill.remainingTokens -= taken;
+      remaining -= taken;
+      prefillMs += taken * prefill.msPerToken;
     });
-    const isLeft = (reading: Reading): boolean => reading.leftTokens > 0;
-    const done = [...this.parts, ...this.wholes].filter((reading) => !isLeft(reading));
-    this.parts = this.parts.filter(isLeft);
-    this.wholes = this.wholes.filter(isLeft);
-    return { readMs, done };
+    const isUnfinished = (prefill: Prefill): boolean => prefill.remainingTokens > 0;
+    const done = [...this.prefillParts, ...this.wholePrefills].filter(
+      (prefill) => !isUnfinished(prefill),
+    );
+    this.prefillParts = this.prefillParts.filter(isUnfinished);
+    this.wholePrefills = this.wholePrefills.filter(isUnfinished);
+    return { prefillMs, done };
   }
 
-  private endPass(done: readonly Reading[], served: readonly Writer[]): void {
-    this.isRunning = false;
-    if (this.isDark) return;
-    done.forEach(({ onRead }) => onRead());
-    served.filter((writer) => this.writers.includes(writer)).forEach((each) => this.emit(each));
-    this.run();
+  private endPass(done: readonly Prefill[], decoding: readonly Decode[]): void {
+    this.isStepping = false;
+    if (this.isUnresponsive) return;
+    done.forEach(({ onPrefilled }) => onPrefilled());
+    decoding.filter((decode) => this.decodes.includes(decode)).forEach((each) => this.emit(each));
+    this.startPass();
   }
 
-  private emit(writer: Writer): void {
-    writer.leftEvents -= 1;
-    const isLast = writer.leftEvents <= 0;
-    if (isLast) this.writers = this.writers.filter((each) => each !== writer);
-    writer.onEvent(isLast);
+  private emit(decode: Decode): void {
+    decode.remainingEvents -= 1;
+    const isLast = decode.remainingEvents <= 0;
+    if (isLast) this.decodes = this.decodes.filter((each) => each !== decode);
+    decode.onEvent(isLast);
   }
 }
--- a/packages/measure/src/fleet.ts
+++ b/packages/measure/src/fleet.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet of real processes on loopback for measurements and the demo: daemons with their settings
- * files, engines and services, each started here and ended here by its process id.
+ * A fleet of real processes on the loopback interface, for measurements and the demo: daemons with their settings
+ * files, stand-in engines and stand-in services. Each process is ended by its own process id.
  */
 import * as crypto from 'node:crypto';
 import * as fs from 'node:fs';
@@ -25,7 +25,7 @@
   name: string;
   dataCentre: string;
   disk: boolean;
-  /** Members of the first replica set. */
+  /** Whether it is a member of the first replica set. */
   founder: boolean;
   ports: Ports;
 }
@@ -33,7 +33,7 @@
 export interface FleetOptions {
   daemons: { dataCentre: string; disk: boolean; founder: boolean }[];
   ledgerShards?: number;
-  extra?: string;
+  extraSettings?: string;
   logLevel?: string;
 }
 
@@ -61,7 +61,7 @@
 export class Fleet {
   readonly folder: string;
 
-  readonly plans: DaemonPlan[];
+  readonly daemonPlans: DaemonPlan[];
 
   readonly daemons = new Map<string, processes.Process>();
 
@@ -71,11 +71,11 @@
     plans: DaemonPlan[],
     private readonly options: FleetOptions,
   ) {
-    this.plans = plans;
+    this.daemonPlans = plans;
     this.folder = fs.mkdtempSync(path.join(os.tmpdir(), 'celerydrift-'));
   }
 
-  /** Plans a fleet and writes its settings files; nothing runs yet. */
+  /** Allocates ports and writes the settings files; starts no process. */
   static async plan(options: FleetOptions): Promise<Fleet> {
     const ports = await processes.freePorts(options.daemons.length * 4);
     const plans = options.daemons.map((daemon, i): DaemonPlan => {
@@ -92,22 +92,22 @@
     return fleet;
   }
 
-  get entries(): string[] {
-    return this.plans.map(({ ports }) => `http://127.0.0.1:${ports.callers}`);
+  get entryUrls(): string[] {
+    return this.daemonPlans.map(({ ports }) => `http://127.0.0.1:${ports.callers}`);
   }
 
-  get operators(): string[] {
-    return this.plans.map(({ ports }) => `http://127.0.0.1:${ports.operators}`);
+  get operatorUrls(): string[] {
+    return this.daemonPlans.map(({ ports }) => `http://127.0.0.1:${ports.operators}`);
   }
 
   plan(name: string): DaemonPlan {
-    const plan = this.plans.find((each) => each.name === name);
-    if (plan === undefined) throw new Error(`no daemon ${name}`);
+    const plan = this.daemonPlans.find((each) => each.name === name);
+    if (plan === undefined) throw new Error(`no daemon is named ${name}`);
     return plan;
   }
 
   startDaemons(): void {
-    this.plans.forEach(({ name }) => this.startDaemon(name));
+    this.daemonPlans.forEach(({ name }) => this.startDaemon(name));
   }
 
   startDaemon(name: string): void {
@@ -122,22 +122,22 @@
     return daemon;
   }
 
-  /** The daemon that leads the settings log; the first one while nobody says that it does. */
-  async leader(): Promise<DaemonPlan> {
-    for (const [entry, plan] of this.plans.entries()) {
-      const answer = await this.operatorCall<{ replicaState?: string }>(
+  /** The daemon that leads the settings log; the first one if no daemon reports that it leads. */
+  async findLeader(): Promise<DaemonPlan> {
+    for (const [entry, plan] of this.daemonPlans.entries()) {
+      const response = await this.callOperator<{ replicaState?: string }>(
         'GET',
         'status',
         undefined,
         entry,
       ).catch(() => undefined);
-      if (answer?.content.replicaState === 'leader') return plan;
+      if (response?.content.replicaState === 'leader') return plan;
     }
-    return this.plans[0];
+    return this.daemonPlans[0];
   }
 
-  /** Empties a data folder, as a VM that lost its disk. */
-  wipe(name: string): void {
+  /** Deletes a data folder, as if the VM had lost its disk. */
+  wipeData(name: string): void {
     fs.rmSync(this.dataFolder(name), { recursive: true, force: true });
   }
 
@@ -159,82 +159,90 @@
     return this.startStandIn(name, ['service', ...options, '--service', service]);
   }
 
-  port(name: string): number {
+  standInPort(name: string): number {
     return this.standIns.get(name)?.port ?? 0;
   }
 
-  async standInCall<T>(name: string, call: string, body?: unknown): Promise<T> {
-    const answer = await fetch(`http://127.0.0.1:${this.port(name)}${call}`, {
+  async callStandIn<T>(name: string, urlPath: string, body?: unknown): Promise<T> {
+    const response = await fetch(`http://127.0.0.1:${this.standInPort(name)}${urlPath}`, {
       method: body === undefined ? 'GET' : 'POST',
       ...(body === undefined ? {} : { body: JSON.stringify(body) }),
     });
-    return (await answer.json()) as T;
+    return (await response.json()) as T;
   }
 
-  async operatorCall<T>(
+  async callOperator<T>(
     method: string,
-    call: string,
+    urlPath: string,
     body?: unknown,
     entry = 0,
   ): Promise<{ status: number; content: T }> {
-    const answer = await fetch(`${this.operators[entry]}/v1/${call}`, {
+    const response = await fetch(`${this.operatorUrls[entry]}/v1/${urlPath}`, {
       method,
       headers: { authorization: `Bearer ${OPERATOR_TOKEN}` },
       ...(body === undefined ? {} : { body: JSON.stringify(body) }),
       signal: AbortSignal.timeout(12_000),
     });
-    return { status: answer.status, content: (await answer.json()) as T };
+    return { status: response.status, content: (await response.json()) as T };
   }
 
-  /** Applies a subtree, sending it again with the same id until there is an answer. */
-  async apply(subtree: string, text: string, basedOn: number, timeoutMs = 20_000): Promise<number> {
+  /** Applies a settings subtree; resends it with the same id until a daemon accepts or refuses it. */
+  async applySettings(
+    subtree: string,
+    text: string,
+    basedOn: number,
+    timeoutMs = 20_000,
+  ): Promise<number> {
     const id = crypto.randomUUID();
     const until = Date.now() + timeoutMs;
-    for (let turn = 0; Date.now() < until; turn++) {
-      const entry = turn % this.plans.length;
-      const call = { id, basedOn, text };
-      const answer = await this.operatorCall<{ kind: string; index: number }>(
+    for (let attempt = 0; Date.now() < until; attempt++) {
+      const entry = attempt % this.daemonPlans.length;
+      const change = { id, basedOn, text };
+      const response = await this.callOperator<{ kind: string; index: number }>(
         'PUT',
         `settings/${subtree}`,
-        call,
+        change,
         entry,
       ).catch(() => undefined);
-      if (answer?.status === 200) return answer.content.index;
-      if (answer !== undefined && answer.status !== 503) {
-        throw new Error(`settings refused: ${JSON.stringify(answer.content)}`);
+      if (response?.status === 200) return response.content.index;
+      if (response !== undefined && response.status !== 503) {
+        throw new Error(`settings of ${subtree} refused: ${JSON.stringify(response.content)}`);
       }
       await processes.sleep(50);
     }
-    throw new Error('settings not accepted in time');
+    throw new Error(`settings of ${subtree} not accepted within ${timeoutMs} ms`);
   }
 
-  async untilReady(timeoutMs = 20_000, names?: readonly string[]): Promise<void> {
-    const wanted = this.plans.filter(({ name }) => names === undefined || names.includes(name));
+  async waitUntilReady(timeoutMs = 20_000, names?: readonly string[]): Promise<void> {
+    const awaited = this.daemonPlans.filter(
+      ({ name }) => names === undefined || names.includes(name),
+    );
     const until = Date.now() + timeoutMs;
-    for (const { name, ports } of wanted) {
+    for (const { name, ports } of awaited) {
       while (!(await isReady(ports.callers))) {
         if (Date.now() > until) {
           const lines = this.daemons.get(name)?.lines.slice(-8).join('\n');
-          throw new Error(`${name} did not turn ready:\n${lines}`);
+          throw new Error(`${name} not ready within ${timeoutMs} ms:\n${lines}`);
         }
         await processes.sleep(25);
       }
     }
   }
 
-  /** Waits until every daemon knows so many serving targets. */
-  async untilTargets(count: number, timeoutMs = 20_000): Promise<void> {
+  /** Waits until every daemon knows at least `count` serving targets. */
+  async waitForTargets(count: number, timeoutMs = 20_000): Promise<void> {
     const until = Date.now() + timeoutMs;
-    for (const entry of this.plans.keys()) {
+    for (const entry of this.daemonPlans.keys()) {
       for (;;) {
-        const { content } = await this.operatorCall<{ status: string }[]>(
+        const { content } = await this.callOperator<{ status: string }[]>(
           'GET',
           'targets',
           undefined,
           entry,
         );
         if (content.filter(({ status }) => status === 'serving').length >= count) break;
-        if (Date.now() > until) throw new Error(`vm-${entry + 1} knows ${content.length} targets`);
+        if (Date.now() > until)
+          throw new Error(`vm-${entry + 1} knows ${content.length} of ${count} targets`);
         await processes.sleep(50);
       }
     }
@@ -250,7 +258,9 @@
   }
 
   private standInOptions(name: string, dataCentre = 'dc-1'): string[] {
-    const entries = this.plans.map(({ ports }) => `http://127.0.0.1:${ports.targets}`).join(',');
+    const entries = this.daemonPlans
+      .map(({ ports }) => `http://127.0.0.1:${ports.targets}`)
+      .join(',');
     return [
       '--name',
       name,
@@ -264,15 +274,16 @@
   }
 
   private async startStandIn(name: string, parameters: string[]): Promise<number> {
-    const known = this.standIns.get(name);
-    const port = known === undefined ? [] : ['--port', String(known.port)];
-    const made = new processes.Process(name, STANDIN_SCRIPT, [...parameters, ...port]);
-    made.start();
-    const said = await made.line((line) => {
+    const former = this.standIns.get(name);
+    // A restarted stand-in keeps its address.
+    const portOption = former === undefined ? [] : ['--port', String(former.port)];
+    const standIn = new processes.Process(name, STANDIN_SCRIPT, [...parameters, ...portOption]);
+    standIn.start();
+    const announced = await standIn.waitForLine((line) => {
       return line.startsWith('{') ? (JSON.parse(line) as { port: number }) : undefined;
     });
-    this.standIns.set(name, { process: made, port: said.port });
-    return said.port;
+    this.standIns.set(name, { process: standIn, port: announced.port });
+    return announced.port;
   }
 
   private settingsFile(name: string): string {
@@ -284,12 +295,12 @@
   }
 
   private writeSettings(plan: DaemonPlan): void {
-    const peer = ({ ports }: DaemonPlan): string => `127.0.0.1:${ports.peers}`;
-    const founders = this.plans.filter(({ founder }) => founder);
-    const disks = this.plans.filter(({ disk }) => disk);
+    const peerAddress = ({ ports }: DaemonPlan): string => `127.0.0.1:${ports.peers}`;
+    const founders = this.daemonPlans.filter(({ founder }) => founder);
+    const withDisk = this.daemonPlans.filter(({ disk }) => disk);
     const replicas = founders.length;
-    const data = plan.disk
-      ? `folder = ${this.dataFolder(plan.name)}\nfounders = ${founders.map(peer).join(',')}\n`
+    const dataSettings = plan.disk
+      ? `folder = ${this.dataFolder(plan.name)}\nfounders = ${founders.map(peerAddress).join(',')}\n`
       : '';
     const { callers, targets, operators, peers } = plan.ports;
     const text = `[daemon]
@@ -301,17 +312,17 @@
 operators = 127.0.0.1:${operators}
 peers = 127.0.0.1:${peers}
 [peers]
-seeds = ${disks.map(peer).join(',')}
+seeds = ${withDisk.map(peerAddress).join(',')}
 secret = ${PEER_SECRET}
 [data]
-${data}replicas = ${replicas}
+${dataSettings}replicas = ${replicas}
 ledger-shards = ${this.options.ledgerShards ?? 1}
 [security]
 target-secret = ${TARGET_SECRET}
 operator-token = sha256:${sha256(OPERATOR_TOKEN)}
 [observe]
 level = ${this.options.logLevel ?? 'info'}
-${this.options.extra ?? ''}
+${this.options.extraSettings ?? ''}
 `;
     fs.writeFileSync(this.settingsFile(plan.name), text);
   }
@@ -319,9 +330,9 @@
 
 async function isReady(port: number): Promise<boolean> {
   try {
-    const answer = await fetch(`http://127.0.0.1:${port}/readyz`);
-    await answer.arrayBuffer();
-    return answer.status === 200;
+    const response = await fetch(`http://127.0.0.1:${port}/readyz`);
+    await response.arrayBuffer();
+    return response.status === 200;
   } catch {
     return false;
   }
--- a/packages/measure/src/mixed/simulation.ts
+++ b/packages/measure/src/mixed/simulation.ts
@@ -1,7 +1,7 @@
 /**
- * An experiment with a virtual clock: the daemons' dispatchers and the engine model, exactly as they
- * run in processes, joined by network delays, lagged reports and peers' summaries. A fixed seed gives
- * the same result every time, so policies can be compared on the same work.
+ * Simulation with a virtual clock: the daemons' dispatchers and the stand-in's engine model, as they run in real
+ * processes, connected by network delays, delayed load reports and summaries between daemons. A fixed seed gives the
+ * same result every time, so that policies can be compared on the same arrivals.
  */
 import * as domain from '@celerydrift/domain';
 import * as standins from '@celerydrift/standins';
@@ -18,21 +18,21 @@
   parameters: Parameters;
   policy: (source: domain.shared.random.Random) => Policy;
   dispatcher: domain.routing.dispatcher.Options;
-  /** One-way delay between daemon and engine, in milliseconds. */
+  /** One-way delay between a daemon and an engine, milliseconds. */
   networkMs: number;
-  /** Period of the peers' summaries, in milliseconds. */
+  /** Interval between summaries of the daemons, milliseconds. */
   summaryMs: number;
-  /** One daemon places for all, a hop of so many milliseconds away; undefined: each for itself. */
+  /** One-way delay to the daemon that places all requests, milliseconds; undefined if each daemon places its own. */
   allocatorHopMs: number | undefined;
-  /** Whether dispatchers see the engines' true state at every moment. */
+  /** Whether dispatchers always see the true state of the engines. */
   clairvoyant: boolean;
-  /** Part of each engine that an older system uses, unseen but for load reports. */
-  olderShare: number;
+  /** Fraction of each engine that a legacy system uses; dispatchers see its work in load reports only. */
+  legacyShare: number;
   hash: domain.shared.hashing.Hash;
   seed: number;
 }
 
-export interface Served {
+export interface ServedRequest {
   promptTokens: number;
   ttftMs: number;
   organisation: string;
@@ -47,20 +47,20 @@
 
 const { REPORT_EVERY } = standins.engineModel;
 
-/** Requests of the older system: medium prompts in a steady stream. */
-const OLDER_PROMPT_TOKENS = 4_000;
+/** The legacy system sends medium prompts at a steady rate. */
+const LEGACY_PROMPT_TOKENS = 4_000;
 
-const OLDER_ANSWER_TOKENS = 100;
+const LEGACY_ANSWER_TOKENS = 100;
 
-/** The dispatcher that places for all. */
-const ALLOCATOR = 0;
+/** Index of the dispatcher that places all requests if there is an allocator. */
+const ALLOCATOR_INDEX = 0;
 
 const POLL_MS = 5;
 
-/** Time after the last arrival during which requests may still finish, in milliseconds. */
+/** Time after the last arrival in which requests may still finish, milliseconds. */
 const DRAIN_MS = 300_000;
 
-/** Pause after memory could not be gathered, in milliseconds. */
+/** Delay of a retry after memory could not be reserved on other engines, milliseconds. */
 const RETRY_MS = 250;
 
 const DEADLINE_MS = 600_000;
@@ -76,21 +76,21 @@
 
   private readonly owners = new Map<string, number>();
 
-  /** Memory that other engines lend to a long prompt. */
-  private readonly lent = new Map<string, { engine: Engine; tokens: number }[]>();
+  /** Memory reserved on other engines for long prompts, by request. */
+  private readonly remoteReservations = new Map<string, { engine: Engine; tokens: number }[]>();
 
-  private readonly source: domain.shared.random.Random;
+  private readonly random: domain.shared.random.Random;
 
-  readonly served: Served[] = [];
+  readonly served: ServedRequest[] = [];
 
   refused = 0;
 
-  private older = 0;
+  private legacyJobs = 0;
 
   private busyMs = 0;
 
   constructor(private readonly options: Options) {
-    this.source = domain.shared.random.seeded(options.seed);
+    this.random = domain.shared.random.seeded(options.seed);
     for (let i = 0; i < options.engines; i++) {
       const name = `engine-${String(i).padStart(3, '0')}`;
       const model = new standins.engineModel.EngineModel(options.parameters);
@@ -99,21 +99,21 @@
     for (let i = 0; i < options.daemons; i++) this.dispatchers.push(this.makeDispatcher(i));
   }
 
-  /** Mean share of time in which engines were stepping. */
+  /** Mean fraction of the time in which engines ran steps. */
   utilisation(seconds: number): number {
     return this.busyMs / (seconds * 1_000 * this.engines.size);
   }
 
-  run(work: readonly workload.Arrival[]): Served[] {
-    work.forEach((arrival) => {
+  run(arrivals: readonly workload.Arrival[]): ServedRequest[] {
+    arrivals.forEach((arrival) => {
       this.arrivals.set(arrival.id, arrival);
-      this.events.at(arrival.at + this.hop, () => this.arrive(arrival));
+      this.events.at(arrival.at + this.allocatorHopMs, () => this.enqueue(arrival));
     });
-    const end = (work.at(-1)?.at ?? 0) + DRAIN_MS;
-    if (this.options.olderShare > 0) this.scheduleOlder(0, work.at(-1)?.at ?? 0);
-    this.everyMs(POLL_MS, end, () => this.pollWaiting());
+    const end = (arrivals.at(-1)?.at ?? 0) + DRAIN_MS;
+    if (this.options.legacyShare > 0) this.scheduleLegacyJob(0, arrivals.at(-1)?.at ?? 0);
+    this.everyMs(POLL_MS, end, () => this.pollQueues());
     this.everyMs(this.options.summaryMs, end, () => this.exchangeSummaries());
-    while (this.events.size > 0 && this.served.length + this.refused < work.length) {
+    while (this.events.size > 0 && this.served.length + this.refused < arrivals.length) {
       this.events.next();
     }
     return this.served;
@@ -124,12 +124,17 @@
   }
 
   private makeDispatcher(index: number): Dispatcher {
-    const { hash, dispatcher: options } = this.options;
+    const { hash, dispatcher: dispatcherOptions } = this.options;
     const policy = this.options.policy(domain.shared.random.seeded(this.options.seed + index));
-    const made = new domain.routing.dispatcher.Dispatcher('dc-1', hash, policy, options);
-    made.setPosition(index, this.options.daemons);
+    const dispatcher = new domain.routing.dispatcher.Dispatcher(
+      'dc-1',
+      hash,
+      policy,
+      dispatcherOptions,
+    );
+    dispatcher.setPosition(index, this.options.daemons);
     const { memoryTokens } = this.options.parameters;
-    made.setTargets(
+    dispatcher.setTargets(
       [...this.engines.keys()].map((name) => ({
         name,
         incarnation: 1,
@@ -145,23 +150,23 @@
         load: { queuedTokens: 0, streams: 0, freeTokens: memoryTokens },
       })),
     );
-    return made;
+    return dispatcher;
   }
 
-  private everyMs(period: number, end: number, action: () => void): void {
+  private everyMs(intervalMs: number, end: number, action: () => void): void {
     const tick = (): void => {
       action();
-      if (this.now < end) this.events.at(this.now + period, tick);
+      if (this.now < end) this.events.at(this.now + intervalMs, tick);
     };
-    this.events.at(period, tick);
+    this.events.at(intervalMs, tick);
   }
 
-  private get hop(): number {
+  private get allocatorHopMs(): number {
     return this.options.allocatorHopMs ?? 0;
   }
 
-  private arrive(arrival: workload.Arrival): void {
-    const index = this.options.allocatorHopMs === undefined ? arrival.daemon : ALLOCATOR;
+  private enqueue(arrival: workload.Arrival): void {
+    const index = this.options.allocatorHopMs === undefined ? arrival.daemon : ALLOCATOR_INDEX;
     const dispatcher = this.dispatchers[index];
     const refusal = dispatcher.enqueue(
       {
@@ -183,7 +188,7 @@
     else this.refused += 1;
   }
 
-  private pollWaiting(): void {
+  private pollQueues(): void {
     this.dispatchers.forEach((dispatcher, index) => {
       if (dispatcher.queueLength > 0) this.poll(index);
     });
@@ -191,7 +196,7 @@
 
   private poll(index: number): void {
     const dispatcher = this.dispatchers[index];
-    if (this.options.clairvoyant) this.tellTruth(dispatcher);
+    if (this.options.clairvoyant) this.reportTrueState(dispatcher);
     dispatcher.poll(this.now).forEach((dispatch) => this.dispatch(index, dispatch));
   }
 
@@ -200,12 +205,12 @@
     this.owners.set(id, index);
     const { promptTokens, answerTokens, prefixKeys } = this.arrivals.get(id) as workload.Arrival;
     const { memoryTokens } = this.options.parameters;
-    const primary = Math.floor(memoryTokens * domain.routing.dispatcher.PRIMARY_SHARE);
-    const remoteTokens = Math.max(0, promptTokens + answerTokens - primary);
+    const localTokens = Math.floor(memoryTokens * domain.routing.dispatcher.PRIMARY_SHARE);
+    const remoteTokens = Math.max(0, promptTokens + answerTokens - localTokens);
     const priority = dispatch.enginePriority;
     const job = { id, promptTokens, answerTokens, priority, prefixKeys, remoteTokens };
     const engine = this.engines.get(dispatch.target.name) as Engine;
-    this.events.at(this.now + this.hop + this.options.networkMs, () => {
+    this.events.at(this.now + this.allocatorHopMs + this.options.networkMs, () => {
       this.submit(index, engine, job, dispatch.needsRoom);
     });
   }
@@ -216,53 +221,56 @@
     job: standins.engineModel.Job,
     needsRoom: boolean,
   ): void {
-    const gathered = job.remoteTokens === 0 || this.gather(engine, job);
-    if (gathered && !(needsRoom && !engine.model.hasRoom(job))) {
+    const isReserved = job.remoteTokens === 0 || this.reserveRemoteMemory(engine, job);
+    if (isReserved && !(needsRoom && !engine.model.hasRoom(job))) {
       engine.model.submit(job, this.now);
       this.step(engine);
       return;
     }
-    if (gathered) this.giveBack(job.id);
+    if (isReserved) this.releaseRemoteMemory(job.id);
     const report = { ...engine.model.trueLoad(this.now), measuredAt: this.now };
-    const wait = gathered ? this.options.networkMs + this.hop : RETRY_MS;
-    this.events.at(this.now + wait, () => {
+    const delayMs = isReserved ? this.options.networkMs + this.allocatorHopMs : RETRY_MS;
+    this.events.at(this.now + delayMs, () => {
       this.dispatchers[index].refused(job.id, report, this.now);
       this.poll(index);
     });
   }
 
-  /** Reserves memory on other engines for a prompt that one can't hold: all of it or none. */
-  private gather({ name }: Engine, job: standins.engineModel.Job): boolean {
+  /** Reserves memory on other engines for a prompt that exceeds one engine's: all of it or none. */
+  private reserveRemoteMemory({ name }: Engine, job: standins.engineModel.Job): boolean {
     const others = [...this.engines.values()].filter((other) => other.name !== name);
-    const free = (other: Engine): number => other.model.trueLoad(this.now).freeTokens;
-    const most = this.options.parameters.memoryTokens * domain.memory.gathering.HELPER_SHARE;
-    const parts: { engine: Engine; tokens: number }[] = [];
+    const freeTokens = (other: Engine): number => other.model.trueLoad(this.now).freeTokens;
+    const maxPerEngine =
+      this.options.parameters.memoryTokens * domain.memory.gathering.HELPER_SHARE;
+    const reservations: { engine: Engine; tokens: number }[] = [];
     let missing = job.remoteTokens;
     others
-      .sort((a, b) => free(b) - free(a))
+      .sort((a, b) => freeTokens(b) - freeTokens(a))
       .forEach((engine) => {
-        const tokens = Math.min(missing, most, free(engine));
+        const tokens = Math.min(missing, maxPerEngine, freeTokens(engine));
         if (tokens <= 0 || !engine.model.reserve(tokens)) return;
-        parts.push({ engine, tokens });
+        reservations.push({ engine, tokens });
         missing -= tokens;
       });
-    this.lent.set(job.id, parts);
+    this.remoteReservations.set(job.id, reservations);
     if (missing <= 0) return true;
-    this.giveBack(job.id);
+    this.releaseRemoteMemory(job.id);
     return false;
   }
 
-  private giveBack(id: string): void {
-    this.lent.get(id)?.forEach(({ engine, tokens }) => engine.model.unreserve(tokens));
-    this.lent.delete(id);
+  private releaseRemoteMemory(id: string): void {
+    this.remoteReservations
+      .get(id)
+      ?.forEach(({ engine, tokens }) => engine.model.unreserve(tokens));
+    this.remoteReservations.delete(id);
   }
 
   private step(engine: Engine): void {
     if (engine.model.stepping) return;
-    const duration = engine.model.begin();
-    if (duration === undefined) return;
-    this.busyMs += duration;
-    this.events.at(this.now + duration, () => {
+    const durationMs = engine.model.begin();
+    if (durationMs === undefined) return;
+    this.busyMs += durationMs;
+    this.events.at(this.now + durationMs, () => {
       engine.model.finish(this.now).forEach((token) => this.emit(engine, token));
       this.step(engine);
     });
@@ -271,16 +279,16 @@
   private emit(engine: Engine, token: standins.engineModel.Token): void {
     const owner = this.owners.get(token.id);
     if (owner === undefined) return;
-    if (token.last) this.giveBack(token.id);
-    // An allocator hears of loads only with first and last tokens.
-    const every = this.options.allocatorHopMs === undefined ? REPORT_EVERY : Infinity;
-    const reports = token.position % every === 0 || token.last;
-    if (!reports) return;
+    if (token.last) this.releaseRemoteMemory(token.id);
+    // An allocator receives loads only with first and last tokens.
+    const reportEvery = this.options.allocatorHopMs === undefined ? REPORT_EVERY : Infinity;
+    const isReported = token.position % reportEvery === 0 || token.last;
+    if (!isReported) return;
     const { loadLagMs } = this.options.parameters;
     const load = engine.model.load(this.now);
     const measuredAt = this.now - loadLagMs;
-    if (token.position === 0) this.serveFirst(token.id);
-    this.events.at(this.now + this.options.networkMs + this.hop, () => {
+    if (token.position === 0) this.recordFirstToken(token.id);
+    this.events.at(this.now + this.options.networkMs + this.allocatorHopMs, () => {
       const dispatcher = this.dispatchers[owner];
       if (token.position === 0) dispatcher.firstToken(token.id, this.now);
       if (token.last) dispatcher.ended(token.id, this.now);
@@ -289,14 +297,14 @@
     });
   }
 
-  /** The entry passes the first token on at once; only the allocator hears of it a hop later. */
-  private serveFirst(id: string): void {
+  /** The entry forwards the first token at once; only the allocator is notified a hop later. */
+  private recordFirstToken(id: string): void {
     const { at, promptTokens, organisation } = this.arrivals.get(id) as workload.Arrival;
     const ttftMs = this.now + this.options.networkMs - at;
     this.served.push({ promptTokens, ttftMs, organisation });
   }
 
-  /** What gossip carries between daemons: medium and long work, and demand. */
+  /** Sends what daemons exchange by gossip: outstanding medium and long work, and demand. */
   private exchangeSummaries(): void {
     const summaries = this.dispatchers.map((dispatcher) => ({
       outstanding: dispatcher.outstanding(),
@@ -307,8 +315,8 @@
       this.engines.forEach(({ name }) => {
         const sum = (band: domain.routing.band.Band): number =>
           others.reduce((all, { outstanding }) => all + (outstanding.get(name)?.[band] ?? 0), 0);
-        const told = { short: 0, medium: sum('medium'), long: sum('long') };
-        dispatcher.peersReported(name, told, this.now);
+        const reported = { short: 0, medium: sum('medium'), long: sum('long') };
+        dispatcher.peersReported(name, reported, this.now);
       });
       const demand = (band: domain.routing.band.Band): number =>
         others.reduce((all, other) => all + other.demand[band], 0);
@@ -320,31 +328,34 @@
     });
   }
 
-  /** The clairvoyant dispatcher knows every daemon's outstanding work at this moment. */
-  private tellTruth(dispatcher: Dispatcher): void {
+  /** Gives a clairvoyant dispatcher every daemon's current outstanding work and every engine's true load. */
+  private reportTrueState(dispatcher: Dispatcher): void {
     const others = this.dispatchers.filter((other) => other !== dispatcher);
-    const all = others.map((other) => other.outstanding());
+    const outstandingOfOthers = others.map((other) => other.outstanding());
     this.engines.forEach(({ name, model }) => {
       const sum = (band: domain.routing.band.Band): number =>
-        all.reduce((total, outstanding) => total + (outstanding.get(name)?.[band] ?? 0), 0);
-      const told = { short: sum('short'), medium: sum('medium'), long: sum('long') };
-      dispatcher.peersReported(name, told, this.now);
+        outstandingOfOthers.reduce(
+          (total, outstanding) => total + (outstanding.get(name)?.[band] ?? 0),
+          0,
+        );
+      const reported = { short: sum('short'), medium: sum('medium'), long: sum('long') };
+      dispatcher.peersReported(name, reported, this.now);
       const load = model.trueLoad(this.now);
       dispatcher.reported(name, { ...load, measuredAt: this.now });
     });
   }
 
-  private scheduleOlder(at: number, end: number): void {
+  private scheduleLegacyJob(at: number, end: number): void {
     const { tokenMs } = this.options.parameters;
-    const workMs = OLDER_PROMPT_TOKENS * tokenMs;
-    const gap = workMs / (this.options.olderShare * this.engines.size);
+    const workMs = LEGACY_PROMPT_TOKENS * tokenMs;
+    const meanGapMs = workMs / (this.options.legacyShare * this.engines.size);
     this.events.at(at, () => {
-      this.older += 1;
-      const engine = domain.shared.random.pick(this.source, [...this.engines.values()]);
+      this.legacyJobs += 1;
+      const engine = domain.shared.random.pick(this.random, [...this.engines.values()]);
       const job: standins.engineModel.Job = {
-        id: `older-${this.older}`,
-        promptTokens: OLDER_PROMPT_TOKENS,
-        answerTokens: OLDER_ANSWER_TOKENS,
+        id: `older-${this.legacyJobs}`,
+        promptTokens: LEGACY_PROMPT_TOKENS,
+        answerTokens: LEGACY_ANSWER_TOKENS,
         priority: 1,
         prefixKeys: [],
         remoteTokens: 0,
@@ -352,7 +363,7 @@
       engine.model.submit(job, this.now);
       this.step(engine);
       if (at < end)
-        this.scheduleOlder(at + domain.shared.random.exponential(this.source, gap), end);
+        this.scheduleLegacyJob(at + domain.shared.random.exponential(this.random, meanGapMs), end);
     });
   }
 }
--- a/packages/measure/src/settings/settings.ts
+++ b/packages/measure/src/settings/settings.ts
@@ -1,6 +1,6 @@
 /**
- * Scenario `settings`: how fast changes are in force everywhere; what races, resends, a leader's death
- * and a long absence do to them.
+ * Scenario `settings`: how fast a change is in force on all daemons, and whether changes survive races between
+ * operators, resends, a leader failure, a daemon's long downtime and network partitions.
  */
 import * as fleet from '../fleet';
 import * as processes from '../processes';
@@ -11,25 +11,31 @@
 export interface Result {
   inForceMsP50: number;
   inForceMsP99: number;
-  /** Longest from sending to in force while the leader dies. */
+  /** Time from the leader's death until a change sent then is in force everywhere, milliseconds. */
   inForceThroughTakeoverMs: number;
+  /** Accepted changes whose subtree is missing at the end. */
   lost: number;
+  /** Accepted changes whose subtree has an older revision at the end. */
   reverted: number;
+  /** Race, resend and takeover checks in which a change wasn't accepted exactly once. */
   acceptedTwice: number;
+  /** Time from the leader's death until a change is accepted, milliseconds. */
   takeoverMs: number;
+  /** Time from the start of a daemon that missed many changes until it is ready, milliseconds. */
   catchUpMs: number;
   changesPerSecond: number;
+  /** `servedStaleMs` of each partition. */
   servedStaleMsMax: Record<string, number>;
-  partitions: Record<string, partitions.ShapeResult>;
+  partitions: Record<string, partitions.PartitionResult>;
 }
 
-interface Force {
+interface InForceStatus {
   registered: number;
   inForce: number;
   missing: string[];
 }
 
-interface Answer {
+interface ChangeResponse {
   kind: string;
   revision: number;
   index: number;
@@ -39,13 +45,13 @@
 
 const MISSED_CHANGES = 500;
 
-function textOf(mark: string): string {
-  return `; ${mark}\n${teams.FITTERS.text}`;
+function settingsText(id: string): string {
+  return `; ${id}\n${teams.FITTERS.settings}`;
 }
 
-async function untilInForce(target: fleet.Fleet, index: number, entry: number): Promise<void> {
+async function waitUntilInForce(target: fleet.Fleet, index: number, entry: number): Promise<void> {
   for (;;) {
-    const { status, content } = await target.operatorCall<Force>(
+    const { status, content } = await target.callOperator<InForceStatus>(
       'GET',
       `force/${index}`,
       undefined,
@@ -56,30 +62,35 @@
   }
 }
 
-async function put(
+async function putSettings(
   target: fleet.Fleet,
   subtree: string,
   id: string,
   basedOn: number,
   entry: number,
-): Promise<{ status: number; content: Answer } | undefined> {
-  const body = { id, basedOn, text: textOf(id) };
+): Promise<{ status: number; content: ChangeResponse } | undefined> {
+  const body = { id, basedOn, text: settingsText(id) };
   return target
-    .operatorCall<Answer>('PUT', `settings/${subtree}`, body, entry % target.plans.length)
+    .callOperator<ChangeResponse>(
+      'PUT',
+      `settings/${subtree}`,
+      body,
+      entry % target.daemonPlans.length,
+    )
     .catch(() => undefined);
 }
 
-/** Sends until there is an answer other than "try again", always with the same id. */
+/** Resends a change with the same id until the response isn't 503. */
 async function putUntilAnswered(
   target: fleet.Fleet,
   subtree: string,
   id: string,
   basedOn: number,
   entry: number,
-): Promise<Answer> {
-  for (let turn = entry; ; turn++) {
-    const answer = await put(target, subtree, id, basedOn, turn);
-    if (answer !== undefined && answer.status !== 503) return answer.content;
+): Promise<ChangeResponse> {
+  for (let attempt = entry; ; attempt++) {
+    const response = await putSettings(target, subtree, id, basedOn, attempt);
+    if (response !== undefined && response.status !== 503) return response.content;
     await processes.sleep(20);
   }
 }
@@ -89,77 +100,81 @@
   for (let i = 0; i < count; i++) {
     const since = performance.now();
     const { index } = await putUntilAnswered(target, 'timed', `timed-${i}`, i, i);
-    await untilInForce(target, index, i % target.plans.length);
+    await waitUntilInForce(target, index, i % target.daemonPlans.length);
     times.push(performance.now() - since);
   }
   return statistics.percentiles(times);
 }
 
-async function rate(target: fleet.Fleet, operators: number, each: number): Promise<number> {
+async function measureChangeRate(
+  target: fleet.Fleet,
+  operators: number,
+  changesEach: number,
+): Promise<number> {
   const since = performance.now();
   await Promise.all(
     Array.from({ length: operators }, async (_value, operator) => {
-      for (let i = 0; i < each; i++) {
+      for (let i = 0; i < changesEach; i++) {
         await putUntilAnswered(target, `rate-${operator}`, `rate-${operator}-${i}`, i, operator);
       }
     }),
   );
-  return (operators * each) / ((performance.now() - since) / 1_000);
+  return (operators * changesEach) / ((performance.now() - since) / 1_000);
 }
 
-/** Two operators with equal numbers, each round; both accepted would be one too many. */
-async function race(target: fleet.Fleet, rounds: number): Promise<number> {
-  let twice = 0;
+/** Each round, two operators send changes based on the same revision; counts rounds without exactly one acceptance. */
+async function countRaceViolations(target: fleet.Fleet, rounds: number): Promise<number> {
+  let violations = 0;
   for (let i = 0; i < rounds; i++) {
-    const answers = await Promise.all([
+    const responses = await Promise.all([
       putUntilAnswered(target, 'raced', `raced-a-${i}`, i, i),
       putUntilAnswered(target, 'raced', `raced-b-${i}`, i, i + 1),
     ]);
-    if (answers.filter(({ kind }) => kind === 'accepted').length !== 1) twice += 1;
+    if (responses.filter(({ kind }) => kind === 'accepted').length !== 1) violations += 1;
   }
-  return twice;
+  return violations;
 }
 
-/** The same id through three entries must be accepted once, at one revision. */
-async function resend(target: fleet.Fleet, rounds: number): Promise<number> {
-  let twice = 0;
+/** Each round, sends one change through three entries; counts rounds in which it wasn't accepted at a single index. */
+async function countResendViolations(target: fleet.Fleet, rounds: number): Promise<number> {
+  let violations = 0;
   for (let i = 0; i < rounds; i++) {
-    const answers = await Promise.all(
+    const responses = await Promise.all(
       [0, 1, 2].map((entry) => putUntilAnswered(target, 'resent', `resent-${i}`, i, entry)),
     );
-    const indexes = new Set(answers.map(({ index }) => index));
-    if (indexes.size !== 1 || answers.some(({ kind }) => kind !== 'accepted')) twice += 1;
+    const indexes = new Set(responses.map(({ index }) => index));
+    if (indexes.size !== 1 || responses.some(({ kind }) => kind !== 'accepted')) violations += 1;
   }
-  return twice;
+  return violations;
 }
 
-async function takeover(
+async function measureTakeover(
   target: fleet.Fleet,
 ): Promise<{ takeoverMs: number; inForceMs: number; acceptedTwice: number }> {
-  const { name } = await target.leader();
-  const leader = target.plans.findIndex((plan) => plan.name === name);
+  const { name } = await target.findLeader();
+  const leader = target.daemonPlans.findIndex((plan) => plan.name === name);
   const first = await putUntilAnswered(target, 'taken', 'taken-0', 0, 1);
   const since = performance.now();
   void target.daemon(name).kill();
-  const entry = (leader + 1) % target.plans.length;
+  const entry = (leader + 1) % target.daemonPlans.length;
   const next = await putUntilAnswered(target, 'taken', 'taken-1', 1, entry);
   const takeoverMs = performance.now() - since;
-  await untilInForce(target, next.index, entry);
+  await waitUntilInForce(target, next.index, entry);
   const inForceMs = performance.now() - since;
-  // A resend from before the takeover gets its first answer from the new leader.
-  const again = await putUntilAnswered(target, 'taken', 'taken-0', 0, entry);
-  const acceptedTwice = again.index === first.index ? 0 : 1;
+  // The new leader must response a resent change from before the takeover as the former leader did.
+  const resent = await putUntilAnswered(target, 'taken', 'taken-0', 0, entry);
+  const acceptedTwice = resent.index === first.index ? 0 : 1;
   target.startDaemon(name);
-  await target.untilReady();
+  await target.waitUntilReady();
   return { takeoverMs, inForceMs, acceptedTwice };
 }
 
-/** Every accepted change must be there at its last revision, on every daemon. */
-async function audit(
+/** Counts subtrees that are missing or older than the last accepted revision. */
+async function countLostChanges(
   target: fleet.Fleet,
   expected: ReadonlyMap<string, number>,
 ): Promise<{ lost: number; reverted: number }> {
-  const { content } = await target.operatorCall<{ name: string; revision: number }[]>(
+  const { content } = await target.callOperator<{ name: string; revision: number }[]>(
     'GET',
     'subtrees',
   );
@@ -174,7 +189,7 @@
   return { lost, reverted };
 }
 
-export async function run(quick: boolean, say: (line: string) => void): Promise<Result> {
+export async function run(quick: boolean, log: (line: string) => void): Promise<Result> {
   const target = await fleet.Fleet.plan({
     daemons: Array.from({ length: DAEMONS }, (_value, i) => ({
       dataCentre: `dc-${(i % 3) + 1}`,
@@ -187,51 +202,51 @@
   const rounds = quick ? 20 : 100;
   try {
     target.startDaemons();
-    await target.apply('fitters', teams.FITTERS.text, 0);
-    await target.untilReady();
+    await target.applySettings('fitters', teams.FITTERS.settings, 0);
+    await target.waitUntilReady();
     const times = await timeChanges(target, timed);
-    say(`in force: ${JSON.stringify(times)}`);
-    const each = quick ? 40 : 200;
-    const changesPerSecond = await rate(target, 8, each);
-    say(`changes per second: ${changesPerSecond.toFixed(0)}`);
-    const raced = await race(target, rounds);
-    const resent = await resend(target, rounds);
-    const taken = await takeover(target);
-    say(`takeover: ${JSON.stringify(taken)}`);
-    const catchUpMs = await catchUp(target);
+    log(`in force: ${JSON.stringify(times)}`);
+    const changesEach = quick ? 40 : 200;
+    const changesPerSecond = await measureChangeRate(target, 8, changesEach);
+    log(`changes per second: ${changesPerSecond.toFixed(0)}`);
+    const raceViolations = await countRaceViolations(target, rounds);
+    const resendViolations = await countResendViolations(target, rounds);
+    const takeover = await measureTakeover(target);
+    log(`takeover: ${JSON.stringify(takeover)}`);
+    const catchUpMs = await measureCatchUp(target);
     const expected = new Map([
       ['timed', timed],
       ['raced', rounds],
       ['resent', rounds],
       ['taken', 2],
-      ...Array.from({ length: 8 }, (_v, i): [string, number] => [`rate-${i}`, each]),
+      ...Array.from({ length: 8 }, (_v, i): [string, number] => [`rate-${i}`, changesEach]),
     ]);
-    const found = await audit(target, expected);
+    const losses = await countLostChanges(target, expected);
     await target.stopAll();
     const shapes = quick ? partitions.SHAPES.slice(0, 3) : partitions.SHAPES;
-    const shaped = await partitions.run(shapes, say);
+    const partitionResults = await partitions.run(shapes, log);
     return {
       inForceMsP50: times.p50,
       inForceMsP99: times.p99,
-      inForceThroughTakeoverMs: taken.inForceMs,
-      ...found,
-      acceptedTwice: raced + resent + taken.acceptedTwice,
-      takeoverMs: taken.takeoverMs,
+      inForceThroughTakeoverMs: takeover.inForceMs,
+      ...losses,
+      acceptedTwice: raceViolations + resendViolations + takeover.acceptedTwice,
+      takeoverMs: takeover.takeoverMs,
       catchUpMs,
       changesPerSecond,
       servedStaleMsMax: Object.fromEntries(
-        Object.entries(shaped).map(([name, { servedStaleMs }]) => [name, servedStaleMs]),
+        Object.entries(partitionResults).map(([name, { servedStaleMs }]) => [name, servedStaleMs]),
       ),
-      partitions: shaped,
+      partitions: partitionResults,
     };
   } finally {
     await target.stopAll();
   }
 }
 
-/** From the start of the process to ready, after many missed changes. */
-async function catchUp(target: fleet.Fleet): Promise<number> {
-  const { name, ports } = target.plans.at(-1) as fleet.DaemonPlan;
+/** Time from the start of a daemon's process until it is ready, after it missed many changes. */
+async function measureCatchUp(target: fleet.Fleet): Promise<number> {
+  const { name, ports } = target.daemonPlans.at(-1) as fleet.DaemonPlan;
   await target.daemon(name).kill();
   await Promise.all(
     [0, 1, 2, 3].map(async (operator) => {
@@ -249,8 +264,8 @@
   const since = performance.now();
   target.startDaemon(name);
   for (;;) {
-    const answer = await fetch(`http://127.0.0.1:${ports.callers}/readyz`).catch(() => undefined);
-    if (answer?.status === 200) return performance.now() - since;
+    const response = await fetch(`http://127.0.0.1:${ports.callers}/readyz`).catch(() => undefined);
+    if (response?.status === 200) return performance.now() - since;
     await processes.sleep(2);
   }
 }
--- a/packages/measure/src/slopes/slopes.ts
+++ b/packages/measure/src/slopes/slopes.ts
@@ -1,6 +1,6 @@
 /**
- * Scenario `slopes`: control traffic, processor time and memory of a daemon against the number of
- * daemons, of targets and of settings changes, with a straight line through each.
+ * Scenario `slopes`: control traffic, processor time and memory of a daemon against the number of daemons, targets and
+ * settings changes, with a line fitted to each.
  */
 import * as undici from 'undici';
 import * as fleet from '../fleet';
@@ -12,21 +12,24 @@
   daemons: number;
   targets: number;
   changesPerSecond: number;
-  /** Means per daemon. Bytes count what it sends. */
+  /** Bytes sent per second, mean of the daemons. */
   bytesPerSecond: number;
+  /** Fraction of a core, mean of the daemons. */
   cpuShare: number;
+  /** Resident memory, mean of the daemons, MiB. */
   residentMb: number;
-  /** The busiest daemon, which is the leader. */
+  /** Bytes sent per second by the busiest daemon, which is the leader. */
   leaderBytesPerSecond: number;
+  /** Largest fraction of a core, which is the leader's. */
   leaderCpuShare: number;
-  /** Bytes sent per second by kind of message, over all daemons together. */
+  /** Bytes sent per second by kind of message, total of the daemons. */
   byKind: Record<string, number>;
 }
 
 export interface Result {
   points: Point[];
-  /** Per daemon, target or change per second: bytes/s, share of a core, MB. */
-  slopes: Record<string, Record<string, statistics.Fit>>;
+  /** Line fits of the figures above against daemons, targets and changes per second. */
+  slopes: Record<string, Record<string, statistics.LineFit>>;
 }
 
 interface Status {
@@ -42,15 +45,15 @@
 
 const DATA_CENTRE_SIZE = 8;
 
-const ANNOUNCE_MS = 2_000;
+const ANNOUNCE_INTERVAL_MS = 2_000;
 
-/** Until first gossip is over and code is warm. */
+/** Time until the initial gossip is over and the code is warm. */
 const SETTLE_MS = 8_000;
 
-async function sample(target: fleet.Fleet): Promise<Sample> {
+async function takeSample(target: fleet.Fleet): Promise<Sample> {
   const statuses = await Promise.all(
-    target.plans.map(async (_plan, entry) => {
-      return (await target.operatorCall<Status>('GET', 'status', undefined, entry)).content;
+    target.daemonPlans.map(async (_plan, entry) => {
+      return (await target.callOperator<Status>('GET', 'status', undefined, entry)).content;
     }),
   );
   return { at: performance.now(), statuses };
@@ -62,22 +65,22 @@
     .reduce((sum, [, bytes]) => sum + bytes, 0);
 }
 
-function kinds(before: Sample, after: Sample, seconds: number): Record<string, number> {
+function bytesByKind(before: Sample, after: Sample, seconds: number): Record<string, number> {
   const sums = new Map<string, number>();
   after.statuses.forEach(({ counters }, i) => {
     Object.entries(counters).forEach(([name, value]) => {
       const match = /^rpc\.out\.(\w+)\.bytes$/.exec(name);
       if (match === null) return;
       const kind = match[1];
-      const grown = value - (before.statuses[i]?.counters[name] ?? 0);
-      sums.set(kind, (sums.get(kind) ?? 0) + grown / seconds);
+      const increase = value - (before.statuses[i]?.counters[name] ?? 0);
+      sums.set(kind, (sums.get(kind) ?? 0) + increase / seconds);
     });
   });
   return Object.fromEntries([...sums].map(([kind, rate]) => [kind, Math.round(rate)]));
 }
 
-/** Announces targets that do nothing else, with loads that move now and then. */
-class Announcements {
+/** Announces idle targets whose reported load changes from time to time. */
+class AnnouncementSender {
   private timer: NodeJS.Timeout | undefined;
 
   private sequence = 0;
@@ -90,7 +93,7 @@
   ) {}
 
   start(): void {
-    this.timer = setInterval(() => this.announceAll(), ANNOUNCE_MS);
+    this.timer = setInterval(() => this.announceAll(), ANNOUNCE_INTERVAL_MS);
     this.announceAll();
   }
 
@@ -104,11 +107,11 @@
   }
 
   private async announce(i: number): Promise<void> {
-    const { plans } = this.target;
-    const { ports } = plans[(i + this.sequence) % plans.length];
-    const dataCentres = Math.ceil(plans.length / DATA_CENTRE_SIZE);
+    const { daemonPlans } = this.target;
+    const { ports } = daemonPlans[(i + this.sequence) % daemonPlans.length];
+    const dataCentres = Math.ceil(daemonPlans.length / DATA_CENTRE_SIZE);
     const load = (1 + Math.floor(this.sequence / 8 + i)) % 7;
-    const answer = await undici
+    const response = await undici
       .request(`http://127.0.0.1:${ports.targets}/targets/announce`, {
         method: 'POST',
         headers: { authorization: `Bearer ${fleet.TARGET_SECRET}` },
@@ -128,18 +131,18 @@
         }),
       })
       .catch(() => undefined);
-    await answer?.body.dump();
+    await response?.body.dump();
   }
 }
 
-async function changes(
+async function applyChanges(
   target: fleet.Fleet,
   perSecond: number,
   until: number,
   tag: string,
 ): Promise<void> {
   for (let i = 0; perSecond > 0 && Date.now() < until; i++) {
-    await target.apply(`slope-${tag}`, `; ${i}\n${teams.FITTERS.text}`, i);
+    await target.applySettings(`slope-${tag}`, `; ${i}\n${teams.FITTERS.settings}`, i);
     await processes.sleep(1_000 / perSecond);
   }
 }
@@ -150,18 +153,18 @@
   changesPerSecond: number,
   seconds: number,
 ): Promise<Point> {
-  const announcements = new Announcements(target, targets);
+  const announcements = new AnnouncementSender(target, targets);
   announcements.start();
   await processes.sleep(SETTLE_MS);
   const tag = `${targets}-${changesPerSecond}`;
-  const changing = changes(target, changesPerSecond, Date.now() + seconds * 1_000 + 500, tag);
-  const before = await sample(target);
+  const applied = applyChanges(target, changesPerSecond, Date.now() + seconds * 1_000 + 500, tag);
+  const before = await takeSample(target);
   await processes.sleep(seconds * 1_000);
-  const after = await sample(target);
-  await changing;
+  const after = await takeSample(target);
+  await applied;
   announcements.stop();
   const elapsed = (after.at - before.at) / 1_000;
-  const each = after.statuses.map((status, i) => {
+  const usages = after.statuses.map((status, i) => {
     const earlier = before.statuses[i];
     return {
       bytes: (sentBytes(status) - sentBytes(earlier)) / elapsed,
@@ -169,18 +172,18 @@
       resident: status.memoryBytes / 2 ** 20,
     };
   });
-  const mean = (read: (one: (typeof each)[number]) => number): number =>
-    each.reduce((sum, one) => sum + read(one), 0) / each.length;
+  const mean = (select: (usage: (typeof usages)[number]) => number): number =>
+    usages.reduce((sum, usage) => sum + select(usage), 0) / usages.length;
   return {
-    daemons: target.plans.length,
+    daemons: target.daemonPlans.length,
     targets,
     changesPerSecond,
     bytesPerSecond: mean(({ bytes }) => bytes),
     cpuShare: mean(({ cpu }) => cpu),
     residentMb: mean(({ resident }) => resident),
-    leaderBytesPerSecond: Math.max(...each.map(({ bytes }) => bytes)),
-    leaderCpuShare: Math.max(...each.map(({ cpu }) => cpu)),
-    byKind: kinds(before, after, elapsed),
+    leaderBytesPerSecond: Math.max(...usages.map(({ bytes }) => bytes)),
+    leaderCpuShare: Math.max(...usages.map(({ cpu }) => cpu)),
+    byKind: bytesByKind(before, after, elapsed),
   };
 }
 
@@ -194,22 +197,22 @@
     })),
     logLevel: 'error',
   });
-  // All at once would keep the machine busy with starting instead of with founding.
-  for (const { name } of target.plans) {
+  // Starting all daemons at once would delay the founding of the replica set by the load of starting processes.
+  for (const { name } of target.daemonPlans) {
     target.startDaemon(name);
     if (daemons > 16) await processes.sleep(60);
   }
-  await target.apply('fitters', teams.FITTERS.text, 0, 60_000);
-  await target.untilReady(60_000);
+  await target.applySettings('fitters', teams.FITTERS.settings, 0, 60_000);
+  await target.waitUntilReady(60_000);
   return target;
 }
 
-function fitted(
+function fitLines(
   points: readonly Point[],
   x: (point: Point) => number,
-): Record<string, statistics.Fit> {
-  const line = (y: (point: Point) => number): statistics.Fit =>
-    statistics.fit(points.map((point) => ({ x: x(point), y: y(point) })));
+): Record<string, statistics.LineFit> {
+  const line = (y: (point: Point) => number): statistics.LineFit =>
+    statistics.fitLine(points.map((point) => ({ x: x(point), y: y(point) })));
   return {
     bytesPerSecond: line(({ bytesPerSecond }) => bytesPerSecond),
     cpuShare: line(({ cpuShare }) => cpuShare),
@@ -219,15 +222,15 @@
   };
 }
 
-export async function run(quick: boolean, say: (line: string) => void): Promise<Result> {
+export async function run(quick: boolean, log: (line: string) => void): Promise<Result> {
   const seconds = quick ? 4 : 15;
   const sizes = quick ? [4, 8, 16] : [4, 8, 16, 32, 64];
   const targetCounts = quick ? [40] : [20, 40, 80];
   const rates = quick ? [5] : [2, 5, 10];
   const points: Point[] = [];
-  const take = (point: Point): Point => {
+  const record = (point: Point): Point => {
     const { byKind, ...rest } = point;
-    say(JSON.stringify(rest));
+    log(JSON.stringify(rest));
     points.push(point);
     return point;
   };
@@ -237,15 +240,15 @@
   for (const daemons of sizes) {
     const target = await startFleet(daemons);
     try {
-      const still = take(await measure(target, 0, 0, seconds));
-      idle.push(still);
+      const idlePoint = record(await measure(target, 0, 0, seconds));
+      idle.push(idlePoint);
       if (daemons === 8) {
-        byTargets.push(still);
-        byChanges.push(still);
+        byTargets.push(idlePoint);
+        byChanges.push(idlePoint);
         for (const count of targetCounts)
-          byTargets.push(take(await measure(target, count, 0, seconds)));
+          byTargets.push(record(await measure(target, count, 0, seconds)));
         await processes.sleep(8_000);
-        for (const rate of rates) byChanges.push(take(await measure(target, 0, rate, seconds)));
+        for (const rate of rates) byChanges.push(record(await measure(target, 0, rate, seconds)));
       }
     } finally {
       await target.stopAll();
@@ -254,9 +257,9 @@
   return {
     points,
     slopes: {
-      daemons: fitted(idle, ({ daemons }) => daemons),
-      targets: fitted(byTargets, ({ targets }) => targets),
-      changesPerSecond: fitted(byChanges, ({ changesPerSecond }) => changesPerSecond),
+      daemons: fitLines(idle, ({ daemons }) => daemons),
+      targets: fitLines(byTargets, ({ targets }) => targets),
+      changesPerSecond: fitLines(byChanges, ({ changesPerSecond }) => changesPerSecond),
     },
   };
 }
--- a/packages/measure/src/statistics.ts
+++ b/packages/measure/src/statistics.ts
@@ -1,4 +1,4 @@
-/** Percentiles and straight lines through measured points. */
+/** Percentiles, line fits and confidence intervals of measured values. */
 import * as hdr from 'hdr-histogram-js';
 
 export interface Percentiles {
@@ -8,23 +8,23 @@
   count: number;
 }
 
-/** Recorded in hundredths, as the histogram holds whole numbers. */
+/** Values are recorded in hundredths, as the histogram holds integers only. */
 const SCALE = 100;
 
 export function percentiles(values: readonly number[]): Percentiles {
   const histogram = hdr.build({ numberOfSignificantValueDigits: 3 });
   values.forEach((value) => histogram.recordValue(Math.max(1, Math.round(value * SCALE))));
-  const at = (share: number): number => histogram.getValueAtPercentile(share) / SCALE;
+  const at = (percentile: number): number => histogram.getValueAtPercentile(percentile) / SCALE;
   return { p50: at(50), p95: at(95), p99: at(99), count: values.length };
 }
 
-export interface Fit {
+export interface LineFit {
   slope: number;
   intercept: number;
 }
 
-/** Least squares through points (x, y). */
-export function fit(points: readonly { x: number; y: number }[]): Fit {
+/** Fits a line by least squares. */
+export function fitLine(points: readonly { x: number; y: number }[]): LineFit {
   const n = points.length;
   const meanX = points.reduce((sum, { x }) => sum + x, 0) / n;
   const meanY = points.reduce((sum, { y }) => sum + y, 0) / n;
@@ -34,16 +34,17 @@
   return { slope, intercept: meanY - slope * meanX };
 }
 
-/** A mean of paired differences, and half of its 95% interval. */
+/** Mean of paired differences with its 95% confidence interval. */
 export interface Difference {
   mean: number;
+  /** Half of the width of the interval. */
   within: number;
 }
 
-/** 97.5th percentile of the normal distribution. */
+/** 97.5th percentile of the standard normal distribution. */
 const NORMAL_975 = 1.96;
 
-export function difference(values: readonly number[]): Difference {
+export function meanDifference(values: readonly number[]): Difference {
   const n = values.length;
   const mean = values.reduce((sum, value) => sum + value, 0) / n;
   const squares = values.reduce((sum, value) => sum + (value - mean) ** 2, 0);
@@ -51,6 +52,6 @@
   return { mean, within: (NORMAL_975 * deviation) / Math.sqrt(n) };
 }
 
-export function tell({ mean, within }: Difference): string {
+export function formatDifference({ mean, within }: Difference): string {
   return `${mean >= 0 ? '+' : ''}${mean.toFixed(4)} ± ${within.toFixed(4)}`;
 }
--- a/packages/measure/src/teams.ts
+++ b/packages/measure/src/teams.ts
@@ -1,16 +1,16 @@
-/** Settings of two teams, one like each user, for measurements and the demo. */
+/** Settings of two teams with a model and a service each, for measurements and the demo. */
 import * as fleet from './fleet';
 
 export interface Team {
   name: string;
   key: string;
   model: string;
-  text: string;
+  settings: string;
 }
 
-function team(name: string, organisation: string, model: string, services: string): Team {
+function makeTeam(name: string, organisation: string, model: string, services: string): Team {
   const key = `key-of-${organisation}`;
-  const text = `[organisation.${organisation}]
+  const settings = `[organisation.${organisation}]
 key = sha256:${fleet.sha256(key)}
 share = 2
 deadline-seconds = 120
@@ -18,10 +18,10 @@
 base = base
 version = 1
 ${services}`;
-  return { name, key, model, text };
+  return { name, key, model, settings };
 }
 
-export const FITTERS = team(
+export const FITTERS = makeTeam(
   'fitters',
   'kisumu',
   'quotes',
@@ -31,7 +31,7 @@
 `,
 );
 
-export const PITS = team(
+export const PITS = makeTeam(
   'pits',
   'maypen',
   'summaries',
