--- a/packages/daemon/src/__tests__/__fixtures__/crashableTarget.ts
+++ b/packages/daemon/src/__tests__/__fixtures__/crashableTarget.ts
@@ -7,21 +7,21 @@
 import type * as net from 'node:net';
 import type * as domain from '@celerydrift/domain';
 import * as clock from '../../clock';
-import * as bench from '../../entry/__tests__/__fixtures__/bench';
+import * as entryBench from '../../entry/__tests__/__fixtures__/bench';
 
 /** Word in the body of a request under which targets end. */
-export const CRASH_WORD = 'crash';
+export const CRASH_MARKER = 'crash';
 
 /** How long a target runs such a request, milliseconds. */
-const RUN_MS = 30;
+const CRASH_DELAY_MS = 30;
 
 /** How long a target is away, milliseconds. */
-const DOWN_MS = 500;
+const RESTART_DELAY_MS = 500;
 
-const ANNOUNCE_EVERY_MS = 200;
+const ANNOUNCEMENT_INTERVAL_MS = 200;
 
-const EVENTS = 4;
-const EVENT_EVERY_MS = 40;
+const STREAM_EVENTS = 4;
+const EVENT_INTERVAL_MS = 40;
 
 export interface Arrival {
   target: string;
@@ -31,7 +31,7 @@
 }
 
 /** An answer by which a target asked its sender to back off. */
-export interface TurnedAway {
+export interface BackOffAnswer {
   name: string;
   source: string;
   /** Id of the request. */
@@ -59,10 +59,10 @@
   port: number;
   announce: (record: domain.registry.registry.Announcement) => Promise<void>;
   onMessage: (message: Message) => void;
-  onTurnedAway: (answer: TurnedAway) => void;
-  onLeaving: () => void;
+  onBackOffAnswer: (answer: BackOffAnswer) => void;
+  onDraining: () => void;
   onArrival: (arrival: Arrival) => void;
-  onEnd: (target: string, at: number) => void;
+  onCrash: (target: string, at: number) => void;
 }
 
 export class CrashableTarget {
@@ -73,7 +73,7 @@
   backOffMs: number | undefined;
 
   /** Whether its answers say that it leaves; it announces itself as ready all the same. */
-  isLeaving = false;
+  isDraining = false;
 
   private lifetime = 0;
 
@@ -97,7 +97,7 @@
     if (this.isStopped) return;
     this.lifetime += 1;
     this.sequence = 0;
-    const server = http.createServer((request, response) => this.take(request, response));
+    const server = http.createServer((request, response) => this.handle(request, response));
     server.on('connection', (socket) => {
       this.sockets.add(socket);
       socket.once('close', () => this.sockets.delete(socket));
@@ -113,44 +113,44 @@
     const announceAgain = (): void => {
       void this.announce();
     };
-    this.timers = [setInterval(announceAgain, ANNOUNCE_EVERY_MS)];
+    this.timers = [setInterval(announceAgain, ANNOUNCEMENT_INTERVAL_MS)];
     await this.announce();
   }
 
   /** Ends, and comes back at its address under another id; still in need if it was. */
-  async startAgain(): Promise<void> {
-    this.end();
-    await clock.pause(DOWN_MS);
+  async restart(): Promise<void> {
+    this.terminate();
+    await clock.pause(RESTART_DELAY_MS);
     await this.start();
   }
 
   stop(): void {
     this.isStopped = true;
-    this.end();
+    this.terminate();
   }
 
   /** All connections are reset and new ones refused, as when a process crashes. */
-  private end(): void {
+  private terminate(): void {
     this.timers.forEach((timer) => clearInterval(timer));
     this.server?.close();
     this.server = undefined;
     this.sockets.forEach((socket) => socket.resetAndDestroy());
   }
 
-  private take(request: http.IncomingMessage, response: http.ServerResponse): void {
+  private handle(request: http.IncomingMessage, response: http.ServerResponse): void {
     const chunks: Buffer[] = [];
     request.on('data', (chunk: Buffer) => chunks.push(chunk));
     request.on('error', () => undefined);
     response.on('error', () => undefined);
     request.on('end', () => {
       const { id } = this;
-      const isRequest = request.url !== bench.REPORT_PATH;
+      const isRequest = request.url !== entryBench.REPORT_PATH;
       const { name } = this.options;
       const source = request.socket.remoteAddress ?? '';
       this.options.onMessage({ name, isRequest, source, at: clock.steady() });
       if (request.headers.target !== id) this.reply(request, response, 421);
-      else if (request.url === bench.REPORT_PATH) this.reply(request, response, 200);
-      else if (this.backOffMs !== undefined) this.turnAway(request, response, this.backOffMs);
+      else if (request.url === entryBench.REPORT_PATH) this.reply(request, response, 200);
+      else if (this.backOffMs !== undefined) this.answerBackOff(request, response, this.backOffMs);
       else this.run(request, response, Buffer.concat(chunks).toString());
     });
   }
@@ -161,10 +161,10 @@
     status: number,
   ): void {
     const notRun = status === 200 ? [] : ['not-run', '1'];
-    response.writeHead(status, [...this.headOf(request), ...notRun]).end();
+    response.writeHead(status, [...this.headersOf(request), ...notRun]).end();
   }
 
-  private turnAway(
+  private answerBackOff(
     request: http.IncomingMessage,
     response: http.ServerResponse,
     forMs: number,
@@ -173,44 +173,50 @@
     const source = request.socket.remoteAddress ?? '';
     const at = clock.steady();
     const id = String(request.headers.id);
-    this.options.onTurnedAway({ name, source, request: id, at, until: at + forMs });
-    response.writeHead(503, [...this.headOf(request), 'not-run', '1', 'back-off', String(forMs)]);
+    this.options.onBackOffAnswer({ name, source, request: id, at, until: at + forMs });
+    response.writeHead(503, [
+      ...this.headersOf(request),
+      'not-run',
+      '1',
+      'back-off',
+      String(forMs),
+    ]);
     response.end();
   }
 
-  private headOf(request: http.IncomingMessage): string[] {
+  private headersOf(request: http.IncomingMessage): string[] {
     const limit = this.limit === undefined ? [] : ['limit', String(this.limit)];
-    const leaving = this.isLeaving ? ['leaving', '1'] : [];
-    if (this.isLeaving) this.options.onLeaving();
+    const leaving = this.isDraining ? ['leaving', '1'] : [];
+    if (this.isDraining) this.options.onDraining();
     return ['id', String(request.headers.id), 'signed', '1', ...limit, ...leaving];
   }
 
   private run(request: http.IncomingMessage, response: http.ServerResponse, body: string): void {
     const { id } = this;
     this.options.onArrival({ target: id, body, at: clock.steady() });
-    if (!body.includes(CRASH_WORD)) {
+    if (!body.includes(CRASH_MARKER)) {
       this.stream(request, response);
       return;
     }
     setTimeout(() => {
       if (this.server === undefined || this.id !== id) return;
-      this.options.onEnd(id, clock.steady());
-      this.end();
+      this.options.onCrash(id, clock.steady());
+      this.terminate();
       setTimeout(() => {
         void this.start();
-      }, DOWN_MS);
-    }, RUN_MS);
+      }, RESTART_DELAY_MS);
+    }, CRASH_DELAY_MS);
   }
 
   private stream(request: http.IncomingMessage, response: http.ServerResponse): void {
-    response.writeHead(200, this.headOf(request));
+    response.writeHead(200, this.headersOf(request));
     let next = Number(request.headers['resume-after'] ?? 0) + 1;
     const timer = setInterval(() => {
       response.write(`id: ${next}\ndata: x\n\n`);
       next += 1;
-      if (next > EVENTS) response.end();
-      if (next > EVENTS) clearInterval(timer);
-    }, EVENT_EVERY_MS);
+      if (next > STREAM_EVENTS) response.end();
+      if (next > STREAM_EVENTS) clearInterval(timer);
+    }, EVENT_INTERVAL_MS);
     response.once('close', () => clearInterval(timer));
   }
 
--- a/packages/daemon/src/__tests__/__fixtures__/bench.ts
+++ b/packages/daemon/src/__tests__/__fixtures__/daemonFleet.ts
@@ -19,7 +19,7 @@
   return crypto.createHash('sha256').update(text).digest('hex');
 }
 
-export const TEAM = `[organisation.kisumu]
+export const TEAM_SETTINGS = `[organisation.kisumu]
 key = sha256:${sha256(KEY)}
 deadline-seconds = 20
 [organisation.limited]
@@ -35,7 +35,7 @@
 `;
 
 /** Engines fast enough that tests need not wait. */
-const FAST: standins.parameters.Parameters = {
+const FAST_ENGINE: standins.parameters.Parameters = {
   ...standins.parameters.DEFAULT_PARAMETERS,
   tokenMs: 0.0001,
   stepBaseMs: 1,
@@ -70,7 +70,7 @@
   authority: string;
 }
 
-export class Bench {
+export class DaemonFleet {
   readonly daemons: daemon.Daemon[] = [];
 
   readonly engines = new Map<string, standins.engineServer.EngineServer>();
@@ -79,11 +79,11 @@
 
   readonly folder = fs.mkdtempSync(path.join(os.tmpdir(), 'celerydrift-test-'));
 
-  private readonly peers: number[] = [];
+  private readonly peerPorts: number[] = [];
 
   private readonly targetPorts: number[] = [];
 
-  private readonly enginePorts = new Map<string, number>();
+  private readonly standinPorts = new Map<string, number>();
 
   private readonly scheme: string;
 
@@ -98,16 +98,16 @@
   /** Starts `count` daemons, all with disks, and applies the team's settings. */
   async start(count: number): Promise<void> {
     for (let i = 0; i < count; i++) {
-      this.peers.push(await ports.freePort());
+      this.peerPorts.push(await ports.freePort());
       this.targetPorts.push(await ports.freePort());
     }
     for (let i = 0; i < count; i++) await this.startDaemon(i);
-    await this.apply('fitters', TEAM, 0);
+    await this.applySettings('fitters', TEAM_SETTINGS, 0);
     await until('ready', () => this.daemons.every((each) => each.unready() === undefined));
   }
 
   async startDaemon(index: number): Promise<void> {
-    const read = configuration.read(this.settings(index));
+    const read = configuration.read(this.settingsText(index));
     const started = await daemon.Daemon.start(read.unwrap(), (error) => {
       throw error;
     });
@@ -122,15 +122,15 @@
     const engine = new standins.engineServer.EngineServer({
       name,
       host: '127.0.0.1',
-      port: this.enginePorts.get(name) ?? 0,
+      port: this.standinPorts.get(name) ?? 0,
       dataCentre: 'dc-1',
       models: [{ base: 'base', adapter: '', version: '1' }],
       fencing,
-      entries: this.entries(),
+      entries: this.targetUrls(),
       secret: SECRET,
-      parameters: { ...FAST, ...changed },
+      parameters: { ...FAST_ENGINE, ...changed },
     });
-    this.enginePorts.set(name, await engine.start());
+    this.standinPorts.set(name, await engine.start());
     this.engines.set(name, engine);
     await this.untilKnown(name);
     return engine;
@@ -143,11 +143,11 @@
       host: '127.0.0.1',
       port: 0,
       dataCentre: 'dc-1',
-      entries: this.entries(),
+      entries: this.targetUrls(),
       secret: SECRET,
       workMs: 2,
     });
-    this.enginePorts.set(name, await service.start());
+    this.standinPorts.set(name, await service.start());
     this.services.set(name, service);
     await this.untilKnown(name);
     return service;
@@ -160,8 +160,8 @@
   }
 
   /** A fault switch of a stand-in. */
-  async fault(name: string, kind: string, count = 1, delayMs = 0): Promise<void> {
-    const url = `http://127.0.0.1:${this.enginePorts.get(name)}/fault`;
+  async injectFault(name: string, kind: string, count = 1, delayMs = 0): Promise<void> {
+    const url = `http://127.0.0.1:${this.standinPorts.get(name)}/fault`;
     const { body } = await undici.request(url, {
       method: 'POST',
       body: JSON.stringify({ kind, count, delayMs }),
@@ -217,7 +217,7 @@
     };
   }
 
-  async apply(subtree: string, text: string, basedOn: number, index = 0): Promise<number> {
+  async applySettings(subtree: string, text: string, basedOn: number, index = 0): Promise<number> {
     const id = crypto.randomUUID();
     let status = 503;
     await until(`${subtree} accepted`, async () => {
@@ -241,7 +241,7 @@
     fs.rmSync(this.folder, { recursive: true, force: true });
   }
 
-  wipe(index: number): void {
+  deleteDataFolder(index: number): void {
     fs.rmSync(path.join(this.folder, `vm-${index}`), { recursive: true, force: true });
   }
 
@@ -251,12 +251,12 @@
     return `certificate = ${certificate}\nkey = ${key}\nauthority = ${authority}\n`;
   }
 
-  private entries(): string[] {
+  private targetUrls(): string[] {
     return this.targetPorts.map((port) => `http://127.0.0.1:${port}`);
   }
 
-  private settings(index: number): string {
-    const peers = this.peers.map((port) => `127.0.0.1:${port}`).join(',');
+  private settingsText(index: number): string {
+    const peers = this.peerPorts.map((port) => `127.0.0.1:${port}`).join(',');
     return `[daemon]
 name = vm-${index}
 data-centre = dc-1
@@ -264,7 +264,7 @@
 callers = 127.0.0.1:0
 targets = 127.0.0.1:${this.targetPorts[index]}
 operators = 127.0.0.1:0
-peers = 127.0.0.1:${this.peers[index]}
+peers = 127.0.0.1:${this.peerPorts[index]}
 [peers]
 seeds = ${peers}
 secret = ${SECRET}
--- a/packages/daemon/src/__tests__/__fixtures__/fleets.ts
+++ b/packages/daemon/src/__tests__/__fixtures__/fleetPool.ts
@@ -4,12 +4,12 @@
  */
 import * as smallFleet from './smallFleet';
 
-type Started = Record<smallFleet.Service, Promise<smallFleet.SmallFleet>[]>;
+type FleetsByService = Record<smallFleet.Service, Promise<smallFleet.SmallFleet>[]>;
 
-export class Fleets {
-  private waiting: Started = { engines: [], plain: [] };
+export class FleetPool {
+  private available: FleetsByService = { engines: [], plain: [] };
 
-  private taken: smallFleet.SmallFleet[] = [];
+  private inUse: smallFleet.SmallFleet[] = [];
 
   private stopping: Promise<void>[] = [];
 
@@ -19,22 +19,22 @@
       return Array.from({ length: counts[service] }, () => smallFleet.SmallFleet.start(service));
     };
     before(async () => {
-      this.waiting = { engines: startAll('engines'), plain: startAll('plain') };
-      await Promise.all([...this.waiting.engines, ...this.waiting.plain]);
+      this.available = { engines: startAll('engines'), plain: startAll('plain') };
+      await Promise.all([...this.available.engines, ...this.available.plain]);
     });
     afterEach(() => {
-      this.stopping.push(...this.taken.splice(0).map((fleet) => fleet.stop()));
+      this.stopping.push(...this.inUse.splice(0).map((fleet) => fleet.stop()));
     });
     after(async () => {
-      const left = await Promise.all([...this.waiting.engines, ...this.waiting.plain]);
+      const left = await Promise.all([...this.available.engines, ...this.available.plain]);
       await Promise.all([...this.stopping, ...left.map((fleet) => fleet.stop())]);
     });
   }
 
   /** A fleet for the test that runs, stopped after it. */
   async take(service: smallFleet.Service): Promise<smallFleet.SmallFleet> {
-    const fleet = await (this.waiting[service].shift() ?? smallFleet.SmallFleet.start(service));
-    this.taken.push(fleet);
+    const fleet = await (this.available[service].shift() ?? smallFleet.SmallFleet.start(service));
+    this.inUse.push(fleet);
     return fleet;
   }
 }
--- a/packages/daemon/src/__tests__/__fixtures__/ports.ts
+++ b/packages/daemon/src/__tests__/__fixtures__/ports.ts
@@ -6,11 +6,11 @@
 import * as net from 'node:net';
 
 /** Below the ranges for outgoing connections of Linux (32768) and of IANA (49152). */
-const LOWEST = 20_000;
-const HIGHEST = 32_000;
+const MIN_PORT = 20_000;
+const PORT_LIMIT = 32_000;
 
 /** Test runs side by side begin at different places. */
-let next = LOWEST + ((process.pid * 97) % (HIGHEST - LOWEST));
+let nextPort = MIN_PORT + ((process.pid * 97) % (PORT_LIMIT - MIN_PORT));
 
 async function isFree(port: number): Promise<boolean> {
   const server = net.createServer();
@@ -25,8 +25,8 @@
 /** A port that nobody listens on, and that is given out once. */
 export async function freePort(): Promise<number> {
   for (;;) {
-    const port = next;
-    next = next + 1 < HIGHEST ? next + 1 : LOWEST;
+    const port = nextPort;
+    nextPort = nextPort + 1 < PORT_LIMIT ? nextPort + 1 : MIN_PORT;
     if (await isFree(port)) return port;
   }
 }
--- a/packages/daemon/src/__tests__/__fixtures__/smallFleet.ts
+++ b/packages/daemon/src/__tests__/__fixtures__/smallFleet.ts
@@ -9,7 +9,7 @@
 import * as roleSettings from '../../configuration/roleSettings';
 import type * as protocols from '../../edges/protocols';
 import * as entry from '../../entry/entry';
-import * as bench from '../../entry/__tests__/__fixtures__/bench';
+import * as entryBench from '../../entry/__tests__/__fixtures__/bench';
 import * as keeper from '../../keeper/keeper';
 import * as observer from '../../observability/observer';
 import * as crashableTarget from './crashableTarget';
@@ -20,17 +20,17 @@
 const TARGETS = 8;
 
 /** Pause between two requests of those that come through all entries in turn, milliseconds. */
-const ASK_EVERY_MS = 40;
+const REQUEST_INTERVAL_MS = 40;
 
 /** IP address from which an entry sends, by its number. */
-export function sourceOf(entryIndex: number): string {
+export function sourceAddress(entryIndex: number): string {
   return `127.0.0.${10 + entryIndex}`;
 }
 
 /** Until a new leader has told all entries how many share the budget for repeats, milliseconds. */
-const BUDGET_MS = 2_000;
+const RETRY_BUDGET_SYNC_MS = 2_000;
 
-const WRITTEN_MS = 700;
+const DISK_WRITE_DELAY_MS = 700;
 
 const ENGINE: domain.catalogue.catalogue.Engine = {
   slots: 8,
@@ -100,9 +100,9 @@
 
 /** Every request is a short prompt. */
 const TRAFFIC: protocols.TrafficProtocol = {
-  ...bench.PROTOCOL,
+  ...entryBench.PROTOCOL,
   facts: (headers) => ({
-    ...bench.PROTOCOL.facts(headers),
+    ...entryBench.PROTOCOL.facts(headers),
     promptTokens: 2_000,
     maxAnswerTokens: 200,
   }),
@@ -114,11 +114,11 @@
   status: number;
   retryAfter: string | undefined;
   body: string;
-  isWhole: boolean;
+  isComplete: boolean;
   tookMs: number;
 }
 
-export interface Question {
+export interface RequestOptions {
   service: Service;
   kind?: domain.catalogue.catalogue.RouteKind;
   body: string;
@@ -144,18 +144,18 @@
   /** All that targets got. */
   readonly messages: crashableTarget.Message[] = [];
 
-  readonly turnedAway: crashableTarget.TurnedAway[] = [];
+  readonly backOffAnswers: crashableTarget.BackOffAnswer[] = [];
 
   /** When a target first answered that it leaves. */
-  leavingSince: number | undefined;
+  drainingSince: number | undefined;
 
-  readonly ends: { target: string; at: number }[] = [];
+  readonly crashes: { target: string; at: number }[] = [];
 
   private readonly observer = new observer.Observer('test', 'fatal', undefined);
 
   readonly targets: crashableTarget.CrashableTarget[] = [];
 
-  private asked = 0;
+  private requestCount = 0;
 
   private constructor(
     private readonly folder: string,
@@ -178,11 +178,11 @@
     });
     for (let i = 0; i < KEEPERS; i++) await made.startKeeper(i);
     await until('a leader', () => made.leader >= 0);
-    await until('a catalogue', () => made.submit());
+    await until('a catalogue', () => made.submitCatalogue());
     for (let i = 0; i < ENTRIES; i++) await made.startEntry(i);
     await made.startTargets(service);
-    await until('targets at the entries', () => made.knowAllTargets());
-    await clock.pause(BUDGET_MS);
+    await until('targets at the entries', () => made.entriesKnowAllTargets());
+    await clock.pause(RETRY_BUDGET_SYNC_MS);
     return made;
   }
 
@@ -236,7 +236,7 @@
 callers = 127.0.0.1:${this.at.callers[i]}
 readiness = 127.0.0.1:${this.at.ready[i]}
 peers = 127.0.0.1:${this.at.peers[KEEPERS + i]}
-source = ${sourceOf(i)}
+source = ${sourceAddress(i)}
 [bounds]
 stop-seconds = 8
 `),
@@ -257,23 +257,23 @@
   }
 
   /** All keepers and entries end together and come back; targets go on. */
-  async loseAll(): Promise<void> {
+  async restartAll(): Promise<void> {
     // What the disks hold is written some time after each change.
-    await clock.pause(WRITTEN_MS);
+    await clock.pause(DISK_WRITE_DELAY_MS);
     await Promise.all([
       ...[...this.entries.keys()].map((i) => this.stopEntry(i)),
       ...[...this.keepers.keys()].map((i) => this.stopKeeper(i)),
     ]);
     for (let i = 0; i < KEEPERS; i++) await this.startKeeper(i);
     for (let i = 0; i < ENTRIES; i++) await this.startEntry(i);
-    await until('targets at the entries', () => this.knowAllTargets());
+    await until('targets at the entries', () => this.entriesKnowAllTargets());
   }
 
-  ask(entryIndex: number, question: Question): Promise<Reply> {
+  send(entryIndex: number, question: RequestOptions): Promise<Reply> {
     const { service, kind = 'streaming', body, key = 'k', path: rest = 'a' } = question;
-    this.asked += 1;
+    this.requestCount += 1;
     const since = clock.steady();
-    const id = `r${this.asked}`;
+    const id = `r${this.requestCount}`;
     return new Promise((resolve) => {
       const ended = (reply: Omit<Reply, 'id' | 'tookMs'>): void => {
         resolve({ id, ...reply, tookMs: clock.steady() - since });
@@ -296,30 +296,30 @@
               status: response.statusCode ?? 0,
               retryAfter: response.headers['retry-after'],
               body: Buffer.concat(chunks).toString(),
-              isWhole: response.complete,
+              isComplete: response.complete,
             });
           });
         },
       );
       request.on('error', () => {
-        ended({ status: 0, retryAfter: undefined, body: '', isWhole: false });
+        ended({ status: 0, retryAfter: undefined, body: '', isComplete: false });
       });
       request.end(body);
     });
   }
 
   /** Requests through all entries in turn. */
-  async press(
-    question: Omit<Question, 'body'>,
+  async sendLoad(
+    question: Omit<RequestOptions, 'body'>,
     forMs: number,
-    everyMs = ASK_EVERY_MS,
+    everyMs = REQUEST_INTERVAL_MS,
   ): Promise<Reply[]> {
     const replies: Promise<Reply>[] = [];
     const end = clock.steady() + forMs;
     for (let i = 0; clock.steady() < end; i++) {
       const entryIndex = i % ENTRIES;
       if (this.entries.has(entryIndex)) {
-        replies.push(this.ask(entryIndex, { ...question, body: `${i}` }));
+        replies.push(this.send(entryIndex, { ...question, body: `${i}` }));
       }
       await clock.pause(everyMs);
     }
@@ -327,7 +327,7 @@
   }
 
   /** Arrivals of one body at targets. */
-  arrivalsOf(body: string): crashableTarget.Arrival[] {
+  arrivalsWithBody(body: string): crashableTarget.Arrival[] {
     return this.arrivals.filter((each) => each.body === body);
   }
 
@@ -339,8 +339,8 @@
     return read.val;
   }
 
-  private async submit(): Promise<boolean> {
-    return this.tell('PUT', '/catalogue', CATALOGUE);
+  private async submitCatalogue(): Promise<boolean> {
+    return this.sendToKeeper('PUT', '/catalogue', CATALOGUE);
   }
 
   private async startTargets(service: Service): Promise<void> {
@@ -350,27 +350,27 @@
         service,
         port: this.at.targets[i],
         announce: async (record) => {
-          await this.tell('PUT', `/${record.id}`, record);
+          await this.sendToKeeper('PUT', `/${record.id}`, record);
         },
         onMessage: (message) => this.messages.push(message),
-        onTurnedAway: (answer) => this.turnedAway.push(answer),
-        onLeaving: () => {
-          this.leavingSince ??= clock.steady();
+        onBackOffAnswer: (answer) => this.backOffAnswers.push(answer),
+        onDraining: () => {
+          this.drainingSince ??= clock.steady();
         },
         onArrival: (arrival) => this.arrivals.push(arrival),
-        onEnd: (ended, at) => this.ends.push({ target: ended, at }),
+        onCrash: (ended, at) => this.crashes.push({ target: ended, at }),
       });
       this.targets.push(target);
       await target.start();
     }
   }
 
-  private knowAllTargets(): boolean {
+  private entriesKnowAllTargets(): boolean {
     return [...this.entries.values()].every((each) => each.gauges().targets === TARGETS);
   }
 
   /** Tells the first keeper that takes it. */
-  private async tell(method: string, url: string, content: unknown): Promise<boolean> {
+  private async sendToKeeper(method: string, url: string, content: unknown): Promise<boolean> {
     for (const i of this.keepers.keys()) {
       const answer = await fetch(`http://127.0.0.1:${this.at.control[i]}${url}`, {
         method,
--- a/packages/daemon/src/__tests__/callers.test.ts
+++ b/packages/daemon/src/__tests__/callers.test.ts
@@ -3,12 +3,12 @@
 import * as chai from 'chai';
 import * as fastCheck from 'fast-check';
 import OpenAI from 'openai';
-import * as bench from './__fixtures__/bench';
+import * as daemonFleet from './__fixtures__/daemonFleet';
 
 const { expect } = chai;
 
 describe('callers', () => {
-  const fleet = new bench.Bench();
+  const fleet = new daemonFleet.DaemonFleet();
 
   before(async () => {
     await fleet.start(1);
@@ -20,7 +20,11 @@
   after(() => fleet.stop());
 
   it('serves the openai client unchanged: a prompt of 200,000 tokens, streamed and whole', async () => {
-    const client = new OpenAI({ apiKey: bench.KEY, baseURL: `${fleet.url()}/v1`, maxRetries: 0 });
+    const client = new OpenAI({
+      apiKey: daemonFleet.KEY,
+      baseURL: `${fleet.url()}/v1`,
+      maxRetries: 0,
+    });
     const models = await client.models.list();
     const content = 'bore log '.repeat(89_000);
     const stream = await client.chat.completions.create({
@@ -83,7 +87,7 @@
   });
 
   it('lets a team change its own subtree only, and names what is wrong with a change', async () => {
-    const change = { id: 'c1', basedOn: 1, text: bench.TEAM };
+    const change = { id: 'c1', basedOn: 1, text: daemonFleet.TEAM_SETTINGS };
     const answers = [
       await fleet.operator('PUT', 'settings/fitters', change, 'nobody'),
       await fleet.operator('PUT', 'settings/pits', change, 'amina-token'),
@@ -111,7 +115,7 @@
     for (const body of bodies) {
       const answer = await fetch(`${fleet.url()}/v1/chat/completions`, {
         method: 'POST',
-        headers: { authorization: `Bearer ${bench.KEY}` },
+        headers: { authorization: `Bearer ${daemonFleet.KEY}` },
         body,
       });
       statuses.add(answer.status);
--- a/packages/daemon/src/__tests__/failures.test.ts
+++ b/packages/daemon/src/__tests__/failures.test.ts
@@ -2,22 +2,22 @@
 import * as crypto from 'node:crypto';
 import * as chai from 'chai';
 import * as undici from 'undici';
-import * as bench from './__fixtures__/bench';
+import * as daemonFleet from './__fixtures__/daemonFleet';
 
 const { expect } = chai;
 
-function expected(prompt: string, tokens: number): string {
+function expectedText(prompt: string, tokens: number): string {
   const digest = crypto.createHash('sha1').update(prompt).digest('hex').slice(0, 6);
   return Array.from({ length: tokens }, (_v, position) => `${digest}.${position} `).join('');
 }
 
-function textOf(reply: bench.Reply): string {
+function textOf(reply: daemonFleet.Reply): string {
   const content = JSON.parse(reply.text) as { choices?: { text: string }[] };
   return content.choices?.[0]?.text ?? reply.text;
 }
 
 describe('failures of engines', () => {
-  const fleet = new bench.Bench();
+  const fleet = new daemonFleet.DaemonFleet();
 
   before(async () => {
     await fleet.start(1);
@@ -37,14 +37,14 @@
     await until('nothing owed', () => daemon?.holdings.holdings.size === 0);
   }
 
-  const { until } = bench;
+  const { until } = daemonFleet;
 
   async function everyEngine(kind: string, count: number, delayMs = 0): Promise<void> {
-    for (const name of fleet.engines.keys()) await fleet.fault(name, kind, count, delayMs);
+    for (const name of fleet.engines.keys()) await fleet.injectFault(name, kind, count, delayMs);
   }
 
   async function cleared(): Promise<void> {
-    for (const name of fleet.engines.keys()) await fleet.fault(name, 'clear');
+    for (const name of fleet.engines.keys()) await fleet.injectFault(name, 'clear');
   }
 
   /*
@@ -52,12 +52,12 @@
    * request. The frames must be dropped, and the fitter gets his own whole answer from elsewhere.
    */
   it('drops frames of another request and answers from elsewhere', async () => {
-    await fleet.fault('engine-1', 'cross', 1);
-    await fleet.fault('engine-2', 'cross', 1);
+    await fleet.injectFault('engine-1', 'cross', 1);
+    await fleet.injectFault('engine-2', 'cross', 1);
     const replies = await Promise.all(
       ['a', 'b', 'c', 'd'].map((prompt) => fleet.complete(prompt, 20)),
     );
-    expect(replies.map(textOf)).to.deep.equal(['a', 'b', 'c', 'd'].map((p) => expected(p, 20)));
+    expect(replies.map(textOf)).to.deep.equal(['a', 'b', 'c', 'd'].map((p) => expectedText(p, 20)));
     await cleared();
     await nothingHeld();
   });
@@ -69,7 +69,7 @@
   it('resumes a cut stream at its position', async () => {
     await everyEngine('cut', 2);
     const reply = await fleet.complete('cut me', 30);
-    expect([reply.status, textOf(reply)]).to.deep.equal([200, expected('cut me', 30)]);
+    expect([reply.status, textOf(reply)]).to.deep.equal([200, expectedText('cut me', 30)]);
     await cleared();
     await nothingHeld();
   });
@@ -84,9 +84,9 @@
     await fleet.engines.get('engine-2')?.leave();
     const running = fleet.complete('silent', 40);
     await until('running', () => engine.model.size === 1);
-    await fleet.fault('slow', 'silent');
+    await fleet.injectFault('slow', 'silent');
     const reply = await running;
-    expect([reply.status, textOf(reply)]).to.deep.equal([200, expected('silent', 40)]);
+    expect([reply.status, textOf(reply)]).to.deep.equal([200, expectedText('silent', 40)]);
   });
 
   /*
@@ -95,9 +95,12 @@
    */
   it('does not wait for headers on a pooled connection that went silent', async () => {
     await fleet.complete('warms the pool', 2);
-    await fleet.fault('slow', 'silent');
+    await fleet.injectFault('slow', 'silent');
     const reply = await fleet.complete('over the silent one', 5);
-    expect([reply.status, textOf(reply)]).to.deep.equal([200, expected('over the silent one', 5)]);
+    expect([reply.status, textOf(reply)]).to.deep.equal([
+      200,
+      expectedText('over the silent one', 5),
+    ]);
     await nothingHeld();
   });
 
@@ -115,7 +118,7 @@
     expect([announced.status, reply.status, textOf(reply)]).to.deep.equal([
       200,
       200,
-      expected('moved', 60),
+      expectedText('moved', 60),
     ]);
     await until('safe to stop', async () => {
       const { content } = await fleet.operator('GET', 'stops');
@@ -137,7 +140,7 @@
     const running = undici
       .request(`${fleet.url()}/v1/completions`, {
         method: 'POST',
-        headers: { authorization: `Bearer ${bench.KEY}` },
+        headers: { authorization: `Bearer ${daemonFleet.KEY}` },
         body,
         signal: gone.signal,
       })
@@ -165,7 +168,7 @@
     const replies = await Promise.all(running);
     replies.forEach((reply, i) => {
       const prompt = prompts[i];
-      if (reply.status === 200) expect(textOf(reply)).to.equal(expected(prompt, 200));
+      if (reply.status === 200) expect(textOf(reply)).to.equal(expectedText(prompt, 200));
       else expect(reply.outcome).to.be.oneOf(['failed', 'not-run']);
     });
     expect(replies.filter(({ status }) => status === 200).length).to.be.greaterThan(8);
@@ -186,7 +189,7 @@
     const reply = await fleet.call('POST', '/v1/completions', body, {
       headers: { 'x-deadline-ms': '60000' },
     });
-    expect([reply.status, textOf(reply)]).to.deep.equal([200, expected(prompt, 3)]);
+    expect([reply.status, textOf(reply)]).to.deep.equal([200, expectedText(prompt, 3)]);
     const reserved = [...fleet.engines.values()].map(({ model }) => model.reservedTokens);
     await until(
       'given back',
@@ -199,7 +202,7 @@
 });
 
 describe('calls that run once', () => {
-  const fleet = new bench.Bench();
+  const fleet = new daemonFleet.DaemonFleet();
 
   before(async () => {
     await fleet.start(3);
@@ -209,7 +212,7 @@
 
   after(() => fleet.stop());
 
-  function hold(id: string, index: number): Promise<bench.Reply> {
+  function hold(id: string, index: number): Promise<daemonFleet.Reply> {
     const headers = { 'idempotency-key': id };
     return fleet.call('POST', '/services/parts/holds', { id }, { index, headers });
   }
@@ -223,7 +226,7 @@
    * resend to another daemon while the first was still running.
    */
   it('runs a hold once, however often and wherever it is sent', async () => {
-    await fleet.fault('parts-1', 'late', 1, 200);
+    await fleet.injectFault('parts-1', 'late', 1, 200);
     const replies = await Promise.all([0, 1, 2, 0, 1].map((index) => hold('h1', index)));
     const later = await hold('h1', 2);
     const texts = new Set([...replies, later].map(({ text }) => text));
@@ -232,7 +235,7 @@
       1,
       'true',
     ]);
-    await fleet.fault('parts-1', 'clear');
+    await fleet.injectFault('parts-1', 'clear');
   });
 
   /*
@@ -240,21 +243,21 @@
    * also on a resend, and the hold is never sent again.
    */
   it('says unknown, and never runs it again, when the answer is lost', async () => {
-    await fleet.fault('parts-1', 'cut', 1);
-    await fleet.fault('parts-2', 'cut', 1);
+    await fleet.injectFault('parts-1', 'cut', 1);
+    await fleet.injectFault('parts-2', 'cut', 1);
     const first = await hold('h2', 0);
     const again = await hold('h2', 1);
     expect([first.outcome, again.outcome, runs('h2')]).to.deep.equal(['unknown', 'unknown', 1]);
-    await fleet.fault('parts-1', 'clear');
-    await fleet.fault('parts-2', 'clear');
+    await fleet.injectFault('parts-1', 'clear');
+    await fleet.injectFault('parts-2', 'clear');
   });
 
   /** A service that says that it ran nothing is believed; the hold goes to the other one. */
   it('goes to another service after a proof that it was not run', async () => {
-    await fleet.fault('parts-1', 'refuse', 1);
+    await fleet.injectFault('parts-1', 'refuse', 1);
     const reply = await hold('h3', 0);
     expect([reply.status, runs('h3')]).to.deep.equal([201, 1]);
-    await fleet.fault('parts-1', 'clear');
+    await fleet.injectFault('parts-1', 'clear');
   });
 
   it('refuses the same key for another call', async () => {
@@ -268,15 +271,15 @@
    * but not for calls to services.
    */
   it('lets a call to a service end before a daemon under a planned stop goes', async () => {
-    await fleet.fault('parts-1', 'late', 1, 1_500);
-    await fleet.fault('parts-2', 'late', 1, 1_500);
+    await fleet.injectFault('parts-1', 'late', 1, 1_500);
+    await fleet.injectFault('parts-2', 'late', 1, 1_500);
     const running = hold('h4', 2);
-    await bench.until('running', () => runs('h4') === 1);
+    await daemonFleet.until('running', () => runs('h4') === 1);
     await fleet.daemons[2]?.stop();
     const reply = await running;
     expect([reply.status, reply.outcome]).to.deep.equal([201, 'completed']);
     await fleet.startDaemon(2);
-    await bench.until('ready', () => fleet.daemons[2]?.unready() === undefined);
+    await daemonFleet.until('ready', () => fleet.daemons[2]?.unready() === undefined);
   });
 
   /*
@@ -285,10 +288,10 @@
    */
   it('keeps claims and settings through a lost disk followed by a death', async () => {
     await fleet.daemons[2]?.halt();
-    fleet.wipe(2);
+    fleet.deleteDataFolder(2);
     await fleet.startDaemon(2);
     const host = fleet.daemons[2]?.control.host;
-    await bench.until('repaired', () => {
+    await daemonFleet.until('repaired', () => {
       const members = host?.replica.members ?? [];
       const voter = members.find(({ id }) => id === host?.replica.id)?.role === 'voter';
       return voter && members.length === 3;
@@ -297,15 +300,21 @@
       [...(fleet.daemons[index]?.control.hosts.values() ?? [])].every(
         ({ replica }) => replica.members.length === 3 && replica.commit > 0,
       );
-    await bench.until('all logs repaired', () => shard(2));
+    await daemonFleet.until('all logs repaired', () => shard(2));
     await fleet.daemons[0]?.halt();
-    await bench.until('accepted', async () => {
+    await daemonFleet.until('accepted', async () => {
       const change = { id: 'after', basedOn: 0, text: '; kept' };
-      const { status } = await fleet.operator('PUT', 'settings/pits', change, bench.TOKEN, 1);
+      const { status } = await fleet.operator('PUT', 'settings/pits', change, daemonFleet.TOKEN, 1);
       return status === 200;
     });
     const again = await hold('h1', 1);
-    const { content } = await fleet.operator('GET', 'settings/fitters', undefined, bench.TOKEN, 2);
+    const { content } = await fleet.operator(
+      'GET',
+      'settings/fitters',
+      undefined,
+      daemonFleet.TOKEN,
+      2,
+    );
     expect([again.headers['x-celerydrift-replayed'], runs('h1'), content.revision]).to.deep.equal([
       'true',
       1,
--- a/packages/daemon/src/__tests__/limitedTargets.test.ts
+++ b/packages/daemon/src/__tests__/limitedTargets.test.ts
@@ -2,25 +2,25 @@
 import * as chai from 'chai';
 import * as clock from '../clock';
 import type * as crashableTarget from './__fixtures__/crashableTarget';
-import * as fleets from './__fixtures__/fleets';
+import * as fleetPool from './__fixtures__/fleetPool';
 import * as smallFleet from './__fixtures__/smallFleet';
 
 const { expect } = chai;
 
 /** In each such span, milliseconds, a target may get this part of what its limit allows, and so many messages more. */
 const WINDOW_MS = 4_000;
-const SHARE = 1.5;
-const MORE = 5;
+const TOLERANCE_FACTOR = 1.5;
+const TOLERATED_EXTRA = 5;
 
 /** The limit holds from so long after it was first named, milliseconds. */
-const TOLD_WITHIN_MS = 1_000;
+const PROPAGATION_MS = 1_000;
 
-const PER_SECOND = 1;
+const LIMIT_PER_SECOND = 1;
 
 /** Nobody is refused later, milliseconds: about the part of a stream's time that may go by without a place. */
-const MOST_WAIT_MS = 1_000;
+const MAX_WAIT_MS = 1_000;
 
-function messagesOf(
+function messageTimes(
   fleet: smallFleet.SmallFleet,
   target: crashableTarget.CrashableTarget,
   since: number,
@@ -33,24 +33,24 @@
 /** The targets that got most. */
 function busiest(fleet: smallFleet.SmallFleet, count: number): crashableTarget.CrashableTarget[] {
   const sizeOf = (target: crashableTarget.CrashableTarget): number =>
-    messagesOf(fleet, target, 0).length;
+    messageTimes(fleet, target, 0).length;
   return [...fleet.targets].sort((a, b) => sizeOf(b) - sizeOf(a)).slice(0, count);
 }
 
 /** Most messages that a target got within a window from `since` on. */
-function mostInWindow(
+function maxInWindow(
   fleet: smallFleet.SmallFleet,
   target: crashableTarget.CrashableTarget,
   since: number,
 ): number {
-  const times = messagesOf(fleet, target, since);
+  const times = messageTimes(fleet, target, since);
   const counts = times.map((from) => {
     return times.filter((at) => at >= from && at < from + WINDOW_MS).length;
   });
   return Math.max(0, ...counts);
 }
 
-function limit(
+function setLimit(
   targets: readonly crashableTarget.CrashableTarget[],
   perSecond: number | undefined,
 ): void {
@@ -58,8 +58,8 @@
 }
 
 /** The same for the target that got most. */
-function mostOf(fleet: smallFleet.SmallFleet, since: number): number {
-  return Math.max(...fleet.targets.map((target) => mostInWindow(fleet, target, since)));
+function maxOfAllTargets(fleet: smallFleet.SmallFleet, since: number): number {
+  return Math.max(...fleet.targets.map((target) => maxInWindow(fleet, target, since)));
 }
 
 /** Does the same on a fleet of engines and on one of plain targets, side by side. */
@@ -69,23 +69,23 @@
   await Promise.all([act('engines', 'streaming'), act('plain', 'safe')]);
 }
 
-const ALLOWED = (SHARE * PER_SECOND * WINDOW_MS) / 1_000 + MORE;
+const MAX_IN_WINDOW = (TOLERANCE_FACTOR * LIMIT_PER_SECOND * WINDOW_MS) / 1_000 + TOLERATED_EXTRA;
 
 describe('targets that name a limit', () => {
-  const fleetsOfSuite = new fleets.Fleets({ engines: 5, plain: 4 });
+  const fleetsOfSuite = new fleetPool.FleetPool({ engines: 5, plain: 4 });
 
   /** Guards against a limit that nobody reads, or that each entry keeps to by itself. */
   (['engines', 'plain'] as const).forEach((service) => {
     it(`get no more from all entries together, as ${service}; the others serve the rest`, async () => {
       const fleet = await fleetsOfSuite.take(service);
       const kind = service === 'engines' ? 'streaming' : 'safe';
-      await fleet.press({ service, kind }, 1_000);
+      await fleet.sendLoad({ service, kind }, 1_000);
       const limited = busiest(fleet, 2);
-      limit(limited, PER_SECOND);
-      const since = clock.steady() + TOLD_WITHIN_MS;
-      const replies = await fleet.press({ service, kind }, TOLD_WITHIN_MS + WINDOW_MS);
-      const most = limited.map((target) => mostInWindow(fleet, target, since));
-      expect(Math.max(...most)).to.be.at.most(ALLOWED);
+      setLimit(limited, LIMIT_PER_SECOND);
+      const since = clock.steady() + PROPAGATION_MS;
+      const replies = await fleet.sendLoad({ service, kind }, PROPAGATION_MS + WINDOW_MS);
+      const most = limited.map((target) => maxInWindow(fleet, target, since));
+      expect(Math.max(...most)).to.be.at.most(MAX_IN_WINDOW);
       expect(new Set(replies.map(({ status }) => status))).to.deep.equal(new Set([200]));
     });
   });
@@ -94,18 +94,18 @@
   it('all of them refuse the rest at once, and serve what they take', async () => {
     await onBoth(async (service, kind) => {
       const started = await fleetsOfSuite.take(service);
-      limit(started.targets, PER_SECOND);
-      await started.press({ service, kind }, TOLD_WITHIN_MS);
+      setLimit(started.targets, LIMIT_PER_SECOND);
+      await started.sendLoad({ service, kind }, PROPAGATION_MS);
       const since = clock.steady();
-      const replies = await started.press({ service, kind }, WINDOW_MS);
-      expect(mostOf(started, since)).to.be.at.most(ALLOWED);
+      const replies = await started.sendLoad({ service, kind }, WINDOW_MS);
+      expect(maxOfAllTargets(started, since)).to.be.at.most(MAX_IN_WINDOW);
       const served = replies.filter(({ status }) => status === 200);
-      const taken = (started.targets.length * PER_SECOND * WINDOW_MS) / 1_000;
+      const taken = (started.targets.length * LIMIT_PER_SECOND * WINDOW_MS) / 1_000;
       expect(served.length).to.be.at.least(taken / 2);
       const others = replies.filter(({ status }) => status !== 200);
       expect(new Set(others.map(({ status }) => status))).to.deep.equal(new Set([503]));
       expect(others.every(({ retryAfter }) => Number(retryAfter) > 0)).to.equal(true);
-      expect(Math.max(...others.map(({ tookMs }) => tookMs))).to.be.below(MOST_WAIT_MS);
+      expect(Math.max(...others.map(({ tookMs }) => tookMs))).to.be.below(MAX_WAIT_MS);
     });
   });
 
@@ -113,26 +113,26 @@
   it('are kept to through a change of leader, a restart and another id', async () => {
     await onBoth(async (service, kind) => {
       const started = await fleetsOfSuite.take(service);
-      limit(started.targets, PER_SECOND);
-      const since = clock.steady() + TOLD_WITHIN_MS;
-      const pressing = started.press({ service, kind }, 9_000);
+      setLimit(started.targets, LIMIT_PER_SECOND);
+      const since = clock.steady() + PROPAGATION_MS;
+      const pressing = started.sendLoad({ service, kind }, 9_000);
       await clock.pause(2_000);
       await started.stopKeeper(started.leader);
-      await started.targets[0].startAgain();
+      await started.targets[0].restart();
       await started.stopEntry(0);
       await started.startEntry(0);
       await pressing;
-      expect(mostOf(started, since)).to.be.at.most(ALLOWED);
+      expect(maxOfAllTargets(started, since)).to.be.at.most(MAX_IN_WINDOW);
     });
   });
 
   /** Guards against a crowd that comes back to targets in need, whose first answers are still to come. */
   it('are known to all entries after a loss of all, before any target has answered', async () => {
     const fleet = await fleetsOfSuite.take('engines');
-    limit(fleet.targets, PER_SECOND);
-    await fleet.press({ service: 'engines' }, TOLD_WITHIN_MS);
+    setLimit(fleet.targets, LIMIT_PER_SECOND);
+    await fleet.sendLoad({ service: 'engines' }, PROPAGATION_MS);
     const known = [...fleet.keepers.values()].map((each) => each.gauges().limits);
-    await fleet.loseAll();
+    await fleet.restartAll();
     const kept = [...fleet.entries.values()].map((each) => each.gauges().limits);
     expect(Math.max(...known)).to.be.above(0);
     expect(kept).to.deep.equal(kept.map(() => Math.max(...known)));
@@ -141,23 +141,23 @@
   /** Guards against a limit that stays when the target is well again. */
   it('get as much as before once they name it no more', async () => {
     const fleet = await fleetsOfSuite.take('engines');
-    limit(fleet.targets, PER_SECOND);
-    await fleet.press({ service: 'engines' }, TOLD_WITHIN_MS);
-    limit(fleet.targets, undefined);
-    await fleet.press({ service: 'engines' }, 2_000);
-    const replies = await fleet.press({ service: 'engines' }, 1_000);
+    setLimit(fleet.targets, LIMIT_PER_SECOND);
+    await fleet.sendLoad({ service: 'engines' }, PROPAGATION_MS);
+    setLimit(fleet.targets, undefined);
+    await fleet.sendLoad({ service: 'engines' }, 2_000);
+    const replies = await fleet.sendLoad({ service: 'engines' }, 1_000);
     expect(new Set(replies.map(({ status }) => status))).to.deep.equal(new Set([200]));
   });
 
   /** Guards against a target that stays out of use for good, as nobody asks it whether it still is in need. */
   it('are used again when they are well, also where others take all calls', async () => {
     const fleet = await fleetsOfSuite.take('plain');
-    await fleet.press({ service: 'plain', kind: 'safe' }, 1_000);
+    await fleet.sendLoad({ service: 'plain', kind: 'safe' }, 1_000);
     const limited = busiest(fleet, 1);
-    limit(limited, PER_SECOND);
-    await fleet.press({ service: 'plain', kind: 'safe' }, TOLD_WITHIN_MS);
-    limit(limited, undefined);
-    await fleet.press({ service: 'plain', kind: 'safe' }, 5_000);
+    setLimit(limited, LIMIT_PER_SECOND);
+    await fleet.sendLoad({ service: 'plain', kind: 'safe' }, PROPAGATION_MS);
+    setLimit(limited, undefined);
+    await fleet.sendLoad({ service: 'plain', kind: 'safe' }, 5_000);
     const known = [...fleet.entries.values()].map((each) => each.gauges().limits);
     expect(known).to.deep.equal(known.map(() => 0));
   });
--- a/packages/daemon/src/__tests__/tls.test.ts
+++ b/packages/daemon/src/__tests__/tls.test.ts
@@ -5,11 +5,11 @@
 import * as tls from 'node:tls';
 import * as chai from 'chai';
 import * as selfsigned from 'selfsigned';
-import * as bench from './__fixtures__/bench';
+import * as daemonFleet from './__fixtures__/daemonFleet';
 
 const { expect } = chai;
 
-function makeCertificate(folder: string, name: string): bench.TlsFiles {
+function createCertificate(folder: string, name: string): daemonFleet.TlsFiles {
   const made = selfsigned.generate([{ name: 'commonName', value: name }], {
     keySize: 2_048,
     extensions: [
@@ -28,7 +28,11 @@
 }
 
 /** Whether a peer listener lets a connection with this certificate live. */
-function isLetIn(port: number, files: bench.TlsFiles, authority: string): Promise<boolean> {
+function isAccepted(
+  port: number,
+  files: daemonFleet.TlsFiles,
+  authority: string,
+): Promise<boolean> {
   return new Promise((resolve) => {
     const socket = tls.connect({
       host: '127.0.0.1',
@@ -45,9 +49,9 @@
 
 describe('TLS', () => {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'celerydrift-test-'));
-  const own = makeCertificate(folder, 'fleet');
-  const stranger = makeCertificate(folder, 'stranger');
-  const fleet = new bench.Bench(own);
+  const own = createCertificate(folder, 'fleet');
+  const stranger = createCertificate(folder, 'stranger');
+  const fleet = new daemonFleet.DaemonFleet(own);
 
   after(async () => {
     await fleet.stop();
@@ -60,8 +64,8 @@
     const models = await fleet.call('GET', '/v1/models');
     const port = fleet.daemons[0]?.ports.peers;
     const letIn = [
-      await isLetIn(port, own, own.authority),
-      await isLetIn(port, stranger, own.authority),
+      await isAccepted(port, own, own.authority),
+      await isAccepted(port, stranger, own.authority),
     ];
     expect([ready.status, models.status, letIn]).to.deep.equal([200, 200, [true, false]]);
   });
--- a/packages/daemon/src/configuration/codecs.ts
+++ b/packages/daemon/src/configuration/codecs.ts
@@ -11,15 +11,15 @@
   port: number;
 }
 
-export function addressOf(text: string): Address | undefined {
+export function parseAddress(text: string): Address | undefined {
   const match = /^([0-9.]+|\[[0-9a-f:]+\]):(\d{1,5})$/.exec(text);
   const port = Number(match?.[2]);
   return match === null || port > 65_535 ? undefined : { host: match[1], port };
 }
 
-function addressesOf(text: string): string[] | undefined {
+function parseAddresses(text: string): string[] | undefined {
   const parts = schema.list(text);
-  return parts.every((part) => addressOf(part) !== undefined) ? parts : undefined;
+  return parts.every((part) => parseAddress(part) !== undefined) ? parts : undefined;
 }
 
 export function format({ host, port }: Address): string {
@@ -43,12 +43,12 @@
 );
 export const ADDRESS = schema.textCodec(
   'address',
-  addressOf,
+  parseAddress,
   'give IP:PORT, such as 10.0.0.7:8080',
 );
 export const OPTIONAL_ADDRESS = schema.textCodec<Address | ''>(
   'address',
-  (text) => (text === '' ? '' : addressOf(text)),
+  (text) => (text === '' ? '' : parseAddress(text)),
   'leave it out or give IP:PORT',
 );
 export const OPTIONAL_IP = schema.textCodec(
@@ -58,7 +58,7 @@
 );
 export const ADDRESSES = schema.textCodec(
   'addresses',
-  addressesOf,
+  parseAddresses,
   'give IP:PORT, several separated by commas',
 );
 export const TEXT = schema.textCodec('text', (text) => text, 'give a text');
--- a/packages/daemon/src/configuration/configuration.ts
+++ b/packages/daemon/src/configuration/configuration.ts
@@ -131,7 +131,7 @@
 
 type Values = domain.settings.schema.Values;
 
-function tlsOf(values: Values, problems: domain.settings.schema.Problem[]): Tls | undefined {
+function readTls(values: Values, problems: domain.settings.schema.Problem[]): Tls | undefined {
   const certificateFile = String(values.get('security.certificate') ?? '');
   const keyFile = String(values.get('security.key') ?? '');
   const authorityFile = String(values.get('security.authority') ?? '');
@@ -144,7 +144,7 @@
   return { certificateFile, keyFile, authorityFile };
 }
 
-function listenersOf(
+function readListeners(
   values: Values,
 ): Pick<Configuration, 'callers' | 'targets' | 'operators' | 'peers'> {
   return {
@@ -155,7 +155,7 @@
   };
 }
 
-function boundsOf(values: Values): Pick<Configuration, 'limits' | 'timeouts'> {
+function readLimitsAndTimeouts(values: Values): Pick<Configuration, 'limits' | 'timeouts'> {
   const number = (key: string): number => values.get(key) as number;
   return {
     limits: {
@@ -173,11 +173,11 @@
   };
 }
 
-function configurationOf(values: Values, tls: Tls | undefined): Configuration {
+function buildConfiguration(values: Values, tls: Tls | undefined): Configuration {
   return {
     name: values.get('daemon.name') as string,
     dataCentre: values.get('daemon.data-centre') as string,
-    ...listenersOf(values),
+    ...readListeners(values),
     seeds: values.get('peers.seeds') as string[],
     founders: values.get('data.founders') as string[],
     dataFolder: values.get('data.folder') as string,
@@ -190,7 +190,7 @@
     staleness: values.get('settings.staleness-rule') as Configuration['staleness'],
     statsd: (values.get('observe.statsd') as Address | '') || undefined,
     logLevel: values.get('observe.level') as string,
-    ...boundsOf(values),
+    ...readLimitsAndTimeouts(values),
     policy: values.get('routing.policy') as string,
   };
 }
@@ -199,6 +199,6 @@
 export function read(text: string): Result<Configuration, domain.settings.schema.Problem[]> {
   const problems: domain.settings.schema.Problem[] = [];
   const values = codecs.readSections(text, SECTIONS, DEFAULTS, problems);
-  const tls = tlsOf(values, problems);
-  return problems.length > 0 ? Err(problems) : Ok(configurationOf(values, tls));
+  const tls = readTls(values, problems);
+  return problems.length > 0 ? Err(problems) : Ok(buildConfiguration(values, tls));
 }
--- a/packages/daemon/src/configuration/roleSettings.ts
+++ b/packages/daemon/src/configuration/roleSettings.ts
@@ -101,7 +101,7 @@
 type Values = domain.settings.schema.Values;
 
 /** Seeds are named by any port of theirs; keepers listen for peers on the same port everywhere. */
-function seedsOf(values: Values): string[] {
+function readSeeds(values: Values): string[] {
   const port = values.get('keepers.keeper-port') as number;
   const seeds = values.get('keepers.seeds') as string[];
   return port === 0
@@ -109,7 +109,7 @@
     : seeds.map((seed) => `${seed.slice(0, seed.lastIndexOf(':'))}:${port}`);
 }
 
-function listenersOf(
+function readListeners(
   values: Values,
 ): Pick<
   Settings,
@@ -129,14 +129,14 @@
   };
 }
 
-function settingsOf(values: Values): Settings {
+function buildSettings(values: Values): Settings {
   const number = (key: string): number => values.get(key) as number;
   return {
     role: values.get('daemon.role') as Role,
     name: values.get('daemon.name') as string,
     dataCentre: values.get('daemon.data-centre') as string,
-    ...listenersOf(values),
-    seeds: seedsOf(values),
+    ...readListeners(values),
+    seeds: readSeeds(values),
     secret: values.get('keepers.secret') as string,
     dataFolder: values.get('data.folder') as string,
     mayFound: values.get('data.may-found') === 'true',
@@ -154,7 +154,7 @@
   };
 }
 
-function missing(settings: Settings): domain.settings.schema.Problem[] {
+function findMissingKeys(settings: Settings): domain.settings.schema.Problem[] {
   const wanted: [string, string, boolean][] =
     settings.role === 'entry'
       ? [
@@ -177,7 +177,7 @@
   const problems: domain.settings.schema.Problem[] = [];
   const values = codecs.readSections(text, SECTIONS, DEFAULTS, problems);
   if (problems.length > 0) return Err(problems);
-  const settings = settingsOf(values);
-  const absent = missing(settings);
+  const settings = buildSettings(values);
+  const absent = findMissingKeys(settings);
   return absent.length > 0 ? Err(absent) : Ok(settings);
 }
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -46,12 +46,12 @@
   peers: number;
 }
 
-const WORK_EVERY_MS = 1_000;
+const WORKLOAD_REPORT_INTERVAL_MS = 1_000;
 
-const STOPS_EVERY_MS = 250;
+const READINESS_CHECK_INTERVAL_MS = 250;
 
 /** After turning unready, how long the balancer gets to notice, in milliseconds. */
-const BALANCER_MS = 500;
+const BALANCER_NOTICE_MS = 500;
 
 export class Daemon {
   readonly observer: observer.Observer;
@@ -96,11 +96,11 @@
 
   private timers: NodeJS.Timeout[] = [];
 
-  private stopping = false;
+  private isStopping = false;
 
   private wasReady = false;
 
-  private readonly work: workTeller.WorkTeller;
+  private readonly workloadReporter: workTeller.WorkTeller;
 
   private readonly cells: cellWatch.CellWatch;
 
@@ -108,7 +108,7 @@
 
   private readonly random: domain.shared.random.Random;
 
-  private readonly budget = new domain.request.retry.Budget();
+  private readonly retryBudget = new domain.request.retry.Budget();
 
   private readonly callers: callersApi.CallersApi;
 
@@ -136,8 +136,8 @@
       random,
       hash,
       now,
-      take: (record) => this.takeNews(record),
-      onDaemons: () => this.daemonsChanged(),
+      take: (record) => this.applyRecord(record),
+      onDaemons: () => this.onDaemonsChanged(),
     });
     this.control = new controlPlane.ControlPlane({
       configuration: settings,
@@ -148,7 +148,7 @@
       random,
       now,
       live: () => this.liveDaemons(),
-      onChange: () => this.settingsChanged(),
+      onChange: () => this.onSettingsChanged(),
       onDiskFailure: onFailure,
     });
     this.targets = new targetTable.TargetTable({
@@ -157,7 +157,7 @@
       hash,
       now,
       members: () => this.members,
-      onChange: (target, before) => this.targetChanged(target, before),
+      onChange: (target, before) => this.onTargetChanged(target, before),
     });
     this.router = new router.Router({
       dataCentre,
@@ -170,7 +170,7 @@
     this.allocator = new allocator.Allocator({
       router: this.router,
       now,
-      isDead: (daemon) => this.standing(daemon).kind === 'dead',
+      isDead: (daemon) => this.ownerStanding(daemon).kind === 'dead',
     });
     this.admission = new admission.Admission({
       hash,
@@ -184,7 +184,7 @@
       now,
       target: (target) => this.targets.get(target),
       keptEngines: () => this.keptEngines(),
-      standing: (daemon) => this.standing(daemon),
+      standing: (daemon) => this.ownerStanding(daemon),
       note: (action, subject, detail) => this.control.note(action, subject, detail),
     });
     this.orders = new orderLoop.OrderLoop({
@@ -213,15 +213,15 @@
       router: this.router,
       stops: this.stopWatch,
     });
-    this.work = new workTeller.WorkTeller({
+    this.workloadReporter = new workTeller.WorkTeller({
       self: name,
       incarnation: this.incarnation,
       router: this.router,
       demand: () => this.admission.demand(),
       post: (record) => this.members.post(record),
     });
-    this.callers = this.makeCallers();
-    this.listeners = this.makeListeners(tlsOptions?.server);
+    this.callers = this.createCallersApi();
+    this.listeners = this.createListeners(tlsOptions?.server);
   }
 
   /** Starts a daemon; it turns ready by itself once it knows the settings in force. */
@@ -242,24 +242,24 @@
    * finishes what runs, releases what it holds and tells the others that it left.
    */
   async stop(): Promise<void> {
-    if (this.stopping) return;
-    this.stopping = true;
+    if (this.isStopping) return;
+    this.isStopping = true;
     this.observer.log('stopping');
     await this.members.leave();
-    await clock.pause(BALANCER_MS);
+    await clock.pause(BALANCER_NOTICE_MS);
     const until = this.now() + this.settings.timeouts.stopSeconds * 1_000;
     while ((this.callers.active > 0 || this.holdings.holdings.size > 0) && this.now() < until) {
       await clock.pause(20);
     }
     const closed = Promise.all(this.listeners.map((each) => each.close()));
-    await Promise.race([closed, clock.pause(BALANCER_MS)]);
+    await Promise.race([closed, clock.pause(BALANCER_NOTICE_MS)]);
     await this.halt();
     this.observer.log('stopped');
   }
 
   /** Ends everything at once, as a crash would, but for files and timers of this process. */
   async halt(): Promise<void> {
-    this.stopping = true;
+    this.isStopping = true;
     this.timers.forEach((timer) => clearInterval(timer));
     this.orders.stop();
     this.holdings.stop();
@@ -278,7 +278,7 @@
 
   /** Why this daemon admits nothing now, or undefined when it is ready. */
   unready(): string | undefined {
-    if (this.stopping) return 'this daemon is stopping';
+    if (this.isStopping) return 'this daemon is stopping';
     if (this.control.view.index === 0) return 'the settings in force are not known yet';
     if (this.stopWatch.ownStop() !== undefined) return 'a planned stop of this VM is announced';
     if (this.control.verdict() === 'refuse') return 'the settings held here may be out of date';
@@ -344,8 +344,8 @@
       }
     }
     this.timers = [
-      setInterval(() => this.work.tell(), WORK_EVERY_MS),
-      setInterval(() => this.watchStops(), STOPS_EVERY_MS),
+      setInterval(() => this.workloadReporter.tell(), WORKLOAD_REPORT_INTERVAL_MS),
+      setInterval(() => this.checkReadinessAndStops(), READINESS_CHECK_INTERVAL_MS),
     ];
     this.observer.log('started', { ports: this.ports, dataCentre: this.settings.dataCentre });
     return Ok(undefined);
@@ -355,11 +355,11 @@
     return { daemon: this.settings.name, incarnation: this.incarnation };
   }
 
-  private makeCallers(): callersApi.CallersApi {
+  private createCallersApi(): callersApi.CallersApi {
     return new callersApi.CallersApi({
       admission: this.admission,
-      services: this.makeServices(),
-      execution: this.makeExecutionParts(),
+      services: this.createServiceProxy(),
+      execution: this.createExecutionDependencies(),
       observer: this.observer,
       unready: () => this.unready(),
       running: this.running,
@@ -367,23 +367,23 @@
     });
   }
 
-  private makeServices(): serviceProxy.ServiceProxy {
-    const { hash, settings, observer: observe, router: route, budget, random, now } = this;
+  private createServiceProxy(): serviceProxy.ServiceProxy {
+    const { hash, settings, observer: observe, router: route, retryBudget, random, now } = this;
     const ledger = new ledgerClient.LedgerClient(this.control.client, hash, settings.ledgerShards);
     return new serviceProxy.ServiceProxy({
       client: this.targetsClient,
       ledger,
       router: route,
       observer: observe,
-      budget,
+      budget: retryBudget,
       random,
       targets: (service) => this.cells.open().filter((target) => target.service === service),
       now,
     });
   }
 
-  private makeExecutionParts(): execution.Parts {
-    const { adapter, holdings, observer: observe, router: route, budget, random, now } = this;
+  private createExecutionDependencies(): execution.Parts {
+    const { adapter, holdings, observer: observe, router: route, retryBudget, random, now } = this;
     const owner = (): domain.memory.holding.Owner => this.owner();
     return {
       router: route,
@@ -408,7 +408,7 @@
       }),
       holdings,
       observer: observe,
-      budget,
+      budget: retryBudget,
       contents: new contentMemory.ContentMemory(now),
       random,
       owner,
@@ -418,7 +418,7 @@
     };
   }
 
-  private makeListeners(tlsOptions: tls.TlsOptions | undefined): listener.Listener[] {
+  private createListeners(tlsOptions: tls.TlsOptions | undefined): listener.Listener[] {
     const { settings } = this;
     const announcements = new targetsApi.TargetsApi(settings.targetSecret, this.targets);
     const operators = new operatorsApi.OperatorsApi({
@@ -461,7 +461,7 @@
     return { near: near.map(({ id }) => id).sort(), all: live.map(({ id }) => id) };
   }
 
-  private settingsChanged(): void {
+  private onSettingsChanged(): void {
     const { view } = this.control;
     const subtrees = [...view.subtrees.values()];
     const { directory: former } = this.admission;
@@ -471,7 +471,7 @@
     this.observer.log('settingInForce', { index: view.index });
   }
 
-  private daemonsChanged(): void {
+  private onDaemonsChanged(): void {
     this.cells.refresh();
     this.members.detector
       .list()
@@ -479,7 +479,7 @@
       .forEach(({ id }) => this.router.forgetPeer(id));
   }
 
-  private targetChanged(target: Target, before: Target | undefined): void {
+  private onTargetChanged(target: Target, before: Target | undefined): void {
     if (before !== undefined && before.incarnation < target.incarnation) {
       this.holdings.holdings.targetRestarted(target.name, target.incarnation);
       this.targetsClient.forget(before.address);
@@ -511,7 +511,7 @@
     });
   }
 
-  private standing(daemon: string): domain.memory.holding.Standing {
+  private ownerStanding(daemon: string): domain.memory.holding.Standing {
     const known = this.members.detector.get(daemon);
     if (known === undefined) return { kind: 'unknown' };
     if (known.status === 'dead') return { kind: 'dead' };
@@ -524,13 +524,13 @@
     return done.ok;
   }
 
-  private takeNews(record: news.News): boolean {
+  private applyRecord(record: news.News): boolean {
     if (record.kind === 'target') return this.targets.merge(record.target);
-    if (record.kind === 'work') return this.work.take(record.work);
+    if (record.kind === 'work') return this.workloadReporter.take(record.work);
     return false;
   }
 
-  private watchStops(): void {
+  private checkReadinessAndStops(): void {
     const unready = this.unready();
     if ((unready === undefined) !== this.wasReady) {
       this.wasReady = unready === undefined;
--- a/packages/daemon/src/observability/boundedOutput.ts
+++ b/packages/daemon/src/observability/boundedOutput.ts
@@ -6,73 +6,76 @@
 import * as fs from 'node:fs';
 
 /** Buffered bytes; at 300 bytes a line some 800 lines. */
-const MOST_BYTES = 256 * 1_024;
+const MAX_BUFFERED_CHARACTERS = 256 * 1_024;
 
 /** Lines a second that may be written for long, and at once. Ten times a busy entry's usual. */
-const LINES_PER_SECOND = 500;
-const BURST_LINES = 2_000;
+const MAX_LINES_PER_SECOND = 500;
+const MAX_BURST_LINES = 2_000;
 
 export class BoundedOutput {
-  private waiting: string[] = [];
+  private bufferedLines: string[] = [];
 
-  private bytes = 0;
+  private bufferedCharacters = 0;
 
-  private writing = false;
+  private isWriting = false;
 
-  private allowance = BURST_LINES;
+  private availableLines = MAX_BURST_LINES;
 
-  private filledAt: number;
+  private refilledAt: number;
 
-  private lost = 0;
+  private droppedLines = 0;
 
   constructor(
     private readonly descriptor: number,
     private readonly now: () => number,
   ) {
-    this.filledAt = now();
+    this.refilledAt = now();
   }
 
   write(line: string): boolean {
-    this.fill();
-    if (this.bytes + line.length > MOST_BYTES || this.allowance < 1) {
-      this.lost += 1;
+    this.refill();
+    if (
+      this.bufferedCharacters + line.length > MAX_BUFFERED_CHARACTERS ||
+      this.availableLines < 1
+    ) {
+      this.droppedLines += 1;
       return false;
     }
-    this.allowance -= 1;
-    this.waiting.push(line);
-    this.bytes += line.length;
+    this.availableLines -= 1;
+    this.bufferedLines.push(line);
+    this.bufferedCharacters += line.length;
     this.flush();
     return true;
   }
 
   /** Lines dropped since the last call. */
-  takeLost(): number {
-    const { lost } = this;
-    this.lost = 0;
-    return lost;
+  takeDroppedLines(): number {
+    const { droppedLines } = this;
+    this.droppedLines = 0;
+    return droppedLines;
   }
 
   /** Writes what waits, blocking; for the end of the process. */
-  end(): void {
-    const rest = this.waiting.splice(0).join('');
+  flushSync(): void {
+    const rest = this.bufferedLines.splice(0).join('');
     if (rest !== '') fs.writeSync(this.descriptor, rest);
   }
 
-  private fill(): void {
+  private refill(): void {
     const now = this.now();
-    const gained = ((now - this.filledAt) / 1_000) * LINES_PER_SECOND;
-    this.allowance = Math.min(BURST_LINES, this.allowance + gained);
-    this.filledAt = now;
+    const gained = ((now - this.refilledAt) / 1_000) * MAX_LINES_PER_SECOND;
+    this.availableLines = Math.min(MAX_BURST_LINES, this.availableLines + gained);
+    this.refilledAt = now;
   }
 
   private flush(): void {
-    if (this.writing || this.waiting.length === 0) return;
-    this.writing = true;
-    const text = this.waiting.splice(0).join('');
+    if (this.isWriting || this.bufferedLines.length === 0) return;
+    this.isWriting = true;
+    const text = this.bufferedLines.splice(0).join('');
     fs.write(this.descriptor, text, () => {
       // A reader that is gone takes no lines; the process goes on without it.
-      this.writing = false;
-      this.bytes -= text.length;
+      this.isWriting = false;
+      this.bufferedCharacters -= text.length;
       this.flush();
     });
   }
--- a/packages/daemon/src/observability/metricsServer.ts
+++ b/packages/daemon/src/observability/metricsServer.ts
@@ -26,8 +26,10 @@
       buckets: BUCKETS_MS,
       registers: [this.registry],
     });
-    this.copy('celerydrift_events', 'Counts of events since the start.', () => observe.counters());
-    this.copy('celerydrift_state', 'State at the moment.', gauges);
+    this.registerGauge('celerydrift_events', 'Counts of events since the start.', () =>
+      observe.counters(),
+    );
+    this.registerGauge('celerydrift_state', 'State at the moment.', gauges);
     observe.onTiming = (of, ms) => this.durations.observe({ of }, ms);
     this.server = http.createServer((_request, response) => {
       void this.registry.metrics().then((text) => {
@@ -46,7 +48,7 @@
     this.server.closeAllConnections();
   }
 
-  private copy(name: string, help: string, read: () => Record<string, number>): void {
+  private registerGauge(name: string, help: string, read: () => Record<string, number>): void {
     const gauge = new prometheus.Gauge({
       name,
       help,
--- a/packages/daemon/src/roleMain.ts
+++ b/packages/daemon/src/roleMain.ts
@@ -33,9 +33,9 @@
 const EXIT = { badSettings: 2, cannotStart: 3, diskFailure: 4 } as const;
 
 /** A settings file may change without a signal; its time of change is looked at so often, milliseconds. */
-const FILE_CHECK_MS = 1_000;
+const FILE_CHECK_INTERVAL_MS = 1_000;
 
-const LOST_LINES_CHECK_MS = 1_000;
+const DROPPED_LINES_REPORT_INTERVAL_MS = 1_000;
 
 function readSettings(file: string): roleSettings.Settings | undefined {
   let text: string;
@@ -53,16 +53,16 @@
   return undefined;
 }
 
-function makeObserver(settings: roleSettings.Settings): observer.Observer {
+function createObserver(settings: roleSettings.Settings): observer.Observer {
   const output = new boundedOutput.BoundedOutput(1, clock.steady);
   const stream = { write: (line: string) => output.write(line) } as NodeJS.WritableStream;
   const made = new observer.Observer(settings.name, settings.logLevel, undefined, stream);
   const report = (): void => {
-    const lost = output.takeLost();
+    const lost = output.takeDroppedLines();
     if (lost > 0) made.log('linesDropped', { lines: lost });
   };
-  setInterval(report, LOST_LINES_CHECK_MS).unref();
-  process.on('exit', () => output.end());
+  setInterval(report, DROPPED_LINES_REPORT_INTERVAL_MS).unref();
+  process.on('exit', () => output.flushSync());
   return made;
 }
 
@@ -105,7 +105,7 @@
 }
 
 /** Calls `onChange` with the settings each time the file holds other valid ones. */
-function watch(
+function watchSettingsFile(
   file: string,
   observe: observer.Observer,
   onChange: (settings: roleSettings.Settings) => void,
@@ -127,7 +127,7 @@
     changedAt = latest;
     look();
   };
-  setInterval(poll, FILE_CHECK_MS).unref();
+  setInterval(poll, FILE_CHECK_INTERVAL_MS).unref();
 }
 
 /** Runs the process that the settings file describes. */
@@ -135,7 +135,7 @@
   const settings = readSettings(file);
   if (settings === undefined) process.exit(EXIT.badSettings);
   if (checkOnly) return;
-  const observe = makeObserver(settings);
+  const observe = createObserver(settings);
   const started = await start(settings, adapter, observe).catch((error: unknown) => {
     process.stderr.write(`celerydrift: can't start: ${String(error)}\n`);
     return undefined;
@@ -144,7 +144,7 @@
   if (settings.metrics !== undefined) void serveMetrics(settings.metrics, observe, started);
   const { role, seeds, mayFound } = settings;
   observe.log('started', { role, seeds, mayFound, afterMs: Math.round(clock.steady()) });
-  watch(file, observe, (changed) => started.reload(changed));
+  watchSettingsFile(file, observe, (changed) => started.reload(changed));
   let isStopping = false;
   const stop = (signal: string): void => {
     if (isStopping) return;
