--- a/packages/daemon/src/clock.ts
+++ b/packages/daemon/src/clock.ts
@@ -1,30 +1,30 @@
 /**
- * The clocks. Durations within a process are measured on the steady clock, which nobody steps. It stands
- * still while a VM is suspended, so whatever must not be believed after a suspension, such as a lease, also
- * looks at the time of day, which goes on. The time of day is stepped while processes run, so it may only
- * make an age longer: a step forward ends a lease early, and the next confirmation starts it again.
+ * The clocks of a process. Durations are measured on the steady (monotonic) clock, which is never stepped but
+ * stops while a VM is suspended. Whatever expires, such as a lease, therefore also checks the time of day (wall
+ * clock), which advances during a suspension. As the time of day can be stepped at any moment, it may only
+ * lengthen an age: a step forward ends a lease early, and the next confirmation renews it.
  */
 
-/** Milliseconds on a clock that is never stepped and stands still during a suspension. */
+/** Milliseconds on the monotonic clock, which is never stepped and stops during a suspension. */
 export function steady(): number {
   return performance.now();
 }
 
 /**
- * The time of day, milliseconds. For people who read the audit trail, for how long claims of calls are kept,
- * where a step of seconds doesn't matter, and for noticing a suspension.
+ * The time of day, in milliseconds. Used for the audit trail, for the retention of claims, where a step of
+ * seconds doesn't matter, and to detect a suspension.
  */
 export function timeOfDay(): number {
   return Date.now();
 }
 
-/** A moment on both clocks. */
+/** Both clocks, read together. */
 export interface Moment {
   steady: number;
   timeOfDay: number;
 }
 
-/** Before all moments: its age is infinite. */
+/** Earlier than any reading: its age is infinite. */
 export const NEVER: Moment = { steady: -Infinity, timeOfDay: -Infinity };
 
 export function moment(): Moment {
@@ -32,8 +32,9 @@
 }
 
 /**
- * Milliseconds from one moment to another, at least. Counts a suspension between them, unless the time of day
- * was stepped back by as much meanwhile; a daemon that runs again asks its leader within half a second.
+ * Milliseconds between two readings: the larger difference of the two clocks. Includes a suspension, unless the
+ * time of day was stepped back by as much meanwhile. That gap is short: a resumed daemon contacts its leader within
+ * half a second.
  */
 export function elapsed(from: Moment, to: Moment): number {
   return Math.max(to.steady - from.steady, to.timeOfDay - from.timeOfDay);
--- a/packages/daemon/src/configuration/__tests__/configuration.test.ts
+++ b/packages/daemon/src/configuration/__tests__/configuration.test.ts
@@ -1,4 +1,4 @@
-/** A daemon's own settings file: what is wrong is named with section, key, value and mend. */
+/** The settings file of a daemon: defaults, and problems reported with section, key, value and remedy. */
 import * as fs from 'node:fs';
 import * as path from 'node:path';
 import * as domain from '@celerydrift/domain';
@@ -10,7 +10,7 @@
 
 const DOCS = path.join(__dirname, '../../../../../docs');
 
-const GOOD = `[daemon]
+const VALID = `[daemon]
 name = vm-1
 data-centre = ruaraka
 [peers]
@@ -22,11 +22,11 @@
 
 describe('configuration', () => {
   it('fills in the defaults', () => {
-    expect(configuration.read(GOOD).unwrap()).toMatchSnapshot();
+    expect(configuration.read(VALID).unwrap()).toMatchSnapshot();
   });
 
-  it('names everything that is wrong at once', () => {
-    const bad = `[daemon]
+  it('reports all problems at once', () => {
+    const invalid = `[daemon]
 name = VM 1
 [listen]
 callers = localhost:80
@@ -46,11 +46,11 @@
 [extras]
 a = 1
 `;
-    const read = configuration.read(bad);
+    const read = configuration.read(invalid);
     expect(read.err && read.val.map(domain.settings.schema.describe)).toMatchSnapshot();
   });
 
-  it('is documented key by key', () => {
+  it('is documented in docs/CONFIGURATION.md', () => {
     const page = fs.readFileSync(path.join(DOCS, 'CONFIGURATION.md'), 'utf8');
     const missing = Object.keys(configuration.DEFAULTS).filter(
       (key) => !page.includes(`\`${key}\``),
@@ -60,7 +60,7 @@
 });
 
 describe('log events', () => {
-  it('are the same in the catalogue and in docs/LOG_EVENTS.md', () => {
+  it('match docs/LOG_EVENTS.md', () => {
     const page = fs.readFileSync(path.join(DOCS, 'LOG_EVENTS.md'), 'utf8');
     const documented = [...page.matchAll(/^\| (\d{4}) +\| (\w+) +\| (\w+) +\| ([^|]+) \|/gm)].map(
       ([, number, name, level, text]) => `${number} ${name} ${level} ${text.trim()}`,
--- a/packages/daemon/src/configuration/__tests__/roleSettings.test.ts
+++ b/packages/daemon/src/configuration/__tests__/roleSettings.test.ts
@@ -1,4 +1,4 @@
-/** Settings of entries and keepers: what a file gives, and what each mistake is told. */
+/** Settings of entries and keepers: parsed values, defaults and the problems reported for invalid files. */
 import * as fs from 'node:fs';
 import * as path from 'node:path';
 import * as chai from 'chai';
@@ -25,24 +25,24 @@
 stop-seconds = 8
 `;
 
-describe('settings of roles', () => {
-  it('come with defaults and with the peer addresses of seeds', () => {
+describe('role settings', () => {
+  it('fill in defaults and the peer addresses of seeds', () => {
     expect(roleSettings.read(ENTRY).val).toMatchSnapshot();
   });
 
-  it('say everything that is wrong, with the mend', () => {
-    const wrong = ENTRY.replace('role = entry', 'role = leader')
+  it('report every problem with its remedy', () => {
+    const invalid = ENTRY.replace('role = entry', 'role = leader')
       .replace('10.0.0.1:7000', 'here')
       .replace('stop-seconds = 8', 'stop-seconds = soon\nunknown = 1');
-    expect(roleSettings.read(wrong).val).toMatchSnapshot();
+    expect(roleSettings.read(invalid).val).toMatchSnapshot();
   });
 
-  it('name what a role lacks', () => {
+  it('report the keys that a role lacks', () => {
     const keeper = ENTRY.replace('role = entry', 'role = keeper');
     expect(roleSettings.read(keeper).val).toMatchSnapshot();
   });
 
-  it('are all on the page of settings', () => {
+  it('are all documented in docs/CONFIGURATION.md', () => {
     const page = fs.readFileSync(path.join(ROOT, 'docs/CONFIGURATION.md'), 'utf8');
     const missing = Object.keys(roleSettings.DEFAULTS).filter(
       (key) => !page.includes(`\`${key}\``),
@@ -50,7 +50,7 @@
     expect(missing).to.deep.equal([]);
   });
 
-  it('are what the templates of the deployment fill in', () => {
+  it('accept the deployment templates', () => {
     const problems = ['entry', 'keeper'].flatMap((role) => {
       const template = fs.readFileSync(path.join(ROOT, `deploy/${role}.ini`), 'utf8');
       const filled = template
--- a/packages/daemon/src/configuration/codecs.ts
+++ b/packages/daemon/src/configuration/codecs.ts
@@ -1,4 +1,4 @@
-/** Codecs of values that stand in settings files of processes. */
+/** Codecs for the values in the settings files of daemons, entries and keepers. */
 import * as net from 'node:net';
 import * as domain from '@celerydrift/domain';
 
@@ -26,14 +26,14 @@
   return `${host}:${port}`;
 }
 
-export function oneOf(...words: readonly string[]): Codec<string> {
-  const parse = (text: string): string | undefined => (words.includes(text) ? text : undefined);
-  return schema.textCodec('word', parse, `give one of ${words.join(', ')}`);
+export function oneOf(...choices: readonly string[]): Codec<string> {
+  const parse = (text: string): string | undefined => (choices.includes(text) ? text : undefined);
+  return schema.textCodec('word', parse, `give one of ${choices.join(', ')}`);
 }
 
 export function range(minimum: number, maximum: number): Codec<number> {
-  const mend = `give a number from ${minimum} to ${maximum}`;
-  return schema.textCodec('number', schema.numberIn(minimum, maximum), mend);
+  const remedy = `give a number from ${minimum} to ${maximum}`;
+  return schema.textCodec('number', schema.numberIn(minimum, maximum), remedy);
 }
 
 export const NAME = schema.textCodec(
@@ -71,24 +71,27 @@
 
 export type Sections = Record<string, domain.settings.schema.Fields>;
 
-/** Reads all sections of a file; `problems` gets everything that is wrong. Keys are `section.key`. */
+/**
+ * Reads all sections of a settings file and returns the values by `section.key`. Every invalid or unknown
+ * section and key is added to `problems`.
+ */
 export function readSections(
   text: string,
   sections: Sections,
   defaults: Readonly<Record<string, string>>,
   problems: domain.settings.schema.Problem[],
 ): domain.settings.schema.Values {
-  const all: domain.settings.schema.Values = new Map();
-  const given = schema.sectionsOf(text);
-  given.forEach((_raw, section) => {
+  const valuesByKey: domain.settings.schema.Values = new Map();
+  const sectionsInFile = schema.sectionsOf(text);
+  sectionsInFile.forEach((_raw, section) => {
     if (sections[section] !== undefined) return;
     const mend = `use one of ${Object.keys(sections).join(', ')}`;
     problems.push({ section, key: '', value: section, mend });
   });
   Object.entries(sections).forEach(([section, fields]) => {
-    const raw = given.get(section) ?? {};
+    const raw = sectionsInFile.get(section) ?? {};
     const values = schema.readFields(section, fields, raw, defaults, problems);
-    values.forEach((value, key) => all.set(`${section}.${key}`, value));
+    values.forEach((value, key) => valuesByKey.set(`${section}.${key}`, value));
   });
-  return all;
+  return valuesByKey;
 }
--- a/packages/daemon/src/configuration/configuration.ts
+++ b/packages/daemon/src/configuration/configuration.ts
@@ -1,6 +1,6 @@
 /**
- * A daemon's own settings, from an INI file: names and addresses, peers, data folder, TLS, timeouts.
- * Everything wrong with a file is said at once, each with section, key, value and mend.
+ * The settings of a daemon, read from an INI file: name, addresses, peers, data folder, TLS, limits, timeouts.
+ * All problems of a file are reported at once, each with section, key, value and how to fix it.
  */
 import type * as domain from '@celerydrift/domain';
 import { Err, Ok, Result } from 'ts-results';
@@ -19,25 +19,25 @@
 export interface Configuration {
   name: string;
   dataCentre: string;
-  /** Listeners. Port 0 takes any free port. */
+  /** Listen addresses; port 0 selects any free port. */
   callers: Address;
   targets: Address;
   operators: Address;
   peers: Address;
-  /** Peers to ask first; the VMs with disks should be among them. */
+  /** Peer addresses contacted first at start; should include the VMs with disks. */
   seeds: string[];
-  /** Peer addresses of the VMs that found the replica set; all must agree on it. */
+  /** Peer addresses of the VMs that found the replica set; must be the same on all daemons. */
   founders: string[];
   /** Empty for a daemon without a disk. */
   dataFolder: string;
-  /** Voters that repair aims at. */
+  /** Number of voters that repair maintains. */
   replicas: number;
   ledgerShards: number;
-  /** Shared by all daemons; proves them to each other. */
+  /** Shared secret by which daemons authenticate to each other. */
   peerSecret: string;
-  /** Targets announce themselves with it. */
+  /** Shared secret by which targets authenticate their announcements. */
   targetSecret: string;
-  /** SHA-256 of the token that may change every subtree. */
+  /** SHA-256 of the operator token that may change every settings subtree. */
   operatorTokenHash: string;
   tls: Tls | undefined;
   staleness: domain.membership.freshness.Rule;
@@ -51,16 +51,17 @@
   };
   timeouts: {
     connectMs: number;
-    /** Silence on an engine's stream before the engine is asked over a new connection. */
+    /** Response timeout of an engine's stream; after it the engine is probed over a new connection. */
     silenceMs: number;
-    /** Grace of a planned stop of this daemon, in seconds. */
+    /** Grace period of a planned stop of this daemon. */
     stopSeconds: number;
+    /** Time after which a replica that doesn't respond is replaced. */
     deadReplicaMs: number;
   };
   policy: string;
 }
 
-/** Values where a file leaves a key out. `name` and the like have none. */
+/** Defaults of optional keys. Keys that are not listed, such as `name`, are required. */
 export const DEFAULTS = {
   callers: '127.0.0.1:8080',
   targets: '127.0.0.1:8081',
@@ -135,9 +136,9 @@
   const certificateFile = String(values.get('security.certificate') ?? '');
   const keyFile = String(values.get('security.key') ?? '');
   const authorityFile = String(values.get('security.authority') ?? '');
-  const parts = [certificateFile, keyFile, authorityFile];
-  if (parts.every((part) => part === '')) return undefined;
-  if (parts.includes('')) {
+  const files = [certificateFile, keyFile, authorityFile];
+  if (files.every((file) => file === '')) return undefined;
+  if (files.includes('')) {
     const mend = 'give certificate, key and authority together, or none of them';
     problems.push({ section: 'security', key: 'certificate', value: certificateFile, mend });
   }
@@ -156,19 +157,19 @@
 }
 
 function readLimitsAndTimeouts(values: Values): Pick<Configuration, 'limits' | 'timeouts'> {
-  const number = (key: string): number => values.get(key) as number;
+  const readNumber = (key: string): number => values.get(key) as number;
   return {
     limits: {
-      bodyBytes: number('limits.body-bytes'),
-      connections: number('limits.connections'),
-      headerSeconds: number('limits.header-seconds'),
-      bodySeconds: number('limits.body-seconds'),
+      bodyBytes: readNumber('limits.body-bytes'),
+      connections: readNumber('limits.connections'),
+      headerSeconds: readNumber('limits.header-seconds'),
+      bodySeconds: readNumber('limits.body-seconds'),
     },
     timeouts: {
-      connectMs: number('timeouts.connect-ms'),
-      silenceMs: number('timeouts.silence-ms'),
-      stopSeconds: number('timeouts.stop-seconds'),
-      deadReplicaMs: number('timeouts.dead-replica-ms'),
+      connectMs: readNumber('timeouts.connect-ms'),
+      silenceMs: readNumber('timeouts.silence-ms'),
+      stopSeconds: readNumber('timeouts.stop-seconds'),
+      deadReplicaMs: readNumber('timeouts.dead-replica-ms'),
     },
   };
 }
@@ -195,7 +196,7 @@
   };
 }
 
-/** Reads a daemon's settings file, or says everything that is wrong with it. */
+/** Parses the settings file of a daemon; returns all its problems if there are any. */
 export function read(text: string): Result<Configuration, domain.settings.schema.Problem[]> {
   const problems: domain.settings.schema.Problem[] = [];
   const values = codecs.readSections(text, SECTIONS, DEFAULTS, problems);
--- a/packages/daemon/src/configuration/roleSettings.ts
+++ b/packages/daemon/src/configuration/roleSettings.ts
@@ -1,6 +1,6 @@
 /**
- * Settings of an entry or a keeper, from an INI file. An entry takes callers' requests; a keeper holds a
- * replica of the log and talks to targets and operators.
+ * The settings of an entry or a keeper, read from an INI file. An entry serves callers' requests; a keeper holds
+ * a replica of the log and serves targets and operators.
  */
 import * as domain from '@celerydrift/domain';
 import { Err, Ok, Result } from 'ts-results';
@@ -12,41 +12,41 @@
   role: Role;
   name: string;
   dataCentre: string;
-  /** Callers' listener of an entry. */
+  /** Address on which an entry listens for callers; undefined for a keeper. */
   callers: codecs.Address | undefined;
-  /** Where the balancer asks an entry whether it is ready. */
+  /** Address of an entry's readiness check for the load balancer. */
   readiness: codecs.Address | undefined;
-  /** Listener of a keeper for targets and operators. */
+  /** Address on which a keeper listens for targets and operators. */
   control: codecs.Address | undefined;
   peers: codecs.Address;
-  /** Address by which others reach `peers`; another one where a forwarder stands in between. */
+  /** Address by which peers reach `peers`; differs from it behind a forwarding proxy. */
   advertised: codecs.Address;
-  /** IP address that outgoing connections come from; undefined where the operating system chooses. */
+  /** Source IP address of outgoing connections; undefined if the operating system chooses it. */
   source: string | undefined;
   metrics: codecs.Address | undefined;
-  /** Peer addresses of keepers to ask first. */
+  /** Peer addresses of the keepers that are contacted first. */
   seeds: string[];
   secret: string;
-  /** Folder of a keeper's replica. */
+  /** Data folder of a keeper's replica. */
   dataFolder: string;
-  /** Whether the fleet starts for the first time, so that the seeds may found the replica set. */
+  /** Whether the seeds may found the replica set; true only for the first start of a fleet. */
   mayFound: boolean;
-  /** Voters that the replica set grows to. */
+  /** Number of voters that the replica set grows to. */
   replicas: number;
   logLevel: string;
-  /** What the VM's link carries, megabits a second; copies of the registry may fill a part of it. */
+  /** Network bandwidth of the VM, megabits a second; registry snapshots may use a share of it. */
   linkMbps: number;
-  /** How long a planned stop may take, milliseconds. */
+  /** Time limit of a planned stop, milliseconds. */
   stopMs: number;
-  /** A key that was taken away must be refused after so long, milliseconds. */
+  /** Time after which every entry refuses a revoked API key, milliseconds. */
   revokeMs: number;
-  /** A target that announced that it leaves gets no request after so long, milliseconds. */
+  /** Time after which a target that announced that it drains gets no more requests, milliseconds. */
   drainMs: number;
-  /** Bounds on requests that are sent to a second target. */
+  /** Retry budget: limits the requests that are sent to a second target. */
   repeats: domain.request.repeatBudget.Rule;
 }
 
-/** Values where a file leaves a key out. */
+/** Defaults of optional keys. Keys that are not listed are required. */
 export const DEFAULTS = {
   role: 'entry',
   callers: '',
@@ -100,7 +100,7 @@
 
 type Values = domain.settings.schema.Values;
 
-/** Seeds are named by any port of theirs; keepers listen for peers on the same port everywhere. */
+/** Replaces the port of each seed by `keeper-port`, the peer port of all keepers, unless that is 0. */
 function readSeeds(values: Values): string[] {
   const port = values.get('keepers.keeper-port') as number;
   const seeds = values.get('keepers.seeds') as string[];
@@ -130,7 +130,7 @@
 }
 
 function buildSettings(values: Values): Settings {
-  const number = (key: string): number => values.get(key) as number;
+  const readNumber = (key: string): number => values.get(key) as number;
   return {
     role: values.get('daemon.role') as Role,
     name: values.get('daemon.name') as string,
@@ -140,22 +140,22 @@
     secret: values.get('keepers.secret') as string,
     dataFolder: values.get('data.folder') as string,
     mayFound: values.get('data.may-found') === 'true',
-    replicas: 2 * number('data.tolerated-losses') + 1,
+    replicas: 2 * readNumber('data.tolerated-losses') + 1,
     logLevel: values.get('observe.level') as string,
-    linkMbps: number('bounds.link-mbps'),
-    stopMs: number('bounds.stop-seconds') * 1_000,
-    revokeMs: number('bounds.revoke-ms'),
-    drainMs: number('bounds.drain-ms'),
+    linkMbps: readNumber('bounds.link-mbps'),
+    stopMs: readNumber('bounds.stop-seconds') * 1_000,
+    revokeMs: readNumber('bounds.revoke-ms'),
+    drainMs: readNumber('bounds.drain-ms'),
     repeats: {
-      ratio: number('bounds.repeat-ratio'),
-      slack: number('bounds.repeat-slack'),
-      windowMs: number('bounds.repeat-window-seconds') * 1_000,
+      ratio: readNumber('bounds.repeat-ratio'),
+      slack: readNumber('bounds.repeat-slack'),
+      windowMs: readNumber('bounds.repeat-window-seconds') * 1_000,
     },
   };
 }
 
 function findMissingKeys(settings: Settings): domain.settings.schema.Problem[] {
-  const wanted: [string, string, boolean][] =
+  const required: [string, string, boolean][] =
     settings.role === 'entry'
       ? [
           ['listen', 'callers', settings.callers === undefined],
@@ -165,19 +165,19 @@
           ['listen', 'control', settings.control === undefined],
           ['data', 'folder', settings.dataFolder === ''],
         ];
-  return wanted
-    .filter(([, , absent]) => absent)
+  return required
+    .filter(([, , isMissing]) => isMissing)
     .map(([section, key]) => {
-      return { section, key, value: '(missing)', mend: `a ${settings.role} needs it` };
+      return { section, key, value: '(missing)', mend: `required for role ${settings.role}` };
     });
 }
 
-/** Reads the settings of an entry or a keeper, or says everything that is wrong with them. */
+/** Parses the settings file of an entry or a keeper; returns all its problems if there are any. */
 export function read(text: string): Result<Settings, domain.settings.schema.Problem[]> {
   const problems: domain.settings.schema.Problem[] = [];
   const values = codecs.readSections(text, SECTIONS, DEFAULTS, problems);
   if (problems.length > 0) return Err(problems);
   const settings = buildSettings(values);
-  const absent = findMissingKeys(settings);
-  return absent.length > 0 ? Err(absent) : Ok(settings);
+  const missing = findMissingKeys(settings);
+  return missing.length > 0 ? Err(missing) : Ok(settings);
 }
--- a/packages/daemon/src/configuration/tlsFiles.ts
+++ b/packages/daemon/src/configuration/tlsFiles.ts
@@ -1,4 +1,4 @@
-/** Reads the TLS files; daemons and targets prove themselves by certificates of one authority. */
+/** Reads the TLS files. Daemons and targets authenticate with certificates of one authority. */
 import * as fs from 'node:fs/promises';
 import type * as tls from 'node:tls';
 import { Err, Ok, Result } from 'ts-results';
@@ -20,7 +20,7 @@
       fs.readFile(files.keyFile),
       fs.readFile(files.authorityFile),
     ]);
-    // Peers are addressed by IP; what proves them is a certificate of the fleet's own authority.
+    // Peers are addressed by IP, so no host name is checked: a certificate of the fleet's own authority suffices.
     const client = { cert, key, ca, checkServerIdentity: () => undefined };
     return Ok({ server: { cert, key, ca }, client });
   } catch (error) {
--- a/packages/daemon/src/errors.ts
+++ b/packages/daemon/src/errors.ts
@@ -1,4 +1,4 @@
-/** Why a daemon can't start. */
+/** The reason why a daemon failed to start. */
 export interface StartError {
   kind: 'badSettings' | 'tlsFile' | 'addressInUse' | 'corruptJournal' | 'dataFolder';
   detail: string;
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -1,4 +1,4 @@
-/** The daemon as a library, for measurements and tests, and for programs that bring an adapter. */
+/** The daemon as a library: for measurements, tests, and programs that supply a platform adapter. */
 export * as configuration from './configuration/configuration';
 export * as daemon from './daemon';
 export * as fingerprint from './entry/fingerprint';
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -1,11 +1,11 @@
-/** celerydriftd: reads its settings file, runs a daemon, stops it on SIGTERM or SIGINT. */
+/** The celerydriftd command: reads the settings file, runs a daemon and stops it on SIGTERM or SIGINT. */
 import * as fs from 'node:fs';
 import * as domain from '@celerydrift/domain';
 import * as commander from 'commander';
 import * as configuration from './configuration/configuration';
 import * as daemon from './daemon';
 
-/** Exit codes: bad settings, can't start, lost its disk. */
+/** Process exit codes. */
 const EXIT = { badSettings: 2, cannotStart: 3, diskFailure: 4 } as const;
 
 function readConfiguration(file: string): configuration.Configuration | undefined {
@@ -16,35 +16,35 @@
     process.stderr.write(`celerydriftd: ${file}: ${String(error)}\n`);
     return undefined;
   }
-  const read = configuration.read(text);
-  if (read.ok) return read.val;
-  read.val.forEach((problem) => {
+  const result = configuration.read(text);
+  if (result.ok) return result.val;
+  result.val.forEach((problem) => {
     process.stderr.write(`celerydriftd: ${file}: ${domain.settings.schema.describe(problem)}\n`);
   });
   return undefined;
 }
 
 function onDiskFailure(error: unknown): void {
-  // What the disk holds is unknown after a failed sync; only a replay at the next start can tell.
+  // After a failed sync the content of the disk is unknown; only a replay at the next start can tell.
   process.stderr.write(`celerydriftd: disk failure: ${String(error)}\n`);
   process.exit(EXIT.diskFailure);
 }
 
-async function run(file: string, check: boolean): Promise<void> {
+async function run(file: string, checkOnly: boolean): Promise<void> {
   const settings = readConfiguration(file);
   if (settings === undefined) {
     process.exitCode = EXIT.badSettings;
     return;
   }
-  if (check) return;
+  if (checkOnly) return;
   const started = await daemon.Daemon.start(settings, onDiskFailure);
   if (started.err) {
     process.stderr.write(`celerydriftd: ${started.val.kind}: ${started.val.detail}\n`);
     process.exit(EXIT.cannotStart);
   }
-  const running = started.val;
+  const runningDaemon = started.val;
   const stop = (): void => {
-    void running.stop().then(() => process.exit(0));
+    void runningDaemon.stop().then(() => process.exit(0));
   };
   process.on('SIGTERM', stop);
   process.on('SIGINT', stop);
@@ -53,9 +53,9 @@
 export async function main(argv: readonly string[]): Promise<void> {
   const program = new commander.Command('celerydriftd');
   program
-    .description('Serves prompts from callers to model engines. One runs on every VM.')
+    .description('Routes prompts from callers to model engines. One daemon runs on every VM.')
     .argument('<settings>', 'INI file with the settings of this daemon')
-    .option('--check', 'only check the settings file')
+    .option('--check', 'check the settings file and exit')
     .action((file: string, options: { check?: boolean }) => run(file, options.check === true));
   await program.parseAsync([...argv]);
 }
--- a/packages/daemon/src/observability/boundedOutput.ts
+++ b/packages/daemon/src/observability/boundedOutput.ts
@@ -1,14 +1,14 @@
 /**
- * Standard output that never blocks the loop and never grows. Node writes to a pipe synchronously, so a
- * reader that is slow would stop the process; here lines wait in a bounded buffer, are written by the thread
- * pool, and are counted and dropped when the buffer is full or more come than the rate allows.
+ * Standard output that never blocks the event loop and uses bounded memory. Node writes to a pipe
+ * synchronously, so a slow reader would block the process. Here lines are buffered and written by the thread
+ * pool; lines that exceed the buffer or the rate limit are dropped and counted.
  */
 import * as fs from 'node:fs';
 
-/** Buffered bytes; at 300 bytes a line some 800 lines. */
+/** Room for about 800 lines of 300 characters. */
 const MAX_BUFFERED_CHARACTERS = 256 * 1_024;
 
-/** Lines a second that may be written for long, and at once. Ten times a busy entry's usual. */
+/** Sustained rate and burst of lines; the rate is ten times that of a busy entry. */
 const MAX_LINES_PER_SECOND = 500;
 const MAX_BURST_LINES = 2_000;
 
@@ -48,17 +48,17 @@
     return true;
   }
 
-  /** Lines dropped since the last call. */
+  /** Returns the number of lines dropped since the last call. */
   takeDroppedLines(): number {
     const { droppedLines } = this;
     this.droppedLines = 0;
     return droppedLines;
   }
 
-  /** Writes what waits, blocking; for the end of the process. */
+  /** Writes all buffered lines synchronously; called when the process exits. */
   flushSync(): void {
-    const rest = this.bufferedLines.splice(0).join('');
-    if (rest !== '') fs.writeSync(this.descriptor, rest);
+    const text = this.bufferedLines.splice(0).join('');
+    if (text !== '') fs.writeSync(this.descriptor, text);
   }
 
   private refill(): void {
@@ -73,7 +73,7 @@
     this.isWriting = true;
     const text = this.bufferedLines.splice(0).join('');
     fs.write(this.descriptor, text, () => {
-      // A reader that is gone takes no lines; the process goes on without it.
+      // A write error, such as a closed pipe, is ignored: the process runs on without its log.
       this.isWriting = false;
       this.bufferedCharacters -= text.length;
       this.flush();
--- a/packages/daemon/src/observability/metricsServer.ts
+++ b/packages/daemon/src/observability/metricsServer.ts
@@ -1,6 +1,6 @@
 /**
- * Counters and latency histograms as text, for whoever scrapes the metrics address. Counters are copied from
- * the observer when they are asked for, so counting costs a request no more than an addition.
+ * Serves counters, gauges and latency histograms in the Prometheus text format. Counters are copied from the
+ * observer on each scrape, so counting an event costs a request no more than an addition.
  */
 import * as http from 'node:http';
 import * as prometheus from 'prom-client';
@@ -8,7 +8,7 @@
 import * as listening from '../http/listening';
 import type * as observer from './observer';
 
-/** Upper bounds of the histograms' buckets, milliseconds: from a pass of an engine to the longest prompts. */
+/** Upper bounds of the histogram buckets, milliseconds: from one engine step to the longest prompts. */
 const BUCKETS_MS = [5, 20, 50, 100, 200, 300, 500, 1_000, 2_000, 3_000, 5_000, 10_000, 20_000];
 
 export class MetricsServer {
@@ -48,14 +48,19 @@
     this.server.closeAllConnections();
   }
 
-  private registerGauge(name: string, help: string, read: () => Record<string, number>): void {
+  /** Registers a gauge whose values are read on each scrape, one for each value of the label `of`. */
+  private registerGauge(
+    name: string,
+    help: string,
+    readValues: () => Record<string, number>,
+  ): void {
     const gauge = new prometheus.Gauge({
       name,
       help,
       labelNames: ['of'],
       registers: [this.registry],
       collect: () => {
-        Object.entries(read()).forEach(([of, value]) => gauge.set({ of }, value));
+        Object.entries(readValues()).forEach(([of, value]) => gauge.set({ of }, value));
       },
     });
   }
--- a/packages/daemon/src/observability/observer.ts
+++ b/packages/daemon/src/observability/observer.ts
@@ -1,6 +1,6 @@
 /**
- * Logs and metrics of one daemon. Logs are numbered events through bunyan; metrics go to a StatsD
- * listener through hot-shots, and are also counted here for `status` and for measurements.
+ * Logs and metrics of one process. Logs are numbered events written with bunyan. Metrics go to a StatsD server
+ * through hot-shots, and counters and gauges are also kept here for `status` and for measurements.
  */
 import * as bunyan from 'bunyan';
 import { StatsD } from 'hot-shots';
@@ -12,10 +12,11 @@
 
   private readonly statsd: StatsD | undefined;
 
-  /** Called with each duration, for histograms. */
+  /** Called with each timing; the metrics server fills its histograms from it. */
   onTiming: ((metric: string, ms: number) => void) | undefined;
 
-  private readonly counts = new Map<string, number>();
+  /** Latest values of counters and gauges, by metric. */
+  private readonly values = new Map<string, number>();
 
   constructor(
     name: string,
@@ -39,7 +40,7 @@
   }
 
   count(metric: string, amount = 1): void {
-    this.counts.set(metric, (this.counts.get(metric) ?? 0) + amount);
+    this.values.set(metric, (this.values.get(metric) ?? 0) + amount);
     this.statsd?.increment(metric, amount);
   }
 
@@ -49,12 +50,13 @@
   }
 
   gauge(metric: string, value: number): void {
-    this.counts.set(metric, value);
+    this.values.set(metric, value);
     this.statsd?.gauge(metric, value);
   }
 
+  /** Counters and gauges, sorted by metric. */
   counters(): Record<string, number> {
-    return Object.fromEntries([...this.counts].sort(([a], [b]) => (a < b ? -1 : 1)));
+    return Object.fromEntries([...this.values].sort(([a], [b]) => (a < b ? -1 : 1)));
   }
 
   close(): void {
--- a/packages/daemon/src/roleMain.ts
+++ b/packages/daemon/src/roleMain.ts
@@ -1,6 +1,6 @@
 /**
- * The life of an entry's or a keeper's process: settings, logs, start, reload, planned stop. The adapter
- * to the platform is handed in, so that this program runs wherever its protocols are spoken.
+ * Runs the process of an entry or a keeper: settings, logs, start, reload and planned stop. The platform adapter
+ * is passed in, so this module doesn't depend on the protocols of a platform.
  */
 import * as crypto from 'node:crypto';
 import * as fs from 'node:fs';
@@ -18,21 +18,22 @@
 export interface Adapter {
   traffic: protocols.TrafficProtocol;
   control: protocols.ControlProtocol;
-  /** The callers' listener, where it was begun before the program was loaded. */
+  /** The callers' listener, if it was started before the program was loaded. */
   earlyListener?: listening.EarlyListener;
 }
 
+/** A running entry or keeper. */
 interface Process {
-  /** State for the metrics, by name. */
+  /** Current state for the metrics, by name. */
   gauges: () => Record<string, number>;
   reload: (settings: roleSettings.Settings) => void;
   stop: () => Promise<void>;
 }
 
-/** Exit codes: bad settings, can't start, lost its disk. */
+/** Process exit codes. */
 const EXIT = { badSettings: 2, cannotStart: 3, diskFailure: 4 } as const;
 
-/** A settings file may change without a signal; its time of change is looked at so often, milliseconds. */
+/** The settings file may change without a signal, so its modification time is polled. */
 const FILE_CHECK_INTERVAL_MS = 1_000;
 
 const DROPPED_LINES_REPORT_INTERVAL_MS = 1_000;
@@ -45,9 +46,9 @@
     process.stderr.write(`celerydrift: ${file}: ${String(error)}\n`);
     return undefined;
   }
-  const read = roleSettings.read(text);
-  if (read.ok) return read.val;
-  read.val.forEach((problem) => {
+  const result = roleSettings.read(text);
+  if (result.ok) return result.val;
+  result.val.forEach((problem) => {
     process.stderr.write(`celerydrift: ${file}: ${domain.settings.schema.describe(problem)}\n`);
   });
   return undefined;
@@ -56,14 +57,14 @@
 function createObserver(settings: roleSettings.Settings): observer.Observer {
   const output = new boundedOutput.BoundedOutput(1, clock.steady);
   const stream = { write: (line: string) => output.write(line) } as NodeJS.WritableStream;
-  const made = new observer.Observer(settings.name, settings.logLevel, undefined, stream);
-  const report = (): void => {
-    const lost = output.takeDroppedLines();
-    if (lost > 0) made.log('linesDropped', { lines: lost });
+  const observe = new observer.Observer(settings.name, settings.logLevel, undefined, stream);
+  const reportDroppedLines = (): void => {
+    const lines = output.takeDroppedLines();
+    if (lines > 0) observe.log('linesDropped', { lines });
   };
-  setInterval(report, DROPPED_LINES_REPORT_INTERVAL_MS).unref();
+  setInterval(reportDroppedLines, DROPPED_LINES_REPORT_INTERVAL_MS).unref();
   process.on('exit', () => output.flushSync());
-  return made;
+  return observe;
 }
 
 async function start(
@@ -73,11 +74,11 @@
 ): Promise<Process | undefined> {
   const random = domain.shared.random.independent(crypto.randomInt(2 ** 31));
   if (settings.role === 'entry') {
-    const made = new entry.Entry({ settings, ...adapter, observer: observe, random });
-    await made.start();
-    return made;
+    const startedEntry = new entry.Entry({ settings, ...adapter, observer: observe, random });
+    await startedEntry.start();
+    return startedEntry;
   }
-  const made = new keeper.Keeper({
+  const startedKeeper = new keeper.Keeper({
     settings,
     protocol: adapter.control,
     observer: observe,
@@ -87,24 +88,24 @@
       process.exit(EXIT.diskFailure);
     },
   });
-  return (await made.start()) ? made : undefined;
+  return (await startedKeeper.start()) ? startedKeeper : undefined;
 }
 
-/** Serves metrics; loaded when callers are served already, as start-up decides how long a VM is away. */
+/** Serves metrics. Loads the module only after callers are served, to keep the start-up time of a VM short. */
 async function serveMetrics(
   address: codecs.Address,
   observe: observer.Observer,
-  started: Process,
+  startedProcess: Process,
 ): Promise<void> {
   const metricsServer = await import('./observability/metricsServer.js');
-  const metrics = new metricsServer.MetricsServer(observe, () => started.gauges());
+  const metrics = new metricsServer.MetricsServer(observe, () => startedProcess.gauges());
   await metrics.listen(address).catch((error: unknown) => {
-    // Callers are served without metrics too.
+    // The process keeps serving callers without metrics.
     observe.log('metricsUnavailable', { detail: String(error) });
   });
 }
 
-/** Calls `onChange` with the settings each time the file holds other valid ones. */
+/** Calls `onChange` with the new settings each time the file changes and is valid. */
 function watchSettingsFile(
   file: string,
   observe: observer.Observer,
@@ -112,32 +113,32 @@
 ): void {
   let text = fs.readFileSync(file, 'utf8');
   let changedAt = fs.statSync(file).mtimeMs;
-  const look = (): void => {
-    const latest = fs.readFileSync(file, 'utf8');
-    if (latest === text) return;
-    text = latest;
+  const reload = (): void => {
+    const currentText = fs.readFileSync(file, 'utf8');
+    if (currentText === text) return;
+    text = currentText;
     const settings = readSettings(file);
     observe.log('settingsFileRead', { valid: settings !== undefined });
     if (settings !== undefined) onChange(settings);
   };
-  process.on('SIGHUP', look);
+  process.on('SIGHUP', reload);
   const poll = (): void => {
-    const latest = fs.statSync(file, { throwIfNoEntry: false })?.mtimeMs;
-    if (latest === undefined || latest === changedAt) return;
-    changedAt = latest;
-    look();
+    const modifiedAt = fs.statSync(file, { throwIfNoEntry: false })?.mtimeMs;
+    if (modifiedAt === undefined || modifiedAt === changedAt) return;
+    changedAt = modifiedAt;
+    reload();
   };
   setInterval(poll, FILE_CHECK_INTERVAL_MS).unref();
 }
 
-/** Runs the process that the settings file describes. */
+/** Runs an entry or a keeper, as the settings file says, until a signal stops it. */
 export async function run(file: string, adapter: Adapter, checkOnly: boolean): Promise<void> {
   const settings = readSettings(file);
   if (settings === undefined) process.exit(EXIT.badSettings);
   if (checkOnly) return;
   const observe = createObserver(settings);
   const started = await start(settings, adapter, observe).catch((error: unknown) => {
-    process.stderr.write(`celerydrift: can't start: ${String(error)}\n`);
+    process.stderr.write(`celerydrift: failed to start: ${String(error)}\n`);
     return undefined;
   });
   if (started === undefined) process.exit(EXIT.cannotStart);
