--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -1,4 +1,4 @@
-/** One daemon: puts the parts together, starts them in order and stops them as a planned stop. */
+/** A daemon: wires its components together, starts them in order and shuts them down in a planned stop. */
 import type * as tls from 'node:tls';
 import * as domain from '@celerydrift/domain';
 import { Err, Ok, Result } from 'ts-results';
@@ -50,7 +50,7 @@
 
 const READINESS_CHECK_INTERVAL_MS = 250;
 
-/** After turning unready, how long the balancer gets to notice, in milliseconds. */
+/** Time for the load balancer to notice that this daemon is unready. */
 const BALANCER_NOTICE_MS = 500;
 
 export class Daemon {
@@ -74,6 +74,7 @@
 
   readonly running = new Set<execution.Execution>();
 
+  /** Ports that the listeners are bound to; 0 before they listen. */
   ports: Ports = { callers: 0, targets: 0, operators: 0, peers: 0 };
 
   private readonly server: peerServer.PeerServer;
@@ -85,8 +86,9 @@
   private readonly listeners: listener.Listener[];
 
   /**
-   * Higher than that of an earlier process of this name. Where the clock was stepped back meanwhile, the
-   * first peer that still knows the earlier one makes this one raise it, as it does against a suspicion.
+   * Higher than the incarnation of an earlier process of the same name. If the clock was stepped back in between,
+   * the first peer that still knows the earlier process makes this one raise its incarnation, as it does to
+   * refute a suspicion.
    */
   private readonly incarnation = clock.timeOfDay();
 
@@ -116,7 +118,7 @@
     private readonly settings: configuration.Configuration,
     private readonly hash: domain.shared.hashing.Hash,
     tlsOptions: tlsFiles.TlsOptions | undefined,
-    onFailure: (error: unknown) => void,
+    onDiskFailure: (error: unknown) => void,
   ) {
     const { name, dataCentre, peerSecret, logLevel, statsd, timeouts } = settings;
     const address = configuration.format(settings.peers);
@@ -149,7 +151,7 @@
       now,
       live: () => this.liveDaemons(),
       onChange: () => this.onSettingsChanged(),
-      onDiskFailure: onFailure,
+      onDiskFailure,
     });
     this.targets = new targetTable.TargetTable({
       client: this.peers,
@@ -224,22 +226,23 @@
     this.listeners = this.createListeners(tlsOptions?.server);
   }
 
-  /** Starts a daemon; it turns ready by itself once it knows the settings in force. */
+  /** Starts a daemon, which becomes ready once it has received the current settings. */
   static async start(
     settings: configuration.Configuration,
-    onFailure: (error: unknown) => void,
+    onDiskFailure: (error: unknown) => void,
   ): Promise<Result<Daemon, errors.StartError>> {
     const hash = await domain.shared.hashing.load();
     const tlsOptions = await tlsFiles.read(settings.tls);
     if (tlsOptions.err) return tlsOptions;
-    const daemon = new Daemon(settings, hash, tlsOptions.val, onFailure);
+    const daemon = new Daemon(settings, hash, tlsOptions.val, onDiskFailure);
     const opened = await daemon.open();
     return opened.err ? opened : Ok(daemon);
   }
 
   /**
-   * A planned stop of this daemon: unready first, so that the balancer sends nothing more; then it
-   * finishes what runs, releases what it holds and tells the others that it left.
+   * Runs a planned stop of this daemon. It announces to its peers that it leaves and becomes unready, so that the
+   * load balancer sends no more requests; then it waits, for at most the grace period, until all requests have
+   * finished and all leased resources are released.
    */
   async stop(): Promise<void> {
     if (this.isStopping) return;
@@ -247,8 +250,8 @@
     this.observer.log('stopping');
     await this.members.leave();
     await clock.pause(BALANCER_NOTICE_MS);
-    const until = this.now() + this.settings.timeouts.stopSeconds * 1_000;
-    while ((this.callers.active > 0 || this.holdings.holdings.size > 0) && this.now() < until) {
+    const deadline = this.now() + this.settings.timeouts.stopSeconds * 1_000;
+    while ((this.callers.active > 0 || this.holdings.holdings.size > 0) && this.now() < deadline) {
       await clock.pause(20);
     }
     const closed = Promise.all(this.listeners.map((each) => each.close()));
@@ -257,7 +260,7 @@
     this.observer.log('stopped');
   }
 
-  /** Ends everything at once, as a crash would, but for files and timers of this process. */
+  /** Stops immediately, aborting all requests as a crash would, but closes files and clears timers. */
   async halt(): Promise<void> {
     this.isStopping = true;
     this.timers.forEach((timer) => clearInterval(timer));
@@ -276,7 +279,7 @@
     this.observer.close();
   }
 
-  /** Why this daemon admits nothing now, or undefined when it is ready. */
+  /** The reason why this daemon admits no requests, or undefined if it is ready. */
   unready(): string | undefined {
     if (this.isStopping) return 'this daemon is stopping';
     if (this.control.view.index === 0) return 'the settings in force are not known yet';
@@ -285,6 +288,7 @@
     return undefined;
   }
 
+  /** The state of this daemon for operators. */
   status(): unknown {
     const { host } = this.control;
     const { replica } = host ?? {};
@@ -319,7 +323,7 @@
     try {
       this.ports.peers = await this.server.listen(peers);
     } catch (error) {
-      const detail = `listen peers ${configuration.format(peers)}: ${String(error)}`;
+      const detail = `cannot listen for peers on ${configuration.format(peers)}: ${String(error)}`;
       return Err({ kind: 'addressInUse', detail });
     }
     const opened = await this.control.open(this.server);
@@ -339,7 +343,7 @@
       try {
         this.ports[name] = await this.listeners[i].listen(address);
       } catch (error) {
-        const detail = `listen ${name} ${configuration.format(address)}: ${String(error)}`;
+        const detail = `cannot listen for ${name} on ${configuration.format(address)}: ${String(error)}`;
         return Err({ kind: 'addressInUse', detail });
       }
     }
@@ -420,7 +424,7 @@
 
   private createListeners(tlsOptions: tls.TlsOptions | undefined): listener.Listener[] {
     const { settings } = this;
-    const announcements = new targetsApi.TargetsApi(settings.targetSecret, this.targets);
+    const targets = new targetsApi.TargetsApi(settings.targetSecret, this.targets);
     const operators = new operatorsApi.OperatorsApi({
       fleetTokenHash: settings.operatorTokenHash,
       directory: () => this.admission.directory,
@@ -435,7 +439,7 @@
     };
     const routes: listener.Route[] = [
       (call) => this.callers.route(call),
-      (call) => announcements.route(call),
+      (call) => targets.route(call),
       (call) => operators.route(call),
     ];
     return routes.map(
@@ -455,6 +459,7 @@
     };
   }
 
+  /** Names of the live daemons: those of this data centre, sorted, and all of them. */
   private liveDaemons(): { near: string[]; all: string[] } {
     const live = this.members.detector.list().filter(domain.membership.daemon.isLive);
     const near = live.filter(({ dataCentre }) => dataCentre === this.settings.dataCentre);
@@ -464,8 +469,8 @@
   private onSettingsChanged(): void {
     const { view } = this.control;
     const subtrees = [...view.subtrees.values()];
-    const { directory: former } = this.admission;
-    this.admission.directory = new domain.settings.directory.Directory(subtrees, former);
+    const { directory: formerDirectory } = this.admission;
+    this.admission.directory = new domain.settings.directory.Directory(subtrees, formerDirectory);
     this.members.learn(view.daemons.values());
     this.cells.refresh();
     this.observer.log('settingInForce', { index: view.index });
@@ -479,6 +484,7 @@
       .forEach(({ id }) => this.router.forgetPeer(id));
   }
 
+  /** Forgets the leased resources and closes the pooled connections of a target that restarted or is gone. */
   private onTargetChanged(target: Target, before: Target | undefined): void {
     if (before !== undefined && before.incarnation < target.incarnation) {
       this.holdings.holdings.targetRestarted(target.name, target.incarnation);
@@ -488,15 +494,18 @@
       this.holdings.holdings.targetGone(target.name);
       this.targetsClient.forget(target.address);
     }
-    const sameShape =
+    const isUnchanged =
       before?.status === target.status &&
       before.incarnation === target.incarnation &&
       before.models.length === target.models.length &&
       JSON.stringify(before.models) === JSON.stringify(target.models);
-    if (!sameShape) this.cells.refresh();
+    if (!isUnchanged) this.cells.refresh();
   }
 
-  /** The engines whose first keeper this daemon is, so that one survivor reclaims and not all. */
+  /**
+   * The engines whose first keeper is this daemon. Only the first keeper of an engine reclaims the resources of
+   * a dead daemon, so the survivors don't all do so.
+   */
   private keptEngines(): Target[] {
     const { near } = this.liveDaemons();
     return this.targets.list().filter(({ name, kind, status, dataCentre }) => {
@@ -511,6 +520,7 @@
     });
   }
 
+  /** Whether the owner of a leased resource is live, dead or unknown, as the failure detector sees it. */
   private ownerStanding(daemon: string): domain.memory.holding.Standing {
     const known = this.members.detector.get(daemon);
     if (known === undefined) return { kind: 'unknown' };
@@ -518,18 +528,21 @@
     return { kind: 'live', incarnation: known.incarnation };
   }
 
+  /** Records in the replicated log whether a model is ordered to be loaded; returns whether that succeeded. */
   private async recordOrder(key: string, loaded: boolean): Promise<boolean> {
     const command: domain.control.state.Command = { kind: 'ordered', key, loaded, at: 0 };
-    const done = await this.control.client.execute(logServer.SETTINGS_LOG, command, 2_000);
-    return done.ok;
+    const result = await this.control.client.execute(logServer.SETTINGS_LOG, command, 2_000);
+    return result.ok;
   }
 
+  /** Merges a record received by gossip; returns whether it was news, so that it is passed on. */
   private applyRecord(record: news.News): boolean {
     if (record.kind === 'target') return this.targets.merge(record.target);
     if (record.kind === 'work') return this.workloadReporter.take(record.work);
     return false;
   }
 
+  /** Logs a change of readiness and moves requests away from targets under a planned stop. */
   private checkReadinessAndStops(): void {
     const unready = this.unready();
     if ((unready === undefined) !== this.wasReady) {
--- a/packages/daemon/src/roleMain.ts
+++ b/packages/daemon/src/roleMain.ts
@@ -74,11 +74,11 @@
 ): Promise<Process | undefined> {
   const random = domain.shared.random.independent(crypto.randomInt(2 ** 31));
   if (settings.role === 'entry') {
-    const startedEntry = new entry.Entry({ settings, ...adapter, observer: observe, random });
-    await startedEntry.start();
-    return startedEntry;
+    const newEntry = new entry.Entry({ settings, ...adapter, observer: observe, random });
+    await newEntry.start();
+    return newEntry;
   }
-  const startedKeeper = new keeper.Keeper({
+  const newKeeper = new keeper.Keeper({
     settings,
     protocol: adapter.control,
     observer: observe,
@@ -88,7 +88,7 @@
       process.exit(EXIT.diskFailure);
     },
   });
-  return (await startedKeeper.start()) ? startedKeeper : undefined;
+  return (await newKeeper.start()) ? newKeeper : undefined;
 }
 
 /** Serves metrics. Loads the module only after callers are served, to keep the start-up time of a VM short. */
