--- a/packages/daemon/src/__tests__/__fixtures__/crashableTarget.ts
+++ b/packages/daemon/src/__tests__/__fixtures__/crashableTarget.ts
@@ -1,7 +1,7 @@
 /**
- * A target that ends when it begins to run a request whose body says so, and comes back at its address as another lifetime.
- * Other requests get a stream that lasts long enough to run beside one of those. It may be in need and name a limit, or turn
- * requests away and ask their senders to back off.
+ * A target that crashes shortly after it receives a request whose body contains the crash marker, and restarts at
+ * the same address as a new lifetime. Other requests get a stream that is long enough to overlap with a crashing
+ * one. A test may make it report a rate limit, drain, or ask the senders of requests to back off.
  */
 import * as http from 'node:http';
 import type * as net from 'node:net';
@@ -9,13 +9,13 @@
 import * as clock from '../../clock';
 import * as entryBench from '../../entry/__tests__/__fixtures__/bench';
 
-/** Word in the body of a request under which targets end. */
+/** A request whose body contains this text crashes the target. */
 export const CRASH_MARKER = 'crash';
 
-/** How long a target runs such a request, milliseconds. */
+/** How long a target runs such a request before it crashes. */
 const CRASH_DELAY_MS = 30;
 
-/** How long a target is away, milliseconds. */
+/** Time between a crash and the next lifetime. */
 const RESTART_DELAY_MS = 500;
 
 const ANNOUNCEMENT_INTERVAL_MS = 200;
@@ -23,26 +23,30 @@
 const STREAM_EVENTS = 4;
 const EVENT_INTERVAL_MS = 40;
 
+/** A request that a target started to run. */
 export interface Arrival {
+  /** Id of the target, different for each lifetime. */
   target: string;
   body: string;
   /** On the steady clock, milliseconds. */
   at: number;
 }
 
-/** An answer by which a target asked its sender to back off. */
+/** An answer by which a target asked the sender of a request to back off. */
 export interface BackOffAnswer {
+  /** Name of the target, the same for all its lifetimes. */
   name: string;
+  /** IP address of the sender. */
   source: string;
   /** Id of the request. */
   request: string;
   /** On the steady clock, milliseconds. */
   at: number;
-  /** When the target takes messages of the sender again. */
+  /** End of the back-off, on the steady clock, milliseconds. */
   until: number;
 }
 
-/** A message of whatever kind that a target got. */
+/** A message that a target received: a request or a liveness probe. */
 export interface Message {
   /** Name of the target, the same for all its lifetimes. */
   name: string;
@@ -66,13 +70,13 @@
 }
 
 export class CrashableTarget {
-  /** Requests a second that it takes from the whole fleet; undefined while it isn't in need. */
+  /** Rate limit for the whole fleet that its answers report, requests a second; undefined for none. */
   limit: number | undefined;
 
-  /** For how long each request that it turns away asks its sender to back off, milliseconds; undefined while it takes requests. */
+  /** Back-off that it asks the sender of each request for, milliseconds; undefined while it accepts requests. */
   backOffMs: number | undefined;
 
-  /** Whether its answers say that it leaves; it announces itself as ready all the same. */
+  /** Whether its answers report that it drains; its announcements still say that it is ready. */
   isDraining = false;
 
   private lifetime = 0;
@@ -117,7 +121,7 @@
     await this.announce();
   }
 
-  /** Ends, and comes back at its address under another id; still in need if it was. */
+  /** Terminates and restarts at the same address under a new id; keeps its rate limit, back-off and draining state. */
   async restart(): Promise<void> {
     this.terminate();
     await clock.pause(RESTART_DELAY_MS);
@@ -129,7 +133,7 @@
     this.terminate();
   }
 
-  /** All connections are reset and new ones refused, as when a process crashes. */
+  /** Resets all connections and refuses new ones, as when a process crashes. */
   private terminate(): void {
     this.timers.forEach((timer) => clearInterval(timer));
     this.server?.close();
@@ -155,6 +159,7 @@
     });
   }
 
+  /** Answers a request that is not run, or a liveness probe. */
   private reply(
     request: http.IncomingMessage,
     response: http.ServerResponse,
@@ -191,6 +196,7 @@
     return ['id', String(request.headers.id), 'signed', '1', ...limit, ...leaving];
   }
 
+  /** Runs a request: streams an answer, or crashes and restarts. */
   private run(request: http.IncomingMessage, response: http.ServerResponse, body: string): void {
     const { id } = this;
     this.options.onArrival({ target: id, body, at: clock.steady() });
--- a/packages/daemon/src/__tests__/__fixtures__/daemonFleet.ts
+++ b/packages/daemon/src/__tests__/__fixtures__/daemonFleet.ts
@@ -1,4 +1,4 @@
-/** A small fleet inside the test process: daemons, engines and services that announce themselves. */
+/** A small fleet in the test process: daemons, and stand-ins for engines and services that announce themselves. */
 import * as crypto from 'node:crypto';
 import * as fs from 'node:fs';
 import * as os from 'node:os';
@@ -34,7 +34,7 @@
 token = sha256:${sha256('amina-token')}
 `;
 
-/** Engines fast enough that tests need not wait. */
+/** Parameters of engines that are so fast that tests don't wait for them. */
 const FAST_ENGINE: standins.parameters.Parameters = {
   ...standins.parameters.DEFAULT_PARAMETERS,
   tokenMs: 0.0001,
@@ -42,15 +42,15 @@
   attentionTokens: 1e9,
 };
 
-/** Waits for a condition; tests never assert how long it took. */
+/** Waits until a condition holds; throws after `timeoutMs`. Tests never assert how long it took. */
 export async function until(
   what: string,
   condition: () => boolean | Promise<boolean>,
   timeoutMs = 30_000,
 ): Promise<void> {
-  const end = Date.now() + timeoutMs;
+  const deadline = Date.now() + timeoutMs;
   while (!(await condition())) {
-    if (Date.now() > end) throw new Error(`waited in vain for ${what}`);
+    if (Date.now() > deadline) throw new Error(`timed out waiting for ${what}`);
     await new Promise((resolve) => {
       setTimeout(resolve, 10);
     });
@@ -95,7 +95,7 @@
     this.dispatcher = new undici.Agent({ connect: { ca } });
   }
 
-  /** Starts `count` daemons, all with disks, and applies the team's settings. */
+  /** Starts `count` daemons, all with disks, and applies the settings of the team. */
   async start(count: number): Promise<void> {
     for (let i = 0; i < count; i++) {
       this.peerPorts.push(await ports.freePort());
@@ -103,7 +103,9 @@
     }
     for (let i = 0; i < count; i++) await this.startDaemon(i);
     await this.applySettings('fitters', TEAM_SETTINGS, 0);
-    await until('ready', () => this.daemons.every((each) => each.unready() === undefined));
+    await until('all daemons to be ready', () =>
+      this.daemons.every((each) => each.unready() === undefined),
+    );
   }
 
   async startDaemon(index: number): Promise<void> {
@@ -116,7 +118,7 @@
 
   async startEngine(
     name: string,
-    changed: Partial<standins.parameters.Parameters> = {},
+    overrides: Partial<standins.parameters.Parameters> = {},
     fencing: 'checked' | 'ignored' = 'checked',
   ): Promise<standins.engineServer.EngineServer> {
     const engine = new standins.engineServer.EngineServer({
@@ -128,7 +130,7 @@
       fencing,
       entries: this.targetUrls(),
       secret: SECRET,
-      parameters: { ...FAST_ENGINE, ...changed },
+      parameters: { ...FAST_ENGINE, ...overrides },
     });
     this.standinPorts.set(name, await engine.start());
     this.engines.set(name, engine);
@@ -154,18 +156,18 @@
   }
 
   async untilKnown(name: string): Promise<void> {
-    await until(`${name} known`, () =>
+    await until(`${name} at all daemons`, () =>
       this.daemons.every((each) => each.targets.get(name)?.status === 'serving'),
     );
   }
 
-  /** A fault switch of a stand-in. */
+  /** Sets a fault of a stand-in, or clears its faults. */
   async injectFault(name: string, kind: string, count = 1, delayMs = 0): Promise<void> {
     const url = `http://127.0.0.1:${this.standinPorts.get(name)}/fault`;
     const { body } = await undici.request(url, {
       method: 'POST',
       body: JSON.stringify({ kind, count, delayMs }),
-      // The next fault must not go over a connection that this one silenced.
+      // A fault may silence this connection, so it must not be reused for the next one.
       reset: true,
     });
     await body.dump();
@@ -220,7 +222,7 @@
   async applySettings(subtree: string, text: string, basedOn: number, index = 0): Promise<number> {
     const id = crypto.randomUUID();
     let status = 503;
-    await until(`${subtree} accepted`, async () => {
+    await until(`settings of ${subtree} to be accepted`, async () => {
       const answer = await this.operator(
         'PUT',
         `settings/${subtree}`,
--- a/packages/daemon/src/__tests__/__fixtures__/fleetPool.ts
+++ b/packages/daemon/src/__tests__/__fixtures__/fleetPool.ts
@@ -1,6 +1,6 @@
 /**
- * Fleets for the tests of a suite. Most of a start and a stop is waiting, so all start together before the first test, and each stops in
- * the background once its test is over.
+ * Fleets for the tests of a suite. Starting and stopping a fleet is mostly waiting, so all fleets start concurrently
+ * before the first test, and each stops in the background after its test.
  */
 import * as smallFleet from './smallFleet';
 
@@ -13,7 +13,7 @@
 
   private stopping: Promise<void>[] = [];
 
-  /** Hooks of a suite that takes so many fleets of each service. */
+  /** Registers the hooks of a suite that needs `counts` fleets of each service. */
   constructor(counts: Record<smallFleet.Service, number>) {
     const startAll = (service: smallFleet.Service): Promise<smallFleet.SmallFleet>[] => {
       return Array.from({ length: counts[service] }, () => smallFleet.SmallFleet.start(service));
@@ -26,12 +26,12 @@
       this.stopping.push(...this.inUse.splice(0).map((fleet) => fleet.stop()));
     });
     after(async () => {
-      const left = await Promise.all([...this.available.engines, ...this.available.plain]);
-      await Promise.all([...this.stopping, ...left.map((fleet) => fleet.stop())]);
+      const unused = await Promise.all([...this.available.engines, ...this.available.plain]);
+      await Promise.all([...this.stopping, ...unused.map((fleet) => fleet.stop())]);
     });
   }
 
-  /** A fleet for the test that runs, stopped after it. */
+  /** Returns a fleet for the current test; it is stopped after the test. */
   async take(service: smallFleet.Service): Promise<smallFleet.SmallFleet> {
     const fleet = await (this.available[service].shift() ?? smallFleet.SmallFleet.start(service));
     this.inUse.push(fleet);
--- a/packages/daemon/src/__tests__/__fixtures__/ports.ts
+++ b/packages/daemon/src/__tests__/__fixtures__/ports.ts
@@ -1,15 +1,15 @@
 /**
- * Ports for listeners that start later than they are chosen. They lie below the range from which the system
- * takes the local ports of outgoing connections: one of that range may be taken by any connection between
- * the choice and the listening, and the listener then fails with EADDRINUSE.
+ * Ports for listeners that start some time after their port is chosen. The ports lie below the ephemeral range:
+ * an outgoing connection could take a port of that range in the meantime, and listening would fail with
+ * EADDRINUSE.
  */
 import * as net from 'node:net';
 
-/** Below the ranges for outgoing connections of Linux (32768) and of IANA (49152). */
+/** Below the ephemeral ranges of Linux (from 32768) and IANA (from 49152). */
 const MIN_PORT = 20_000;
 const PORT_LIMIT = 32_000;
 
-/** Test runs side by side begin at different places. */
+/** Differs between concurrent test processes, so that they start with different ports. */
 let nextPort = MIN_PORT + ((process.pid * 97) % (PORT_LIMIT - MIN_PORT));
 
 async function isFree(port: number): Promise<boolean> {
@@ -22,7 +22,7 @@
   });
 }
 
-/** A port that nobody listens on, and that is given out once. */
+/** Returns a port that nothing listens on; none is returned twice before the range wraps around. */
 export async function freePort(): Promise<number> {
   for (;;) {
     const port = nextPort;
--- a/packages/daemon/src/__tests__/__fixtures__/smallFleet.ts
+++ b/packages/daemon/src/__tests__/__fixtures__/smallFleet.ts
@@ -1,4 +1,4 @@
-/** Keepers, entries and targets in one process, over real sockets and disks. */
+/** A fleet of keepers, entries and targets in one process, with real sockets and disks. */
 import * as fs from 'node:fs/promises';
 import * as http from 'node:http';
 import * as os from 'node:os';
@@ -19,17 +19,18 @@
 export const ENTRIES = 3;
 const TARGETS = 8;
 
-/** Pause between two requests of those that come through all entries in turn, milliseconds. */
+/** Interval between the requests that are sent to the entries in turn. */
 const REQUEST_INTERVAL_MS = 40;
 
-/** IP address from which an entry sends, by its number. */
+/** Source IP address of an entry. */
 export function sourceAddress(entryIndex: number): string {
   return `127.0.0.${10 + entryIndex}`;
 }
 
-/** Until a new leader has told all entries how many share the budget for repeats, milliseconds. */
+/** Time for a new leader to tell all entries how many of them share the retry budget. */
 const RETRY_BUDGET_SYNC_MS = 2_000;
 
+/** Time after which a change of the soft state has been written to disk. */
 const DISK_WRITE_DELAY_MS = 700;
 
 const ENGINE: domain.catalogue.catalogue.Engine = {
@@ -46,7 +47,7 @@
   usualAnswerTokens: 200,
 };
 
-/** Each service has a route for each kind, named after both. */
+/** Each service has one route for each kind, named `SERVICE-KIND`. */
 const SERVICES = ['engines', 'plain'] as const;
 export type Service = (typeof SERVICES)[number];
 
@@ -98,7 +99,7 @@
     Ok(JSON.parse(document.toString()) as domain.catalogue.catalogue.Catalogue),
 };
 
-/** Every request is a short prompt. */
+/** Treats every request as a short prompt. */
 const TRAFFIC: protocols.TrafficProtocol = {
   ...entryBench.PROTOCOL,
   facts: (headers) => ({
@@ -118,6 +119,7 @@
   tookMs: number;
 }
 
+/** A request to send to an entry. */
 export interface RequestOptions {
   service: Service;
   kind?: domain.catalogue.catalogue.RouteKind;
@@ -126,10 +128,11 @@
   path?: string;
 }
 
+/** Waits until `check` returns true; throws after 15 seconds. */
 export async function until(what: string, check: () => boolean | Promise<boolean>): Promise<void> {
   const end = clock.steady() + 15_000;
   while (!(await check())) {
-    if (clock.steady() > end) throw new Error(`waited in vain for ${what}`);
+    if (clock.steady() > end) throw new Error(`timed out waiting for ${what}`);
     await clock.pause(10);
   }
 }
@@ -141,12 +144,12 @@
 
   readonly arrivals: crashableTarget.Arrival[] = [];
 
-  /** All that targets got. */
+  /** All messages that targets received. */
   readonly messages: crashableTarget.Message[] = [];
 
   readonly backOffAnswers: crashableTarget.BackOffAnswer[] = [];
 
-  /** When a target first answered that it leaves. */
+  /** When a target first answered that it drains, on the steady clock. */
   drainingSince: number | undefined;
 
   readonly crashes: { target: string; at: number }[] = [];
@@ -159,31 +162,34 @@
 
   private constructor(
     private readonly folder: string,
-    private readonly at: Record<'control' | 'peers' | 'callers' | 'ready' | 'targets', number[]>,
+    private readonly listenPorts: Record<
+      'control' | 'peers' | 'callers' | 'ready' | 'targets',
+      number[]
+    >,
   ) {}
 
   static async start(service: Service): Promise<SmallFleet> {
     const folder = await fs.mkdtemp(path.join(os.tmpdir(), 'fleet-'));
-    const take = async (count: number): Promise<number[]> => {
-      const taken: number[] = [];
-      while (taken.length < count) taken.push(await ports.freePort());
-      return taken;
+    const freePorts = async (count: number): Promise<number[]> => {
+      const found: number[] = [];
+      while (found.length < count) found.push(await ports.freePort());
+      return found;
     };
-    const made = new SmallFleet(folder, {
-      control: await take(KEEPERS),
-      peers: await take(KEEPERS + ENTRIES),
-      callers: await take(ENTRIES),
-      ready: await take(ENTRIES),
-      targets: await take(TARGETS),
+    const fleet = new SmallFleet(folder, {
+      control: await freePorts(KEEPERS),
+      peers: await freePorts(KEEPERS + ENTRIES),
+      callers: await freePorts(ENTRIES),
+      ready: await freePorts(ENTRIES),
+      targets: await freePorts(TARGETS),
     });
-    for (let i = 0; i < KEEPERS; i++) await made.startKeeper(i);
-    await until('a leader', () => made.leader >= 0);
-    await until('a catalogue', () => made.submitCatalogue());
-    for (let i = 0; i < ENTRIES; i++) await made.startEntry(i);
-    await made.startTargets(service);
-    await until('targets at the entries', () => made.entriesKnowAllTargets());
+    for (let i = 0; i < KEEPERS; i++) await fleet.startKeeper(i);
+    await until('a leader', () => fleet.leader >= 0);
+    await until('a catalogue', () => fleet.submitCatalogue());
+    for (let i = 0; i < ENTRIES; i++) await fleet.startEntry(i);
+    await fleet.startTargets(service);
+    await until('all targets at all entries', () => fleet.entriesKnowAllTargets());
     await clock.pause(RETRY_BUDGET_SYNC_MS);
-    return made;
+    return fleet;
   }
 
   async stop(): Promise<void> {
@@ -193,19 +199,20 @@
     await fs.rm(this.folder, { recursive: true, force: true });
   }
 
+  /** Index of the leading keeper, or -1 if there is none. */
   get leader(): number {
     return [...this.keepers].find(([, each]) => each.gauges().leads === 1)?.[0] ?? -1;
   }
 
   async startKeeper(i: number): Promise<void> {
-    const made = new keeper.Keeper({
+    const newKeeper = new keeper.Keeper({
       settings: this.settings(`
 role = keeper
 name = k${i}
 data-centre = dc${i}
 [listen]
-peers = 127.0.0.1:${this.at.peers[i]}
-control = 127.0.0.1:${this.at.control[i]}
+peers = 127.0.0.1:${this.listenPorts.peers[i]}
+control = 127.0.0.1:${this.listenPorts.control[i]}
 [data]
 folder = ${path.join(this.folder, String(i))}
 may-found = true
@@ -216,8 +223,8 @@
       random: domain.shared.random.seeded(i + 1),
       onDiskFailure: () => undefined,
     });
-    await made.start();
-    this.keepers.set(i, made);
+    await newKeeper.start();
+    this.keepers.set(i, newKeeper);
   }
 
   async stopKeeper(i: number): Promise<void> {
@@ -227,15 +234,15 @@
   }
 
   async startEntry(i: number): Promise<void> {
-    const made = new entry.Entry({
+    const newEntry = new entry.Entry({
       settings: this.settings(`
 role = entry
 name = e${i}
 data-centre = dc0
 [listen]
-callers = 127.0.0.1:${this.at.callers[i]}
-readiness = 127.0.0.1:${this.at.ready[i]}
-peers = 127.0.0.1:${this.at.peers[KEEPERS + i]}
+callers = 127.0.0.1:${this.listenPorts.callers[i]}
+readiness = 127.0.0.1:${this.listenPorts.ready[i]}
+peers = 127.0.0.1:${this.listenPorts.peers[KEEPERS + i]}
 source = ${sourceAddress(i)}
 [bounds]
 stop-seconds = 8
@@ -245,9 +252,9 @@
       observer: this.observer,
       random: domain.shared.random.seeded(100 + i),
     });
-    await made.start();
-    this.entries.set(i, made);
-    await until(`entry ${i}`, () => made.isReady);
+    await newEntry.start();
+    this.entries.set(i, newEntry);
+    await until(`entry ${i} to be ready`, () => newEntry.isReady);
   }
 
   async stopEntry(i: number): Promise<void> {
@@ -256,9 +263,9 @@
     await stopped?.stop();
   }
 
-  /** All keepers and entries end together and come back; targets go on. */
+  /** Stops all keepers and entries together and starts them again; the targets keep running. */
   async restartAll(): Promise<void> {
-    // What the disks hold is written some time after each change.
+    // The soft state is written to disk some time after each change.
     await clock.pause(DISK_WRITE_DELAY_MS);
     await Promise.all([
       ...[...this.entries.keys()].map((i) => this.stopEntry(i)),
@@ -266,23 +273,24 @@
     ]);
     for (let i = 0; i < KEEPERS; i++) await this.startKeeper(i);
     for (let i = 0; i < ENTRIES; i++) await this.startEntry(i);
-    await until('targets at the entries', () => this.entriesKnowAllTargets());
+    await until('all targets at all entries', () => this.entriesKnowAllTargets());
   }
 
-  send(entryIndex: number, question: RequestOptions): Promise<Reply> {
-    const { service, kind = 'streaming', body, key = 'k', path: rest = 'a' } = question;
+  /** Sends a request to an entry; resolves when the answer has ended or the connection has failed. */
+  send(entryIndex: number, options: RequestOptions): Promise<Reply> {
+    const { service, kind = 'streaming', body, key = 'k', path: pathSuffix = 'a' } = options;
     this.requestCount += 1;
-    const since = clock.steady();
+    const startedAt = clock.steady();
     const id = `r${this.requestCount}`;
     return new Promise((resolve) => {
-      const ended = (reply: Omit<Reply, 'id' | 'tookMs'>): void => {
-        resolve({ id, ...reply, tookMs: clock.steady() - since });
+      const finish = (reply: Omit<Reply, 'id' | 'tookMs'>): void => {
+        resolve({ id, ...reply, tookMs: clock.steady() - startedAt });
       };
       const request = http.request(
         {
           host: '127.0.0.1',
-          port: this.at.callers[entryIndex],
-          path: `/${service}/${kind}/${rest}`,
+          port: this.listenPorts.callers[entryIndex],
+          path: `/${service}/${kind}/${pathSuffix}`,
           method: 'POST',
           headers: { host: 'a.example', id, key },
           agent: false,
@@ -292,7 +300,7 @@
           response.on('data', (chunk: Buffer) => chunks.push(chunk));
           response.on('error', () => undefined);
           response.on('close', () => {
-            ended({
+            finish({
               status: response.statusCode ?? 0,
               retryAfter: response.headers['retry-after'],
               body: Buffer.concat(chunks).toString(),
@@ -302,37 +310,37 @@
         },
       );
       request.on('error', () => {
-        ended({ status: 0, retryAfter: undefined, body: '', isComplete: false });
+        finish({ status: 0, retryAfter: undefined, body: '', isComplete: false });
       });
       request.end(body);
     });
   }
 
-  /** Requests through all entries in turn. */
+  /** Sends requests to all running entries in turn, for `forMs`. */
   async sendLoad(
-    question: Omit<RequestOptions, 'body'>,
+    options: Omit<RequestOptions, 'body'>,
     forMs: number,
-    everyMs = REQUEST_INTERVAL_MS,
+    intervalMs = REQUEST_INTERVAL_MS,
   ): Promise<Reply[]> {
     const replies: Promise<Reply>[] = [];
     const end = clock.steady() + forMs;
     for (let i = 0; clock.steady() < end; i++) {
       const entryIndex = i % ENTRIES;
       if (this.entries.has(entryIndex)) {
-        replies.push(this.send(entryIndex, { ...question, body: `${i}` }));
+        replies.push(this.send(entryIndex, { ...options, body: `${i}` }));
       }
-      await clock.pause(everyMs);
+      await clock.pause(intervalMs);
     }
     return Promise.all(replies);
   }
 
-  /** Arrivals of one body at targets. */
+  /** Requests with this body that targets started to run. */
   arrivalsWithBody(body: string): crashableTarget.Arrival[] {
     return this.arrivals.filter((each) => each.body === body);
   }
 
   private settings(text: string): roleSettings.Settings {
-    const seeds = this.at.peers.slice(0, KEEPERS).map((port) => `127.0.0.1:${port}`);
+    const seeds = this.listenPorts.peers.slice(0, KEEPERS).map((port) => `127.0.0.1:${port}`);
     const common = `[keepers]\nseeds = ${seeds.join(',')}\nsecret = a-secret-of-the-test\n`;
     const read = roleSettings.read(`[daemon]${text}${common}`);
     if (read.err) throw new Error(JSON.stringify(read.val));
@@ -348,7 +356,7 @@
       const target = new crashableTarget.CrashableTarget({
         name: `t${i}`,
         service,
-        port: this.at.targets[i],
+        port: this.listenPorts.targets[i],
         announce: async (record) => {
           await this.sendToKeeper('PUT', `/${record.id}`, record);
         },
@@ -358,7 +366,7 @@
           this.drainingSince ??= clock.steady();
         },
         onArrival: (arrival) => this.arrivals.push(arrival),
-        onCrash: (ended, at) => this.crashes.push({ target: ended, at }),
+        onCrash: (crashed, at) => this.crashes.push({ target: crashed, at }),
       });
       this.targets.push(target);
       await target.start();
@@ -369,10 +377,10 @@
     return [...this.entries.values()].every((each) => each.gauges().targets === TARGETS);
   }
 
-  /** Tells the first keeper that takes it. */
+  /** Sends a request to the keepers in turn until one accepts it; returns whether one did. */
   private async sendToKeeper(method: string, url: string, content: unknown): Promise<boolean> {
     for (const i of this.keepers.keys()) {
-      const answer = await fetch(`http://127.0.0.1:${this.at.control[i]}${url}`, {
+      const answer = await fetch(`http://127.0.0.1:${this.listenPorts.control[i]}${url}`, {
         method,
         body: JSON.stringify(content),
       }).catch(() => undefined);
--- a/packages/daemon/src/__tests__/callers.test.ts
+++ b/packages/daemon/src/__tests__/callers.test.ts
@@ -1,4 +1,4 @@
-/** What callers and operators see of one daemon: answers, refusals, and garbage that changes nothing. */
+/** The interfaces of one daemon for callers and operators: answers, refusals and malformed requests. */
 import * as net from 'node:net';
 import * as chai from 'chai';
 import * as fastCheck from 'fast-check';
@@ -19,7 +19,7 @@
 
   after(() => fleet.stop());
 
-  it('serves the openai client unchanged: a prompt of 200,000 tokens, streamed and whole', async () => {
+  it('serves the unmodified openai client: a prompt of 200,000 tokens, streamed and in one answer', async () => {
     const client = new OpenAI({
       apiKey: daemonFleet.KEY,
       baseURL: `${fleet.url()}/v1`,
@@ -54,7 +54,7 @@
     }).toMatchSnapshot();
   });
 
-  it('refuses as not run what it can not serve, and says why', async () => {
+  it('refuses requests that it cannot serve as not run, with the reason', async () => {
     const prompt = { model: 'quotes', prompt: 'hello', max_tokens: 2 };
     const path = '/v1/completions';
     const limited = { key: 'limited-key' };
@@ -72,21 +72,21 @@
       tooLong: await fleet.call('POST', path, { ...prompt, prompt: 'x'.repeat(7_000_000) }),
       overLimit: await fleet.call('POST', path, { ...prompt, max_tokens: 300 }, limited),
     };
-    const seen = Object.entries(replies).map(([name, { status, outcome, headers, text }]) => {
+    const lines = Object.entries(replies).map(([name, { status, outcome, headers, text }]) => {
       const { message } = (JSON.parse(text) as { error: { message: string } }).error;
       return `${name}: ${status} ${outcome} ${'retry-after' in headers ? 'retry-after ' : ''}${message}`;
     });
-    expect(seen).toMatchSnapshot();
+    expect(lines).toMatchSnapshot();
   });
 
-  it('keeps method, path, query and body of a call to a service, and the organisation it is from', async () => {
+  it('forwards method, path, query and body of a call to a service, with the organisation of its caller', async () => {
     const reply = await fleet.call('GET', '/services/parts/lookups/7?x=1&y=%20', undefined, {
       headers: { 'x-organisation': 'forged' },
     });
     expect([reply.status, reply.outcome, JSON.parse(reply.text)]).toMatchSnapshot();
   });
 
-  it('lets a team change its own subtree only, and names what is wrong with a change', async () => {
+  it('lets a team change only its own subtree, and reports what is wrong with a change', async () => {
     const change = { id: 'c1', basedOn: 1, text: daemonFleet.TEAM_SETTINGS };
     const answers = [
       await fleet.operator('PUT', 'settings/fitters', change, 'nobody'),
@@ -102,7 +102,7 @@
     ).toMatchSnapshot();
   });
 
-  it('goes on serving after a thousand malformed requests', async () => {
+  it('keeps serving after a thousand malformed requests', async () => {
     const bodies = fastCheck.sample(
       fastCheck.oneof(
         fastCheck.string(),
--- a/packages/daemon/src/__tests__/crashingRequests.test.ts
+++ b/packages/daemon/src/__tests__/crashingRequests.test.ts
@@ -1,4 +1,4 @@
-/** Requests under which targets end, in a fleet of keepers, entries and targets. */
+/** Requests that crash their targets, in a fleet of keepers, entries and targets. */
 import * as chai from 'chai';
 import * as clock from '../clock';
 import * as crashableTarget from './__fixtures__/crashableTarget';
@@ -7,26 +7,25 @@
 
 const { expect } = chai;
 
-/** Targets that may end under one request before it is known for what it does. */
+/** Target crashes after which a request is quarantined. */
 const MAX_CRASHES = 3;
 
-/** By then all entries know, milliseconds: a look at the target, a word to the leader, and its push. */
+/** Time until all entries know of a crash: a probe of the target, a report to the leader and its broadcast. */
 const PROPAGATION_MS = 100;
 
 const CRASHING_BODY = `${crashableTarget.CRASH_MARKER} one`;
 
-describe('requests under which targets end', () => {
-  const started = new fleetPool.FleetPool({ engines: 3, plain: 2 });
+describe('requests that crash targets', () => {
+  const pool = new fleetPool.FleetPool({ engines: 3, plain: 2 });
 
   /*
-   * Foremen saw their summaries break off for half a minute: 44 of 23 engines and their successors had ended. One request
-   * crashed each engine that began to run it. Its caller sent it again under new ids, at any entry; each attempt was
-   * given two engines, as nothing was kept of the attempts before. Lengths and times of the placements showed that it was
-   * among what ran at each crash.
+   * Guards against a request that crashes every engine that runs it and takes down a whole fleet: 44 lifetimes of 23
+   * engines crashed within half a minute. Its caller resent it under new ids, to any entry, and each attempt was
+   * placed on two engines, as nothing was kept of the attempts before.
    */
   (['engines', 'plain'] as const).forEach((service) => {
-    it(`stay away from ${service} after the third, at whichever entry they come`, async () => {
-      const fleet = await started.take(service);
+    it(`are not sent to ${service} targets after the third crash, whichever entry receives them`, async () => {
+      const fleet = await pool.take(service);
       const kind = service === 'engines' ? 'streaming' : 'safe';
       const statuses: number[] = [];
       for (let i = 0; i < 12; i++) {
@@ -40,17 +39,17 @@
       }
       expect(fleet.crashes.length).to.equal(MAX_CRASHES);
       expect(fleet.arrivalsWithBody(CRASHING_BODY).length).to.equal(MAX_CRASHES);
-      // They have run, so no answer may promise that they didn't.
+      // They have run, so no answer may say that they have not.
       expect(new Set(statuses)).to.deep.equal(new Set([502]));
     });
   });
 
   /*
-   * The same, after the fleet has learned it: an entry is started again, the leader dies, and at last all VMs lose power at
-   * once. None of them may have to learn it anew, as that would cost three targets each time.
+   * Once the fleet has quarantined a request, the quarantine must survive the restart of an entry, the loss of the
+   * leader and a simultaneous restart of all processes. Each time that it is lost costs three more targets.
    */
-  it('are known to an entry that starts again, to another leader, and after a loss of all', async () => {
-    const fleet = await started.take('plain');
+  it('stay in quarantine when an entry restarts, the leader changes and all processes restart', async () => {
+    const fleet = await pool.take('plain');
     const copy = { service: 'plain', kind: 'safe', body: CRASHING_BODY } as const;
     for (let i = 0; i < MAX_CRASHES; i++) await fleet.send(i % smallFleet.ENTRIES, copy);
     await fleet.stopEntry(0);
@@ -58,8 +57,8 @@
     expect((await fleet.send(0, copy)).status).to.equal(502);
 
     await fleet.stopKeeper(fleet.leader);
-    const whileNobodyLeads = await fleet.send(1, copy);
-    expect([whileNobodyLeads.status, whileNobodyLeads.tookMs < 100]).to.deep.equal([502, true]);
+    const withoutLeader = await fleet.send(1, copy);
+    expect([withoutLeader.status, withoutLeader.tookMs < 100]).to.deep.equal([502, true]);
     await smallFleet.until('another leader', () => fleet.leader >= 0);
     await fleet.send(2, copy);
 
@@ -69,12 +68,12 @@
   });
 
   /*
-   * Summaries that ran beside the culprit broke off with it, were sent elsewhere, and would be refused with it once three
-   * engines had ended under them too. Each is served here, also by the same engines at the same moments.
+   * Guards against a quarantine of innocent requests: those that run on an engine when it crashes are retried
+   * elsewhere, and would be quarantined too after three crashes. All of them must be served.
    */
-  it('cost nothing to requests that run beside them', async () => {
-    const fleet = await started.take('engines');
-    const innocent = Array.from({ length: 40 }, async (_, i) => {
+  it('do not affect requests that run on the same engines', async () => {
+    const fleet = await pool.take('engines');
+    const innocentReplies = Array.from({ length: 40 }, async (_, i) => {
       await clock.pause(20 * i);
       return fleet.send(i % smallFleet.ENTRIES, { service: 'engines', body: `summary ${i}` });
     });
@@ -82,23 +81,29 @@
       await fleet.send(i % smallFleet.ENTRIES, { service: 'engines', body: CRASHING_BODY });
       await clock.pause(40);
     }
-    const replies = await Promise.all(innocent);
+    const replies = await Promise.all(innocentReplies);
     const served = replies.filter(({ status, isComplete }) => status === 200 && isComplete);
-    expect([served.length, fleet.crashes.length]).to.deep.equal([innocent.length, MAX_CRASHES]);
+    expect([served.length, fleet.crashes.length]).to.deep.equal([
+      innocentReplies.length,
+      MAX_CRASHES,
+    ]);
   });
 
-  /* Copies come faster than one of them ends a target: those that came before that run, and no other one after the third. */
-  it('stop at once when copies come all together', async () => {
-    const fleet = await started.take('engines');
+  /*
+   * Copies arrive faster than one of them crashes a target: those that arrived earlier run, but none may run after the
+   * third crash.
+   */
+  it('are stopped immediately when many copies arrive together', async () => {
+    const fleet = await pool.take('engines');
     const copies = Array.from({ length: 30 }, async (_, i) => {
       await clock.pause(15 * i);
       return fleet.send(i % smallFleet.ENTRIES, { service: 'engines', body: CRASHING_BODY });
     });
     await Promise.all(copies);
-    const third = fleet.crashes[MAX_CRASHES - 1].at;
+    const thirdCrashAt = fleet.crashes[MAX_CRASHES - 1].at;
     const later = fleet
       .arrivalsWithBody(CRASHING_BODY)
-      .filter(({ at }) => at > third + PROPAGATION_MS);
+      .filter(({ at }) => at > thirdCrashAt + PROPAGATION_MS);
     expect(later).to.deep.equal([]);
   });
 });
--- a/packages/daemon/src/__tests__/failures.test.ts
+++ b/packages/daemon/src/__tests__/failures.test.ts
@@ -1,4 +1,4 @@
-/** The brief's failures, each with its story, against daemons and stand-ins in this process. */
+/** Failures of engines, services, connections and disks, with daemons and stand-ins in one process. */
 import * as crypto from 'node:crypto';
 import * as chai from 'chai';
 import * as undici from 'undici';
@@ -27,73 +27,74 @@
 
   after(() => fleet.stop());
 
-  async function holdings(): Promise<number> {
+  async function leasedOnEngines(): Promise<number> {
     return [...fleet.engines.values()].reduce((sum, { held }) => sum + held.list().length, 0);
   }
 
-  async function nothingHeld(): Promise<void> {
-    await until('nothing held', async () => (await holdings()) === 0);
+  /** Waits until no resources are leased, neither on the engines nor in the daemon's records. */
+  async function untilNothingLeased(): Promise<void> {
+    await until('engines without leases', async () => (await leasedOnEngines()) === 0);
     const [daemon] = fleet.daemons;
-    await until('nothing owed', () => daemon?.holdings.holdings.size === 0);
+    await until('a daemon without leases', () => daemon?.holdings.holdings.size === 0);
   }
 
   const { until } = daemonFleet;
 
-  async function everyEngine(kind: string, count: number, delayMs = 0): Promise<void> {
+  async function injectFaultEverywhere(kind: string, count: number, delayMs = 0): Promise<void> {
     for (const name of fleet.engines.keys()) await fleet.injectFault(name, kind, count, delayMs);
   }
 
-  async function cleared(): Promise<void> {
+  async function clearFaults(): Promise<void> {
     for (const name of fleet.engines.keys()) await fleet.injectFault(name, 'clear');
   }
 
   /*
-   * A fitter gets another fitter's quote: an engine answers on a connection with frames of another
-   * request. The frames must be dropped, and the fitter gets his own whole answer from elsewhere.
+   * Guards against a caller that receives another caller's answer: an engine sends frames of another request on a
+   * connection. The frames must be dropped and the request must be completed by another engine.
    */
-  it('drops frames of another request and answers from elsewhere', async () => {
+  it('drops frames of another request and retries on another engine', async () => {
     await fleet.injectFault('engine-1', 'cross', 1);
     await fleet.injectFault('engine-2', 'cross', 1);
     const replies = await Promise.all(
       ['a', 'b', 'c', 'd'].map((prompt) => fleet.complete(prompt, 20)),
     );
     expect(replies.map(textOf)).to.deep.equal(['a', 'b', 'c', 'd'].map((p) => expectedText(p, 20)));
-    await cleared();
-    await nothingHeld();
+    await clearFaults();
+    await untilNothingLeased();
   });
 
   /*
-   * A foreman takes half a summary for the whole one: the connection ended early. The daemon reads the
-   * rest from the engine over a new connection, at the position it had.
+   * Guards against a truncated answer that looks complete: the connection to the engine ends early. The daemon
+   * must resume the stream over a new connection, at the position that it reached.
    */
-  it('resumes a cut stream at its position', async () => {
-    await everyEngine('cut', 2);
+  it('resumes an interrupted stream at its position', async () => {
+    await injectFaultEverywhere('cut', 2);
     const reply = await fleet.complete('cut me', 30);
     expect([reply.status, textOf(reply)]).to.deep.equal([200, expectedText('cut me', 30)]);
-    await cleared();
-    await nothingHeld();
+    await clearFaults();
+    await untilNothingLeased();
   });
 
   /*
-   * A quote never comes: open connections went silent, the engine works on. Asked over a new
-   * connection it says that it is decoding, so the stream is read again over a new one.
+   * Guards against an answer that never arrives: open connections stall while the engine keeps running. A probe
+   * over a new connection shows that it is decoding, so the stream must be resumed over a new connection.
    */
-  it('finds a silent connection of a living engine and reads on over a new one', async () => {
+  it('detects a stalled connection to a running engine and resumes over a new one', async () => {
     const engine = await fleet.startEngine('slow', { stepBaseMs: 20 });
     await fleet.engines.get('engine-1')?.leave();
     await fleet.engines.get('engine-2')?.leave();
     const running = fleet.complete('silent', 40);
-    await until('running', () => engine.model.size === 1);
+    await until('a running request', () => engine.model.size === 1);
     await fleet.injectFault('slow', 'silent');
     const reply = await running;
     expect([reply.status, textOf(reply)]).to.deep.equal([200, expectedText('silent', 40)]);
   });
 
   /*
-   * A fitter's short lookup takes until its deadline: the daemon sent it over a pooled connection that had
-   * gone silent while idle, and waited for the headers of an answer that could not come.
+   * Guards against a short request that takes until its deadline: it is sent over a pooled connection that stalled
+   * while idle, and the daemon waits for response headers that cannot arrive.
    */
-  it('does not wait for headers on a pooled connection that went silent', async () => {
+  it('does not wait for headers on a pooled connection that stalled', async () => {
     await fleet.complete('warms the pool', 2);
     await fleet.injectFault('slow', 'silent');
     const reply = await fleet.complete('over the silent one', 5);
@@ -101,16 +102,16 @@
       200,
       expectedText('over the silent one', 5),
     ]);
-    await nothingHeld();
+    await untilNothingLeased();
   });
 
   /*
-   * A planned stop of an engine must cut no request: what runs there goes on to its end or is moved,
-   * and nothing new goes there.
+   * A planned stop of an engine must interrupt no request: running requests finish there or are moved, and the engine
+   * gets no new ones.
    */
-  it('moves a stream that outlasts the grace of a planned stop, whole', async () => {
+  it('moves a stream that outlasts the grace period of a planned stop, without loss', async () => {
     const running = fleet.complete('moved', 60);
-    await until('running', () => fleet.engines.get('slow')?.model.size === 1);
+    await until('a running request', () => fleet.engines.get('slow')?.model.size === 1);
     await fleet.startEngine('spare');
     const stop = { id: 's1', subject: 'target', name: 'slow', graceSeconds: 0 };
     const announced = await fleet.operator('POST', 'stops', stop);
@@ -120,48 +121,48 @@
       200,
       expectedText('moved', 60),
     ]);
-    await until('safe to stop', async () => {
+    await until('the engine to be safe to stop', async () => {
       const { content } = await fleet.operator('GET', 'stops');
       return (content as unknown as { progress: string }[])[0]?.progress === 'safeToStop';
     });
     const before = fleet.engines.get('slow')?.started.size;
     await fleet.complete('after the stop', 3);
     expect(fleet.engines.get('slow')?.started.size).to.equal(before);
-    await nothingHeld();
+    await untilNothingLeased();
   });
 
   /*
-   * A fitter closes his tablet and the engine goes on computing for nobody. The request is cancelled
-   * there, and again until the engine confirmed.
+   * Guards against an engine that keeps computing for a caller that has disconnected. The daemon must cancel the
+   * request on the engine, and retry until the engine confirms.
    */
-  it('cancels on the engine when the caller goes', async () => {
-    const gone = new AbortController();
+  it('cancels the request on the engine when the caller disconnects', async () => {
+    const disconnect = new AbortController();
     const body = JSON.stringify({ model: 'quotes', prompt: 'gone', max_tokens: 20_000 });
     const running = undici
       .request(`${fleet.url()}/v1/completions`, {
         method: 'POST',
         headers: { authorization: `Bearer ${daemonFleet.KEY}` },
         body,
-        signal: gone.signal,
+        signal: disconnect.signal,
       })
       .catch(() => undefined);
     const engine = fleet.engines.get('spare');
-    await until('running', () => engine?.model.size === 1);
-    gone.abort();
+    await until('a running request', () => engine?.model.size === 1);
+    disconnect.abort();
     await running;
-    await nothingHeld();
+    await untilNothingLeased();
     expect(engine?.model.size).to.equal(0);
   });
 
   /*
-   * Engines die while prompts run, one after the other, and one comes back in a new life. Every prompt
-   * ends: whole, or with an explicit error; the new life is used again.
+   * Two engines crash one after the other while requests run, and one restarts as a new lifetime. Every request must
+   * end with a complete answer or an explicit error, and the new lifetime must be used again.
    */
-  it('ends every request when engines die, twice', async () => {
+  it('ends every request when two engines crash', async () => {
     await fleet.startEngine('second');
     const prompts = Array.from({ length: 12 }, (_v, i) => `dying ${i}`);
     const running = prompts.map((prompt) => fleet.complete(prompt, 200));
-    await until('running', () => (fleet.engines.get('spare')?.model.size ?? 0) > 0);
+    await until('a running request', () => (fleet.engines.get('spare')?.model.size ?? 0) > 0);
     await fleet.engines.get('spare')?.stop();
     await fleet.startEngine('spare');
     await fleet.engines.get('second')?.stop();
@@ -177,13 +178,16 @@
   });
 
   /*
-   * A prompt longer than one engine's memory: other engines lend theirs, all or none, and everything
-   * is given back.
+   * A prompt that exceeds the memory of one engine borrows memory of other engines, all of it or none. All borrowed
+   * memory must be released afterwards.
    */
-  it('serves a prompt longer than an engine on memory of several, and gives all back', async () => {
+  it('serves a prompt that exceeds one engine with memory of several, and releases all of it', async () => {
     await fleet.startEngine('third');
     await fleet.startEngine('fourth');
-    await until('gone', () => fleet.daemons[0]?.targets.get('second')?.status === 'gone');
+    await until(
+      'a removed engine',
+      () => fleet.daemons[0]?.targets.get('second')?.status === 'gone',
+    );
     const prompt = 'long '.repeat(480_000);
     const body = { model: 'quotes', prompt, max_tokens: 3 };
     const reply = await fleet.call('POST', '/v1/completions', body, {
@@ -192,7 +196,7 @@
     expect([reply.status, textOf(reply)]).to.deep.equal([200, expectedText(prompt, 3)]);
     const reserved = [...fleet.engines.values()].map(({ model }) => model.reservedTokens);
     await until(
-      'given back',
+      'all memory to be released',
       () => reserved.length > 0 && fleet.daemons[0]?.holdings.holdings.size === 0,
     );
     expect([...fleet.engines.values()].every(({ model }) => model.reservedTokens === 0)).to.equal(
@@ -212,7 +216,7 @@
 
   after(() => fleet.stop());
 
-  function hold(id: string, index: number): Promise<daemonFleet.Reply> {
+  function callOnce(id: string, index: number): Promise<daemonFleet.Reply> {
     const headers = { 'idempotency-key': id };
     return fleet.call('POST', '/services/parts/holds', { id }, { index, headers });
   }
@@ -222,13 +226,13 @@
   }
 
   /*
-   * A parts hold goes out twice: the clerk got no answer and sent again, and the balancer gave the
-   * resend to another daemon while the first was still running.
+   * Guards against a call that runs twice: its caller gets no answer and resends it, and the load balancer routes
+   * the copy to another daemon while the first is still running.
    */
-  it('runs a hold once, however often and wherever it is sent', async () => {
+  it('runs a call once, however often and to whichever daemon it is sent', async () => {
     await fleet.injectFault('parts-1', 'late', 1, 200);
-    const replies = await Promise.all([0, 1, 2, 0, 1].map((index) => hold('h1', index)));
-    const later = await hold('h1', 2);
+    const replies = await Promise.all([0, 1, 2, 0, 1].map((index) => callOnce('h1', index)));
+    const later = await callOnce('h1', 2);
     const texts = new Set([...replies, later].map(({ text }) => text));
     expect([texts.size, runs('h1'), later.headers['x-celerydrift-replayed']]).to.deep.equal([
       1,
@@ -239,75 +243,78 @@
   });
 
   /*
-   * The service ran the hold and died before it answered. Nobody can say, so the clerk hears "unknown",
-   * also on a resend, and the hold is never sent again.
+   * A service runs a call and crashes before it answers, so its outcome cannot be determined. The caller must get
+   * "unknown", also for a copy, and the call must never be sent again.
    */
-  it('says unknown, and never runs it again, when the answer is lost', async () => {
+  it('reports an unknown outcome, and never runs the call again, when the answer is lost', async () => {
     await fleet.injectFault('parts-1', 'cut', 1);
     await fleet.injectFault('parts-2', 'cut', 1);
-    const first = await hold('h2', 0);
-    const again = await hold('h2', 1);
+    const first = await callOnce('h2', 0);
+    const again = await callOnce('h2', 1);
     expect([first.outcome, again.outcome, runs('h2')]).to.deep.equal(['unknown', 'unknown', 1]);
     await fleet.injectFault('parts-1', 'clear');
     await fleet.injectFault('parts-2', 'clear');
   });
 
-  /** A service that says that it ran nothing is believed; the hold goes to the other one. */
-  it('goes to another service after a proof that it was not run', async () => {
+  /** A service's statement that it didn't run a call is proof; the call is sent to another one. */
+  it('sends a call to another service after proof that it was not run', async () => {
     await fleet.injectFault('parts-1', 'refuse', 1);
-    const reply = await hold('h3', 0);
+    const reply = await callOnce('h3', 0);
     expect([reply.status, runs('h3')]).to.deep.equal([201, 1]);
     await fleet.injectFault('parts-1', 'clear');
   });
 
-  it('refuses the same key for another call', async () => {
+  it('refuses an idempotency key that was used for another call', async () => {
     const headers = { 'idempotency-key': 'h1' };
     const other = await fleet.call('POST', '/services/parts/holds', { id: 'x' }, { headers });
     expect([other.status, other.outcome, runs('x')]).to.deep.equal([422, 'not-run', 0]);
   });
 
   /*
-   * A VM is stopped as planned and the clerk loses the answer to his hold: the daemon waited for prompts
-   * but not for calls to services.
+   * Guards against an answer that is lost in a planned stop of a VM, because the daemon waits for prompts but not
+   * for calls to services.
    */
-  it('lets a call to a service end before a daemon under a planned stop goes', async () => {
+  it('finishes a call to a service before the daemon ends in a planned stop', async () => {
     await fleet.injectFault('parts-1', 'late', 1, 1_500);
     await fleet.injectFault('parts-2', 'late', 1, 1_500);
-    const running = hold('h4', 2);
-    await daemonFleet.until('running', () => runs('h4') === 1);
+    const running = callOnce('h4', 2);
+    await daemonFleet.until('a running call', () => runs('h4') === 1);
     await fleet.daemons[2]?.stop();
     const reply = await running;
     expect([reply.status, reply.outcome]).to.deep.equal([201, 'completed']);
     await fleet.startDaemon(2);
-    await daemonFleet.until('ready', () => fleet.daemons[2]?.unready() === undefined);
+    await daemonFleet.until(
+      'the daemon to be ready',
+      () => fleet.daemons[2]?.unready() === undefined,
+    );
   });
 
   /*
-   * A daemon with a replica dies, comes back with an empty disk under the same name, and then another
-   * dies. Had the empty one voted as its old self, accepted settings and claims would be gone.
+   * A daemon with a replica crashes and restarts under the same name with an empty disk, and then another crashes. If
+   * the empty replica voted under its former identity, accepted settings and claims would be lost.
    */
-  it('keeps claims and settings through a lost disk followed by a death', async () => {
+  it('keeps claims and settings when a disk is lost and then another daemon crashes', async () => {
     await fleet.daemons[2]?.halt();
     fleet.deleteDataFolder(2);
     await fleet.startDaemon(2);
     const host = fleet.daemons[2]?.control.host;
-    await daemonFleet.until('repaired', () => {
+    await daemonFleet.until('the settings log to be repaired', () => {
       const members = host?.replica.members ?? [];
       const voter = members.find(({ id }) => id === host?.replica.id)?.role === 'voter';
       return voter && members.length === 3;
     });
-    const shard = (index: number) =>
+    const areLogsRepaired = (index: number) =>
       [...(fleet.daemons[index]?.control.hosts.values() ?? [])].every(
         ({ replica }) => replica.members.length === 3 && replica.commit > 0,
       );
-    await daemonFleet.until('all logs repaired', () => shard(2));
+    await daemonFleet.until('all logs to be repaired', () => areLogsRepaired(2));
     await fleet.daemons[0]?.halt();
-    await daemonFleet.until('accepted', async () => {
+    await daemonFleet.until('settings to be accepted', async () => {
       const change = { id: 'after', basedOn: 0, text: '; kept' };
       const { status } = await fleet.operator('PUT', 'settings/pits', change, daemonFleet.TOKEN, 1);
       return status === 200;
     });
-    const again = await hold('h1', 1);
+    const again = await callOnce('h1', 1);
     const { content } = await fleet.operator(
       'GET',
       'settings/fitters',
--- a/packages/daemon/src/__tests__/tls.test.ts
+++ b/packages/daemon/src/__tests__/tls.test.ts
@@ -1,4 +1,4 @@
-/** TLS on every listener, and daemons that prove themselves by certificates of one authority. */
+/** TLS on all listeners; daemons authenticate to each other with certificates of one authority. */
 import * as fs from 'node:fs';
 import * as os from 'node:os';
 import * as path from 'node:path';
@@ -27,7 +27,7 @@
   return files;
 }
 
-/** Whether a peer listener lets a connection with this certificate live. */
+/** Whether a peer listener accepts a connection with this client certificate. */
 function isAccepted(
   port: number,
   files: daemonFleet.TlsFiles,
@@ -50,7 +50,7 @@
 describe('TLS', () => {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'celerydrift-test-'));
   const own = createCertificate(folder, 'fleet');
-  const stranger = createCertificate(folder, 'stranger');
+  const foreign = createCertificate(folder, 'foreign');
   const fleet = new daemonFleet.DaemonFleet(own);
 
   after(async () => {
@@ -58,15 +58,15 @@
     fs.rmSync(folder, { recursive: true });
   });
 
-  it('founds a replica set, accepts settings and answers callers, and shuts out strangers', async () => {
+  it('founds a replica set, accepts settings, serves callers and rejects foreign certificates', async () => {
     await fleet.start(2);
     const ready = await fleet.call('GET', '/readyz');
     const models = await fleet.call('GET', '/v1/models');
     const port = fleet.daemons[0]?.ports.peers;
-    const letIn = [
+    const accepted = [
       await isAccepted(port, own, own.authority),
-      await isAccepted(port, stranger, own.authority),
+      await isAccepted(port, foreign, own.authority),
     ];
-    expect([ready.status, models.status, letIn]).to.deep.equal([200, 200, [true, false]]);
+    expect([ready.status, models.status, accepted]).to.deep.equal([200, 200, [true, false]]);
   });
 });
