--- a/packages/daemon/src/__tests__/__fixtures__/smallFleet.ts
+++ b/packages/daemon/src/__tests__/__fixtures__/smallFleet.ts
@@ -130,9 +130,9 @@
 
 /** Waits until `check` returns true; throws after 15 seconds. */
 export async function until(what: string, check: () => boolean | Promise<boolean>): Promise<void> {
-  const end = clock.steady() + 15_000;
+  const deadline = clock.steady() + 15_000;
   while (!(await check())) {
-    if (clock.steady() > end) throw new Error(`timed out waiting for ${what}`);
+    if (clock.steady() > deadline) throw new Error(`timed out waiting for ${what}`);
     await clock.pause(10);
   }
 }
--- a/packages/daemon/src/clock.ts
+++ b/packages/daemon/src/clock.ts
@@ -32,9 +32,9 @@
 }
 
 /**
- * Milliseconds between two readings: the larger difference of the two clocks. Includes a suspension, unless the
- * time of day was stepped back by as much meanwhile. That gap is short: a resumed daemon contacts its leader within
- * half a second.
+ * Milliseconds between two readings: the larger difference of the two clocks, so that an age is never too short.
+ * Only a suspension during which the time of day is stepped back by as much is missed; a resumed daemon contacts
+ * its leader within half a second.
  */
 export function elapsed(from: Moment, to: Moment): number {
   return Math.max(to.steady - from.steady, to.timeOfDay - from.timeOfDay);
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -535,7 +535,7 @@
     return result.ok;
   }
 
-  /** Merges a record received by gossip; returns whether it was news, so that it is passed on. */
+  /** Merges a record received by gossip; returns whether it was new, so that gossip passes it on. */
   private applyRecord(record: news.News): boolean {
     if (record.kind === 'target') return this.targets.merge(record.target);
     if (record.kind === 'work') return this.workloadReporter.take(record.work);
