--- a/packages/daemon/src/__tests__/tls.test.ts
+++ b/packages/daemon/src/__tests__/tls.test.ts
@@ -1,15 +1,15 @@
-/** TLS on every listener, and daemons that prove themselves by certificates of one authority. */
+/** TLS on all listeners; daemons authenticate to each other with certificates of one authority. */
 import * as fs from 'node:fs';
 import * as os from 'node:os';
 import * as path from 'node:path';
 import * as tls from 'node:tls';
 import * as chai from 'chai';
 import * as selfsigned from 'selfsigned';
-import * as bench from './__fixtures__/bench';
+import * as daemonFleet from './__fixtures__/daemonFleet';
 
 const { expect } = chai;
 
-function makeCertificate(folder: string, name: string): bench.TlsFiles {
+function createCertificate(folder: string, name: string): daemonFleet.TlsFiles {
   const made = selfsigned.generate([{ name: 'commonName', value: name }], {
     keySize: 2_048,
     extensions: [
@@ -27,8 +27,12 @@
   return files;
 }
 
-/** Whether a peer listener lets a connection with this certificate live. */
-function isLetIn(port: number, files: bench.TlsFiles, authority: string): Promise<boolean> {
+/** Whether a peer listener accepts a connection with this client certificate. */
+function isAccepted(
+  port: number,
+  files: daemonFleet.TlsFiles,
+  authority: string,
+): Promise<boolean> {
   return new Promise((resolve) => {
     const socket = tls.connect({
       host: '127.0.0.1',
@@ -45,24 +49,24 @@
 
 describe('TLS', () => {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'celerydrift-test-'));
-  const own = makeCertificate(folder, 'fleet');
-  const stranger = makeCertificate(folder, 'stranger');
-  const fleet = new bench.Bench(own);
+  const own = createCertificate(folder, 'fleet');
+  const foreign = createCertificate(folder, 'foreign');
+  const fleet = new daemonFleet.DaemonFleet(own);
 
   after(async () => {
     await fleet.stop();
     fs.rmSync(folder, { recursive: true });
   });
 
-  it('founds a replica set, accepts settings and answers callers, and shuts out strangers', async () => {
+  it('founds a replica set, accepts settings, serves callers and rejects foreign certificates', async () => {
     await fleet.start(2);
     const ready = await fleet.call('GET', '/readyz');
     const models = await fleet.call('GET', '/v1/models');
     const port = fleet.daemons[0]?.ports.peers;
-    const letIn = [
-      await isLetIn(port, own, own.authority),
-      await isLetIn(port, stranger, own.authority),
+    const accepted = [
+      await isAccepted(port, own, own.authority),
+      await isAccepted(port, foreign, own.authority),
     ];
-    expect([ready.status, models.status, letIn]).to.deep.equal([200, 200, [true, false]]);
+    expect([ready.status, models.status, accepted]).to.deep.equal([200, 200, [true, false]]);
   });
 });
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -1,4 +1,4 @@
-/** One daemon: puts the parts together, starts them in order and stops them as a planned stop. */
+/** A daemon: wires its components together, starts them in order and shuts them down in a planned stop. */
 import type * as tls from 'node:tls';
 import * as domain from '@celerydrift/domain';
 import { Err, Ok, Result } from 'ts-results';
@@ -46,12 +46,12 @@
   peers: number;
 }
 
-const WORK_EVERY_MS = 1_000;
+const WORKLOAD_REPORT_INTERVAL_MS = 1_000;
 
-const STOPS_EVERY_MS = 250;
+const READINESS_CHECK_INTERVAL_MS = 250;
 
-/** After turning unready, how long the balancer gets to notice, in milliseconds. */
-const BALANCER_MS = 500;
+/** Time for the load balancer to notice that this daemon is unready. */
+const BALANCER_NOTICE_MS = 500;
 
 export class Daemon {
   readonly observer: observer.Observer;
@@ -74,6 +74,7 @@
 
   readonly running = new Set<execution.Execution>();
 
+  /** Ports that the listeners are bound to; 0 before they listen. */
   ports: Ports = { callers: 0, targets: 0, operators: 0, peers: 0 };
 
   private readonly server: peerServer.PeerServer;
@@ -85,8 +86,9 @@
   private readonly listeners: listener.Listener[];
 
   /**
-   * Higher than that of an earlier process of this name. Where the clock was stepped back meanwhile, the
-   * first peer that still knows the earlier one makes this one raise it, as it does against a suspicion.
+   * Higher than the incarnation of an earlier process of the same name. If the clock was stepped back in between,
+   * the first peer that still knows the earlier process makes this one raise its incarnation, as it does to
+   * refute a suspicion.
    */
   private readonly incarnation = clock.timeOfDay();
 
@@ -96,11 +98,11 @@
 
   private timers: NodeJS.Timeout[] = [];
 
-  private stopping = false;
+  private isStopping = false;
 
   private wasReady = false;
 
-  private readonly work: workTeller.WorkTeller;
+  private readonly workloadReporter: workTeller.WorkTeller;
 
   private readonly cells: cellWatch.CellWatch;
 
@@ -108,7 +110,7 @@
 
   private readonly random: domain.shared.random.Random;
 
-  private readonly budget = new domain.request.retry.Budget();
+  private readonly retryBudget = new domain.request.retry.Budget();
 
   private readonly callers: callersApi.CallersApi;
 
@@ -116,7 +118,7 @@
     private readonly settings: configuration.Configuration,
     private readonly hash: domain.shared.hashing.Hash,
     tlsOptions: tlsFiles.TlsOptions | undefined,
-    onFailure: (error: unknown) => void,
+    onDiskFailure: (error: unknown) => void,
   ) {
     const { name, dataCentre, peerSecret, logLevel, statsd, timeouts } = settings;
     const address = configuration.format(settings.peers);
@@ -136,8 +138,8 @@
       random,
       hash,
       now,
-      take: (record) => this.takeNews(record),
-      onDaemons: () => this.daemonsChanged(),
+      take: (record) => this.applyRecord(record),
+      onDaemons: () => this.onDaemonsChanged(),
     });
     this.control = new controlPlane.ControlPlane({
       configuration: settings,
@@ -148,8 +150,8 @@
       random,
       now,
       live: () => this.liveDaemons(),
-      onChange: () => this.settingsChanged(),
-      onDiskFailure: onFailure,
+      onChange: () => this.onSettingsChanged(),
+      onDiskFailure,
     });
     this.targets = new targetTable.TargetTable({
       client: this.peers,
@@ -157,7 +159,7 @@
       hash,
       now,
       members: () => this.members,
-      onChange: (target, before) => this.targetChanged(target, before),
+      onChange: (target, before) => this.onTargetChanged(target, before),
     });
     this.router = new router.Router({
       dataCentre,
@@ -170,7 +172,7 @@
     this.allocator = new allocator.Allocator({
       router: this.router,
       now,
-      isDead: (daemon) => this.standing(daemon).kind === 'dead',
+      isDead: (daemon) => this.ownerStanding(daemon).kind === 'dead',
     });
     this.admission = new admission.Admission({
       hash,
@@ -184,7 +186,7 @@
       now,
       target: (target) => this.targets.get(target),
       keptEngines: () => this.keptEngines(),
-      standing: (daemon) => this.standing(daemon),
+      standing: (daemon) => this.ownerStanding(daemon),
       note: (action, subject, detail) => this.control.note(action, subject, detail),
     });
     this.orders = new orderLoop.OrderLoop({
@@ -213,53 +215,54 @@
       router: this.router,
       stops: this.stopWatch,
     });
-    this.work = new workTeller.WorkTeller({
+    this.workloadReporter = new workTeller.WorkTeller({
       self: name,
       incarnation: this.incarnation,
       router: this.router,
       demand: () => this.admission.demand(),
       post: (record) => this.members.post(record),
     });
-    this.callers = this.makeCallers();
-    this.listeners = this.makeListeners(tlsOptions?.server);
+    this.callers = this.createCallersApi();
+    this.listeners = this.createListeners(tlsOptions?.server);
   }
 
-  /** Starts a daemon; it turns ready by itself once it knows the settings in force. */
+  /** Starts a daemon, which becomes ready once it has received the current settings. */
   static async start(
     settings: configuration.Configuration,
-    onFailure: (error: unknown) => void,
+    onDiskFailure: (error: unknown) => void,
   ): Promise<Result<Daemon, errors.StartError>> {
     const hash = await domain.shared.hashing.load();
     const tlsOptions = await tlsFiles.read(settings.tls);
     if (tlsOptions.err) return tlsOptions;
-    const daemon = new Daemon(settings, hash, tlsOptions.val, onFailure);
+    const daemon = new Daemon(settings, hash, tlsOptions.val, onDiskFailure);
     const opened = await daemon.open();
     return opened.err ? opened : Ok(daemon);
   }
 
   /**
-   * A planned stop of this daemon: unready first, so that the balancer sends nothing more; then it
-   * finishes what runs, releases what it holds and tells the others that it left.
+   * Runs a planned stop of this daemon. It announces to its peers that it leaves and becomes unready, so that the
+   * load balancer sends no more requests; then it waits, for at most the grace period, until all requests have
+   * finished and all leased resources are released.
    */
   async stop(): Promise<void> {
-    if (this.stopping) return;
-    this.stopping = true;
+    if (this.isStopping) return;
+    this.isStopping = true;
     this.observer.log('stopping');
     await this.members.leave();
-    await clock.pause(BALANCER_MS);
-    const until = this.now() + this.settings.timeouts.stopSeconds * 1_000;
-    while ((this.callers.active > 0 || this.holdings.holdings.size > 0) && this.now() < until) {
+    await clock.pause(BALANCER_NOTICE_MS);
+    const deadline = this.now() + this.settings.timeouts.stopSeconds * 1_000;
+    while ((this.callers.active > 0 || this.holdings.holdings.size > 0) && this.now() < deadline) {
       await clock.pause(20);
     }
     const closed = Promise.all(this.listeners.map((each) => each.close()));
-    await Promise.race([closed, clock.pause(BALANCER_MS)]);
+    await Promise.race([closed, clock.pause(BALANCER_NOTICE_MS)]);
     await this.halt();
     this.observer.log('stopped');
   }
 
-  /** Ends everything at once, as a crash would, but for files and timers of this process. */
+  /** Stops immediately, aborting all requests as a crash would, but closes files and clears timers. */
   async halt(): Promise<void> {
-    this.stopping = true;
+    this.isStopping = true;
     this.timers.forEach((timer) => clearInterval(timer));
     this.orders.stop();
     this.holdings.stop();
@@ -276,15 +279,16 @@
     this.observer.close();
   }
 
-  /** Why this daemon admits nothing now, or undefined when it is ready. */
+  /** The reason why this daemon admits no requests, or undefined if it is ready. */
   unready(): string | undefined {
-    if (this.stopping) return 'this daemon is stopping';
+    if (this.isStopping) return 'this daemon is stopping';
     if (this.control.view.index === 0) return 'the settings in force are not known yet';
     if (this.stopWatch.ownStop() !== undefined) return 'a planned stop of this VM is announced';
     if (this.control.verdict() === 'refuse') return 'the settings held here may be out of date';
     return undefined;
   }
 
+  /** The state of this daemon for operators. */
   status(): unknown {
     const { host } = this.control;
     const { replica } = host ?? {};
@@ -319,7 +323,7 @@
     try {
       this.ports.peers = await this.server.listen(peers);
     } catch (error) {
-      const detail = `listen peers ${configuration.format(peers)}: ${String(error)}`;
+      const detail = `cannot listen for peers on ${configuration.format(peers)}: ${String(error)}`;
       return Err({ kind: 'addressInUse', detail });
     }
     const opened = await this.control.open(this.server);
@@ -339,13 +343,13 @@
       try {
         this.ports[name] = await this.listeners[i].listen(address);
       } catch (error) {
-        const detail = `listen ${name} ${configuration.format(address)}: ${String(error)}`;
+        const detail = `cannot listen for ${name} on ${configuration.format(address)}: ${String(error)}`;
         return Err({ kind: 'addressInUse', detail });
       }
     }
     this.timers = [
-      setInterval(() => this.work.tell(), WORK_EVERY_MS),
-      setInterval(() => this.watchStops(), STOPS_EVERY_MS),
+      setInterval(() => this.workloadReporter.tell(), WORKLOAD_REPORT_INTERVAL_MS),
+      setInterval(() => this.checkReadinessAndStops(), READINESS_CHECK_INTERVAL_MS),
     ];
     this.observer.log('started', { ports: this.ports, dataCentre: this.settings.dataCentre });
     return Ok(undefined);
@@ -355,11 +359,11 @@
     return { daemon: this.settings.name, incarnation: this.incarnation };
   }
 
-  private makeCallers(): callersApi.CallersApi {
+  private createCallersApi(): callersApi.CallersApi {
     return new callersApi.CallersApi({
       admission: this.admission,
-      services: this.makeServices(),
-      execution: this.makeExecutionParts(),
+      services: this.createServiceProxy(),
+      execution: this.createExecutionDependencies(),
       observer: this.observer,
       unready: () => this.unready(),
       running: this.running,
@@ -367,23 +371,23 @@
     });
   }
 
-  private makeServices(): serviceProxy.ServiceProxy {
-    const { hash, settings, observer: observe, router: route, budget, random, now } = this;
+  private createServiceProxy(): serviceProxy.ServiceProxy {
+    const { hash, settings, observer: observe, router: route, retryBudget, random, now } = this;
     const ledger = new ledgerClient.LedgerClient(this.control.client, hash, settings.ledgerShards);
     return new serviceProxy.ServiceProxy({
       client: this.targetsClient,
       ledger,
       router: route,
       observer: observe,
-      budget,
+      budget: retryBudget,
       random,
       targets: (service) => this.cells.open().filter((target) => target.service === service),
       now,
     });
   }
 
-  private makeExecutionParts(): execution.Parts {
-    const { adapter, holdings, observer: observe, router: route, budget, random, now } = this;
+  private createExecutionDependencies(): execution.Parts {
+    const { adapter, holdings, observer: observe, router: route, retryBudget, random, now } = this;
     const owner = (): domain.memory.holding.Owner => this.owner();
     return {
       router: route,
@@ -408,7 +412,7 @@
       }),
       holdings,
       observer: observe,
-      budget,
+      budget: retryBudget,
       contents: new contentMemory.ContentMemory(now),
       random,
       owner,
@@ -418,9 +422,9 @@
     };
   }
 
-  private makeListeners(tlsOptions: tls.TlsOptions | undefined): listener.Listener[] {
+  private createListeners(tlsOptions: tls.TlsOptions | undefined): listener.Listener[] {
     const { settings } = this;
-    const announcements = new targetsApi.TargetsApi(settings.targetSecret, this.targets);
+    const targets = new targetsApi.TargetsApi(settings.targetSecret, this.targets);
     const operators = new operatorsApi.OperatorsApi({
       fleetTokenHash: settings.operatorTokenHash,
       directory: () => this.admission.directory,
@@ -435,7 +439,7 @@
     };
     const routes: listener.Route[] = [
       (call) => this.callers.route(call),
-      (call) => announcements.route(call),
+      (call) => targets.route(call),
       (call) => operators.route(call),
     ];
     return routes.map(
@@ -455,23 +459,24 @@
     };
   }
 
+  /** Names of the live daemons: those of this data centre, sorted, and all of them. */
   private liveDaemons(): { near: string[]; all: string[] } {
     const live = this.members.detector.list().filter(domain.membership.daemon.isLive);
     const near = live.filter(({ dataCentre }) => dataCentre === this.settings.dataCentre);
     return { near: near.map(({ id }) => id).sort(), all: live.map(({ id }) => id) };
   }
 
-  private settingsChanged(): void {
+  private onSettingsChanged(): void {
     const { view } = this.control;
     const subtrees = [...view.subtrees.values()];
-    const { directory: former } = this.admission;
-    this.admission.directory = new domain.settings.directory.Directory(subtrees, former);
+    const { directory: formerDirectory } = this.admission;
+    this.admission.directory = new domain.settings.directory.Directory(subtrees, formerDirectory);
     this.members.learn(view.daemons.values());
     this.cells.refresh();
     this.observer.log('settingInForce', { index: view.index });
   }
 
-  private daemonsChanged(): void {
+  private onDaemonsChanged(): void {
     this.cells.refresh();
     this.members.detector
       .list()
@@ -479,7 +484,8 @@
       .forEach(({ id }) => this.router.forgetPeer(id));
   }
 
-  private targetChanged(target: Target, before: Target | undefined): void {
+  /** Forgets the leased resources and closes the pooled connections of a target that restarted or is gone. */
+  private onTargetChanged(target: Target, before: Target | undefined): void {
     if (before !== undefined && before.incarnation < target.incarnation) {
       this.holdings.holdings.targetRestarted(target.name, target.incarnation);
       this.targetsClient.forget(before.address);
@@ -488,15 +494,18 @@
       this.holdings.holdings.targetGone(target.name);
       this.targetsClient.forget(target.address);
     }
-    const sameShape =
+    const isUnchanged =
       before?.status === target.status &&
       before.incarnation === target.incarnation &&
       before.models.length === target.models.length &&
       JSON.stringify(before.models) === JSON.stringify(target.models);
-    if (!sameShape) this.cells.refresh();
+    if (!isUnchanged) this.cells.refresh();
   }
 
-  /** The engines whose first keeper this daemon is, so that one survivor reclaims and not all. */
+  /**
+   * The engines whose first keeper is this daemon. Only the first keeper of an engine reclaims the resources of
+   * a dead daemon, so the survivors don't all do so.
+   */
   private keptEngines(): Target[] {
     const { near } = this.liveDaemons();
     return this.targets.list().filter(({ name, kind, status, dataCentre }) => {
@@ -511,26 +520,30 @@
     });
   }
 
-  private standing(daemon: string): domain.memory.holding.Standing {
+  /** Whether the owner of a leased resource is live, dead or unknown, as the failure detector sees it. */
+  private ownerStanding(daemon: string): domain.memory.holding.Standing {
     const known = this.members.detector.get(daemon);
     if (known === undefined) return { kind: 'unknown' };
     if (known.status === 'dead') return { kind: 'dead' };
     return { kind: 'live', incarnation: known.incarnation };
   }
 
+  /** Records in the replicated log whether a model is ordered to be loaded; returns whether that succeeded. */
   private async recordOrder(key: string, loaded: boolean): Promise<boolean> {
     const command: domain.control.state.Command = { kind: 'ordered', key, loaded, at: 0 };
-    const done = await this.control.client.execute(logServer.SETTINGS_LOG, command, 2_000);
-    return done.ok;
+    const result = await this.control.client.execute(logServer.SETTINGS_LOG, command, 2_000);
+    return result.ok;
   }
 
-  private takeNews(record: news.News): boolean {
+  /** Merges a record received by gossip; returns whether it was new, so that gossip passes it on. */
+  private applyRecord(record: news.News): boolean {
     if (record.kind === 'target') return this.targets.merge(record.target);
-    if (record.kind === 'work') return this.work.take(record.work);
+    if (record.kind === 'work') return this.workloadReporter.take(record.work);
     return false;
   }
 
-  private watchStops(): void {
+  /** Logs a change of readiness and moves requests away from targets under a planned stop. */
+  private checkReadinessAndStops(): void {
     const unready = this.unready();
     if ((unready === undefined) !== this.wasReady) {
       this.wasReady = unready === undefined;
