--- a/packages/standins/src/announcer.ts
+++ b/packages/standins/src/announcer.ts
@@ -10,7 +10,7 @@
 const TIMEOUT_MS = 1_000;
 
 export class Announcer {
-  private next = 0;
+  private nextEntry = 0;
 
   private sequence = 0;
 
@@ -19,7 +19,7 @@
   constructor(
     private readonly entries: readonly string[],
     private readonly secret: string,
-    private readonly describe: () => Omit<Announcement, 'sequence'>,
+    private readonly buildAnnouncement: () => Omit<Announcement, 'sequence'>,
     private readonly periodMs = 2_000,
   ) {}
 
@@ -37,10 +37,10 @@
 
   async announce(): Promise<boolean> {
     this.sequence += 1;
-    const body = JSON.stringify({ ...this.describe(), sequence: this.sequence });
-    for (let tries = 0; tries < this.entries.length; tries++) {
-      const entry = this.entries[this.next % this.entries.length] ?? '';
-      this.next += 1;
+    const body = JSON.stringify({ ...this.buildAnnouncement(), sequence: this.sequence });
+    for (let attempts = 0; attempts < this.entries.length; attempts++) {
+      const entry = this.entries[this.nextEntry % this.entries.length] ?? '';
+      this.nextEntry += 1;
       if (await this.post(entry, body)) return true;
     }
     return false;
@@ -48,14 +48,14 @@
 
   private async post(entry: string, body: string): Promise<boolean> {
     try {
-      const { statusCode, body: answer } = await undici.request(`${entry}/targets/announce`, {
+      const { statusCode, body: responseBody } = await undici.request(`${entry}/targets/announce`, {
         method: 'POST',
         headers: { 'content-type': 'application/json', authorization: `Bearer ${this.secret}` },
         body,
         headersTimeout: TIMEOUT_MS,
         bodyTimeout: TIMEOUT_MS,
       });
-      await answer.dump();
+      await responseBody.dump();
       return statusCode < 300;
     } catch {
       return false;
--- a/packages/standins/src/engine/engineModel.ts
+++ b/packages/standins/src/engine/engineModel.ts
@@ -34,25 +34,25 @@
 /** Every so many tokens of a stream carry the engine's load. */
 export const REPORT_EVERY = 16;
 
-interface Running {
+interface RunningRequest {
   job: Job;
-  arrival: number;
-  prefilled: number;
-  decoded: number;
+  arrivalOrder: number;
+  prefilledTokens: number;
+  decodedTokens: number;
   ownTokens: number;
-  pinned: readonly number[];
+  pinnedKeys: readonly number[];
   /** Prompt tokens of the step under way. */
-  chunk: number;
+  chunkTokens: number;
 }
 
-export type State = 'unknown' | 'queued' | 'prefilling' | 'decoding';
+export type RequestState = 'unknown' | 'queued' | 'prefilling' | 'decoding';
 
 export class EngineModel {
   readonly cache = new prefixCache.PrefixCache();
 
-  private queue: { job: Job; arrival: number }[] = [];
+  private queue: { job: Job; arrivalOrder: number }[] = [];
 
-  private running: Running[] = [];
+  private running: RunningRequest[] = [];
 
   private reserved = 0;
 
@@ -66,14 +66,17 @@
 
   submit(job: Job, now: number): void {
     this.arrivals += 1;
-    this.queue.push({ job, arrival: this.arrivals });
-    this.noteLoad(now);
+    this.queue.push({ job, arrivalOrder: this.arrivals });
+    this.recordLoad(now);
   }
 
   /** Whether the request could start at the next step, with all that wait already. */
   hasRoom(job: Job): boolean {
-    const waiting = this.queue.reduce((sum, queued) => sum + this.ownTokens(queued.job), 0);
-    return this.freeTokens() - waiting >= this.ownTokens(job);
+    const waitingTokens = this.queue.reduce(
+      (sum, queued) => sum + this.requiredTokens(queued.job),
+      0,
+    );
+    return this.freeTokens() - waitingTokens >= this.requiredTokens(job);
   }
 
   /** Ends a request wherever it is; true if it was here. */
@@ -82,21 +85,21 @@
     this.queue = this.queue.filter(({ job }) => job.id !== id);
     const running = this.running.find(({ job }) => job.id === id);
     if (running !== undefined) this.release(running);
-    this.noteLoad(now);
+    this.recordLoad(now);
     return running !== undefined || this.queue.length < queued;
   }
 
-  stateOf(id: string): State {
+  stateOf(id: string): RequestState {
     if (this.queue.some(({ job }) => job.id === id)) return 'queued';
     const running = this.running.find(({ job }) => job.id === id);
     if (running === undefined) return 'unknown';
-    return running.prefilled < running.job.promptTokens ? 'prefilling' : 'decoding';
+    return running.prefilledTokens < running.job.promptTokens ? 'prefilling' : 'decoding';
   }
 
   /** Sets memory aside for a prompt that runs on another engine. */
   reserve(tokens: number): boolean {
     if (this.freeTokens() < tokens) return false;
-    this.makeRoom(tokens);
+    this.evictFor(tokens);
     this.reserved += tokens;
     return true;
   }
@@ -122,10 +125,10 @@
     this.stepping = false;
     const tokens: Token[] = [];
     [...this.running].forEach((running) => {
-      const token = this.progress(running);
+      const token = this.advance(running);
       if (token !== undefined) tokens.push(token);
     });
-    this.noteLoad(now);
+    this.recordLoad(now);
     return tokens;
   }
 
@@ -136,13 +139,13 @@
   }
 
   trueLoad(now: number): Load {
-    const waiting = this.queue.reduce((sum, { job }) => sum + job.promptTokens, 0);
-    const prefilling = this.running.reduce(
-      (sum, { job, prefilled }) => sum + job.promptTokens - prefilled,
+    const waitingTokens = this.queue.reduce((sum, { job }) => sum + job.promptTokens, 0);
+    const prefillingTokens = this.running.reduce(
+      (sum, { job, prefilledTokens }) => sum + job.promptTokens - prefilledTokens,
       0,
     );
     return {
-      queuedTokens: waiting + prefilling,
+      queuedTokens: waitingTokens + prefillingTokens,
       streams: this.running.length,
       freeTokens: this.freeTokens(),
       at: now,
@@ -155,7 +158,7 @@
   }
 
   private freeTokens(): number {
-    return this.options.memoryTokens - this.usedTokens() + this.cache.evictable();
+    return this.options.memoryTokens - this.usedTokens() + this.cache.evictableTokens();
   }
 
   private usedTokens(): number {
@@ -163,92 +166,103 @@
     return own + this.cache.tokens + this.reserved;
   }
 
-  private makeRoom(tokens: number): void {
-    const missing = this.usedTokens() + tokens - this.options.memoryTokens;
-    if (missing > 0) this.cache.evict(missing);
+  private evictFor(tokens: number): void {
+    const excessTokens = this.usedTokens() + tokens - this.options.memoryTokens;
+    if (excessTokens > 0) this.cache.evict(excessTokens);
   }
 
   private admit(): void {
-    this.queue.sort((a, b) => a.job.priority - b.job.priority || a.arrival - b.arrival);
+    this.queue.sort((a, b) => a.job.priority - b.job.priority || a.arrivalOrder - b.arrivalOrder);
     while (this.queue.length > 0 && this.running.length < this.options.maxStreams) {
       const next = this.queue[0];
-      if (!this.start(next.job, next.arrival)) break;
+      if (!this.tryStart(next.job, next.arrivalOrder)) break;
       this.queue.shift();
     }
   }
 
-  private start(job: Job, arrival: number): boolean {
-    const matched = this.cache.match(job.prefixKeys);
-    const pinned = job.prefixKeys.slice(0, matched);
-    const cached = Math.min(job.promptTokens - 1, matched * prefixCache.BLOCK_TOKENS);
-    const ownTokens = this.ownTokens(job);
-    this.cache.pin(pinned);
+  private tryStart(job: Job, arrivalOrder: number): boolean {
+    const matchedBlocks = this.cache.matchedBlocks(job.prefixKeys);
+    const pinnedKeys = job.prefixKeys.slice(0, matchedBlocks);
+    const cachedTokens = Math.min(job.promptTokens - 1, matchedBlocks * prefixCache.BLOCK_TOKENS);
+    const ownTokens = this.requiredTokens(job);
+    this.cache.pin(pinnedKeys);
     if (this.freeTokens() < ownTokens) {
-      this.cache.unpin(pinned);
+      this.cache.unpin(pinnedKeys);
       return false;
     }
-    this.makeRoom(ownTokens);
-    this.running.push({ job, arrival, prefilled: cached, decoded: 0, ownTokens, pinned, chunk: 0 });
+    this.evictFor(ownTokens);
+    this.running.push({
+      job,
+      arrivalOrder,
+      prefilledTokens: cachedTokens,
+      decodedTokens: 0,
+      ownTokens,
+      pinnedKeys,
+      chunkTokens: 0,
+    });
     return true;
   }
 
-  private ownTokens({ prefixKeys, promptTokens, answerTokens, remoteTokens }: Job): number {
-    const matched = this.cache.match(prefixKeys) * prefixCache.BLOCK_TOKENS;
-    const cached = Math.min(promptTokens - 1, matched);
-    return Math.max(0, promptTokens + answerTokens - cached - remoteTokens);
+  private requiredTokens({ prefixKeys, promptTokens, answerTokens, remoteTokens }: Job): number {
+    const matchedTokens = this.cache.matchedBlocks(prefixKeys) * prefixCache.BLOCK_TOKENS;
+    const cachedTokens = Math.min(promptTokens - 1, matchedTokens);
+    return Math.max(0, promptTokens + answerTokens - cachedTokens - remoteTokens);
   }
 
   private planStep(): number {
     const { stepTokens, stepBaseMs, tokenMs, attentionTokens, streamMs } = this.options;
-    let budget = stepTokens;
-    let duration = stepBaseMs;
+    let remainingTokens = stepTokens;
+    let durationMs = stepBaseMs;
     const order = [...this.running].sort(
-      (a, b) => a.job.priority - b.job.priority || a.arrival - b.arrival,
+      (a, b) => a.job.priority - b.job.priority || a.arrivalOrder - b.arrivalOrder,
     );
     order.forEach((running) => {
-      const { job, prefilled } = running;
-      if (prefilled >= job.promptTokens) {
-        running.chunk = 0;
-        duration += streamMs;
+      const { job, prefilledTokens } = running;
+      if (prefilledTokens >= job.promptTokens) {
+        running.chunkTokens = 0;
+        durationMs += streamMs;
         return;
       }
-      running.chunk = Math.min(budget, job.promptTokens - prefilled);
-      budget -= running.chunk;
-      const context = prefilled + running.chunk / 2;
-      duration += running.chunk * tokenMs * (1 + context / attentionTokens);
+      running.chunkTokens = Math.min(remainingTokens, job.promptTokens - prefilledTokens);
+      remainingTokens -= running.chunkTokens;
+      const contextTokens = prefilledTokens + running.chunkTokens / 2;
+      durationMs += running.chunkTokens * tokenMs * (1 + contextTokens / attentionTokens);
     });
-    return duration;
+    return durationMs;
   }
 
-  private progress(running: Running): Token | undefined {
+  private advance(running: RunningRequest): Token | undefined {
     const { job } = running;
-    const wasDecoding = running.prefilled >= job.promptTokens;
-    running.prefilled += running.chunk;
-    const promptDone = !wasDecoding && running.chunk > 0 && running.prefilled >= job.promptTokens;
-    running.chunk = 0;
-    if (!wasDecoding && !promptDone) return undefined;
-    const position = running.decoded;
-    running.decoded += 1;
-    const last = running.decoded >= job.answerTokens;
-    if (last) this.release(running);
-    return { id: job.id, position, last };
-  }
-
-  private release(running: Running): void {
+    const wasDecoding = running.prefilledTokens >= job.promptTokens;
+    running.prefilledTokens += running.chunkTokens;
+    const isPrefillDone =
+      !wasDecoding && running.chunkTokens > 0 && running.prefilledTokens >= job.promptTokens;
+    running.chunkTokens = 0;
+    if (!wasDecoding && !isPrefillDone) return undefined;
+    const position = running.decodedTokens;
+    running.decodedTokens += 1;
+    const isLast = running.decodedTokens >= job.answerTokens;
+    if (isLast) this.release(running);
+    return { id: job.id, position, last: isLast };
+  }
+
+  private release(running: RunningRequest): void {
     this.running = this.running.filter((other) => other !== running);
-    this.cache.unpin(running.pinned);
-    if (running.prefilled < running.job.promptTokens) return;
-    const fresh = running.job.prefixKeys.slice(running.pinned.length);
-    const room = this.options.memoryTokens - this.usedTokens();
-    this.cache.store(fresh.slice(0, Math.max(0, Math.floor(room / prefixCache.BLOCK_TOKENS))));
+    this.cache.unpin(running.pinnedKeys);
+    if (running.prefilledTokens < running.job.promptTokens) return;
+    const newKeys = running.job.prefixKeys.slice(running.pinnedKeys.length);
+    const unusedTokens = this.options.memoryTokens - this.usedTokens();
+    this.cache.store(
+      newKeys.slice(0, Math.max(0, Math.floor(unusedTokens / prefixCache.BLOCK_TOKENS))),
+    );
   }
 
-  private noteLoad(now: number): void {
+  private recordLoad(now: number): void {
     this.loads.push(this.trueLoad(now));
     if (this.loads.length < 256) return;
     const asOf = now - this.options.loadLagMs;
-    const keep = this.loads.findLastIndex(({ at }) => at <= asOf);
-    this.loads = this.loads.slice(Math.max(0, keep));
+    const firstNeeded = this.loads.findLastIndex(({ at }) => at <= asOf);
+    this.loads = this.loads.slice(Math.max(0, firstNeeded));
     if (this.loads.length >= 256) this.loads = this.loads.filter((_load, i) => i % 2 === 0);
   }
 }
--- a/packages/standins/src/engine/engineServer.ts
+++ b/packages/standins/src/engine/engineServer.ts
@@ -10,7 +10,7 @@
 import * as faults from '../faults';
 import * as httpServer from '../httpServer';
 import * as engineModel from './engineModel';
-import * as holdings from './holdings';
+import * as leaseTable from './leaseTable';
 import * as parameters from './parameters';
 
 export interface Options {
@@ -45,20 +45,20 @@
   /** Frames made so far; a resumed stream is served from here. */
   frames: string[];
   response: http.ServerResponse | undefined;
-  crossed: boolean;
-  cutAfter: number;
-  whole: boolean;
+  hasWrongId: boolean;
+  cutAfterFrames: number;
+  isComplete: boolean;
 }
 
 /** How long a stream without a reader is kept for resuming, in milliseconds. */
-const RESUME_MS = 5_000;
+const RESUME_WINDOW_MS = 5_000;
 
 const BYTES_PER_TOKEN = 4;
 
 export class EngineServer {
   readonly model: engineModel.EngineModel;
 
-  readonly held = new holdings.Holdings();
+  readonly held = new leaseTable.LeaseTable();
 
   readonly incarnation = Date.now();
 
@@ -66,19 +66,19 @@
 
   private readonly streams = new Map<string, Stream>();
 
-  private readonly switches = new faults.Faults();
+  private readonly faultInjector = new faults.FaultInjector();
 
   private readonly announcer: announcer.Announcer;
 
   private models: domain.target.target.Loaded[];
 
-  private fence: domain.placement.order.Fence = { term: 0, sequence: 0 };
+  private highestFence: domain.placement.order.Fence = { term: 0, sequence: 0 };
 
   private status: domain.target.target.Status = 'serving';
 
   private port = 0;
 
-  private timer: NodeJS.Timeout | undefined;
+  private leaseTimer: NodeJS.Timeout | undefined;
 
   /** Counts by request id of how often a prompt was started here. */
   readonly started = new Map<string, number>();
@@ -87,20 +87,21 @@
     this.model = new engineModel.EngineModel(options.parameters);
     this.models = options.models;
     this.server = new httpServer.HttpServer((call) => this.handle(call));
-    const describe = (): Omit<announcer.Announcement, 'sequence'> => this.describe();
-    this.announcer = new announcer.Announcer(options.entries, options.secret, describe);
+    const buildAnnouncement = (): Omit<announcer.Announcement, 'sequence'> =>
+      this.buildAnnouncement();
+    this.announcer = new announcer.Announcer(options.entries, options.secret, buildAnnouncement);
   }
 
   async start(): Promise<number> {
     this.port = await this.server.listen(this.options.host, this.options.port);
     this.announcer.start();
-    this.timer = setInterval(() => this.expire(), 500);
+    this.leaseTimer = setInterval(() => this.expireLeases(), 500);
     return this.port;
   }
 
   async stop(): Promise<void> {
     this.announcer.stop();
-    clearInterval(this.timer);
+    clearInterval(this.leaseTimer);
     await this.server.close();
   }
 
@@ -110,7 +111,7 @@
     await this.announcer.announce();
   }
 
-  private describe(): Omit<announcer.Announcement, 'sequence'> {
+  private buildAnnouncement(): Omit<announcer.Announcement, 'sequence'> {
     const { name, host, dataCentre, fencing } = this.options;
     const { queuedTokens, streams, freeTokens } = this.model.load(Date.now());
     return {
@@ -135,24 +136,25 @@
     else if (collection === 'requests' && detail === 'stream') this.onResume(call, id);
     else if (collection === 'requests') this.onRequest(call, id);
     else if (collection === 'reservations') this.onReservation(call, id);
-    else if (collection === 'holdings') this.onHoldings(call, id);
+    else if (collection === 'holdings') this.onLeases(call, id);
     else if (collection === 'orders') this.onOrder(call);
     else if (collection === 'cache') this.onCache(call);
-    else if (collection === 'leave') void this.leave().then(() => httpServer.reply(call, 200, {}));
-    else httpServer.reply(call, 404, { error: 'no such path' });
+    else if (collection === 'leave')
+      void this.leave().then(() => httpServer.sendJson(call, 200, {}));
+    else httpServer.sendJson(call, 404, { error: 'no such path' });
   }
 
   private onFault(call: httpServer.Call): void {
     const fault = JSON.parse(call.body) as faults.Fault | { kind: 'clear' };
-    httpServer.reply(call, 200, {});
-    if (fault.kind === 'clear') this.switches.clear();
+    httpServer.sendJson(call, 200, {});
+    if (fault.kind === 'clear') this.faultInjector.clear();
     else if (fault.kind === 'die') process.exit(1);
-    else if (fault.kind === 'silent') this.silence();
-    else this.switches.set(fault);
+    else if (fault.kind === 'silent') this.silenceConnections();
+    else this.faultInjector.inject(fault);
   }
 
   /** Detaches every open connection without closing it: the other side sees nothing any more. */
-  private silence(): void {
+  private silenceConnections(): void {
     this.server.sockets.forEach((socket) => {
       socket.pause();
       socket.removeAllListeners('data');
@@ -164,28 +166,32 @@
 
   private onGenerate(call: httpServer.Call): void {
     const body = JSON.parse(call.body) as GenerateBody;
-    const served = this.models.some(
+    const isLoaded = this.models.some(
       (model) => JSON.stringify(model) === JSON.stringify(body.model),
     );
-    if (this.switches.take('refuse') !== undefined || this.status !== 'serving' || !served) {
-      const error = served ? 'not taking work' : 'model not loaded';
-      httpServer.reply(call, 503, { error, notRun: true });
+    if (
+      this.faultInjector.consume('refuse') !== undefined ||
+      this.status !== 'serving' ||
+      !isLoaded
+    ) {
+      const error = isLoaded ? 'not taking work' : 'model not loaded';
+      httpServer.sendJson(call, 503, { error, notRun: true });
       return;
     }
     if (this.streams.has(body.request)) {
-      httpServer.reply(call, 409, { error: 'request id in use', notRun: false });
+      httpServer.sendJson(call, 409, { error: 'request id in use', notRun: false });
       return;
     }
-    const job = this.jobOf(body);
+    const job = this.toJob(body);
     if (body.needsRoom && !this.model.hasRoom(job)) {
       const noRoom = { ...this.model.trueLoad(Date.now()), ageMs: 0 };
-      httpServer.reply(call, 409, { error: 'no room', notRun: true, noRoom });
+      httpServer.sendJson(call, 409, { error: 'no room', notRun: true, noRoom });
       return;
     }
-    this.run(call, body, job);
+    this.startStream(call, body, job);
   }
 
-  private jobOf(body: GenerateBody): engineModel.Job {
+  private toJob(body: GenerateBody): engineModel.Job {
     return {
       id: body.request,
       promptTokens: Math.ceil(body.prompt.length / BYTES_PER_TOKEN) + body.resumeFrom,
@@ -196,16 +202,16 @@
     };
   }
 
-  private run(call: httpServer.Call, body: GenerateBody, job: engineModel.Job): void {
+  private startStream(call: httpServer.Call, body: GenerateBody, job: engineModel.Job): void {
     this.started.set(body.request, (this.started.get(body.request) ?? 0) + 1);
     const stream: Stream = {
       body,
-      digest: digestOf(body.prompt),
+      digest: promptDigest(body.prompt),
       frames: [],
       response: undefined,
-      crossed: this.switches.take('cross') !== undefined,
-      cutAfter: this.switches.take('cut') === undefined ? Infinity : 2,
-      whole: false,
+      hasWrongId: this.faultInjector.consume('cross') !== undefined,
+      cutAfterFrames: this.faultInjector.consume('cut') === undefined ? Infinity : 2,
+      isComplete: false,
     };
     this.streams.set(body.request, stream);
     this.held.add({
@@ -217,9 +223,9 @@
       expiresAt: Infinity,
     });
     this.attach(call, body.request, stream);
-    const late = this.switches.take('late');
-    if (late === undefined) this.submit(job);
-    else setTimeout(() => this.submit(job), late.delayMs);
+    const delay = this.faultInjector.consume('late');
+    if (delay === undefined) this.submit(job);
+    else setTimeout(() => this.submit(job), delay.delayMs);
   }
 
   private submit(job: engineModel.Job): void {
@@ -236,42 +242,45 @@
     response.on('close', () => {
       if (stream.response !== response) return;
       stream.response = undefined;
-      setTimeout(() => this.drop(id, stream), RESUME_MS);
+      setTimeout(() => this.endIfAbandoned(id, stream), RESUME_WINDOW_MS);
     });
   }
 
   /** Ends a stream that nobody came back for. */
-  private drop(id: string, stream: Stream): void {
-    if (stream.response === undefined && this.streams.get(id) === stream) this.end(id);
+  private endIfAbandoned(id: string, stream: Stream): void {
+    if (stream.response === undefined && this.streams.get(id) === stream) this.endRequest(id);
   }
 
   private onResume(call: httpServer.Call, id: string): void {
     const stream = this.streams.get(id);
     if (stream === undefined) {
-      httpServer.reply(call, 404, { error: 'no such request' });
+      httpServer.sendJson(call, 404, { error: 'no such request' });
       return;
     }
     const from = Number(call.query.get('from') ?? 0) - stream.body.resumeFrom;
     this.attach(call, id, stream);
-    stream.crossed = false;
-    stream.cutAfter = Infinity;
+    stream.hasWrongId = false;
+    stream.cutAfterFrames = Infinity;
     stream.frames.slice(Math.max(0, from)).forEach((frame) => call.response.write(frame));
-    if (stream.whole) this.finishStream(id, stream);
+    if (stream.isComplete) this.finishStream(id, stream);
   }
 
   private onRequest(call: httpServer.Call, id: string): void {
     if (call.method === 'DELETE') {
-      this.end(id);
-      httpServer.reply(call, 200, { released: true });
+      this.endRequest(id);
+      httpServer.sendJson(call, 200, { released: true });
       return;
     }
     const stream = this.streams.get(id);
-    const state = stream !== undefined && stream.whole ? 'finished' : this.model.stateOf(id);
+    const state = stream !== undefined && stream.isComplete ? 'finished' : this.model.stateOf(id);
     const known = stream !== undefined;
-    httpServer.reply(call, 200, { state: known && state === 'unknown' ? 'queued' : state, known });
+    httpServer.sendJson(call, 200, {
+      state: known && state === 'unknown' ? 'queued' : state,
+      known,
+    });
   }
 
-  private end(id: string): void {
+  private endRequest(id: string): void {
     this.model.cancel(id, Date.now());
     this.streams.get(id)?.response?.destroy();
     this.streams.delete(id);
@@ -280,12 +289,12 @@
 
   private step(): void {
     if (this.model.stepping) return;
-    const duration = this.model.begin();
-    if (duration === undefined) return;
+    const durationMs = this.model.begin();
+    if (durationMs === undefined) return;
     setTimeout(() => {
       this.model.finish(Date.now()).forEach((token) => this.emit(token));
       this.step();
-    }, duration);
+    }, durationMs);
   }
 
   private emit(token: engineModel.Token): void {
@@ -293,22 +302,22 @@
     if (stream === undefined) return;
     const position = token.position + stream.body.resumeFrom;
     const { loadLagMs } = this.options.parameters;
-    const edge = token.position === 0 || token.last;
-    const reports = edge || token.position % engineModel.REPORT_EVERY === 0;
-    const load = reports ? { ...this.model.load(Date.now()), ageMs: loadLagMs } : undefined;
+    const isFirstOrLast = token.position === 0 || token.last;
+    const reportsLoad = isFirstOrLast || token.position % engineModel.REPORT_EVERY === 0;
+    const load = reportsLoad ? { ...this.model.load(Date.now()), ageMs: loadLagMs } : undefined;
     const promptTokens = Math.ceil(stream.body.prompt.length / BYTES_PER_TOKEN);
     const frame = `data: ${JSON.stringify({
-      request: stream.crossed ? `${token.id}-other` : token.id,
+      request: stream.hasWrongId ? `${token.id}-other` : token.id,
       position,
       text: `${stream.digest}.${position} `,
       tokens: 1,
       last: token.last,
       load,
-      promptTokens: edge ? promptTokens : undefined,
+      promptTokens: isFirstOrLast ? promptTokens : undefined,
     })}\n\n`;
     stream.frames.push(frame);
-    stream.whole = token.last;
-    if (stream.frames.length > stream.cutAfter) {
+    stream.isComplete = token.last;
+    if (stream.frames.length > stream.cutAfterFrames) {
       stream.response?.destroy();
       return;
     }
@@ -325,92 +334,103 @@
 
   private onReservation(call: httpServer.Call, id: string): void {
     if (call.method === 'DELETE') {
-      this.free(id);
-      httpServer.reply(call, 200, { released: true });
+      this.releaseReservation(id);
+      httpServer.sendJson(call, 200, { released: true });
       return;
     }
     const now = Date.now();
-    const wish = JSON.parse(call.body) as Omit<holdings.Holding, 'kind' | 'expiresAt'> & {
+    const reservation = JSON.parse(call.body) as Omit<
+      leaseTable.EngineLease,
+      'kind' | 'expiresAt'
+    > & {
       leaseMs: number;
     };
-    const expiresAt = now + wish.leaseMs;
+    const expiresAt = now + reservation.leaseMs;
     if (call.method === 'PUT') {
       const known = this.held.renew(id, expiresAt);
-      httpServer.reply(call, known ? 200 : 404, { renewed: known });
+      httpServer.sendJson(call, known ? 200 : 404, { renewed: known });
       return;
     }
-    const granted = this.held.get(wish.id) !== undefined || this.model.reserve(wish.tokens);
+    const granted =
+      this.held.get(reservation.id) !== undefined || this.model.reserve(reservation.tokens);
     if (granted) {
-      const { id: name, system, owner, tokens } = wish;
+      const { id: name, system, owner, tokens } = reservation;
       this.held.add({ id: name, system, kind: 'reservation', owner, tokens, expiresAt });
     }
     const { freeTokens } = this.model.trueLoad(now);
-    httpServer.reply(call, granted ? 200 : 409, { granted, freeTokens });
+    httpServer.sendJson(call, granted ? 200 : 409, { granted, freeTokens });
   }
 
-  private free(id: string): void {
-    const holding = this.held.remove(id);
-    if (holding?.kind === 'reservation') this.model.unreserve(holding.tokens);
+  private releaseReservation(id: string): void {
+    const lease = this.held.remove(id);
+    if (lease?.kind === 'reservation') this.model.unreserve(lease.tokens);
   }
 
-  private expire(): void {
-    this.held.expired(Date.now()).forEach(({ id }) => this.free(id));
+  private expireLeases(): void {
+    this.held.expired(Date.now()).forEach(({ id }) => this.releaseReservation(id));
   }
 
-  private onHoldings(call: httpServer.Call, id: string): void {
+  private onLeases(call: httpServer.Call, id: string): void {
     if (call.method === 'DELETE') {
-      if (this.held.get(id)?.kind === 'reservation') this.free(id);
-      else this.end(id);
-      httpServer.reply(call, 200, { released: true });
+      if (this.held.get(id)?.kind === 'reservation') this.releaseReservation(id);
+      else this.endRequest(id);
+      httpServer.sendJson(call, 200, { released: true });
       return;
     }
     if (call.method === 'POST') {
-      const holding = JSON.parse(call.body) as holdings.Holding;
-      this.model.reserve(holding.tokens);
-      this.held.add({ ...holding, expiresAt: Date.now() + 3_600_000 });
+      const lease = JSON.parse(call.body) as leaseTable.EngineLease;
+      this.model.reserve(lease.tokens);
+      this.held.add({ ...lease, expiresAt: Date.now() + 3_600_000 });
     }
-    const list = this.held.list().map(({ expiresAt, ...listed }) => listed);
+    const listed = this.held.list().map(({ expiresAt, ...resource }) => resource);
     const started = Object.fromEntries(this.started);
-    httpServer.reply(call, 200, { incarnation: this.incarnation, holdings: list, started });
+    httpServer.sendJson(call, 200, { incarnation: this.incarnation, holdings: listed, started });
   }
 
   private onOrder(call: httpServer.Call): void {
     const order = JSON.parse(call.body) as domain.placement.order.Order;
     const { term, sequence } = order.fence;
-    const stale =
-      term < this.fence.term || (term === this.fence.term && sequence <= this.fence.sequence);
-    if (this.options.fencing === 'checked' && stale) {
-      httpServer.reply(call, 409, { error: 'old fencing number', seen: this.fence });
+    const isStale =
+      term < this.highestFence.term ||
+      (term === this.highestFence.term && sequence <= this.highestFence.sequence);
+    if (this.options.fencing === 'checked' && isStale) {
+      httpServer.sendJson(call, 409, { error: 'old fencing number', seen: this.highestFence });
       return;
     }
     if (order.expiresAt < Date.now()) {
-      httpServer.reply(call, 410, { error: 'order expired' });
+      httpServer.sendJson(call, 410, { error: 'order expired' });
       return;
     }
-    this.fence = order.fence;
+    this.highestFence = order.fence;
     const key = JSON.stringify(order.model);
-    const rest = this.models.filter((model) => JSON.stringify(model) !== key);
-    this.models = order.kind === 'load' ? [...rest, order.model] : rest;
-    httpServer.reply(call, 200, { models: this.models });
+    const otherModels = this.models.filter((model) => JSON.stringify(model) !== key);
+    this.models = order.kind === 'load' ? [...otherModels, order.model] : otherModels;
+    httpServer.sendJson(call, 200, { models: this.models });
     void this.announcer.announce();
   }
 
   private onCache(call: httpServer.Call): void {
     const since = Number(call.query.get('since') ?? -1);
     const { cache } = this.model;
-    if (since < 0) httpServer.reply(call, 200, { sequence: cache.sequence, keys: cache.keys() });
-    else httpServer.reply(call, 200, { sequence: cache.sequence, events: this.lossy(since) });
+    if (since < 0) httpServer.sendJson(call, 200, { sequence: cache.sequence, keys: cache.keys() });
+    else
+      httpServer.sendJson(call, 200, {
+        sequence: cache.sequence,
+        events: this.publishedEvents(since),
+      });
   }
 
   /** Cache events as the engine publishes them: some are lost. */
-  private lossy(since: number): unknown[] {
+  private publishedEvents(since: number): unknown[] {
     const { eventLoss } = this.options.parameters;
-    const every = eventLoss > 0 ? Math.round(1 / eventLoss) : Infinity;
-    return this.model.cache.since(since).filter(({ sequence }) => sequence % every !== 0);
+    const lossInterval = eventLoss > 0 ? Math.round(1 / eventLoss) : Infinity;
+    return this.model.cache
+      .eventsSince(since)
+      .filter(({ sequence }) => sequence % lossInterval !== 0);
   }
 }
 
 /** A mark of the prompt in every word of the answer, so that a stranger's answer shows. */
-export function digestOf(prompt: string): string {
+export function promptDigest(prompt: string): string {
   return crypto.createHash('sha1').update(prompt).digest('hex').slice(0, 6);
 }
--- a/packages/standins/src/engine/prefixCache.ts
+++ b/packages/standins/src/engine/prefixCache.ts
@@ -5,87 +5,87 @@
 /** Tokens in a block; the same as the daemons' index uses. */
 export const BLOCK_TOKENS = 1_024;
 
-export interface Change {
+export interface CacheEvent {
   sequence: number;
   kind: 'stored' | 'evicted';
   key: number;
 }
 
 export class PrefixCache {
-  private readonly users = new Map<number, number>();
+  private readonly pinCounts = new Map<number, number>();
 
-  private changes: Change[] = [];
+  private events: CacheEvent[] = [];
 
   sequence = 0;
 
   get tokens(): number {
-    return this.users.size * BLOCK_TOKENS;
+    return this.pinCounts.size * BLOCK_TOKENS;
   }
 
   /** Number of leading blocks that are cached. */
-  match(keys: readonly number[]): number {
-    const miss = keys.findIndex((key) => !this.users.has(key));
-    return miss === -1 ? keys.length : miss;
+  matchedBlocks(keys: readonly number[]): number {
+    const firstMiss = keys.findIndex((key) => !this.pinCounts.has(key));
+    return firstMiss === -1 ? keys.length : firstMiss;
   }
 
   /** Marks blocks as used by a request and as the most recent. */
   pin(keys: readonly number[]): void {
     keys.forEach((key) => {
-      const users = this.users.get(key) ?? 0;
-      this.users.delete(key);
-      this.users.set(key, users + 1);
+      const pins = this.pinCounts.get(key) ?? 0;
+      this.pinCounts.delete(key);
+      this.pinCounts.set(key, pins + 1);
     });
   }
 
   unpin(keys: readonly number[]): void {
     keys.forEach((key) => {
-      const users = this.users.get(key);
-      if (users !== undefined) this.users.set(key, Math.max(0, users - 1));
+      const pins = this.pinCounts.get(key);
+      if (pins !== undefined) this.pinCounts.set(key, Math.max(0, pins - 1));
     });
   }
 
   store(keys: readonly number[]): void {
     keys
-      .filter((key) => !this.users.has(key))
+      .filter((key) => !this.pinCounts.has(key))
       .forEach((key) => {
-        this.users.set(key, 0);
-        this.note('stored', key);
+        this.pinCounts.set(key, 0);
+        this.record('stored', key);
       });
   }
 
   /** Tokens that eviction could free. */
-  evictable(): number {
+  evictableTokens(): number {
     let blocks = 0;
-    this.users.forEach((users) => {
-      if (users === 0) blocks += 1;
+    this.pinCounts.forEach((pins) => {
+      if (pins === 0) blocks += 1;
     });
     return blocks * BLOCK_TOKENS;
   }
 
   /** Evicts until at least `tokens` are freed, as far as possible. */
   evict(tokens: number): void {
-    let freed = 0;
-    for (const [key, users] of this.users) {
-      if (freed >= tokens) break;
-      if (users > 0) continue;
-      this.users.delete(key);
-      this.note('evicted', key);
-      freed += BLOCK_TOKENS;
+    let freedTokens = 0;
+    for (const [key, pins] of this.pinCounts) {
+      if (freedTokens >= tokens) break;
+      if (pins > 0) continue;
+      this.pinCounts.delete(key);
+      this.record('evicted', key);
+      freedTokens += BLOCK_TOKENS;
     }
   }
 
   keys(): number[] {
-    return [...this.users.keys()];
+    return [...this.pinCounts.keys()];
   }
 
   /** Changes after `sequence` that are still known. */
-  since(sequence: number): Change[] {
-    return this.changes.filter((change) => change.sequence > sequence);
+  eventsSince(sequence: number): CacheEvent[] {
+    return this.events.filter((event) => event.sequence > sequence);
   }
 
-  private note(kind: Change['kind'], key: number): void {
+  private record(kind: CacheEvent['kind'], key: number): void {
     this.sequence += 1;
-    this.changes.push({ sequence: this.sequence, kind, key });
-    if (this.changes.length > 4_096) this.changes = this.changes.slice(-2_048);
+    this.events.push({ sequence: this.sequence, kind, key });
+    if (this.events.length > 4_096) this.events = this.events.slice(-2_048);
   }
 }
--- a/packages/standins/src/faults.ts
+++ b/packages/standins/src/faults.ts
@@ -16,10 +16,10 @@
   delayMs: number;
 }
 
-export class Faults {
+export class FaultInjector {
   private active: Fault[] = [];
 
-  set(fault: Fault): void {
+  inject(fault: Fault): void {
     this.active.push(fault);
   }
 
@@ -28,7 +28,7 @@
   }
 
   /** Takes one use of a fault of this kind, if one is set. */
-  take(kind: Kind): Fault | undefined {
+  consume(kind: Kind): Fault | undefined {
     const fault = this.active.find((each) => each.kind === kind && each.count > 0);
     if (fault !== undefined) fault.count -= 1;
     return fault;
--- a/packages/standins/src/httpServer.ts
+++ b/packages/standins/src/httpServer.ts
@@ -14,7 +14,7 @@
 
 export type Handler = (call: Call) => void | Promise<void>;
 
-export function reply(call: Call, status: number, content: unknown): void {
+export function sendJson(call: Call, status: number, content: unknown): void {
   if (call.response.headersSent) return;
   call.response.writeHead(status, { 'content-type': 'application/json' });
   call.response.end(JSON.stringify(content));
--- a/packages/standins/src/main.ts
+++ b/packages/standins/src/main.ts
@@ -4,7 +4,7 @@
 import * as parameters from './engine/parameters';
 import * as plainService from './service/plainService';
 
-interface Common {
+interface CommonOptions {
   name: string;
   port: string;
   dataCentre: string;
@@ -12,7 +12,7 @@
   secret: string;
 }
 
-function common(command: commander.Command): commander.Command {
+function addCommonOptions(command: commander.Command): commander.Command {
   return command
     .requiredOption('--name <name>', 'name it announces')
     .option('--port <port>', 'port, 0 for any', '0')
@@ -21,31 +21,31 @@
     .option('--secret <secret>', 'secret for announcing', 'targets');
 }
 
-function loaded(text: string): { base: string; adapter: string; version: string }[] {
+function parseModels(text: string): { base: string; adapter: string; version: string }[] {
   return text.split(',').map((part) => {
     const [base = '', adapter = '', version = '1'] = part.split('/');
     return { base, adapter, version };
   });
 }
 
-async function runEngine(options: Common & Record<string, string>): Promise<void> {
-  const given = JSON.parse(options.parameters ?? '{}') as Partial<parameters.Parameters>;
+async function runEngine(options: CommonOptions & Record<string, string>): Promise<void> {
+  const overrides = JSON.parse(options.parameters ?? '{}') as Partial<parameters.Parameters>;
   const engine = new engineServer.EngineServer({
     name: options.name,
     host: '127.0.0.1',
     port: Number(options.port),
     dataCentre: options.dataCentre,
-    models: loaded(options.models ?? ''),
+    models: parseModels(options.models ?? ''),
     fencing: options.fencing === 'ignored' ? 'ignored' : 'checked',
     entries: options.entries.split(','),
     secret: options.secret,
-    parameters: { ...parameters.DEFAULT_PARAMETERS, ...given },
+    parameters: { ...parameters.DEFAULT_PARAMETERS, ...overrides },
   });
   const port = await engine.start();
   process.stdout.write(`${JSON.stringify({ name: options.name, port })}\n`);
 }
 
-async function runService(options: Common & Record<string, string>): Promise<void> {
+async function runService(options: CommonOptions & Record<string, string>): Promise<void> {
   const service = new plainService.PlainService({
     name: options.name,
     service: options.service ?? '',
@@ -62,12 +62,12 @@
 
 export async function main(argv: readonly string[]): Promise<void> {
   const program = new commander.Command('celerydrift-standin');
-  common(program.command('engine'))
+  addCommonOptions(program.command('engine'))
     .option('--models <list>', 'base/adapter/version, separated by commas', 'base')
     .option('--fencing <mode>', 'checked or ignored', 'checked')
     .option('--parameters <json>', 'engine parameters that differ from the defaults', '{}')
     .action(runEngine);
-  common(program.command('service'))
+  addCommonOptions(program.command('service'))
     .option('--service <name>', 'service name', 'parts')
     .option('--work-ms <ms>', 'time a call takes', '2')
     .action(runService);
--- a/packages/standins/src/service/plainService.ts
+++ b/packages/standins/src/service/plainService.ts
@@ -23,7 +23,7 @@
 
   private readonly incarnation = Date.now();
 
-  private readonly switches = new faults.Faults();
+  private readonly faultInjector = new faults.FaultInjector();
 
   private readonly server: httpServer.HttpServer;
 
@@ -33,8 +33,9 @@
 
   constructor(private readonly options: Options) {
     this.server = new httpServer.HttpServer((call) => this.handle(call));
-    const describe = (): Omit<announcer.Announcement, 'sequence'> => this.describe();
-    this.announcer = new announcer.Announcer(options.entries, options.secret, describe);
+    const buildAnnouncement = (): Omit<announcer.Announcement, 'sequence'> =>
+      this.buildAnnouncement();
+    this.announcer = new announcer.Announcer(options.entries, options.secret, buildAnnouncement);
   }
 
   async start(): Promise<number> {
@@ -48,7 +49,7 @@
     await this.server.close();
   }
 
-  private describe(): Omit<announcer.Announcement, 'sequence'> {
+  private buildAnnouncement(): Omit<announcer.Announcement, 'sequence'> {
     const { name, service, host, dataCentre } = this.options;
     return {
       name,
@@ -69,35 +70,39 @@
     if (call.path === '/fault') {
       const fault = JSON.parse(call.body) as faults.Fault | { kind: 'clear' };
       if (fault.kind === 'die') process.exit(1);
-      if (fault.kind === 'clear') this.switches.clear();
-      else this.switches.set(fault);
-      httpServer.reply(call, 200, {});
+      if (fault.kind === 'clear') this.faultInjector.clear();
+      else this.faultInjector.inject(fault);
+      httpServer.sendJson(call, 200, {});
     } else if (call.path === '/runs') {
-      httpServer.reply(call, 200, Object.fromEntries(this.runs));
+      httpServer.sendJson(call, 200, Object.fromEntries(this.runs));
     } else if (call.method === 'POST') {
-      await this.enter(call);
+      await this.createEntry(call);
     } else {
       const { method, path, headers } = call;
-      httpServer.reply(call, 200, { method, path, organisation: headers['x-organisation'] ?? '' });
+      httpServer.sendJson(call, 200, {
+        method,
+        path,
+        organisation: headers['x-organisation'] ?? '',
+      });
     }
   }
 
-  private async enter(call: httpServer.Call): Promise<void> {
-    if (this.switches.take('refuse') !== undefined) {
+  private async createEntry(call: httpServer.Call): Promise<void> {
+    if (this.faultInjector.consume('refuse') !== undefined) {
       call.response.setHeader('x-not-run', 'true');
-      httpServer.reply(call, 503, { error: 'not taking work', notRun: true });
+      httpServer.sendJson(call, 503, { error: 'not taking work', notRun: true });
       return;
     }
     const { id } = JSON.parse(call.body) as { id: string };
     const runs = (this.runs.get(id) ?? 0) + 1;
     this.runs.set(id, runs);
     await new Promise((resolve) => {
-      setTimeout(resolve, this.switches.take('late')?.delayMs ?? this.options.workMs);
+      setTimeout(resolve, this.faultInjector.consume('late')?.delayMs ?? this.options.workMs);
     });
-    if (this.switches.take('cut') !== undefined) {
+    if (this.faultInjector.consume('cut') !== undefined) {
       call.response.destroy();
       return;
     }
-    httpServer.reply(call, 201, { id, runs, path: call.path });
+    httpServer.sendJson(call, 201, { id, runs, path: call.path });
   }
 }
