--- a/packages/cli/src/fleetCommands.ts
+++ b/packages/cli/src/fleetCommands.ts
@@ -6,7 +6,7 @@
 import * as operatorsClient from './operatorsClient';
 import * as output from './output';
 
-type Outcome = Promise<Result<void, errors.CommandError>>;
+type CommandOutcome = Promise<Result<void, errors.CommandError>>;
 
 const SUBJECTS: Record<string, domain.stop.stop.Subject> = {
   target: 'target',
@@ -17,13 +17,13 @@
 export async function listTargets(
   client: operatorsClient.OperatorsClient,
   asJson: boolean,
-): Outcome {
-  const answer = await client.get('targets');
-  if (answer.err) return answer;
-  const list = answer.val as domain.target.target.Target[];
-  if (asJson) output.json(list);
+): CommandOutcome {
+  const response = await client.get('targets');
+  if (response.err) return response;
+  const targets = response.val as domain.target.target.Target[];
+  if (asJson) output.json(targets);
   else {
-    const rows = list.map(({ name, kind, status, dataCentre, address, load, models }) => {
+    const rows = targets.map(({ name, kind, status, dataCentre, address, load, models }) => {
       const loaded = models.map(({ base, adapter, version }) => `${base}/${adapter}/${version}`);
       const queued = String(load.queuedTokens);
       return [name, kind, status, dataCentre, address, queued, loaded.join(' ')];
@@ -36,17 +36,17 @@
 export async function showStatus(
   client: operatorsClient.OperatorsClient,
   asJson: boolean,
-): Outcome {
-  const answer = await client.get('status');
-  if (answer.err) return answer;
+): CommandOutcome {
+  const response = await client.get('status');
+  if (response.err) return response;
   if (asJson) {
-    output.json(answer.val);
+    output.json(response.val);
     return Ok(undefined);
   }
-  const { counters, daemons, members, ...rest } = answer.val as Record<string, unknown>;
+  const { counters, daemons, members, ...fields } = response.val as Record<string, unknown>;
   output.table(
     ['', ''],
-    Object.entries(rest).map(([key, value]) => [key, String(value)]),
+    Object.entries(fields).map(([key, value]) => [key, String(value)]),
   );
   const known = (daemons ?? []) as domain.membership.daemon.Daemon[];
   output.table(
@@ -63,7 +63,7 @@
   kind: string,
   name: string,
   options: { id?: string; grace: string; json: boolean },
-): Outcome {
+): CommandOutcome {
   const subject = SUBJECTS[kind];
   const graceSeconds = Number(options.grace);
   if (subject === undefined) {
@@ -73,18 +73,21 @@
     return Err({ kind: 'usage', message: `--grace "${options.grace}": give seconds` });
   }
   const id = options.id ?? crypto.randomUUID();
-  const answer = await client.call('POST', 'stops', { id, subject, name, graceSeconds });
-  if (answer.err) return answer;
-  if (answer.val.status >= 300) return Err(operatorsClient.refusal(answer.val));
+  const response = await client.call('POST', 'stops', { id, subject, name, graceSeconds });
+  if (response.err) return response;
+  if (response.val.status >= 300) return Err(operatorsClient.toCommandError(response.val));
   if (options.json) output.json({ id });
   else output.line(`announced: ${id}`);
   return Ok(undefined);
 }
 
-export async function cancelStop(client: operatorsClient.OperatorsClient, id: string): Outcome {
-  const answer = await client.call('DELETE', `stops/${encodeURIComponent(id)}`);
-  if (answer.err) return answer;
-  if (answer.val.status >= 300) return Err(operatorsClient.refusal(answer.val));
+export async function cancelStop(
+  client: operatorsClient.OperatorsClient,
+  id: string,
+): CommandOutcome {
+  const response = await client.call('DELETE', `stops/${encodeURIComponent(id)}`);
+  if (response.err) return response;
+  if (response.val.status >= 300) return Err(operatorsClient.toCommandError(response.val));
   output.line(`cancelled: ${id}`);
   return Ok(undefined);
 }
@@ -95,10 +98,13 @@
   waitingFor: string[];
 }
 
-export async function listStops(client: operatorsClient.OperatorsClient, asJson: boolean): Outcome {
-  const answer = await client.get('stops');
-  if (answer.err) return answer;
-  const stops = answer.val as StopReport[];
+export async function listStops(
+  client: operatorsClient.OperatorsClient,
+  asJson: boolean,
+): CommandOutcome {
+  const response = await client.get('stops');
+  if (response.err) return response;
+  const stops = response.val as StopReport[];
   if (asJson) output.json(stops);
   else {
     const rows = stops.map(({ id, subject, name, progress, running, waitingFor }) => {
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -7,7 +7,7 @@
 import * as output from './output';
 import * as settingsCommands from './settingsCommands';
 
-interface Global {
+interface GlobalOptions {
   entry: string;
   token: string;
   json: boolean;
@@ -23,14 +23,14 @@
   celerydrift stop announce target engine-7 --grace 60
   celerydrift --json status`;
 
-function finish(result: Result<void, errors.CommandError>): void {
+function reportOutcome(result: Result<void, errors.CommandError>): void {
   if (result.ok) return;
-  output.problem(result.val.message);
+  output.error(result.val.message);
   process.exitCode = errors.EXIT_CODE[result.val.kind];
 }
 
 /** Builds the command tree. */
-export function program(): commander.Command {
+export function buildProgram(): commander.Command {
   const root = new commander.Command('celerydrift');
   root
     .description('Changes settings and announces planned stops of a celerydrift fleet.')
@@ -42,19 +42,19 @@
     .option('--token <token>', 'operator token', process.env.CELERYDRIFT_TOKEN ?? '')
     .option('--json', 'print JSON', false)
     .addHelpText('after', HELP);
-  const global = (): Global => root.opts<Global>();
+  const global = (): GlobalOptions => root.opts<GlobalOptions>();
   const client = (): operatorsClient.OperatorsClient => {
     const { entry, token } = global();
     return new operatorsClient.OperatorsClient(entry.split(','), token);
   };
-  addSettings(root, global, client);
-  addFleet(root, global, client);
+  addSettingsCommands(root, global, client);
+  addFleetCommands(root, global, client);
   return root;
 }
 
-function addSettings(
+function addSettingsCommands(
   root: commander.Command,
-  global: () => Global,
+  global: () => GlobalOptions,
   client: () => operatorsClient.OperatorsClient,
 ): void {
   const settings = root.command('settings').description('the settings tree');
@@ -64,19 +64,19 @@
     .action((file: string) => {
       const result = settingsCommands.check(file);
       if (result.ok) output.line('no problem found');
-      finish(result.ok ? Ok(undefined) : result);
+      reportOutcome(result.ok ? Ok(undefined) : result);
     });
   settings
     .command('show [subtree]')
     .description('a subtree in force, or the list of all')
     .action(async (subtree?: string) => {
-      finish(await settingsCommands.show(client(), subtree, global().json));
+      reportOutcome(await settingsCommands.show(client(), subtree, global().json));
     });
   settings
     .command('diff <subtree> <file>')
     .description('what a file would change')
     .action(async (subtree: string, file: string) => {
-      finish(await settingsCommands.diff(client(), subtree, file, global().json));
+      reportOutcome(await settingsCommands.diff(client(), subtree, file, global().json));
     });
   settings
     .command('apply <subtree> <file>')
@@ -91,7 +91,7 @@
         options: Omit<settingsCommands.ApplyOptions, 'json'>,
       ) => {
         const { json } = global();
-        finish(await settingsCommands.apply(client(), subtree, file, { ...options, json }));
+        reportOutcome(await settingsCommands.apply(client(), subtree, file, { ...options, json }));
       },
     );
   settings
@@ -99,13 +99,13 @@
     .description('accepted changes, newest first')
     .option('--limit <count>', 'entries', '50')
     .action(async ({ limit }: { limit: string }) => {
-      finish(await settingsCommands.history(client(), limit, 'change', global().json));
+      reportOutcome(await settingsCommands.history(client(), limit, 'change', global().json));
     });
 }
 
-function addFleet(
+function addFleetCommands(
   root: commander.Command,
-  global: () => Global,
+  global: () => GlobalOptions,
   client: () => operatorsClient.OperatorsClient,
 ): void {
   root
@@ -113,16 +113,16 @@
     .description('what operators and the system itself did, newest first')
     .option('--limit <count>', 'entries', '50')
     .action(async ({ limit }: { limit: string }) => {
-      finish(await settingsCommands.history(client(), limit, undefined, global().json));
+      reportOutcome(await settingsCommands.history(client(), limit, undefined, global().json));
     });
   root
     .command('targets')
     .description('targets as the asked daemon knows them')
-    .action(async () => finish(await fleetCommands.listTargets(client(), global().json)));
+    .action(async () => reportOutcome(await fleetCommands.listTargets(client(), global().json)));
   root
     .command('status')
     .description('state of the asked daemon')
-    .action(async () => finish(await fleetCommands.showStatus(client(), global().json)));
+    .action(async () => reportOutcome(await fleetCommands.showStatus(client(), global().json)));
   const stop = root.command('stop').description('planned stops');
   stop
     .command('announce <kind> <name>')
@@ -131,18 +131,18 @@
     .option('--id <id>', 'id of the stop')
     .action(async (kind: string, name: string, options: { grace: string; id?: string }) => {
       const { json } = global();
-      finish(await fleetCommands.announceStop(client(), kind, name, { ...options, json }));
+      reportOutcome(await fleetCommands.announceStop(client(), kind, name, { ...options, json }));
     });
   stop
     .command('cancel <id>')
     .description('the stop is over; work may come again')
-    .action(async (id: string) => finish(await fleetCommands.cancelStop(client(), id)));
+    .action(async (id: string) => reportOutcome(await fleetCommands.cancelStop(client(), id)));
   stop
     .command('list')
     .description('announced stops, and whether it is safe to stop')
-    .action(async () => finish(await fleetCommands.listStops(client(), global().json)));
+    .action(async () => reportOutcome(await fleetCommands.listStops(client(), global().json)));
 }
 
 export async function main(argv: readonly string[]): Promise<void> {
-  await program().parseAsync([...argv]);
+  await buildProgram().parseAsync([...argv]);
 }
--- a/packages/cli/src/operatorsClient.ts
+++ b/packages/cli/src/operatorsClient.ts
@@ -3,12 +3,12 @@
 import * as undici from 'undici';
 import type * as errors from './errors';
 
-export interface Answer {
+export interface ApiResponse {
   status: number;
   content: unknown;
 }
 
-const TIMEOUT_MS = 15_000;
+const REQUEST_TIMEOUT_MS = 15_000;
 
 export class OperatorsClient {
   constructor(
@@ -20,35 +20,35 @@
     method: 'GET' | 'PUT' | 'POST' | 'DELETE',
     path: string,
     body?: unknown,
-  ): Promise<Result<Answer, errors.CommandError>> {
-    let detail = 'no entry given';
+  ): Promise<Result<ApiResponse, errors.CommandError>> {
+    let lastError = 'no entry given';
     for (const entry of this.entries) {
       try {
-        const { statusCode, body: answer } = await undici.request(`${entry}/v1/${path}`, {
+        const { statusCode, body: responseBody } = await undici.request(`${entry}/v1/${path}`, {
           method,
           headers: { authorization: `Bearer ${this.token}`, 'content-type': 'application/json' },
           body: body === undefined ? undefined : JSON.stringify(body),
-          headersTimeout: TIMEOUT_MS,
-          bodyTimeout: TIMEOUT_MS,
+          headersTimeout: REQUEST_TIMEOUT_MS,
+          bodyTimeout: REQUEST_TIMEOUT_MS,
         });
-        return Ok({ status: statusCode, content: await answer.json() });
+        return Ok({ status: statusCode, content: await responseBody.json() });
       } catch (error) {
-        detail = `${entry}: ${String(error)}`;
+        lastError = `${entry}: ${String(error)}`;
       }
     }
-    return Err({ kind: 'unreachable', message: detail });
+    return Err({ kind: 'unreachable', message: lastError });
   }
 
   /** The content of a call that must succeed. */
   async get(path: string): Promise<Result<unknown, errors.CommandError>> {
-    const answer = await this.call('GET', path);
-    if (answer.err) return answer;
-    return answer.val.status < 300 ? Ok(answer.val.content) : Err(refusal(answer.val));
+    const response = await this.call('GET', path);
+    if (response.err) return response;
+    return response.val.status < 300 ? Ok(response.val.content) : Err(toCommandError(response.val));
   }
 }
 
 /** Turns an error answer into one of this layer. */
-export function refusal({ status, content }: Answer): errors.CommandError {
+export function toCommandError({ status, content }: ApiResponse): errors.CommandError {
   const { error } = content as { error?: { message?: string } };
   return { kind: 'refused', message: `${status}: ${error?.message ?? JSON.stringify(content)}` };
 }
--- a/packages/cli/src/output.ts
+++ b/packages/cli/src/output.ts
@@ -10,11 +10,11 @@
 }
 
 export function table(head: string[], rows: string[][]): void {
-  const made = new Table({ head, style: { head: [], border: [] } });
-  made.push(...rows);
-  process.stdout.write(`${made.toString()}\n`);
+  const rendered = new Table({ head, style: { head: [], border: [] } });
+  rendered.push(...rows);
+  process.stdout.write(`${rendered.toString()}\n`);
 }
 
-export function problem(text: string): void {
+export function error(text: string): void {
   process.stderr.write(`celerydrift: ${text}\n`);
 }
--- a/packages/cli/src/settingsCommands.ts
+++ b/packages/cli/src/settingsCommands.ts
@@ -9,7 +9,7 @@
 import * as textDiff from './textDiff';
 
 type Subtree = domain.settings.tree.Subtree;
-type Outcome = Promise<Result<void, errors.CommandError>>;
+type CommandOutcome = Promise<Result<void, errors.CommandError>>;
 
 export interface ApplyOptions {
   id?: string;
@@ -18,15 +18,15 @@
   json: boolean;
 }
 
-interface InForce {
+interface RolloutStatus {
   inForce: number;
   registered: number;
   missing: string[];
 }
 
-const WAIT_MS = 30_000;
+const WAIT_TIMEOUT_MS = 30_000;
 
-const POLL_MS = 50;
+const POLL_INTERVAL_MS = 50;
 
 /** Revision of a subtree that isn't there. */
 const NO_REVISION = 0;
@@ -46,29 +46,29 @@
 export function check(file: string): Result<void, errors.CommandError> {
   const text = readFile(file);
   if (text.err) return text;
-  const read = domain.settings.document.read(text.val);
-  if (read.ok) return Ok(undefined);
-  return Err({ kind: 'invalid', message: `${file}:\n  ${describeAll(read.val)}` });
+  const parsed = domain.settings.document.read(text.val);
+  if (parsed.ok) return Ok(undefined);
+  return Err({ kind: 'invalid', message: `${file}:\n  ${describeAll(parsed.val)}` });
 }
 
-async function fetch(
+async function fetchSubtree(
   client: operatorsClient.OperatorsClient,
   name: string,
 ): Promise<Result<Subtree | undefined, errors.CommandError>> {
-  const answer = await client.call('GET', `settings/${encodeURIComponent(name)}`);
-  if (answer.err) return answer;
-  if (answer.val.status === 404) return Ok(undefined);
-  if (answer.val.status >= 300) return Err(operatorsClient.refusal(answer.val));
-  return Ok(answer.val.content as Subtree);
+  const response = await client.call('GET', `settings/${encodeURIComponent(name)}`);
+  if (response.err) return response;
+  if (response.val.status === 404) return Ok(undefined);
+  if (response.val.status >= 300) return Err(operatorsClient.toCommandError(response.val));
+  return Ok(response.val.content as Subtree);
 }
 
 export async function show(
   client: operatorsClient.OperatorsClient,
   name: string | undefined,
   asJson: boolean,
-): Outcome {
-  if (name === undefined) return showAll(client, asJson);
-  const subtree = await fetch(client, name);
+): CommandOutcome {
+  if (name === undefined) return listSubtrees(client, asJson);
+  const subtree = await fetchSubtree(client, name);
   if (subtree.err) return subtree;
   if (subtree.val === undefined) return Err({ kind: 'refused', message: `no subtree ${name}` });
   if (asJson) output.json(subtree.val);
@@ -80,10 +80,13 @@
   return Ok(undefined);
 }
 
-async function showAll(client: operatorsClient.OperatorsClient, asJson: boolean): Outcome {
-  const answer = await client.get('subtrees');
-  if (answer.err) return answer;
-  const subtrees = answer.val as Subtree[];
+async function listSubtrees(
+  client: operatorsClient.OperatorsClient,
+  asJson: boolean,
+): CommandOutcome {
+  const response = await client.get('subtrees');
+  if (response.err) return response;
+  const subtrees = response.val as Subtree[];
   if (asJson) output.json(subtrees);
   else {
     const rows = subtrees.map(({ name, revision, author, at }) => {
@@ -99,10 +102,10 @@
   name: string,
   file: string,
   asJson: boolean,
-): Outcome {
+): CommandOutcome {
   const text = readFile(file);
   if (text.err) return text;
-  const current = await fetch(client, name);
+  const current = await fetchSubtree(client, name);
   if (current.err) return current;
   const lines = textDiff.diff(current.val?.text ?? '', text.val);
   if (asJson) output.json({ revision: current.val?.revision ?? NO_REVISION, lines });
@@ -111,10 +114,10 @@
 }
 
 /** The answer to a change, or why there is none. */
-function answerOf(
-  answer: operatorsClient.Answer,
+function toAccepted(
+  response: operatorsClient.ApiResponse,
 ): Result<domain.settings.tree.Accepted, errors.CommandError> {
-  const content = answer.content as Partial<domain.settings.tree.Answer>;
+  const content = response.content as Partial<domain.settings.tree.Answer>;
   if (content.kind === 'accepted') return Ok(content as domain.settings.tree.Accepted);
   if (content.kind === 'conflict') {
     const { subtree, revision, author } = content as domain.settings.tree.Conflict;
@@ -128,7 +131,7 @@
   if (content.kind === 'reused') {
     return Err({ kind: 'conflict', message: 'this change id was used for other content' });
   }
-  return Err(operatorsClient.refusal(answer));
+  return Err(operatorsClient.toCommandError(response));
 }
 
 export async function apply(
@@ -136,16 +139,16 @@
   name: string,
   file: string,
   options: ApplyOptions,
-): Outcome {
+): CommandOutcome {
   const text = readFile(file);
   if (text.err) return text;
-  const basedOn = await baseOf(client, name, options.basedOn);
+  const basedOn = await resolveBaseRevision(client, name, options.basedOn);
   if (basedOn.err) return basedOn;
   const id = options.id ?? crypto.randomUUID();
   const body = { id, basedOn: basedOn.val, text: text.val };
   const sent = await sendUntilAnswered(client, `settings/${encodeURIComponent(name)}`, body);
   if (sent.err) return sent;
-  const accepted = answerOf(sent.val);
+  const accepted = toAccepted(sent.val);
   if (accepted.err) return accepted;
   const { revision, index } = accepted.val;
   if (options.wait === true) {
@@ -157,13 +160,13 @@
   return Ok(undefined);
 }
 
-async function baseOf(
+async function resolveBaseRevision(
   client: operatorsClient.OperatorsClient,
   name: string,
   given: string | undefined,
 ): Promise<Result<number, errors.CommandError>> {
   if (given === undefined) {
-    const current = await fetch(client, name);
+    const current = await fetchSubtree(client, name);
     return current.map((subtree) => subtree?.revision ?? NO_REVISION);
   }
   const revision = Number(given);
@@ -176,30 +179,30 @@
   client: operatorsClient.OperatorsClient,
   path: string,
   body: unknown,
-): Promise<Result<operatorsClient.Answer, errors.CommandError>> {
-  const until = Date.now() + WAIT_MS;
+): Promise<Result<operatorsClient.ApiResponse, errors.CommandError>> {
+  const deadline = Date.now() + WAIT_TIMEOUT_MS;
   for (;;) {
-    const answer = await client.call('PUT', path, body);
-    const open = answer.err || answer.val.status === 503;
-    if (!open || Date.now() > until) return answer;
-    await pause(POLL_MS * 4);
+    const response = await client.call('PUT', path, body);
+    const isUndecided = response.err || response.val.status === 503;
+    if (!isUndecided || Date.now() > deadline) return response;
+    await sleep(POLL_INTERVAL_MS * 4);
   }
 }
 
-async function waitInForce(client: operatorsClient.OperatorsClient, index: number): Outcome {
-  const until = Date.now() + WAIT_MS;
+async function waitInForce(client: operatorsClient.OperatorsClient, index: number): CommandOutcome {
+  const deadline = Date.now() + WAIT_TIMEOUT_MS;
   for (;;) {
-    const answer = await client.get(`force/${index}`);
-    if (answer.ok && (answer.val as InForce).missing.length === 0) return Ok(undefined);
-    if (Date.now() > until) {
-      const missing = answer.ok ? (answer.val as InForce).missing.join(', ') : 'unknown';
+    const response = await client.get(`force/${index}`);
+    if (response.ok && (response.val as RolloutStatus).missing.length === 0) return Ok(undefined);
+    if (Date.now() > deadline) {
+      const missing = response.ok ? (response.val as RolloutStatus).missing.join(', ') : 'unknown';
       return Err({ kind: 'timeout', message: `accepted, but not yet in force on: ${missing}` });
     }
-    await pause(POLL_MS);
+    await sleep(POLL_INTERVAL_MS);
   }
 }
 
-function pause(ms: number): Promise<void> {
+function sleep(ms: number): Promise<void> {
   return new Promise((resolve) => {
     setTimeout(resolve, ms);
   });
@@ -210,11 +213,11 @@
   limit: string,
   only: string | undefined,
   asJson: boolean,
-): Outcome {
-  const answer = await client.get(`audit?limit=${encodeURIComponent(limit)}`);
-  if (answer.err) return answer;
-  const all = answer.val as domain.control.state.Audit[];
-  const entries = only === undefined ? all : all.filter(({ action }) => action === only);
+): CommandOutcome {
+  const response = await client.get(`audit?limit=${encodeURIComponent(limit)}`);
+  if (response.err) return response;
+  const records = response.val as domain.control.state.Audit[];
+  const entries = only === undefined ? records : records.filter(({ action }) => action === only);
   if (asJson) output.json(entries);
   else {
     const rows = entries.map(({ index, at, author, address, action, subject, detail }) => {
--- a/packages/cli/src/textDiff.ts
+++ b/packages/cli/src/textDiff.ts
@@ -7,39 +7,45 @@
   text: string;
 }
 
-function lengths(a: readonly string[], b: readonly string[]): number[][] {
-  const table = Array.from({ length: a.length + 1 }, () => new Array<number>(b.length + 1).fill(0));
-  for (let i = a.length - 1; i >= 0; i--) {
+function commonLengths(before: readonly string[], after: readonly string[]): number[][] {
+  const table = Array.from({ length: before.length + 1 }, () =>
+    new Array<number>(after.length + 1).fill(0),
+  );
+  for (let i = before.length - 1; i >= 0; i--) {
     const row = table[i];
     const next = table[i + 1];
-    for (let j = b.length - 1; j >= 0; j--) {
-      const same = a[i] === b[j];
-      row[j] = same ? next[j + 1] + 1 : Math.max(next[j], row[j + 1]);
+    for (let j = after.length - 1; j >= 0; j--) {
+      const isSame = before[i] === after[j];
+      row[j] = isSame ? next[j + 1] + 1 : Math.max(next[j], row[j + 1]);
     }
   }
   return table;
 }
 
 export function diff(before: string, after: string): Line[] {
-  const a = before === '' ? [] : before.split('\n');
-  const b = after === '' ? [] : after.split('\n');
-  const table = lengths(a, b);
+  const beforeLines = before === '' ? [] : before.split('\n');
+  const afterLines = after === '' ? [] : after.split('\n');
+  const remaining = commonLengths(beforeLines, afterLines);
   const lines: Line[] = [];
   let i = 0;
   let j = 0;
-  while (i < a.length || j < b.length) {
-    const keep = i < a.length && j < b.length && a[i] === b[j];
-    const down = table[i + 1]?.[j] ?? -1;
-    const right = table[i]?.[j + 1] ?? -1;
-    if (keep) {
-      lines.push({ mark: ' ', text: a[i] });
+  while (i < beforeLines.length || j < afterLines.length) {
+    const isCommon =
+      i < beforeLines.length && j < afterLines.length && beforeLines[i] === afterLines[j];
+    const afterDeletion = remaining[i + 1]?.[j] ?? -1;
+    const afterInsertion = remaining[i]?.[j + 1] ?? -1;
+    if (isCommon) {
+      lines.push({ mark: ' ', text: beforeLines[i] });
       i += 1;
       j += 1;
-    } else if (i < a.length && (j >= b.length || down >= right)) {
-      lines.push({ mark: '-', text: a[i] });
+    } else if (
+      i < beforeLines.length &&
+      (j >= afterLines.length || afterDeletion >= afterInsertion)
+    ) {
+      lines.push({ mark: '-', text: beforeLines[i] });
       i += 1;
     } else {
-      lines.push({ mark: '+', text: b[j] });
+      lines.push({ mark: '+', text: afterLines[j] });
       j += 1;
     }
   }
