--- a/packages/program/bundle.mjs
+++ b/packages/program/bundle.mjs
@@ -7,13 +7,13 @@
 import * as esbuild from 'esbuild';
 
 /** As in the deployment's `run`: a cache holds for the flags that it was made with. */
-const FLAGS = ['--max-old-space-size=160'];
+const NODE_FLAGS = ['--max-old-space-size=160'];
 
-const LOADER = 'target/celerydrift.js';
-const CACHE = 'target/program.cache';
+const LOADER_FILE = 'target/celerydrift.js';
+const CACHE_FILE = 'target/program.cache';
 
 /** Any valid settings; the program only checks them. */
-const SETTINGS = `
+const PLACEHOLDER_SETTINGS = `
 [daemon]
 role = entry
 name = cache
@@ -40,20 +40,21 @@
     '@celerydrift/daemon': './packages/daemon/src/index.ts',
     '@celerydrift/domain': './packages/domain/src/index.ts',
     '@celerydrift/platform': './platform/src/index.ts',
-    undici: './packages/program/undiciParts.cjs',
+    undici: './packages/program/undiciPool.cjs',
     'undici/lib/dispatcher/pool': './node_modules/undici/lib/dispatcher/pool.js',
   },
   // Optional parts of bunyan and msgpackr that they do without.
   external: ['dtrace-provider', 'mv', 'source-map-support', 'msgpackr-extract'],
 });
 
-fs.rmSync(CACHE, { force: true });
-fs.copyFileSync('packages/program/loader.cjs', LOADER);
+fs.rmSync(CACHE_FILE, { force: true });
+fs.copyFileSync('packages/program/loader.cjs', LOADER_FILE);
 fs.copyFileSync('packages/program/earlyListener.cjs', 'target/earlyListener.cjs');
-fs.writeFileSync('target/cache.ini', SETTINGS);
-const made = childProcess.spawnSync(
+fs.writeFileSync('target/cache.ini', PLACEHOLDER_SETTINGS);
+const cacheRun = childProcess.spawnSync(
   process.execPath,
-  [...FLAGS, LOADER, '--check', 'target/cache.ini'],
-  { env: { PATH: process.env.PATH, CELERYDRIFT_WRITE_CACHE: CACHE }, stdio: 'inherit' },
+  [...NODE_FLAGS, LOADER_FILE, '--check', 'target/cache.ini'],
+  { env: { PATH: process.env.PATH, CELERYDRIFT_WRITE_CACHE: CACHE_FILE }, stdio: 'inherit' },
 );
-if (made.status !== 0) throw new Error(`the program doesn't load: ${made.status ?? made.signal}`);
+if (cacheRun.status !== 0)
+  throw new Error(`the program doesn't load: ${cacheRun.status ?? cacheRun.signal}`);
--- a/packages/program/earlyListener.cjs
+++ b/packages/program/earlyListener.cjs
@@ -9,25 +9,25 @@
 const net = require('node:net');
 
 /** Callers' listener in the settings of an entry. */
-const CALLERS = /^\s*callers\s*=\s*([\d.]+):(\d+)\s*$/m;
+const CALLERS_SETTING = /^\s*callers\s*=\s*([\d.]+):(\d+)\s*$/m;
 
 /** Under this key the program finds what was begun. */
 const KEY = Symbol.for('celerydrift.earlyListener');
 
-function addressIn(file) {
+function readCallersAddress(file) {
   try {
-    const [, host, port] = CALLERS.exec(fs.readFileSync(file, 'utf8')) ?? [];
+    const [, host, port] = CALLERS_SETTING.exec(fs.readFileSync(file, 'utf8')) ?? [];
     return host === undefined ? undefined : { host, port: Number(port) };
   } catch {
     return undefined;
   }
 }
 
-/** Begins to listen where the settings file names callers; calls `then` as soon as that is done, or not possible. */
-function begin(file, then) {
-  const address = file === undefined ? undefined : addressIn(file);
+/** Begins to listen where the settings file names callers; calls `done` as soon as that is done, or not possible. */
+function listenEarly(file, done) {
+  const address = file === undefined ? undefined : readCallersAddress(file);
   if (address === undefined) {
-    then();
+    done();
     return;
   }
   const held = [];
@@ -36,12 +36,12 @@
     socket.on('error', () => undefined);
     held.push(socket);
   });
-  server.once('error', then);
+  server.once('error', done);
   server.listen({ ...address, exclusive: true }, () => {
-    server.removeListener('error', then);
+    server.removeListener('error', done);
     globalThis[KEY] = { address, server, held };
-    then();
+    done();
   });
 }
 
-module.exports = { KEY, begin };
+module.exports = { KEY, listenEarly };
--- a/packages/program/loader.cjs
+++ b/packages/program/loader.cjs
@@ -11,18 +11,18 @@
 const vm = require('node:vm');
 const earlyListener = require('./earlyListener.cjs');
 
-const PROGRAM = path.join(__dirname, 'program.js');
-const CACHE = path.join(__dirname, 'program.cache');
+const PROGRAM_FILE = path.join(__dirname, 'program.js');
+const CACHE_FILE = path.join(__dirname, 'program.cache');
 
 /** Names the settings file where the command line doesn't. */
-const FILE_VARIABLE = 'CELERYDRIFT_NODE_FILE';
+const SETTINGS_VARIABLE = 'CELERYDRIFT_NODE_FILE';
 
 /** Names the file that the cache is to be written to, once the program has been loaded and has ended. */
-const WRITE_VARIABLE = 'CELERYDRIFT_WRITE_CACHE';
+const CACHE_OUTPUT_VARIABLE = 'CELERYDRIFT_WRITE_CACHE';
 
-function cached() {
+function readCache() {
   try {
-    return fs.readFileSync(CACHE);
+    return fs.readFileSync(CACHE_FILE);
   } catch {
     // Without a cache the program only starts slower.
     return undefined;
@@ -30,17 +30,17 @@
 }
 
 function load() {
-  const source = Module.wrap(fs.readFileSync(PROGRAM, 'utf8'));
-  const script = new vm.Script(source, { filename: PROGRAM, cachedData: cached() });
-  const written = process.env[WRITE_VARIABLE];
-  if (written !== undefined) {
-    process.on('exit', () => fs.writeFileSync(written, script.createCachedData()));
+  const source = Module.wrap(fs.readFileSync(PROGRAM_FILE, 'utf8'));
+  const script = new vm.Script(source, { filename: PROGRAM_FILE, cachedData: readCache() });
+  const cacheOutput = process.env[CACHE_OUTPUT_VARIABLE];
+  if (cacheOutput !== undefined) {
+    process.on('exit', () => fs.writeFileSync(cacheOutput, script.createCachedData()));
   }
   const program = { exports: {} };
-  script.runInThisContext()(program.exports, require, program, PROGRAM, __dirname);
+  script.runInThisContext()(program.exports, require, program, PROGRAM_FILE, __dirname);
 }
 
-const words = process.argv.slice(2);
-const checkOnly = words.includes('--check');
-const settings = words.find((word) => !word.startsWith('-')) ?? process.env[FILE_VARIABLE];
-earlyListener.begin(checkOnly ? undefined : settings, load);
+const args = process.argv.slice(2);
+const checkOnly = args.includes('--check');
+const settingsFile = args.find((arg) => !arg.startsWith('-')) ?? process.env[SETTINGS_VARIABLE];
+earlyListener.listenEarly(checkOnly ? undefined : settingsFile, load);
--- a/packages/program/src/__tests__/earlyListener.test.ts
+++ b/packages/program/src/__tests__/earlyListener.test.ts
@@ -12,7 +12,7 @@
 
 type EarlyListener = daemon.listening.EarlyListener;
 
-function begun(): EarlyListener | undefined {
+function startedListener(): EarlyListener | undefined {
   return (globalThis as Record<symbol, EarlyListener | undefined>)[earlyListener.KEY];
 }
 
@@ -28,22 +28,22 @@
   return port;
 }
 
-function settingsFile(text: string): string {
+function writeSettings(text: string): string {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'early-'));
   const file = path.join(folder, 'node.ini');
   fs.writeFileSync(file, text);
   return file;
 }
 
-function begin(file: string): Promise<void> {
+function listenEarly(file: string): Promise<void> {
   return new Promise((resolve) => {
-    earlyListener.begin(file, resolve);
+    earlyListener.listenEarly(file, resolve);
   });
 }
 
 describe('early listener', () => {
   afterEach(() => {
-    begun()?.server.close();
+    startedListener()?.server.close();
     delete (globalThis as Record<symbol, unknown>)[earlyListener.KEY];
   });
 
@@ -53,37 +53,37 @@
    */
   it('holds callers that come before the program, and hands them over with the listener', async () => {
     const port = await freePort();
-    await begin(settingsFile(`[listen]\ncallers = 127.0.0.1:${port}\n`));
-    const ask = (): Promise<number | undefined> => {
+    await listenEarly(writeSettings(`[listen]\ncallers = 127.0.0.1:${port}\n`));
+    const requestStatus = (): Promise<number | undefined> => {
       return new Promise((resolve, reject) => {
         http
           .get({ host: '127.0.0.1', port, agent: false }, ({ statusCode }) => resolve(statusCode))
           .on('error', reject);
       });
     };
-    const before = ask();
+    const before = requestStatus();
     // So long that the connection is accepted and its request sent.
     await new Promise((resolve) => {
       setTimeout(resolve, 50);
     });
     const server = http.createServer((_request, response) => response.end());
-    const early = begun();
+    const early = startedListener();
     await daemon.listening.listenOrTakeOver(server, { host: '127.0.0.1', port }, early);
-    expect([await before, await ask()]).to.deep.equal([200, 200]);
+    expect([await before, await requestStatus()]).to.deep.equal([200, 200]);
     server.close();
   });
 
   /* The program itself says what is wrong with its settings, or that an address is taken. */
   it('leaves it to the program where no address can be read or bound', async () => {
-    await begin('/no/such/file');
-    await begin(settingsFile('[listen]\ncontrol = 127.0.0.1:1\n'));
+    await listenEarly('/no/such/file');
+    await listenEarly(writeSettings('[listen]\ncontrol = 127.0.0.1:1\n'));
     const taken = net.createServer();
     await new Promise<void>((resolve) => {
       taken.listen(0, '127.0.0.1', resolve);
     });
     const { port } = taken.address() as net.AddressInfo;
-    await begin(settingsFile(`[listen]\ncallers = 127.0.0.1:${port}\n`));
-    expect(begun()).to.equal(undefined);
+    await listenEarly(writeSettings(`[listen]\ncallers = 127.0.0.1:${port}\n`));
+    expect(startedListener()).to.equal(undefined);
     taken.close();
   });
 });
--- a/packages/program/src/main.ts
+++ b/packages/program/src/main.ts
@@ -6,7 +6,7 @@
 import * as platform from '@celerydrift/platform';
 
 /** Names the settings file where the command line doesn't. */
-const FILE_VARIABLE = 'CELERYDRIFT_NODE_FILE';
+const SETTINGS_VARIABLE = 'CELERYDRIFT_NODE_FILE';
 
 /** Where the loader leaves the listener that it began; see earlyListener.cjs. */
 const EARLY_LISTENER = Symbol.for('celerydrift.earlyListener');
@@ -18,11 +18,11 @@
 }
 
 function main(): void {
-  const words = process.argv.slice(2);
-  const checkOnly = words.includes('--check');
-  const file = words.find((word) => !word.startsWith('-')) ?? process.env[FILE_VARIABLE];
-  if (file === undefined) {
-    process.stderr.write(`usage: celerydrift [--check] SETTINGS, or set ${FILE_VARIABLE}\n`);
+  const args = process.argv.slice(2);
+  const checkOnly = args.includes('--check');
+  const settingsFile = args.find((arg) => !arg.startsWith('-')) ?? process.env[SETTINGS_VARIABLE];
+  if (settingsFile === undefined) {
+    process.stderr.write(`usage: celerydrift [--check] SETTINGS, or set ${SETTINGS_VARIABLE}\n`);
     process.exit(2);
   }
   const adapter: Adapter = {
@@ -30,7 +30,7 @@
     control: new platform.control.Control(),
     earlyListener: earlyListener(),
   };
-  void daemon.roleMain.run(file, adapter, checkOnly);
+  void daemon.roleMain.run(settingsFile, adapter, checkOnly);
 }
 
 main();
--- a/testing/__tests__/knownRed.test.ts
+++ b/testing/__tests__/knownRed.test.ts
@@ -4,22 +4,25 @@
 
 const { expect } = chai;
 
-function run(passes: string[], failures: string[]): Parameters<typeof knownRed.verdict>[0] {
-  const titled = (titles: string[]): { fullTitle: string }[] =>
+function testRun(
+  passes: string[],
+  failures: string[],
+): Parameters<typeof knownRed.findProblems>[0] {
+  const toResults = (titles: string[]): { fullTitle: string }[] =>
     titles.map((fullTitle) => ({ fullTitle }));
-  return { passes: titled(passes), failures: titled(failures) };
+  return { passes: toResults(passes), failures: toResults(failures) };
 }
 
 describe('known red tests', () => {
-  const known = knownRed.listed('# comment\n\na loses b | npm test | seen | cause | 10\n');
+  const known = knownRed.parseTitles('# comment\n\na loses b | npm test | seen | cause | 10\n');
 
   it('may fail, and nothing else may', () => {
-    expect(knownRed.verdict(run(['x'], ['a loses b']), known)).to.deep.equal([]);
-    expect(knownRed.verdict(run([], ['a loses b', 'x']), known)).toMatchSnapshot();
+    expect(knownRed.findProblems(testRun(['x'], ['a loses b']), known)).to.deep.equal([]);
+    expect(knownRed.findProblems(testRun([], ['a loses b', 'x']), known)).toMatchSnapshot();
   });
 
   it('fail the run when they pass or are gone', () => {
-    expect(knownRed.verdict(run(['a loses b'], []), known)).toMatchSnapshot();
-    expect(knownRed.verdict(run(['x'], []), known)).toMatchSnapshot();
+    expect(knownRed.findProblems(testRun(['a loses b'], []), known)).toMatchSnapshot();
+    expect(knownRed.findProblems(testRun(['x'], []), known)).toMatchSnapshot();
   });
 });
--- a/testing/knownRed.d.ts
+++ b/testing/knownRed.d.ts
@@ -1,6 +1,9 @@
 /** Types of the verdict on test runs. */
-interface Titled {
+interface TestResult {
   fullTitle: string;
 }
-export function listed(text: string): string[];
-export function verdict(run: { passes: Titled[]; failures: Titled[] }, known: string[]): string[];
+export function parseTitles(text: string): string[];
+export function findProblems(
+  run: { passes: TestResult[]; failures: TestResult[] },
+  known: string[],
+): string[];
--- a/testing/knownRed.js
+++ b/testing/knownRed.js
@@ -8,7 +8,7 @@
 const fs = require('node:fs');
 
 /** Titles in the text of a list. */
-function listed(text) {
+function parseTitles(text) {
   return text
     .split('\n')
     .filter((line) => line.trim() !== '' && !line.startsWith('#'))
@@ -16,33 +16,33 @@
 }
 
 /** What is wrong with a run, one line each; empty for a good one. */
-function verdict({ passes, failures }, known) {
+function findProblems({ passes, failures }, known) {
   const passed = new Set(passes.map(({ fullTitle }) => fullTitle));
   const failed = new Set(failures.map(({ fullTitle }) => fullTitle));
-  const unknown = [...failed].filter((title) => !known.includes(title));
-  const green = known.filter((title) => passed.has(title) && !failed.has(title));
+  const unlisted = [...failed].filter((title) => !known.includes(title));
+  const passing = known.filter((title) => passed.has(title) && !failed.has(title));
   const missing = known.filter((title) => !passed.has(title) && !failed.has(title));
   return [
-    ...unknown.map((title) => `failed: ${title}`),
-    ...green.map((title) => `listed as red, but passes: ${title}`),
+    ...unlisted.map((title) => `failed: ${title}`),
+    ...passing.map((title) => `listed as red, but passes: ${title}`),
     ...missing.map((title) => `listed as red, but isn't there: ${title}`),
   ];
 }
 
 function main([report, list]) {
   const results = JSON.parse(fs.readFileSync(report, 'utf8'));
-  const known = fs.existsSync(list) ? listed(fs.readFileSync(list, 'utf8')) : [];
+  const known = fs.existsSync(list) ? parseTitles(fs.readFileSync(list, 'utf8')) : [];
   known.forEach((title) => console.log(`known red: ${title}`));
   results.failures.forEach(({ fullTitle, err }) => {
     console.log(`\n${fullTitle}\n${err.stack ?? err.message}`);
   });
-  const problems = verdict(results, known);
+  const problems = findProblems(results, known);
   problems.forEach((problem) => console.log(problem));
-  const red = results.failures.length - known.length;
-  console.log(`${results.passes.length} passed, ${Math.max(problems.length, red)} failed`);
+  const unexpected = results.failures.length - known.length;
+  console.log(`${results.passes.length} passed, ${Math.max(problems.length, unexpected)} failed`);
   process.exitCode = problems.length === 0 && results.passes.length > 0 ? 0 : 1;
 }
 
-module.exports = { listed, verdict };
+module.exports = { parseTitles, findProblems };
 
 if (require.main === module) main(process.argv.slice(2));
