--- a/packages/standins/src/announcer.ts
+++ b/packages/standins/src/announcer.ts
@@ -1,13 +1,14 @@
 /**
- * Announces a stand-in to the daemons, as real targets do: through the platform's balancer, here a
- * list of entries of which each announcement takes the next that answers.
+ * Announces a stand-in to the daemons. Real targets announce through the platform's load balancer;
+ * here each announcement goes round-robin to the next entry that accepts it.
  */
 import type * as domain from '@celerydrift/domain';
 import * as undici from 'undici';
 
+/** An announcement has the fields of the target that it describes. */
 export type Announcement = domain.target.target.Target;
 
-const TIMEOUT_MS = 1_000;
+const REQUEST_TIMEOUT_MS = 1_000;
 
 export class Announcer {
   private nextEntry = 0;
@@ -35,6 +36,7 @@
     clearInterval(this.timer);
   }
 
+  /** Sends one announcement; false if no entry accepted it. */
   async announce(): Promise<boolean> {
     this.sequence += 1;
     const body = JSON.stringify({ ...this.buildAnnouncement(), sequence: this.sequence });
@@ -52,8 +54,8 @@
         method: 'POST',
         headers: { 'content-type': 'application/json', authorization: `Bearer ${this.secret}` },
         body,
-        headersTimeout: TIMEOUT_MS,
-        bodyTimeout: TIMEOUT_MS,
+        headersTimeout: REQUEST_TIMEOUT_MS,
+        bodyTimeout: REQUEST_TIMEOUT_MS,
       });
       await responseBody.dump();
       return statusCode < 300;
--- a/packages/standins/src/engine/engineModel.ts
+++ b/packages/standins/src/engine/engineModel.ts
@@ -1,7 +1,7 @@
 /**
- * A model of one engine: continuous batching in steps, prompts prefilled in chunks by priority, KV
- * memory, and a prefix cache. It has no clock: `begin` says how long the next step takes, `finish`
- * applies it. The same code runs in experiments with a virtual clock and behind HTTP.
+ * Simulates one engine: continuous batching in engine steps, chunked prefill by priority, KV memory
+ * and a prefix cache. It has no clock: `begin` returns the duration of the next step and `finish`
+ * applies the step, so the same code runs under a virtual clock and behind HTTP.
  */
 import * as parameters from './parameters';
 import * as prefixCache from './prefixCache';
@@ -10,28 +10,34 @@
   id: string;
   promptTokens: number;
   answerTokens: number;
-  /** Lower is served first. */
+  /** A lower value is scheduled first. */
   priority: number;
   prefixKeys: readonly number[];
-  /** Tokens of its memory that reservations on other engines hold. */
+  /** Tokens of its KV memory that are reserved on other engines. */
   remoteTokens: number;
 }
 
+/** A generated token. */
 export interface Token {
+  /** Id of the request. */
   id: string;
-  /** Answer tokens before this one. */
+  /** Number of answer tokens before this one. */
   position: number;
   last: boolean;
 }
 
 export interface Load {
+  /** Prompt tokens that are not yet prefilled, of queued and running requests. */
   queuedTokens: number;
+  /** Number of running requests. */
   streams: number;
+  /** KV memory that is free or used only by evictable cache blocks, in tokens. */
   freeTokens: number;
+  /** Time of the measurement, in milliseconds. */
   at: number;
 }
 
-/** Every so many tokens of a stream carry the engine's load. */
+/** A stream reports the engine's load once in this many tokens. */
 export const REPORT_EVERY = 16;
 
 interface RunningRequest {
@@ -41,7 +47,7 @@
   decodedTokens: number;
   ownTokens: number;
   pinnedKeys: readonly number[];
-  /** Prompt tokens of the step under way. */
+  /** Prompt tokens that the current step prefills. */
   chunkTokens: number;
 }
 
@@ -70,7 +76,7 @@
     this.recordLoad(now);
   }
 
-  /** Whether the request could start at the next step, with all that wait already. */
+  /** Whether memory would suffice for this request and all queued ones at the next step. */
   hasRoom(job: Job): boolean {
     const waitingTokens = this.queue.reduce(
       (sum, queued) => sum + this.requiredTokens(queued.job),
@@ -79,7 +85,7 @@
     return this.freeTokens() - waitingTokens >= this.requiredTokens(job);
   }
 
-  /** Ends a request wherever it is; true if it was here. */
+  /** Cancels a queued or running request; false if it is unknown. */
   cancel(id: string, now: number): boolean {
     const queued = this.queue.length;
     this.queue = this.queue.filter(({ job }) => job.id !== id);
@@ -96,7 +102,7 @@
     return running.prefilledTokens < running.job.promptTokens ? 'prefilling' : 'decoding';
   }
 
-  /** Sets memory aside for a prompt that runs on another engine. */
+  /** Reserves KV memory for a prompt that runs on another engine; false if there is too little. */
   reserve(tokens: number): boolean {
     if (this.freeTokens() < tokens) return false;
     this.evictFor(tokens);
@@ -112,7 +118,7 @@
     return this.reserved;
   }
 
-  /** Starts a step; its duration in milliseconds, or undefined when there is nothing to do. */
+  /** Begins a step; returns its duration in milliseconds, or undefined if no request is running. */
   begin(): number | undefined {
     this.admit();
     if (this.running.length === 0) return undefined;
@@ -120,7 +126,7 @@
     return this.planStep();
   }
 
-  /** Ends the step begun last. */
+  /** Applies the step in progress and returns the tokens that it generated. */
   finish(now: number): Token[] {
     this.stepping = false;
     const tokens: Token[] = [];
@@ -132,12 +138,13 @@
     return tokens;
   }
 
-  /** What the engine says of its load: true some time ago. */
+  /** The load that the engine reports, which lags by `loadLagMs`. */
   load(now: number): Load {
     const asOf = now - this.options.loadLagMs;
     return this.loads.findLast(({ at }) => at <= asOf) ?? this.loads[0] ?? this.trueLoad(now);
   }
 
+  /** The load at this moment, without the lag. */
   trueLoad(now: number): Load {
     const waitingTokens = this.queue.reduce((sum, { job }) => sum + job.promptTokens, 0);
     const prefillingTokens = this.running.reduce(
@@ -152,7 +159,7 @@
     };
   }
 
-  /** Requests waiting or running. */
+  /** Number of queued and running requests. */
   get size(): number {
     return this.queue.length + this.running.length;
   }
--- a/packages/standins/src/engine/engineServer.ts
+++ b/packages/standins/src/engine/engineServer.ts
@@ -1,7 +1,7 @@
 /**
- * The engine stand-in behind HTTP: generation as server-sent events, state and cancelling of
- * requests, resuming of streams, reservations and holdings, orders with or without fencing, cache
- * events. docs/API.md describes the protocol under "Targets".
+ * HTTP server of the engine stand-in: generation as server-sent events, state and cancellation of
+ * requests, resumable streams, reservations and other leased resources, model load orders with or
+ * without fencing, and cache events. docs/API.md describes the protocol under "Targets".
  */
 import * as crypto from 'node:crypto';
 import type * as http from 'node:http';
@@ -25,32 +25,43 @@
   parameters: parameters.Parameters;
 }
 
+/** Body of a generate request. */
 interface GenerateBody {
   request: string;
   model: domain.target.target.Loaded;
   prompt: string;
   answerTokens: number;
+  /** A lower value is scheduled first. */
   priority: number;
+  /** Number of answer tokens that were already generated elsewhere. */
   resumeFrom: number;
+  /** Keys of the prompt's blocks in the prefix cache. */
   prefixKeys: number[];
+  /** Daemon that leases the engine's resources for this request. */
   owner: domain.memory.holding.Owner;
   system: string;
+  /** KV memory that is reserved for this request on other engines. */
   reservations: { target: string; tokens: number }[];
+  /** Whether to refuse the request, as not run, if memory is short, instead of queueing it. */
   needsRoom: boolean;
 }
 
+/** An accepted request and the frames that it has produced. */
 interface Stream {
   body: GenerateBody;
   digest: string;
-  /** Frames made so far; a resumed stream is served from here. */
+  /** Frames produced so far; a resumed stream is replayed from here. */
   frames: string[];
+  /** Undefined while no client is connected. */
   response: http.ServerResponse | undefined;
+  /** Injected fault: frames carry the id of another request. */
   hasWrongId: boolean;
+  /** Injected fault: the connection is closed after this many frames. */
   cutAfterFrames: number;
   isComplete: boolean;
 }
 
-/** How long a stream without a reader is kept for resuming, in milliseconds. */
+/** How long a stream whose client disconnected can be resumed, in milliseconds. */
 const RESUME_WINDOW_MS = 5_000;
 
 const BYTES_PER_TOKEN = 4;
@@ -58,6 +69,7 @@
 export class EngineServer {
   readonly model: engineModel.EngineModel;
 
+  /** Resources that daemons lease on this engine. */
   readonly held = new leaseTable.LeaseTable();
 
   readonly incarnation = Date.now();
@@ -72,6 +84,7 @@
 
   private models: domain.target.target.Loaded[];
 
+  /** Fencing token of the latest accepted order. */
   private highestFence: domain.placement.order.Fence = { term: 0, sequence: 0 };
 
   private status: domain.target.target.Status = 'serving';
@@ -80,7 +93,7 @@
 
   private leaseTimer: NodeJS.Timeout | undefined;
 
-  /** Counts by request id of how often a prompt was started here. */
+  /** Number of starts by request id. */
   readonly started = new Map<string, number>();
 
   constructor(private readonly options: Options) {
@@ -105,7 +118,7 @@
     await this.server.close();
   }
 
-  /** Announces that the target is leaving. */
+  /** Starts draining: announces that the target is leaving and refuses new requests. */
   async leave(): Promise<void> {
     this.status = 'leaving';
     await this.announcer.announce();
@@ -153,7 +166,7 @@
     else this.faultInjector.inject(fault);
   }
 
-  /** Detaches every open connection without closing it: the other side sees nothing any more. */
+  /** Stops all traffic on open connections without closing them, so that peers see no error. */
   private silenceConnections(): void {
     this.server.sockets.forEach((socket) => {
       socket.pause();
@@ -174,23 +187,24 @@
       this.status !== 'serving' ||
       !isLoaded
     ) {
-      const error = isLoaded ? 'not taking work' : 'model not loaded';
+      const error = isLoaded ? 'not accepting requests' : 'model is not loaded';
       httpServer.sendJson(call, 503, { error, notRun: true });
       return;
     }
     if (this.streams.has(body.request)) {
-      httpServer.sendJson(call, 409, { error: 'request id in use', notRun: false });
+      httpServer.sendJson(call, 409, { error: 'request id is already in use', notRun: false });
       return;
     }
     const job = this.toJob(body);
     if (body.needsRoom && !this.model.hasRoom(job)) {
       const noRoom = { ...this.model.trueLoad(Date.now()), ageMs: 0 };
-      httpServer.sendJson(call, 409, { error: 'no room', notRun: true, noRoom });
+      httpServer.sendJson(call, 409, { error: 'not enough free KV memory', notRun: true, noRoom });
       return;
     }
     this.startStream(call, body, job);
   }
 
+  /** The engine's job for a request; answer tokens of a resumed request are prefilled again. */
   private toJob(body: GenerateBody): engineModel.Job {
     return {
       id: body.request,
@@ -246,7 +260,7 @@
     });
   }
 
-  /** Ends a stream that nobody came back for. */
+  /** Ends a stream that no client resumed. */
   private endIfAbandoned(id: string, stream: Stream): void {
     if (stream.response === undefined && this.streams.get(id) === stream) this.endRequest(id);
   }
@@ -254,7 +268,7 @@
   private onResume(call: httpServer.Call, id: string): void {
     const stream = this.streams.get(id);
     if (stream === undefined) {
-      httpServer.sendJson(call, 404, { error: 'no such request' });
+      httpServer.sendJson(call, 404, { error: 'unknown request' });
       return;
     }
     const from = Number(call.query.get('from') ?? 0) - stream.body.resumeFrom;
@@ -387,6 +401,7 @@
     httpServer.sendJson(call, 200, { incarnation: this.incarnation, holdings: listed, started });
   }
 
+  /** Loads or unloads a model. Only engines with checked fencing refuse outdated orders. */
   private onOrder(call: httpServer.Call): void {
     const order = JSON.parse(call.body) as domain.placement.order.Order;
     const { term, sequence } = order.fence;
@@ -394,11 +409,11 @@
       term < this.highestFence.term ||
       (term === this.highestFence.term && sequence <= this.highestFence.sequence);
     if (this.options.fencing === 'checked' && isStale) {
-      httpServer.sendJson(call, 409, { error: 'old fencing number', seen: this.highestFence });
+      httpServer.sendJson(call, 409, { error: 'outdated fencing token', seen: this.highestFence });
       return;
     }
     if (order.expiresAt < Date.now()) {
-      httpServer.sendJson(call, 410, { error: 'order expired' });
+      httpServer.sendJson(call, 410, { error: 'order has expired' });
       return;
     }
     this.highestFence = order.fence;
@@ -420,7 +435,7 @@
       });
   }
 
-  /** Cache events as the engine publishes them: some are lost. */
+  /** Cache events as the engine publishes them: a fraction of `eventLoss` is missing. */
   private publishedEvents(since: number): unknown[] {
     const { eventLoss } = this.options.parameters;
     const lossInterval = eventLoss > 0 ? Math.round(1 / eventLoss) : Infinity;
@@ -430,7 +445,7 @@
   }
 }
 
-/** A mark of the prompt in every word of the answer, so that a stranger's answer shows. */
+/** Short digest of the prompt that every answer token carries, so that a mixed-up answer is detected. */
 export function promptDigest(prompt: string): string {
   return crypto.createHash('sha1').update(prompt).digest('hex').slice(0, 6);
 }
--- a/packages/standins/src/engine/leaseTable.ts
+++ b/packages/standins/src/engine/leaseTable.ts
@@ -1,11 +1,11 @@
 /**
- * What an engine stand-in holds for others: reservations and exports with leases, running streams
- * with owners. It lists them all, those of the older system too.
+ * Resources that daemons lease on an engine stand-in: reservations and exports, which expire, and
+ * running streams. Resources of the older system that shares the engine are listed too.
  */
 import type * as domain from '@celerydrift/domain';
 
 export interface EngineLease extends domain.memory.holding.Listed {
-  /** Milliseconds; a reservation not renewed by then is freed. Infinity for streams. */
+  /** Time in milliseconds at which an unrenewed lease is released; Infinity for streams. */
   expiresAt: number;
 }
 
@@ -20,6 +20,7 @@
     return this.leases.get(id);
   }
 
+  /** Extends a lease; false if it is unknown. */
   renew(id: string, expiresAt: number): boolean {
     const lease = this.leases.get(id);
     if (lease === undefined) return false;
--- a/packages/standins/src/engine/parameters.ts
+++ b/packages/standins/src/engine/parameters.ts
@@ -1,25 +1,25 @@
 /**
- * Parameters of the engine stand-in. The users gave no step times, so these are round figures for one
- * server with eight accelerators; docs/MEASUREMENTS.md says where they come from and tries others.
+ * Parameters of the engine stand-in. The defaults are round figures for one server with eight
+ * accelerators; docs/MEASUREMENTS.md gives their sources and compares other values.
  */
 export interface Parameters {
-  /** KV memory in tokens. The longest prompts are more than twice this. */
+  /** KV memory in tokens. The longest prompts need more than twice as much. */
   memoryTokens: number;
-  /** Prompt tokens prefilled in one step, at most. */
+  /** Maximum number of prompt tokens prefilled in one step. */
   stepTokens: number;
-  /** Time of a step that carries nothing, in milliseconds. */
+  /** Duration of an empty step, in milliseconds. */
   stepBaseMs: number;
-  /** Time per prompt token at the start of its context, in milliseconds. */
+  /** Prefill time per prompt token at the start of the context, in milliseconds. */
   tokenMs: number;
-  /** Context length at which attention has doubled the time per prompt token. */
+  /** Context length, in tokens, at which attention doubles the prefill time per token. */
   attentionTokens: number;
-  /** Time per decoding stream in a step, in milliseconds. */
+  /** Time that each decoding stream adds to a step, in milliseconds. */
   streamMs: number;
-  /** Requests in the batch, at most. */
+  /** Maximum number of requests in the batch. */
   maxStreams: number;
   /** Age of the load that the engine reports, in milliseconds. */
   loadLagMs: number;
-  /** Share of cache events that are lost. */
+  /** Fraction of cache events that is lost. */
   eventLoss: number;
 }
 
--- a/packages/standins/src/engine/prefixCache.ts
+++ b/packages/standins/src/engine/prefixCache.ts
@@ -1,10 +1,9 @@
-/**
- * The engine's cache of prompt blocks: least recently used goes first, blocks in use never.
- */
+/** The engine's cache of prompt blocks (prefix cache), with LRU eviction of blocks that no request pins. */
 
-/** Tokens in a block; the same as the daemons' index uses. */
+/** Tokens in a block; must match the block size of the daemons' prefix index. */
 export const BLOCK_TOKENS = 1_024;
 
+/** A block was stored or evicted. */
 export interface CacheEvent {
   sequence: number;
   kind: 'stored' | 'evicted';
@@ -12,6 +11,7 @@
 }
 
 export class PrefixCache {
+  /** Number of requests that pin each cached block, in LRU order: least recently used first. */
   private readonly pinCounts = new Map<number, number>();
 
   private events: CacheEvent[] = [];
@@ -22,13 +22,13 @@
     return this.pinCounts.size * BLOCK_TOKENS;
   }
 
-  /** Number of leading blocks that are cached. */
+  /** Length of the cached prefix, in blocks. */
   matchedBlocks(keys: readonly number[]): number {
     const firstMiss = keys.findIndex((key) => !this.pinCounts.has(key));
     return firstMiss === -1 ? keys.length : firstMiss;
   }
 
-  /** Marks blocks as used by a request and as the most recent. */
+  /** Pins blocks for a request and marks them as most recently used. */
   pin(keys: readonly number[]): void {
     keys.forEach((key) => {
       const pins = this.pinCounts.get(key) ?? 0;
@@ -53,7 +53,7 @@
       });
   }
 
-  /** Tokens that eviction could free. */
+  /** Tokens of unpinned blocks, which eviction could free. */
   evictableTokens(): number {
     let blocks = 0;
     this.pinCounts.forEach((pins) => {
@@ -62,7 +62,7 @@
     return blocks * BLOCK_TOKENS;
   }
 
-  /** Evicts until at least `tokens` are freed, as far as possible. */
+  /** Evicts unpinned blocks until at least `tokens` are freed or none is left. */
   evict(tokens: number): void {
     let freedTokens = 0;
     for (const [key, pins] of this.pinCounts) {
@@ -78,7 +78,7 @@
     return [...this.pinCounts.keys()];
   }
 
-  /** Changes after `sequence` that are still known. */
+  /** Events after `sequence` that are still kept. */
   eventsSince(sequence: number): CacheEvent[] {
     return this.events.filter((event) => event.sequence > sequence);
   }
--- a/packages/standins/src/httpServer.ts
+++ b/packages/standins/src/httpServer.ts
@@ -1,7 +1,8 @@
-/** A small HTTP server for the stand-ins: JSON in and out, routes by method and path. */
+/** A minimal HTTP server for the stand-ins, with one handler for all requests and JSON responses. */
 import * as http from 'node:http';
 import * as net from 'node:net';
 
+/** A received request with its body, and the response to it. */
 export interface Call {
   method: string;
   path: string;
@@ -14,6 +15,7 @@
 
 export type Handler = (call: Call) => void | Promise<void>;
 
+/** Sends a JSON response, unless a response has already begun. */
 export function sendJson(call: Call, status: number, content: unknown): void {
   if (call.response.headersSent) return;
   call.response.writeHead(status, { 'content-type': 'application/json' });
@@ -42,7 +44,7 @@
     });
   }
 
-  /** Starts listening; resolves to the port. */
+  /** Starts listening and returns the port. */
   async listen(host: string, port: number): Promise<number> {
     await new Promise<void>((resolve) => {
       this.server.listen(port, host, resolve);
@@ -51,7 +53,7 @@
   }
 
   async close(): Promise<void> {
-    // A silenced socket has its own methods replaced, so the class's is called.
+    // Fault injection may have replaced the socket's own `destroy`, so the prototype's is called.
     this.sockets.forEach((socket) => net.Socket.prototype.destroy.call(socket));
     await new Promise<void>((resolve) => {
       this.server.close(() => resolve());
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -1,4 +1,4 @@
-/** Stand-ins for model engines and plain services. */
+/** Stand-ins (test doubles) for model engines and plain services. */
 export * as engineModel from './engine/engineModel';
 export * as engineServer from './engine/engineServer';
 export * as faults from './faults';
--- a/packages/standins/src/main.ts
+++ b/packages/standins/src/main.ts
@@ -1,4 +1,4 @@
-/** Starts one stand-in as a process: an engine or a plain service. Prints its address as JSON. */
+/** Command that runs one stand-in, an engine or a plain service, and prints its name and port as JSON. */
 import * as commander from 'commander';
 import * as engineServer from './engine/engineServer';
 import * as parameters from './engine/parameters';
@@ -14,11 +14,14 @@
 
 function addCommonOptions(command: commander.Command): commander.Command {
   return command
-    .requiredOption('--name <name>', 'name it announces')
-    .option('--port <port>', 'port, 0 for any', '0')
+    .requiredOption('--name <name>', 'name to announce')
+    .option('--port <port>', 'port to listen on; 0 selects a free one', '0')
     .option('--data-centre <name>', 'data centre', 'dc1')
-    .requiredOption('--entries <urls>', 'entries to announce to, separated by commas')
-    .option('--secret <secret>', 'secret for announcing', 'targets');
+    .requiredOption(
+      '--entries <urls>',
+      'base URLs of the entries to announce to, separated by commas',
+    )
+    .option('--secret <secret>', 'shared secret that authorizes announcements', 'targets');
 }
 
 function parseModels(text: string): { base: string; adapter: string; version: string }[] {
@@ -63,13 +66,17 @@
 export async function main(argv: readonly string[]): Promise<void> {
   const program = new commander.Command('celerydrift-standin');
   addCommonOptions(program.command('engine'))
-    .option('--models <list>', 'base/adapter/version, separated by commas', 'base')
-    .option('--fencing <mode>', 'checked or ignored', 'checked')
-    .option('--parameters <json>', 'engine parameters that differ from the defaults', '{}')
+    .option('--models <list>', 'loaded models as base/adapter/version, separated by commas', 'base')
+    .option(
+      '--fencing <mode>',
+      'whether outdated fencing tokens are refused: checked or ignored',
+      'checked',
+    )
+    .option('--parameters <json>', 'engine parameters that override the defaults', '{}')
     .action(runEngine);
   addCommonOptions(program.command('service'))
     .option('--service <name>', 'service name', 'parts')
-    .option('--work-ms <ms>', 'time a call takes', '2')
+    .option('--work-ms <ms>', 'duration of a call in milliseconds', '2')
     .action(runService);
   await program.parseAsync([...argv]);
 }
--- a/packages/standins/src/service/plainService.ts
+++ b/packages/standins/src/service/plainService.ts
@@ -1,6 +1,6 @@
 /**
- * A plain service beside the engines: parts holds and tonnage entries, each of which counts how often
- * it ran, and lookups that may be repeated.
+ * Stand-in for a plain service: POST requests create entries and count how often each id ran, so that
+ * tests detect duplicate runs; all other requests are lookups, which may be repeated.
  */
 import * as announcer from '../announcer';
 import * as faults from '../faults';
@@ -14,11 +14,12 @@
   dataCentre: string;
   entries: string[];
   secret: string;
-  /** Time a call takes, in milliseconds. */
+  /** Duration of a call, in milliseconds. */
   workMs: number;
 }
 
 export class PlainService {
+  /** Number of runs by entry id. */
   readonly runs = new Map<string, number>();
 
   private readonly incarnation = Date.now();
@@ -90,7 +91,7 @@
   private async createEntry(call: httpServer.Call): Promise<void> {
     if (this.faultInjector.consume('refuse') !== undefined) {
       call.response.setHeader('x-not-run', 'true');
-      httpServer.sendJson(call, 503, { error: 'not taking work', notRun: true });
+      httpServer.sendJson(call, 503, { error: 'not accepting requests', notRun: true });
       return;
     }
     const { id } = JSON.parse(call.body) as { id: string };
