--- a/packages/cli/src/errors.ts
+++ b/packages/cli/src/errors.ts
@@ -1,4 +1,4 @@
-/** Errors of the command line, each with its exit code. */
+/** Kinds of command-line errors and their exit codes. */
 
 export type Kind = 'usage' | 'unreachable' | 'refused' | 'conflict' | 'invalid' | 'timeout';
 
--- a/packages/cli/src/fleetCommands.ts
+++ b/packages/cli/src/fleetCommands.ts
@@ -1,4 +1,4 @@
-/** `celerydrift targets`, `status` and `stop …`. */
+/** Implements the commands `targets`, `status` and `stop …`. */
 import * as crypto from 'node:crypto';
 import type * as domain from '@celerydrift/domain';
 import { Err, Ok, Result } from 'ts-results';
@@ -8,6 +8,7 @@
 
 type CommandOutcome = Promise<Result<void, errors.CommandError>>;
 
+/** Command-line names of what a planned stop can cover. */
 const SUBJECTS: Record<string, domain.stop.stop.Subject> = {
   target: 'target',
   vm: 'vm',
@@ -51,8 +52,8 @@
   const known = (daemons ?? []) as domain.membership.daemon.Daemon[];
   output.table(
     ['daemon', 'data centre', 'status', 'incarnation'],
-    known.map(({ id, dataCentre, status: standing, incarnation }) => {
-      return [id, dataCentre, standing, String(incarnation)];
+    known.map(({ id, dataCentre, status, incarnation }) => {
+      return [id, dataCentre, status, String(incarnation)];
     }),
   );
   return Ok(undefined);
@@ -67,10 +68,16 @@
   const subject = SUBJECTS[kind];
   const graceSeconds = Number(options.grace);
   if (subject === undefined) {
-    return Err({ kind: 'usage', message: `"${kind}": give target, vm or data-centre` });
+    return Err({
+      kind: 'usage',
+      message: `unknown kind "${kind}"; expected target, vm or data-centre`,
+    });
   }
   if (!(graceSeconds >= 0)) {
-    return Err({ kind: 'usage', message: `--grace "${options.grace}": give seconds` });
+    return Err({
+      kind: 'usage',
+      message: `--grace "${options.grace}": expected a number of seconds`,
+    });
   }
   const id = options.id ?? crypto.randomUUID();
   const response = await client.call('POST', 'stops', { id, subject, name, graceSeconds });
@@ -94,7 +101,9 @@
 
 interface StopReport extends domain.stop.stop.Stop {
   progress: string;
+  /** Number of requests that the daemons still report as running there. */
   running: number;
+  /** Daemons that still run requests there or have not reported. */
   waitingFor: string[];
 }
 
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,3 +1,3 @@
-/** The command-line tool as a library. */
+/** The command-line tool and its line diff, for use as a library. */
 export * as main from './main';
 export * as textDiff from './textDiff';
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,4 +1,4 @@
-/** celerydrift: the operators' command-line tool. */
+/** Command tree of `celerydrift`, the operators' command-line tool. */
 import * as commander from 'commander';
 import { Ok, Result } from 'ts-results';
 import * as errors from './errors';
@@ -14,8 +14,8 @@
 }
 
 const HELP = `
-Exit codes: 0 done, 2 bad usage or bad settings, 3 conflict, 4 refused, 5 no entry reachable,
-6 accepted but not in force everywhere in time.
+Exit codes: 0 success, 2 usage error or invalid settings, 3 conflict, 4 refused,
+5 no daemon reachable, 6 accepted but not in force on all daemons within the timeout.
 
 Examples:
   celerydrift settings check fitters.ini
@@ -33,14 +33,14 @@
 export function buildProgram(): commander.Command {
   const root = new commander.Command('celerydrift');
   root
-    .description('Changes settings and announces planned stops of a celerydrift fleet.')
+    .description('Manages the settings and planned stops of a celerydrift fleet.')
     .option(
       '--entry <urls>',
-      'operators interface of daemons, several separated by commas',
+      'base URLs of the operators API of one or more daemons, separated by commas',
       process.env.CELERYDRIFT_ENTRY ?? 'http://127.0.0.1:8082',
     )
     .option('--token <token>', 'operator token', process.env.CELERYDRIFT_TOKEN ?? '')
-    .option('--json', 'print JSON', false)
+    .option('--json', 'print output as JSON', false)
     .addHelpText('after', HELP);
   const global = (): GlobalOptions => root.opts<GlobalOptions>();
   const client = (): operatorsClient.OperatorsClient => {
@@ -57,33 +57,36 @@
   global: () => GlobalOptions,
   client: () => operatorsClient.OperatorsClient,
 ): void {
-  const settings = root.command('settings').description('the settings tree');
+  const settings = root.command('settings').description('manage the settings tree');
   settings
     .command('check <file>')
-    .description('check a file without sending it')
+    .description('validate a file locally, without sending it')
     .action((file: string) => {
       const result = settingsCommands.check(file);
-      if (result.ok) output.line('no problem found');
+      if (result.ok) output.line('settings are valid');
       reportOutcome(result.ok ? Ok(undefined) : result);
     });
   settings
     .command('show [subtree]')
-    .description('a subtree in force, or the list of all')
+    .description('print a subtree that is in force, or list all subtrees')
     .action(async (subtree?: string) => {
       reportOutcome(await settingsCommands.show(client(), subtree, global().json));
     });
   settings
     .command('diff <subtree> <file>')
-    .description('what a file would change')
+    .description('show what applying a file would change')
     .action(async (subtree: string, file: string) => {
       reportOutcome(await settingsCommands.diff(client(), subtree, file, global().json));
     });
   settings
     .command('apply <subtree> <file>')
-    .description('put a file in force; an empty file removes the subtree')
-    .option('--based-on <revision>', 'revision you looked at; default: the one in force now')
-    .option('--id <id>', 'change id; a resend with the same id gets the first answer')
-    .option('--wait', 'wait until it is in force on every daemon')
+    .description('apply a file to a subtree; an empty file removes the subtree')
+    .option(
+      '--based-on <revision>',
+      'revision that the change is based on (default: the current revision)',
+    )
+    .option('--id <id>', 'change id (idempotency key); resending it returns the first result')
+    .option('--wait', 'wait until the change is in force on all daemons')
     .action(
       async (
         subtree: string,
@@ -96,8 +99,8 @@
     );
   settings
     .command('history')
-    .description('accepted changes, newest first')
-    .option('--limit <count>', 'entries', '50')
+    .description('list accepted changes, newest first')
+    .option('--limit <count>', 'maximum number of records', '50')
     .action(async ({ limit }: { limit: string }) => {
       reportOutcome(await settingsCommands.history(client(), limit, 'change', global().json));
     });
@@ -110,36 +113,36 @@
 ): void {
   root
     .command('audit')
-    .description('what operators and the system itself did, newest first')
-    .option('--limit <count>', 'entries', '50')
+    .description('list actions of operators and of the system, newest first')
+    .option('--limit <count>', 'maximum number of records', '50')
     .action(async ({ limit }: { limit: string }) => {
       reportOutcome(await settingsCommands.history(client(), limit, undefined, global().json));
     });
   root
     .command('targets')
-    .description('targets as the asked daemon knows them')
+    .description('list the targets known to the queried daemon')
     .action(async () => reportOutcome(await fleetCommands.listTargets(client(), global().json)));
   root
     .command('status')
-    .description('state of the asked daemon')
+    .description('print the state of the queried daemon')
     .action(async () => reportOutcome(await fleetCommands.showStatus(client(), global().json)));
-  const stop = root.command('stop').description('planned stops');
+  const stop = root.command('stop').description('manage planned stops');
   stop
     .command('announce <kind> <name>')
-    .description('announce a planned stop of a target, vm or data-centre')
-    .option('--grace <seconds>', 'time for running streams before they are moved', '60')
-    .option('--id <id>', 'id of the stop')
+    .description('announce a planned stop; <kind> is target, vm or data-centre')
+    .option('--grace <seconds>', 'grace period in seconds before running streams are moved', '60')
+    .option('--id <id>', 'id of the stop (default: a random UUID)')
     .action(async (kind: string, name: string, options: { grace: string; id?: string }) => {
       const { json } = global();
       reportOutcome(await fleetCommands.announceStop(client(), kind, name, { ...options, json }));
     });
   stop
     .command('cancel <id>')
-    .description('the stop is over; work may come again')
+    .description('cancel a planned stop, so that requests are sent there again')
     .action(async (id: string) => reportOutcome(await fleetCommands.cancelStop(client(), id)));
   stop
     .command('list')
-    .description('announced stops, and whether it is safe to stop')
+    .description('list planned stops and whether it is safe to stop')
     .action(async () => reportOutcome(await fleetCommands.listStops(client(), global().json)));
 }
 
--- a/packages/cli/src/operatorsClient.ts
+++ b/packages/cli/src/operatorsClient.ts
@@ -1,4 +1,4 @@
-/** Calls to the operators' interface of any daemon; the next entry is tried when one is down. */
+/** Client of the operators API, with failover: if a daemon is unreachable, the next URL is tried. */
 import { Err, Ok, Result } from 'ts-results';
 import * as undici from 'undici';
 import type * as errors from './errors';
@@ -21,7 +21,7 @@
     path: string,
     body?: unknown,
   ): Promise<Result<ApiResponse, errors.CommandError>> {
-    let lastError = 'no entry given';
+    let lastError = 'no entry URL given';
     for (const entry of this.entries) {
       try {
         const { statusCode, body: responseBody } = await undici.request(`${entry}/v1/${path}`, {
@@ -39,7 +39,7 @@
     return Err({ kind: 'unreachable', message: lastError });
   }
 
-  /** The content of a call that must succeed. */
+  /** Sends a GET request; a status of 300 or more becomes an error. */
   async get(path: string): Promise<Result<unknown, errors.CommandError>> {
     const response = await this.call('GET', path);
     if (response.err) return response;
@@ -47,7 +47,7 @@
   }
 }
 
-/** Turns an error answer into one of this layer. */
+/** Converts an error response to a command error. */
 export function toCommandError({ status, content }: ApiResponse): errors.CommandError {
   const { error } = content as { error?: { message?: string } };
   return { kind: 'refused', message: `${status}: ${error?.message ?? JSON.stringify(content)}` };
--- a/packages/cli/src/output.ts
+++ b/packages/cli/src/output.ts
@@ -1,4 +1,4 @@
-/** Output for people as tables, for programs as JSON. */
+/** Writes tables and lines for people and JSON for programs to stdout, and errors to stderr. */
 import Table from 'cli-table3';
 
 export function json(content: unknown): void {
--- a/packages/cli/src/settingsCommands.ts
+++ b/packages/cli/src/settingsCommands.ts
@@ -1,4 +1,4 @@
-/** `celerydrift settings …`: check, show, diff, apply, history. */
+/** Implements `settings check`, `show`, `diff`, `apply` and `history`, and `audit`. */
 import * as crypto from 'node:crypto';
 import * as fs from 'node:fs';
 import * as domain from '@celerydrift/domain';
@@ -18,9 +18,11 @@
   json: boolean;
 }
 
+/** On how many daemons a change is in force. */
 interface RolloutStatus {
   inForce: number;
   registered: number;
+  /** Daemons on which the change is not yet in force. */
   missing: string[];
 }
 
@@ -28,7 +30,7 @@
 
 const POLL_INTERVAL_MS = 50;
 
-/** Revision of a subtree that isn't there. */
+/** Revision of a subtree that does not exist. */
 const NO_REVISION = 0;
 
 function readFile(file: string): Result<string, errors.CommandError> {
@@ -70,7 +72,8 @@
   if (name === undefined) return listSubtrees(client, asJson);
   const subtree = await fetchSubtree(client, name);
   if (subtree.err) return subtree;
-  if (subtree.val === undefined) return Err({ kind: 'refused', message: `no subtree ${name}` });
+  if (subtree.val === undefined)
+    return Err({ kind: 'refused', message: `subtree "${name}" does not exist` });
   if (asJson) output.json(subtree.val);
   else {
     const { revision, author, text } = subtree.val;
@@ -113,7 +116,7 @@
   return Ok(undefined);
 }
 
-/** The answer to a change, or why there is none. */
+/** The accepted change, or the error that the response describes. */
 function toAccepted(
   response: operatorsClient.ApiResponse,
 ): Result<domain.settings.tree.Accepted, errors.CommandError> {
@@ -121,7 +124,7 @@
   if (content.kind === 'accepted') return Ok(content as domain.settings.tree.Accepted);
   if (content.kind === 'conflict') {
     const { subtree, revision, author } = content as domain.settings.tree.Conflict;
-    const message = `${subtree} is at revision ${revision} by ${author} now; look at \`settings diff\` and apply again`;
+    const message = `${subtree} was changed to revision ${revision} by ${author}; run \`settings diff\`, then apply again`;
     return Err({ kind: 'conflict', message });
   }
   if (content.kind === 'invalid') {
@@ -129,7 +132,10 @@
     return Err({ kind: 'invalid', message: describeAll(problems) });
   }
   if (content.kind === 'reused') {
-    return Err({ kind: 'conflict', message: 'this change id was used for other content' });
+    return Err({
+      kind: 'conflict',
+      message: 'this change id was already used for a different change',
+    });
   }
   return Err(operatorsClient.toCommandError(response));
 }
@@ -171,10 +177,10 @@
   }
   const revision = Number(given);
   if (Number.isInteger(revision) && revision >= 0) return Ok(revision);
-  return Err({ kind: 'usage', message: `--based-on "${given}": give a revision number` });
+  return Err({ kind: 'usage', message: `--based-on "${given}": expected a revision number` });
 }
 
-/** Sends the change again with its id while nobody can say whether it took effect. */
+/** Resends the change with the same id while it is unknown whether it took effect. */
 async function sendUntilAnswered(
   client: operatorsClient.OperatorsClient,
   path: string,
--- a/packages/cli/src/textDiff.ts
+++ b/packages/cli/src/textDiff.ts
@@ -1,4 +1,4 @@
-/** A line difference of two settings texts, by longest common subsequence. */
+/** Line diff of two settings texts, by longest common subsequence. */
 
 export type Mark = ' ' | '-' | '+';
 
@@ -7,6 +7,7 @@
   text: string;
 }
 
+/** Length of the longest common subsequence of the lines from `i` and `j` on, as `table[i][j]`. */
 function commonLengths(before: readonly string[], after: readonly string[]): number[][] {
   const table = Array.from({ length: before.length + 1 }, () =>
     new Array<number>(after.length + 1).fill(0),
@@ -22,6 +23,7 @@
   return table;
 }
 
+/** Lines of both texts in order; a deletion comes before an insertion at the same place. */
 export function diff(before: string, after: string): Line[] {
   const beforeLines = before === '' ? [] : before.split('\n');
   const afterLines = after === '' ? [] : after.split('\n');
