--- a/packages/program/bundle.mjs
+++ b/packages/program/bundle.mjs
@@ -1,18 +1,18 @@
 /**
- * Bundles the program into one file under target/. From the sources, so that what a role doesn't use
- * is left out: start-up of a restarted VM is charged in full, and loading code is most of it.
+ * Bundles the program into one file under target/ and writes its V8 code cache. It bundles the sources, so that unused
+ * code is removed: a restarted VM's start-up time is charged in full, and most of it is spent loading code.
  */
 import * as childProcess from 'node:child_process';
 import * as fs from 'node:fs';
 import * as esbuild from 'esbuild';
 
-/** As in the deployment's `run`: a cache holds for the flags that it was made with. */
+/** Must match the flags of `run` in the deployment: a code cache is only valid for the flags it was made with. */
 const NODE_FLAGS = ['--max-old-space-size=160'];
 
 const LOADER_FILE = 'target/celerydrift.js';
 const CACHE_FILE = 'target/program.cache';
 
-/** Any valid settings; the program only checks them. */
+/** Valid settings for the run that writes the cache, which only checks them. */
 const PLACEHOLDER_SETTINGS = `
 [daemon]
 role = entry
@@ -43,7 +43,7 @@
     undici: './packages/program/undiciPool.cjs',
     'undici/lib/dispatcher/pool': './node_modules/undici/lib/dispatcher/pool.js',
   },
-  // Optional parts of bunyan and msgpackr that they do without.
+  // Optional dependencies of bunyan and msgpackr.
   external: ['dtrace-provider', 'mv', 'source-map-support', 'msgpackr-extract'],
 });
 
@@ -57,4 +57,4 @@
   { env: { PATH: process.env.PATH, CELERYDRIFT_WRITE_CACHE: CACHE_FILE }, stdio: 'inherit' },
 );
 if (cacheRun.status !== 0)
-  throw new Error(`the program doesn't load: ${cacheRun.status ?? cacheRun.signal}`);
+  throw new Error(`the bundled program failed to load: ${cacheRun.status ?? cacheRun.signal}`);
--- a/packages/program/earlyListener.cjs
+++ b/packages/program/earlyListener.cjs
@@ -1,17 +1,18 @@
 /**
- * Listens for callers before the program is loaded. After a kill of all processes each caller that meets no listener is refused at
- * once, and so is its one repeat; loading takes most of a restarted VM's start. Connections that come meanwhile are held, and the
- * program takes them over with the listener. Where the address can't be read or bound, the program says what is wrong.
+ * Accepts callers' connections before the program is loaded; loading takes most of a restarted VM's start. After a
+ * kill of all processes, callers that find no listener are refused immediately, and so is their only retry. Accepted
+ * connections are paused until the program takes them over with the listener. If the address cannot be read or bound,
+ * this module does not listen, and the program reports the error.
  */
 'use strict';
 
 const fs = require('node:fs');
 const net = require('node:net');
 
-/** Callers' listener in the settings of an entry. */
+/** Address of the callers' listener in the settings of an entry. */
 const CALLERS_SETTING = /^\s*callers\s*=\s*([\d.]+):(\d+)\s*$/m;
 
-/** Under this key the program finds what was begun. */
+/** Key on `globalThis` under which the program finds the early listener. */
 const KEY = Symbol.for('celerydrift.earlyListener');
 
 function readCallersAddress(file) {
@@ -23,7 +24,7 @@
   }
 }
 
-/** Begins to listen where the settings file names callers; calls `done` as soon as that is done, or not possible. */
+/** Listens at the callers' address of the settings file; calls `done` once it listens or if it cannot. */
 function listenEarly(file, done) {
   const address = file === undefined ? undefined : readCallersAddress(file);
   if (address === undefined) {
@@ -32,7 +33,7 @@
   }
   const held = [];
   const server = net.createServer({ pauseOnConnect: true, noDelay: true }, (socket) => {
-    // A caller that leaves meanwhile must not end the process.
+    // An unhandled error of a caller that disconnects would end the process.
     socket.on('error', () => undefined);
     held.push(socket);
   });
--- a/packages/program/earlyListener.d.cts
+++ b/packages/program/earlyListener.d.cts
@@ -1,5 +1,5 @@
-/** Under this key the program finds the listener that was begun. */
+/** Key on `globalThis` under which the program finds the early listener. */
 export const KEY: symbol;
 
-/** Begins to listen where the settings file names callers; calls `done` as soon as that is done, or not possible. */
+/** Listens at the callers' address of the settings file; calls `done` once it listens or if it cannot. */
 export function listenEarly(file: string | undefined, done: () => void): void;
--- a/packages/program/loader.cjs
+++ b/packages/program/loader.cjs
@@ -1,7 +1,7 @@
 /**
- * Starts the bundled program from V8's code cache. Loading and compiling is most of a restarted VM's start, which
- * the platform charges in full: with the cache an entry starts in 0.18 s of processor time in place of 0.22 s (medians
- * of nine whole-process runs). A cache that another Node.js or other flags made is ignored.
+ * Starts the bundled program with V8's code cache. Loading and compiling takes most of a restarted VM's start, which
+ * the platform charges in full; the cache reduces an entry's start from 0.22 s to 0.18 s of CPU time. V8 ignores a
+ * cache that another Node.js version or other flags produced.
  */
 'use strict';
 
@@ -14,17 +14,17 @@
 const PROGRAM_FILE = path.join(__dirname, 'program.js');
 const CACHE_FILE = path.join(__dirname, 'program.cache');
 
-/** Names the settings file where the command line doesn't. */
+/** Environment variable with the path of the settings file, used if the command line has none. */
 const SETTINGS_VARIABLE = 'CELERYDRIFT_NODE_FILE';
 
-/** Names the file that the cache is to be written to, once the program has been loaded and has ended. */
+/** Environment variable with the file to which the code cache is written when the program exits. */
 const CACHE_OUTPUT_VARIABLE = 'CELERYDRIFT_WRITE_CACHE';
 
 function readCache() {
   try {
     return fs.readFileSync(CACHE_FILE);
   } catch {
-    // Without a cache the program only starts slower.
+    // Without a cache the program starts slower, but works.
     return undefined;
   }
 }
--- a/packages/program/src/__tests__/earlyListener.test.ts
+++ b/packages/program/src/__tests__/earlyListener.test.ts
@@ -1,4 +1,4 @@
-/** Callers that come while the program is being loaded. */
+/** Connections that callers open while the program is being loaded. */
 import * as fs from 'node:fs';
 import * as http from 'node:http';
 import * as net from 'node:net';
@@ -48,10 +48,10 @@
   });
 
   /*
-   * After a kill of all processes 212 requests met no listener, twice each, while the processes loaded their program. A caller that
-   * comes before that is done waits for some tenths of a second and is served.
+   * After a kill of all processes, 212 requests and their retries found no listener while the processes loaded the
+   * program. With the early listener such callers wait a few tenths of a second and are served.
    */
-  it('holds callers that come before the program, and hands them over with the listener', async () => {
+  it('keeps early connections and passes them to the program with the listener', async () => {
     const port = await freePort();
     await listenEarly(writeSettings(`[listen]\ncallers = 127.0.0.1:${port}\n`));
     const requestStatus = (): Promise<number | undefined> => {
@@ -62,7 +62,7 @@
       });
     };
     const before = requestStatus();
-    // So long that the connection is accepted and its request sent.
+    // Long enough for the connection to be accepted and its request to be sent.
     await new Promise((resolve) => {
       setTimeout(resolve, 50);
     });
@@ -73,8 +73,8 @@
     server.close();
   });
 
-  /* The program itself says what is wrong with its settings, or that an address is taken. */
-  it('leaves it to the program where no address can be read or bound', async () => {
+  /* The program itself reports invalid settings or an address in use. */
+  it('opens no listener if the address cannot be read or bound', async () => {
     await listenEarly('/no/such/file');
     await listenEarly(writeSettings('[listen]\ncontrol = 127.0.0.1:1\n'));
     const taken = net.createServer();
--- a/packages/program/src/main.ts
+++ b/packages/program/src/main.ts
@@ -1,14 +1,14 @@
 /**
- * celerydrift: one process of a fleet on the users' platform. The only place that joins the product with
- * the platform's adapter. Built into one file, as start-up decides how long a restarted VM is away.
+ * Entry point of a celerydrift process, and the only module that combines the daemon with the platform
+ * adapter. It is bundled into one file, because start-up time prolongs the outage of a restarted VM.
  */
 import * as daemon from '@celerydrift/daemon';
 import * as platform from '@celerydrift/platform';
 
-/** Names the settings file where the command line doesn't. */
+/** Environment variable with the path of the settings file, used if the command line has none. */
 const SETTINGS_VARIABLE = 'CELERYDRIFT_NODE_FILE';
 
-/** Where the loader leaves the listener that it began; see earlyListener.cjs. */
+/** Key on `globalThis` under which the loader stores its early listener; see earlyListener.cjs. */
 const EARLY_LISTENER = Symbol.for('celerydrift.earlyListener');
 
 type Adapter = daemon.roleMain.Adapter;
@@ -22,7 +22,9 @@
   const checkOnly = args.includes('--check');
   const settingsFile = args.find((arg) => !arg.startsWith('-')) ?? process.env[SETTINGS_VARIABLE];
   if (settingsFile === undefined) {
-    process.stderr.write(`usage: celerydrift [--check] SETTINGS, or set ${SETTINGS_VARIABLE}\n`);
+    process.stderr.write(
+      `usage: celerydrift [--check] SETTINGS_FILE, or set ${SETTINGS_VARIABLE}\n`,
+    );
     process.exit(2);
   }
   const adapter: Adapter = {
--- a/testing/__tests__/knownRed.test.ts
+++ b/testing/__tests__/knownRed.test.ts
@@ -1,4 +1,4 @@
-/** The verdict on test runs with tests that are known to fail. */
+/** Test runs with tests that are known to fail. */
 import * as chai from 'chai';
 import * as knownRed from '../knownRed';
 
--- a/testing/knownRed.d.ts
+++ b/testing/knownRed.d.ts
@@ -1,4 +1,4 @@
-/** Types of the verdict on test runs. */
+/** Types of the check of test runs against the list of known failures. */
 interface TestResult {
   fullTitle: string;
 }
--- a/testing/knownRed.js
+++ b/testing/knownRed.js
@@ -1,13 +1,13 @@
 /**
- * Verdict on a test run under KNOWN-RED.txt. Exactly the listed tests may fail: another failure, a listed test
- * that passes, and one that doesn't exist each fail the run. A line of the list begins with the test's whole
- * title and ` | `; lines that begin with # are comments.
+ * Checks a mocha JSON report against the list of known failures in KNOWN-RED.txt. The listed tests must fail and all
+ * others pass: an unlisted failure, a listed test that passes and a listed test that did not run each fail the run.
+ * A line of the list begins with the test's full title and ` | `; lines that begin with # are comments.
  */
 'use strict';
 
 const fs = require('node:fs');
 
-/** Titles in the text of a list. */
+/** Full titles of the listed tests. */
 function parseTitles(text) {
   return text
     .split('\n')
@@ -15,7 +15,7 @@
     .map((line) => line.split(' | ')[0].trim());
 }
 
-/** What is wrong with a run, one line each; empty for a good one. */
+/** One line for each deviation of a run from the list; empty if the run passes. */
 function findProblems({ passes, failures }, known) {
   const passed = new Set(passes.map(({ fullTitle }) => fullTitle));
   const failed = new Set(failures.map(({ fullTitle }) => fullTitle));
