--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -1,8 +1,8 @@
 import prettier from 'eslint-config-prettier';
 import { configs, plugins } from 'eslint-config-airbnb-extended';
 
-// The users ask for namespace imports and for one loop on one thread, so the rules that forbid
-// `import *`, `await` in a loop and `for...of` are off. Extensions are resolved by the compiler.
+// The code base uses namespace imports and a single event loop, so the rules that forbid `import *`,
+// `await` in a loop and `for...of` are off. Extensions are resolved by the compiler.
 const deviations = {
   'import-x/prefer-default-export': 'off',
   'import-x/no-extraneous-dependencies': 'off',
@@ -45,7 +45,7 @@
   'no-bitwise': 'off',
 };
 
-/** Holds the arrows domain <- daemon <- tools: the domain knows neither input nor output. */
+/** Enforces the dependency direction domain <- daemon <- tools: the domain performs no I/O. */
 const domainBoundary = {
   files: ['packages/domain/src/**/*.ts'],
   ignores: ['**/__tests__/**'],
@@ -71,8 +71,8 @@
 };
 
 /**
- * Only the program joins the product with the platform's adapter; nothing else knows the platform's names. The
- * soak runs that program, and its stand-ins speak through the adapter's counterpart.
+ * Only packages/program combines the daemon with the platform adapter, so that no other package depends on the
+ * platform. The soak test runs that program, and its stand-ins use the adapter's counterpart.
  */
 const platformBoundary = {
   files: ['packages/**/*.ts'],
@@ -113,7 +113,7 @@
   plugins.typescriptEslint,
   ...configs.base.recommended,
   ...configs.base.typescript,
-  prettier, // The formatter decides on layout.
+  prettier, // Turns off the rules that conflict with the formatter.
   { files: ['**/*.ts'], rules: deviations },
   platformBoundary,
   domainBoundary,
