--- a/packages/standins/src/engine/engineModel.ts
+++ b/packages/standins/src/engine/engineModel.ts
@@ -40,6 +40,9 @@
 /** A stream reports the engine's load once in this many tokens. */
 export const REPORT_EVERY = 16;
 
+/** At this count samples that are no longer reported are dropped, and if still needed every other one. */
+const MAX_LOAD_SAMPLES = 256;
+
 interface RunningRequest {
   job: Job;
   arrivalOrder: number;
@@ -266,10 +269,12 @@
 
   private recordLoad(now: number): void {
     this.loads.push(this.trueLoad(now));
-    if (this.loads.length < 256) return;
+    if (this.loads.length < MAX_LOAD_SAMPLES) return;
     const asOf = now - this.options.loadLagMs;
     const firstNeeded = this.loads.findLastIndex(({ at }) => at <= asOf);
     this.loads = this.loads.slice(Math.max(0, firstNeeded));
-    if (this.loads.length >= 256) this.loads = this.loads.filter((_load, i) => i % 2 === 0);
+    if (this.loads.length >= MAX_LOAD_SAMPLES) {
+      this.loads = this.loads.filter((_load, i) => i % 2 === 0);
+    }
   }
 }
--- a/packages/standins/src/engine/engineServer.ts
+++ b/packages/standins/src/engine/engineServer.ts
@@ -66,6 +66,14 @@
 
 const BYTES_PER_TOKEN = 4;
 
+const LEASE_CHECK_INTERVAL_MS = 500;
+
+/** Lease of a resource that is registered by POST, such as one of the older system. */
+const REGISTERED_LEASE_MS = 3_600_000;
+
+/** Frames that are sent before an injected cut closes the connection. */
+const FRAMES_BEFORE_CUT = 2;
+
 export class EngineServer {
   readonly model: engineModel.EngineModel;
 
@@ -108,7 +116,7 @@
   async start(): Promise<number> {
     this.port = await this.server.listen(this.options.host, this.options.port);
     this.announcer.start();
-    this.leaseTimer = setInterval(() => this.expireLeases(), 500);
+    this.leaseTimer = setInterval(() => this.expireLeases(), LEASE_CHECK_INTERVAL_MS);
     return this.port;
   }
 
@@ -224,7 +232,8 @@
       frames: [],
       response: undefined,
       hasWrongId: this.faultInjector.consume('cross') !== undefined,
-      cutAfterFrames: this.faultInjector.consume('cut') === undefined ? Infinity : 2,
+      cutAfterFrames:
+        this.faultInjector.consume('cut') === undefined ? Infinity : FRAMES_BEFORE_CUT,
       isComplete: false,
     };
     this.streams.set(body.request, stream);
@@ -394,7 +403,7 @@
     if (call.method === 'POST') {
       const lease = JSON.parse(call.body) as leaseTable.EngineLease;
       this.model.reserve(lease.tokens);
-      this.held.add({ ...lease, expiresAt: Date.now() + 3_600_000 });
+      this.held.add({ ...lease, expiresAt: Date.now() + REGISTERED_LEASE_MS });
     }
     const listed = this.held.list().map(({ expiresAt, ...resource }) => resource);
     const started = Object.fromEntries(this.started);
--- a/packages/standins/src/engine/prefixCache.ts
+++ b/packages/standins/src/engine/prefixCache.ts
@@ -3,6 +3,11 @@
 /** Tokens in a block; must match the block size of the daemons' prefix index. */
 export const BLOCK_TOKENS = 1_024;
 
+/** When more events than this are kept, all but the latest `KEPT_EVENTS` are dropped. */
+const MAX_EVENTS = 4_096;
+
+const KEPT_EVENTS = 2_048;
+
 /** A block was stored or evicted. */
 export interface CacheEvent {
   sequence: number;
@@ -86,6 +91,6 @@
   private record(kind: CacheEvent['kind'], key: number): void {
     this.sequence += 1;
     this.events.push({ sequence: this.sequence, kind, key });
-    if (this.events.length > 4_096) this.events = this.events.slice(-2_048);
+    if (this.events.length > MAX_EVENTS) this.events = this.events.slice(-KEPT_EVENTS);
   }
 }
