--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,4 +1,4 @@
-/** celerydrift: the operators' command-line tool. */
+/** Command tree of `celerydrift`, the operators' command-line tool. */
 import * as commander from 'commander';
 import { Ok, Result } from 'ts-results';
 import * as errors from './errors';
@@ -7,15 +7,15 @@
 import * as output from './output';
 import * as settingsCommands from './settingsCommands';
 
-interface Global {
+interface GlobalOptions {
   entry: string;
   token: string;
   json: boolean;
 }
 
 const HELP = `
-Exit codes: 0 done, 2 bad usage or bad settings, 3 conflict, 4 refused, 5 no entry reachable,
-6 accepted but not in force everywhere in time.
+Exit codes: 0 success, 2 usage error or invalid settings, 3 conflict, 4 refused,
+5 no daemon reachable, 6 accepted but not in force on all daemons within the timeout.
 
 Examples:
   celerydrift settings check fitters.ini
@@ -23,67 +23,70 @@
   celerydrift stop announce target engine-7 --grace 60
   celerydrift --json status`;
 
-function finish(result: Result<void, errors.CommandError>): void {
+function reportOutcome(result: Result<void, errors.CommandError>): void {
   if (result.ok) return;
-  output.problem(result.val.message);
+  output.error(result.val.message);
   process.exitCode = errors.EXIT_CODE[result.val.kind];
 }
 
 /** Builds the command tree. */
-export function program(): commander.Command {
+export function buildProgram(): commander.Command {
   const root = new commander.Command('celerydrift');
   root
-    .description('Changes settings and announces planned stops of a celerydrift fleet.')
+    .description('Manages the settings and planned stops of a celerydrift fleet.')
     .option(
       '--entry <urls>',
-      'operators interface of daemons, several separated by commas',
+      'base URLs of the operators API of one or more daemons, separated by commas',
       process.env.CELERYDRIFT_ENTRY ?? 'http://127.0.0.1:8082',
     )
     .option('--token <token>', 'operator token', process.env.CELERYDRIFT_TOKEN ?? '')
-    .option('--json', 'print JSON', false)
+    .option('--json', 'print output as JSON', false)
     .addHelpText('after', HELP);
-  const global = (): Global => root.opts<Global>();
+  const global = (): GlobalOptions => root.opts<GlobalOptions>();
   const client = (): operatorsClient.OperatorsClient => {
     const { entry, token } = global();
     return new operatorsClient.OperatorsClient(entry.split(','), token);
   };
-  addSettings(root, global, client);
-  addFleet(root, global, client);
+  addSettingsCommands(root, global, client);
+  addFleetCommands(root, global, client);
   return root;
 }
 
-function addSettings(
+function addSettingsCommands(
   root: commander.Command,
-  global: () => Global,
+  global: () => GlobalOptions,
   client: () => operatorsClient.OperatorsClient,
 ): void {
-  const settings = root.command('settings').description('the settings tree');
+  const settings = root.command('settings').description('manage the settings tree');
   settings
     .command('check <file>')
-    .description('check a file without sending it')
+    .description('validate a file locally, without sending it')
     .action((file: string) => {
       const result = settingsCommands.check(file);
-      if (result.ok) output.line('no problem found');
-      finish(result.ok ? Ok(undefined) : result);
+      if (result.ok) output.line('settings are valid');
+      reportOutcome(result.ok ? Ok(undefined) : result);
     });
   settings
     .command('show [subtree]')
-    .description('a subtree in force, or the list of all')
+    .description('print a subtree that is in force, or list all subtrees')
     .action(async (subtree?: string) => {
-      finish(await settingsCommands.show(client(), subtree, global().json));
+      reportOutcome(await settingsCommands.show(client(), subtree, global().json));
     });
   settings
     .command('diff <subtree> <file>')
-    .description('what a file would change')
+    .description('show what applying a file would change')
     .action(async (subtree: string, file: string) => {
-      finish(await settingsCommands.diff(client(), subtree, file, global().json));
+      reportOutcome(await settingsCommands.diff(client(), subtree, file, global().json));
     });
   settings
     .command('apply <subtree> <file>')
-    .description('put a file in force; an empty file removes the subtree')
-    .option('--based-on <revision>', 'revision you looked at; default: the one in force now')
-    .option('--id <id>', 'change id; a resend with the same id gets the first answer')
-    .option('--wait', 'wait until it is in force on every daemon')
+    .description('apply a file to a subtree; an empty file removes the subtree')
+    .option(
+      '--based-on <revision>',
+      'revision that the change is based on (default: the current revision)',
+    )
+    .option('--id <id>', 'change id (idempotency key); resending it returns the first result')
+    .option('--wait', 'wait until the change is in force on all daemons')
     .action(
       async (
         subtree: string,
@@ -91,58 +94,58 @@
         options: Omit<settingsCommands.ApplyOptions, 'json'>,
       ) => {
         const { json } = global();
-        finish(await settingsCommands.apply(client(), subtree, file, { ...options, json }));
+        reportOutcome(await settingsCommands.apply(client(), subtree, file, { ...options, json }));
       },
     );
   settings
     .command('history')
-    .description('accepted changes, newest first')
-    .option('--limit <count>', 'entries', '50')
+    .description('list accepted changes, newest first')
+    .option('--limit <count>', 'maximum number of records', '50')
     .action(async ({ limit }: { limit: string }) => {
-      finish(await settingsCommands.history(client(), limit, 'change', global().json));
+      reportOutcome(await settingsCommands.history(client(), limit, 'change', global().json));
     });
 }
 
-function addFleet(
+function addFleetCommands(
   root: commander.Command,
-  global: () => Global,
+  global: () => GlobalOptions,
   client: () => operatorsClient.OperatorsClient,
 ): void {
   root
     .command('audit')
-    .description('what operators and the system itself did, newest first')
-    .option('--limit <count>', 'entries', '50')
+    .description('list actions of operators and of the system, newest first')
+    .option('--limit <count>', 'maximum number of records', '50')
     .action(async ({ limit }: { limit: string }) => {
-      finish(await settingsCommands.history(client(), limit, undefined, global().json));
+      reportOutcome(await settingsCommands.history(client(), limit, undefined, global().json));
     });
   root
     .command('targets')
-    .description('targets as the asked daemon knows them')
-    .action(async () => finish(await fleetCommands.listTargets(client(), global().json)));
+    .description('list the targets known to the queried daemon')
+    .action(async () => reportOutcome(await fleetCommands.listTargets(client(), global().json)));
   root
     .command('status')
-    .description('state of the asked daemon')
-    .action(async () => finish(await fleetCommands.showStatus(client(), global().json)));
-  const stop = root.command('stop').description('planned stops');
+    .description('print the state of the queried daemon')
+    .action(async () => reportOutcome(await fleetCommands.showStatus(client(), global().json)));
+  const stop = root.command('stop').description('manage planned stops');
   stop
     .command('announce <kind> <name>')
-    .description('announce a planned stop of a target, vm or data-centre')
-    .option('--grace <seconds>', 'time for running streams before they are moved', '60')
-    .option('--id <id>', 'id of the stop')
+    .description('announce a planned stop; <kind> is target, vm or data-centre')
+    .option('--grace <seconds>', 'grace period in seconds before running streams are moved', '60')
+    .option('--id <id>', 'id of the stop (default: a random UUID)')
     .action(async (kind: string, name: string, options: { grace: string; id?: string }) => {
       const { json } = global();
-      finish(await fleetCommands.announceStop(client(), kind, name, { ...options, json }));
+      reportOutcome(await fleetCommands.announceStop(client(), kind, name, { ...options, json }));
     });
   stop
     .command('cancel <id>')
-    .description('the stop is over; work may come again')
-    .action(async (id: string) => finish(await fleetCommands.cancelStop(client(), id)));
+    .description('cancel a planned stop, so that requests are sent there again')
+    .action(async (id: string) => reportOutcome(await fleetCommands.cancelStop(client(), id)));
   stop
     .command('list')
-    .description('announced stops, and whether it is safe to stop')
-    .action(async () => finish(await fleetCommands.listStops(client(), global().json)));
+    .description('list planned stops and whether it is safe to stop')
+    .action(async () => reportOutcome(await fleetCommands.listStops(client(), global().json)));
 }
 
 export async function main(argv: readonly string[]): Promise<void> {
-  await program().parseAsync([...argv]);
+  await buildProgram().parseAsync([...argv]);
 }
--- a/packages/program/earlyListener.cjs
+++ b/packages/program/earlyListener.cjs
@@ -1,47 +1,48 @@
 /**
- * Listens for callers before the program is loaded. After a kill of all processes each caller that meets no listener is refused at
- * once, and so is its one repeat; loading takes most of a restarted VM's start. Connections that come meanwhile are held, and the
- * program takes them over with the listener. Where the address can't be read or bound, the program says what is wrong.
+ * Accepts callers' connections before the program is loaded; loading takes most of a restarted VM's start. After a
+ * kill of all processes, callers that find no listener are refused immediately, and so is their only retry. Accepted
+ * connections are paused until the program takes them over with the listener. If the address cannot be read or bound,
+ * this module does not listen, and the program reports the error.
  */
 'use strict';
 
 const fs = require('node:fs');
 const net = require('node:net');
 
-/** Callers' listener in the settings of an entry. */
-const CALLERS = /^\s*callers\s*=\s*([\d.]+):(\d+)\s*$/m;
+/** Address of the callers' listener in the settings of an entry. */
+const CALLERS_SETTING = /^\s*callers\s*=\s*([\d.]+):(\d+)\s*$/m;
 
-/** Under this key the program finds what was begun. */
+/** Key on `globalThis` under which the program finds the early listener. */
 const KEY = Symbol.for('celerydrift.earlyListener');
 
-function addressIn(file) {
+function readCallersAddress(file) {
   try {
-    const [, host, port] = CALLERS.exec(fs.readFileSync(file, 'utf8')) ?? [];
+    const [, host, port] = CALLERS_SETTING.exec(fs.readFileSync(file, 'utf8')) ?? [];
     return host === undefined ? undefined : { host, port: Number(port) };
   } catch {
     return undefined;
   }
 }
 
-/** Begins to listen where the settings file names callers; calls `then` as soon as that is done, or not possible. */
-function begin(file, then) {
-  const address = file === undefined ? undefined : addressIn(file);
+/** Listens at the callers' address of the settings file; calls `done` once it listens or if it cannot. */
+function listenEarly(file, done) {
+  const address = file === undefined ? undefined : readCallersAddress(file);
   if (address === undefined) {
-    then();
+    done();
     return;
   }
   const held = [];
   const server = net.createServer({ pauseOnConnect: true, noDelay: true }, (socket) => {
-    // A caller that leaves meanwhile must not end the process.
+    // An unhandled error of a caller that disconnects would end the process.
     socket.on('error', () => undefined);
     held.push(socket);
   });
-  server.once('error', then);
+  server.once('error', done);
   server.listen({ ...address, exclusive: true }, () => {
-    server.removeListener('error', then);
+    server.removeListener('error', done);
     globalThis[KEY] = { address, server, held };
-    then();
+    done();
   });
 }
 
-module.exports = { KEY, begin };
+module.exports = { KEY, listenEarly };
--- a/packages/standins/src/service/plainService.ts
+++ b/packages/standins/src/service/plainService.ts
@@ -1,6 +1,6 @@
 /**
- * A plain service beside the engines: parts holds and tonnage entries, each of which counts how often
- * it ran, and lookups that may be repeated.
+ * Stand-in for a plain service: POST requests create entries and count how often each id ran, so that
+ * tests detect duplicate runs; all other requests are lookups, which may be repeated.
  */
 import * as announcer from '../announcer';
 import * as faults from '../faults';
@@ -14,16 +14,17 @@
   dataCentre: string;
   entries: string[];
   secret: string;
-  /** Time a call takes, in milliseconds. */
+  /** Duration of a call, in milliseconds. */
   workMs: number;
 }
 
 export class PlainService {
+  /** Number of runs by entry id. */
   readonly runs = new Map<string, number>();
 
   private readonly incarnation = Date.now();
 
-  private readonly switches = new faults.Faults();
+  private readonly faultInjector = new faults.FaultInjector();
 
   private readonly server: httpServer.HttpServer;
 
@@ -33,8 +34,9 @@
 
   constructor(private readonly options: Options) {
     this.server = new httpServer.HttpServer((call) => this.handle(call));
-    const describe = (): Omit<announcer.Announcement, 'sequence'> => this.describe();
-    this.announcer = new announcer.Announcer(options.entries, options.secret, describe);
+    const buildAnnouncement = (): Omit<announcer.Announcement, 'sequence'> =>
+      this.buildAnnouncement();
+    this.announcer = new announcer.Announcer(options.entries, options.secret, buildAnnouncement);
   }
 
   async start(): Promise<number> {
@@ -48,7 +50,7 @@
     await this.server.close();
   }
 
-  private describe(): Omit<announcer.Announcement, 'sequence'> {
+  private buildAnnouncement(): Omit<announcer.Announcement, 'sequence'> {
     const { name, service, host, dataCentre } = this.options;
     return {
       name,
@@ -69,35 +71,39 @@
     if (call.path === '/fault') {
       const fault = JSON.parse(call.body) as faults.Fault | { kind: 'clear' };
       if (fault.kind === 'die') process.exit(1);
-      if (fault.kind === 'clear') this.switches.clear();
-      else this.switches.set(fault);
-      httpServer.reply(call, 200, {});
+      if (fault.kind === 'clear') this.faultInjector.clear();
+      else this.faultInjector.inject(fault);
+      httpServer.sendJson(call, 200, {});
     } else if (call.path === '/runs') {
-      httpServer.reply(call, 200, Object.fromEntries(this.runs));
+      httpServer.sendJson(call, 200, Object.fromEntries(this.runs));
     } else if (call.method === 'POST') {
-      await this.enter(call);
+      await this.createEntry(call);
     } else {
       const { method, path, headers } = call;
-      httpServer.reply(call, 200, { method, path, organisation: headers['x-organisation'] ?? '' });
+      httpServer.sendJson(call, 200, {
+        method,
+        path,
+        organisation: headers['x-organisation'] ?? '',
+      });
     }
   }
 
-  private async enter(call: httpServer.Call): Promise<void> {
-    if (this.switches.take('refuse') !== undefined) {
+  private async createEntry(call: httpServer.Call): Promise<void> {
+    if (this.faultInjector.consume('refuse') !== undefined) {
       call.response.setHeader('x-not-run', 'true');
-      httpServer.reply(call, 503, { error: 'not taking work', notRun: true });
+      httpServer.sendJson(call, 503, { error: 'not accepting requests', notRun: true });
       return;
     }
     const { id } = JSON.parse(call.body) as { id: string };
     const runs = (this.runs.get(id) ?? 0) + 1;
     this.runs.set(id, runs);
     await new Promise((resolve) => {
-      setTimeout(resolve, this.switches.take('late')?.delayMs ?? this.options.workMs);
+      setTimeout(resolve, this.faultInjector.consume('late')?.delayMs ?? this.options.workMs);
     });
-    if (this.switches.take('cut') !== undefined) {
+    if (this.faultInjector.consume('cut') !== undefined) {
       call.response.destroy();
       return;
     }
-    httpServer.reply(call, 201, { id, runs, path: call.path });
+    httpServer.sendJson(call, 201, { id, runs, path: call.path });
   }
 }
