--- a/packages/domain/src/allocation/__tests__/allocator.test.ts
+++ b/packages/domain/src/allocation/__tests__/allocator.test.ts
@@ -20,7 +20,11 @@
 describe('cost of an engine', () => {
   it('follows the published figures', () => {
     const readings = [5_000, 45_000, 154_000, 220_000].map((tokens) => {
-      return [tokens, Math.round(cost.readMs(ENGINE, tokens)), cost.passMs(ENGINE, 4, 20_000)];
+      return [
+        tokens,
+        Math.round(cost.readMs(ENGINE, tokens)),
+        cost.engineStepMs(ENGINE, 4, 20_000),
+      ];
     });
     expect(readings).toMatchSnapshot();
   });
--- a/packages/domain/src/allocation/__tests__/reading.test.ts
+++ b/packages/domain/src/allocation/__tests__/reading.test.ts
@@ -9,8 +9,8 @@
 
 const { expect } = chai;
 
-const IDLE: readQueue.Writing = { isWriting: false, passMs: () => 45 };
-const BUSY: readQueue.Writing = { isWriting: true, passMs: () => 40 };
+const IDLE: readQueue.DecodeState = { isWriting: false, passMs: () => 45 };
+const BUSY: readQueue.DecodeState = { isWriting: true, passMs: () => 40 };
 
 /** A reading whose only place is one queue. */
 function added(
@@ -94,16 +94,16 @@
     const decision = new planner.Planner(ENGINE).decide(prompt, loads, now, false);
     const made = new reading.Reading(name, planner.valueOf(prompt), PROMPT.objectiveMs, now);
     if (decision.kind !== 'begin') throw new Error(`no plan for ${name}`);
-    const { helpers, writer, partMs, writerTokens } = decision.plan;
-    const task = { request: name, readMs: partMs, contextTokens: 0, value: 0 };
-    const share = { reading: made, isPart: helpers.length > 0 };
-    writer.add(
-      { ...task, role: 'writer', memoryTokens: writerTokens, pauseMs: PROMPT.pauseMs },
-      share,
+    const { helpers, decoder, partMs, decoderTokens } = decision.plan;
+    const task = { request: name, prefillMs: partMs, contextTokens: 0, value: 0 };
+    const part = { reading: made, isPart: helpers.length > 0 };
+    decoder.add(
+      { ...task, role: 'decoder', memoryTokens: decoderTokens, maxGapMs: PROMPT.pauseMs },
+      part,
       now,
     );
     helpers.forEach((each) => {
-      each.load.add({ ...task, role: 'helper', memoryTokens: 0, pauseMs: Infinity }, share, now);
+      each.load.add({ ...task, role: 'helper', memoryTokens: 0, maxGapMs: Infinity }, part, now);
     });
     return made;
   }
@@ -126,19 +126,19 @@
   it('is given to no engine that reads a part for another prompt', () => {
     const loads = fleet(12);
     ['a', 'b', 'c', 'd'].forEach((name, i) => begin(loads, name, 150_000, i * 50));
-    const helping = loads.map((each) => each.helping(150));
+    const helping = loads.map((each) => each.helpingCount(150));
     expect(Math.max(...helping)).to.equal(1);
   });
 
   it('costs what the delayed ones lose, each once, however many engines delay it', () => {
     const delayed = new reading.Reading('a', 1_000, 3_000, 0);
-    const delay = { reading: delayed, sooner: 1_000 };
-    const twice = outlook.lossBy([
+    const delay = { prefill: delayed, sooner: 1_000 };
+    const twice = outlook.delayPenalty([
       { ...delay, later: 2_400 },
       { ...delay, later: 2_100 },
     ]);
     expect(Math.round(twice)).to.equal(375);
-    expect(outlook.lossBy([{ ...delay, later: 1_500 }])).to.equal(0);
+    expect(outlook.delayPenalty([{ ...delay, later: 1_500 }])).to.equal(0);
   });
 
   /*
--- a/packages/domain/src/allocation/allocator.ts
+++ b/packages/domain/src/allocation/allocator.ts
@@ -50,7 +50,7 @@
   { kind: 'placed'; placement: Placement } | Exclude<planner.Decision, { kind: 'begin' }>;
 
 /** What an entry saw of a dispatch beside its ending. */
-export interface Seen {
+export interface DispatchObservations {
   /** The target that made it fail, where that isn't the writer. */
   faulty?: string;
   /** Usual pause between the events of its answer, milliseconds. */
@@ -63,19 +63,19 @@
  * after a loss of all cost a new leader 2 ms a prompt, and it answered nobody for half a second at a time. With
  * 30 of them a short prompt takes 0.08 ms in place of 0.35, and one of 45k tokens 0.5 in place of 1.7.
  */
-const NEAR_ENGINES = 24;
-const NEAR_FOR_EACH_PART = 2;
+const MIN_NEARBY_ENGINES = 24;
+const NEARBY_ENGINES_PER_PART = 2;
 
 /**
  * Part of what a prompt is worth that a plan in its data centre may spoil. With more, the engines there are busier than
  * usual, and the others are asked too.
  */
-const NEAR_HARM = 0.05;
+const MAX_NEARBY_PENALTY_FRACTION = 0.05;
 
 interface Dispatch {
   entry: string;
   loads: load.Load[];
-  writer: load.Load;
+  decoder: load.Load;
 }
 
 export class Allocator {
@@ -92,20 +92,20 @@
   private readonly dispatches = new Map<string, Dispatch>();
 
   /** Requests that run now and may end their engine. */
-  private readonly suspects = new isolation.Isolation();
+  private readonly suspects = new isolation.SuspectIsolation();
 
   private engines = new Map<string, catalogue.Engine>();
 
   /** What is assumed to be written where this allocator doesn't see it, by service. */
-  private readonly crowding = new Map<string, unseen.Crowding>();
+  private readonly averageLoads = new Map<string, unseen.Crowding>();
 
   /**
    * `chance` is for an allocator that sees only a part of all dispatches: it chooses among equal engines by
    * chance. Without that, all entries that lost their leader chose the same few engines for all prompts.
    */
   constructor(
-    private readonly chance?: random.Random,
-    private readonly weighed: weights.Weights = weights.WEIGHTS,
+    private readonly randomSource?: random.Random,
+    private readonly planWeights: weights.Weights = weights.WEIGHTS,
     private readonly limits = new rateLimits.RateLimits(),
   ) {}
 
@@ -119,9 +119,9 @@
       return JSON.stringify(before.get(name)) !== JSON.stringify(engine);
     });
     changed.forEach(([name, engine]) => {
-      this.planners.set(name, new planner.Planner(engine, this.weighed));
+      this.planners.set(name, new planner.Planner(engine, this.planWeights));
       this.records.forEach((record) => {
-        if (record.service === name) this.replace(this.loadOf(engine, record));
+        if (record.service === name) this.replaceLoad(this.createLoad(engine, record));
       });
     });
   }
@@ -130,14 +130,14 @@
   observe(record: registry.Announcement): void {
     if (record.state === 'gone') {
       this.records.delete(record.id);
-      this.drop(record.id);
+      this.removeLoad(record.id);
       return;
     }
     this.records.set(record.id, record);
     const known = this.loads.get(record.id);
     const engine = this.engines.get(record.service);
-    if (known !== undefined && isSamePlace(known.record, record)) known.record = record;
-    else if (engine !== undefined) this.replace(this.loadOf(engine, record));
+    if (known !== undefined && hasSameLocation(known.record, record)) known.record = record;
+    else if (engine !== undefined) this.replaceLoad(this.createLoad(engine, record));
   }
 
   /** What is written on the engines of each service on average, for those who see only a part of it. */
@@ -146,14 +146,14 @@
       const ready = this.cellsOf(name)
         .all()
         .filter(({ record }) => record.state === 'ready');
-      return unseen.crowdingOf(name, ready);
+      return unseen.averageLoadOf(name, ready);
     });
   }
 
   /** Assumes that others write as much on each engine. */
   assume(averages: readonly unseen.Crowding[]): void {
-    averages.forEach((each) => this.crowding.set(each.service, each));
-    this.loads.forEach((each) => this.assumeOthers(each));
+    averages.forEach((each) => this.averageLoads.set(each.service, each));
+    this.loads.forEach((each) => this.applyAverageLoad(each));
   }
 
   /** A place for the request at once, or undefined where every engine is full. */
@@ -164,49 +164,51 @@
 
   /** A place for the request, or with `mayWait` the time at which to ask again. */
   choose(request: Request, now: number, mayWait: boolean): Choice {
-    const made = this.planners.get(request.service);
-    if (made === undefined) return { kind: 'full' };
-    const scope = this.scopeOf(request);
-    const usable = this.usable(request, scope.all, now);
+    const enginePlanner = this.planners.get(request.service);
+    if (enginePlanner === undefined) return { kind: 'full' };
+    const scope = this.candidateScope(request);
+    const usable = this.eligibleEngines(request, scope.all, now);
     const decision =
-      this.decideNear(made, request, { ...scope, all: usable }, now) ??
-      made.decide(request, usable, now, mayWait);
+      this.decideNearby(enginePlanner, request, { ...scope, all: usable }, now) ??
+      enginePlanner.decide(request, usable, now, mayWait);
     if (decision.kind !== 'begin') return decision;
     const { plan } = decision;
-    this.occupy(request, plan, now);
-    [plan.writer, ...plan.helpers.map((each) => each.load)].forEach(({ record }) => {
+    this.recordDispatch(request, plan, now);
+    [plan.decoder, ...plan.helpers.map((each) => each.load)].forEach(({ record }) => {
       this.limits.take(record, 1, now);
     });
     return { kind: 'placed', placement: placementOf(plan) };
   }
 
   /** Engines that are asked for a request: all of a small service, else some cells and those that it is bound to. */
-  private scopeOf({ service, dataCentre, writers = [] }: Request): cells.Scope {
+  private candidateScope({ service, dataCentre, writers = [] }: Request): cells.Scope {
     const scope = this.cellsOf(service).scope(dataCentre);
     const bound = writers.flatMap((id) => this.loads.get(id) ?? []);
     return { ...scope, all: [...new Set([...scope.all, ...bound])] };
   }
 
   /** A plan among the engines of the first cell or of the caller's data centre, where these are enough and it spoils next to nothing. */
-  private decideNear(
-    made: planner.Planner,
+  private decideNearby(
+    enginePlanner: planner.Planner,
     request: Request,
     { first, all }: cells.Scope,
     now: number,
   ): planner.Decision | undefined {
     const ofFirst = new Set(first);
-    const near = all.filter((each) => {
+    const nearby = all.filter((each) => {
       return first === undefined
         ? each.record.dataCentre === request.dataCentre
         : ofFirst.has(each);
     });
-    const wanted = NEAR_FOR_EACH_PART * made.sensibleParts(request);
+    const minForParts = NEARBY_ENGINES_PER_PART * enginePlanner.maxUsefulParts(request);
     // A cell has engines enough for any prompt.
-    const enough = first === undefined ? Math.max(NEAR_ENGINES, wanted) : NEAR_ENGINES;
-    if (near.length < enough || near.length === all.length) return undefined;
-    const decision = made.decide(request, near, now, false);
+    const enough =
+      first === undefined ? Math.max(MIN_NEARBY_ENGINES, minForParts) : MIN_NEARBY_ENGINES;
+    if (nearby.length < enough || nearby.length === all.length) return undefined;
+    const decision = enginePlanner.decide(request, nearby, now, false);
     const isGood =
-      decision.kind === 'begin' && decision.plan.harm <= NEAR_HARM * planner.valueOf(request);
+      decision.kind === 'begin' &&
+      decision.plan.penalty <= MAX_NEARBY_PENALTY_FRACTION * planner.valueOf(request);
     return isGood ? decision : undefined;
   }
 
@@ -218,7 +220,7 @@
     const waits = this.cellsOf(service)
       .all()
       .filter(({ record }) => record.state === 'ready')
-      .map((each) => each.pendingReadMs(now) + each.passMs());
+      .map((each) => each.pendingPrefillMs(now) + each.passMs());
     return Math.min(Infinity, ...waits);
   }
 
@@ -234,23 +236,29 @@
 
   /** Counts a dispatch that another allocator made, whose reading is over by now. */
   restore(request: Request, target: string, now: number): void {
-    const writer = this.loads.get(target);
-    if (writer === undefined || this.dispatches.has(request.id)) return;
-    const writerTokens = request.tokens + request.answerTokens;
-    this.occupy({ ...request, tokens: 0 }, { writer, writerTokens, helpers: [] }, now);
+    const decoder = this.loads.get(target);
+    if (decoder === undefined || this.dispatches.has(request.id)) return;
+    const decoderTokens = request.tokens + request.answerTokens;
+    this.recordDispatch({ ...request, tokens: 0 }, { decoder, decoderTokens, helpers: [] }, now);
   }
 
   /** A dispatch ended. */
-  ended(id: string, ending: soundness.Ending, now: number, seen: Seen = {}): void {
+  ended(
+    id: string,
+    outcome: soundness.Ending,
+    now: number,
+    observations: DispatchObservations = {},
+  ): void {
     const dispatch = this.dispatches.get(id);
     if (dispatch === undefined) return;
     this.dispatches.delete(id);
     this.suspects.end(id);
-    const { faulty, gapMs } = seen;
-    if (gapMs !== undefined) dispatch.writer.observePass(gapMs);
+    const { faulty, gapMs } = observations;
+    if (gapMs !== undefined) dispatch.decoder.observeStep(gapMs);
     dispatch.loads.forEach((each) => each.remove(id, now));
-    const blamed = (faulty === undefined ? undefined : this.loads.get(faulty)) ?? dispatch.writer;
-    blamed.soundness.ended(ending, now);
+    const responsible =
+      (faulty === undefined ? undefined : this.loads.get(faulty)) ?? dispatch.decoder;
+    responsible.health.ended(outcome, now);
   }
 
   /** Ends all dispatches of an entry that is gone. */
@@ -262,7 +270,7 @@
 
   /** Most engines that one prompt is weighed on. */
   get mostAsked(): number {
-    return Math.max(0, ...[...this.cells.values()].map((each) => each.mostAsked));
+    return Math.max(0, ...[...this.cells.values()].map((each) => each.maxCandidates));
   }
 
   get size(): number {
@@ -275,96 +283,103 @@
     return known;
   }
 
-  private replace(made: load.Load): void {
-    this.drop(made.record.id);
-    this.loads.set(made.record.id, made);
-    this.cellsOf(made.record.service).add(made);
+  private replaceLoad(replacement: load.Load): void {
+    this.removeLoad(replacement.record.id);
+    this.loads.set(replacement.record.id, replacement);
+    this.cellsOf(replacement.record.service).add(replacement);
   }
 
-  private drop(id: string): void {
+  private removeLoad(id: string): void {
     const known = this.loads.get(id);
     if (known === undefined) return;
     this.loads.delete(id);
     this.cellsOf(known.record.service).remove(known);
   }
 
-  private loadOf(engine: catalogue.Engine, record: registry.Announcement): load.Load {
-    const made = new load.Load(engine, record, (place) => this.limits.isLimited(place));
-    this.assumeOthers(made);
-    return made;
+  private createLoad(engine: catalogue.Engine, record: registry.Announcement): load.Load {
+    const created = new load.Load(engine, record, (place) => this.limits.isLimited(place));
+    this.applyAverageLoad(created);
+    return created;
   }
 
-  private assumeOthers(on: load.Load): void {
-    const crowding = this.crowding.get(on.record.service);
-    if (crowding !== undefined) unseen.assume(on, crowding);
+  private applyAverageLoad(on: load.Load): void {
+    const crowding = this.averageLoads.get(on.record.service);
+    if (crowding !== undefined) unseen.applyAssumedLoad(on, crowding);
   }
 
   /** Engines that take work, and whose limits let a request pass; those that failed lately only where there are no others. */
-  private usable(
+  private eligibleEngines(
     { excluded, writers, endings }: Request,
-    asked: readonly load.Load[],
+    candidates: readonly load.Load[],
     now: number,
   ): load.Load[] {
-    const ready = asked.filter(({ record }) => {
+    const ready = candidates.filter(({ record }) => {
       const isReady = record.state === 'ready' && !excluded.includes(record.id);
       return isReady && this.limits.mayTake(record, now);
     });
-    const sound = ready.filter((each) => each.soundness.isUsable(now, each.writers === 0));
-    const able = sound.length > 0 ? sound : ready;
+    const healthy = ready.filter((each) => each.health.isUsable(now, each.decodingCount === 0));
+    const available = healthy.length > 0 ? healthy : ready;
     // Whoever is bound to a target that has the request already can't go elsewhere.
-    const usable = writers === undefined ? this.suspects.suitable(able, endings) : able;
-    return this.chance === undefined ? usable : random.shuffled(this.chance, usable);
+    const eligible =
+      writers === undefined ? this.suspects.eligibleEngines(available, endings) : available;
+    return this.randomSource === undefined
+      ? eligible
+      : random.shuffled(this.randomSource, eligible);
   }
 
-  private occupy(
+  private recordDispatch(
     request: Request,
-    { writer, writerTokens, helpers }: Pick<planner.Plan, 'writer' | 'writerTokens' | 'helpers'>,
+    {
+      decoder,
+      decoderTokens,
+      helpers,
+    }: Pick<planner.Plan, 'decoder' | 'decoderTokens' | 'helpers'>,
     now: number,
   ): void {
     const parts = helpers.length + 1;
     const value = planner.valueOf(request);
     const { id, objectiveMs, waitedMs } = request;
-    const share = {
+    const part = {
       reading: new reading.Reading(id, value, objectiveMs, now - waitedMs),
       isPart: parts > 1,
     };
-    const task = { request: id, readMs: cost.readMs(writer.engine, request.tokens, parts) };
-    writer.add(
+    const task = { request: id, prefillMs: cost.readMs(decoder.engine, request.tokens, parts) };
+    decoder.add(
       {
         ...task,
-        role: 'writer',
+        role: 'decoder',
         contextTokens: request.tokens / parts,
-        memoryTokens: writerTokens,
-        pauseMs: request.pauseMs,
+        memoryTokens: decoderTokens,
+        maxGapMs: request.pauseMs,
         value,
       },
-      share,
+      part,
       now,
     );
     const help = {
       ...task,
       role: 'helper',
       contextTokens: 0,
-      pauseMs: Infinity,
+      maxGapMs: Infinity,
       value: 0,
     } as const;
     helpers.forEach(({ load: each, keptTokens }) => {
-      each.add({ ...help, memoryTokens: keptTokens }, share, now);
+      each.add({ ...help, memoryTokens: keptTokens }, part, now);
     });
-    const loads = [writer, ...helpers.map((each) => each.load)];
-    this.suspects.begin(request, writer);
-    this.dispatches.set(request.id, { entry: request.entry, loads, writer });
+    const loads = [decoder, ...helpers.map((each) => each.load)];
+    this.suspects.begin(request, decoder);
+    this.dispatches.set(request.id, { entry: request.entry, loads, decoder });
   }
 }
 
-function isSamePlace(a: registry.Announcement, b: registry.Announcement): boolean {
+function hasSameLocation(a: registry.Announcement, b: registry.Announcement): boolean {
   return a.service === b.service && a.dataCentre === b.dataCentre;
 }
 
-function placementOf({ writer, helpers, firstTokenMs }: planner.Plan): Placement {
+function placementOf({ decoder, helpers, firstTokenMs }: planner.Plan): Placement {
   return {
-    target: writer.record.id,
-    address: writer.record.address,
+    target: decoder.record.id,
+    address: decoder.record.address,
     helpers: helpers.map(({ load: { record }, keptTokens }) => {
       return { target: record.id, address: record.address, keptTokens };
     }),
--- a/packages/domain/src/allocation/cells.ts
+++ b/packages/domain/src/allocation/cells.ts
@@ -7,20 +7,20 @@
 import type * as load from './load';
 
 /** A service with no more engines than this is one cell; a plan over them takes half a millisecond. */
-const MOST_IN_ONE = 256;
+const MAX_SINGLE_CELL_ENGINES = 256;
 
 /** Engines of a cell in a larger service: some seven times what the longest prompt is divided among. */
-const CELL_ENGINES = 128;
+const ENGINES_PER_CELL = 128;
 
 /** Cells that are asked together where the first one has no good place. */
-const CELLS_TOGETHER = 3;
+const CELLS_PER_CHOICE = 3;
 
 /** Engines of one data centre; each stays in its cell for its lifetime. */
 class DataCentre {
   readonly cells: load.Load[][] = [];
 
   add(engine: load.Load): void {
-    const withRoom = this.cells.find(({ length }) => length < CELL_ENGINES);
+    const withRoom = this.cells.find(({ length }) => length < ENGINES_PER_CELL);
     if (withRoom === undefined) this.cells.push([engine]);
     else withRoom.push(engine);
   }
@@ -45,15 +45,15 @@
   private readonly dataCentres = new Map<string, DataCentre>();
 
   /** Cells are asked in turn, so that prompts that come together spread. */
-  private turn = 0;
+  private nextCell = 0;
 
   get size(): number {
     return this.engines.size;
   }
 
   /** Most engines that one choice asks. */
-  get mostAsked(): number {
-    return this.size <= MOST_IN_ONE ? this.size : CELL_ENGINES * CELLS_TOGETHER;
+  get maxCandidates(): number {
+    return this.size <= MAX_SINGLE_CELL_ENGINES ? this.size : ENGINES_PER_CELL * CELLS_PER_CHOICE;
   }
 
   add(engine: load.Load): void {
@@ -75,27 +75,30 @@
 
   /** Engines to ask for a prompt from a data centre. */
   scope(dataCentre: string): Scope {
-    if (this.size <= MOST_IN_ONE) return { first: undefined, all: this.all() };
-    this.turn += 1;
+    if (this.size <= MAX_SINGLE_CELL_ENGINES) return { first: undefined, all: this.all() };
+    this.nextCell += 1;
     const own = this.dataCentres.get(dataCentre)?.cells ?? [];
     const others = [...this.dataCentres]
       .filter(([name]) => name !== dataCentre)
       .flatMap(([, { cells }]) => cells);
-    const near = own.length > 0 ? own : others;
+    const nearby = own.length > 0 ? own : others;
     // The emptier of two spreads prompts nearly as evenly as the emptiest of all, at a bounded cost.
-    const pair = [near[this.turn % near.length], near[(this.turn + 1) % near.length]];
-    const [first, second] = pair[0] === pair[1] ? [pair[0]] : pair.sort(byFullness);
+    const pair = [
+      nearby[this.nextCell % nearby.length],
+      nearby[(this.nextCell + 1) % nearby.length],
+    ];
+    const [first, second] = pair[0] === pair[1] ? [pair[0]] : pair.sort(byAverageDecoding);
     const rest = others.filter((cell) => !pair.includes(cell));
-    const further = rest.length > 0 ? rest[this.turn % rest.length] : [];
+    const further = rest.length > 0 ? rest[this.nextCell % rest.length] : [];
     return { first, all: [...first, ...(second ?? []), ...further] };
   }
 }
 
-function byFullness(a: readonly load.Load[], b: readonly load.Load[]): number {
-  return fullness(a) - fullness(b);
+function byAverageDecoding(a: readonly load.Load[], b: readonly load.Load[]): number {
+  return averageDecoding(a) - averageDecoding(b);
 }
 
 /** Requests that write on the engines of a cell, on average. */
-function fullness(cell: readonly load.Load[]): number {
-  return cell.reduce((sum, { writers }) => sum + writers, 0) / cell.length;
+function averageDecoding(cell: readonly load.Load[]): number {
+  return cell.reduce((sum, { decodingCount }) => sum + decodingCount, 0) / cell.length;
 }
--- a/packages/domain/src/allocation/cost.ts
+++ b/packages/domain/src/allocation/cost.ts
@@ -12,8 +12,12 @@
 }
 
 /** Length of a pass in which `writers` requests with `contextTokens` between them write. */
-export function passMs(engine: catalogue.Engine, writers: number, contextTokens: number): number {
-  const perStep =
+export function engineStepMs(
+  engine: catalogue.Engine,
+  writers: number,
+  contextTokens: number,
+): number {
+  const iterationMs =
     engine.stepMs + writers * engine.writerStepMs + (contextTokens / 1_000) * engine.contextStepMs;
-  return engine.stepsPerPass * perStep;
+  return engine.stepsPerPass * iterationMs;
 }
--- a/packages/domain/src/allocation/isolation.ts
+++ b/packages/domain/src/allocation/isolation.ts
@@ -7,23 +7,23 @@
 import type * as load from './load';
 
 /** Ends from which on nothing is placed beside a suspect. */
-const ALONE_FROM = 2;
+const MIN_CRASHES_TO_RUN_ALONE = 2;
 
 /** Part of the engines, the emptiest, among which such a suspect is placed; enough that a long prompt finds helpers. */
-const EMPTIEST_SHARE = 1 / 3;
+const LEAST_LOADED_FRACTION = 1 / 3;
 
 /**
  * Part of the engines that may be kept for such suspects alone. When many engines crash at once, twice in a row, dozens of
  * innocent requests are blamed twice, and their engines would be missing for as long as they write.
  */
-const MOST_ALONE_SHARE = 0.1;
+const MAX_RESERVED_FRACTION = 0.1;
 
 interface Suspect {
   id: string;
   endings?: number;
 }
 
-export class Isolation {
+export class SuspectIsolation {
   /** Suspects that run, by request. */
   private readonly running = new Map<string, { endings: number; target: string }>();
 
@@ -36,20 +36,20 @@
   }
 
   /** Engines that suit a request of which so many ended; all where none do, as a suspicion may be wrong and must not refuse. */
-  suitable(loads: load.Load[], endings = 0): load.Load[] {
-    if (this.running.size === 0 && endings < ALONE_FROM) return loads;
+  eligibleEngines(loads: load.Load[], endings = 0): load.Load[] {
+    if (this.running.size === 0 && endings < MIN_CRASHES_TO_RUN_ALONE) return loads;
     const running = [...this.running.values()];
-    const alone = running.filter((suspect) => suspect.endings >= ALONE_FROM);
-    const most = Math.ceil(MOST_ALONE_SHARE * loads.length);
-    const besides = endings > 0 ? running : alone.slice(0, most);
-    const avoided = new Set(besides.map(({ target }) => target));
+    const alone = running.filter((suspect) => suspect.endings >= MIN_CRASHES_TO_RUN_ALONE);
+    const maxReserved = Math.ceil(MAX_RESERVED_FRACTION * loads.length);
+    const avoidedSuspects = endings > 0 ? running : alone.slice(0, maxReserved);
+    const avoided = new Set(avoidedSuspects.map(({ target }) => target));
     const apart = loads.filter(({ record }) => !avoided.has(record.id));
     if (apart.length === 0) return loads;
-    return endings < ALONE_FROM ? apart : emptiest(apart);
+    return endings < MIN_CRASHES_TO_RUN_ALONE ? apart : leastLoaded(apart);
   }
 }
 
-function emptiest(loads: readonly load.Load[]): load.Load[] {
-  const byWriters = [...loads].sort((a, b) => a.writers - b.writers);
-  return byWriters.slice(0, Math.ceil(EMPTIEST_SHARE * loads.length));
+function leastLoaded(loads: readonly load.Load[]): load.Load[] {
+  const byWriters = [...loads].sort((a, b) => a.decodingCount - b.decodingCount);
+  return byWriters.slice(0, Math.ceil(LEAST_LOADED_FRACTION * loads.length));
 }
--- a/packages/domain/src/allocation/outlook.ts
+++ b/packages/domain/src/allocation/outlook.ts
@@ -7,7 +7,7 @@
 
 /** A prompt that one more reading holds up. */
 export interface Delay {
-  reading: reading.Reading;
+  prefill: reading.Reading;
   /** When it will have been read without the further reading, and with it. */
   sooner: number;
   later: number;
@@ -17,76 +17,82 @@
  * Part of a caller's longest pause that predictions may use up. The rest covers the way of an event to
  * the caller, prompts that arrive in the same pass, and the model's error.
  */
-const PAUSE_SHARE = 0.85;
+const GAP_FRACTION = 0.85;
 
-export class Outlook {
+export class LoadForecast {
   /** Time until a prompt that is read alone could begin, milliseconds. */
   readonly pendingMs: number;
 
   /** How much more reading the next pass takes before a pause of someone who writes there is too long. */
   readonly allowanceMs: number;
 
-  private readonly restMs: number;
+  private readonly stepRestMs: number;
 
   private readonly waitingMs: number;
 
-  private readonly passMs: number;
+  private readonly engineStepMs: number;
 
-  private readonly isWriting: boolean;
+  private readonly isDecoding: boolean;
 
-  private known: Delay[] | undefined;
+  private pendingDelays: Delay[] | undefined;
 
   constructor(
     readonly load: load.Load,
     private readonly now: number,
   ) {
-    this.restMs = load.queue.restMs(now);
-    this.waitingMs = load.queue.waitingMs(now);
-    this.pendingMs = this.restMs + this.waitingMs;
-    this.passMs = load.passMs();
-    this.isWriting = load.isWriting;
-    this.allowanceMs = PAUSE_SHARE * load.tightestPauseMs - this.passMs - this.waitingMs;
+    this.stepRestMs = load.prefillQueue.stepRestMs(now);
+    this.waitingMs = load.prefillQueue.waitingMs(now);
+    this.pendingMs = this.stepRestMs + this.waitingMs;
+    this.engineStepMs = load.passMs();
+    this.isDecoding = load.isWriting;
+    this.allowanceMs = GAP_FRACTION * load.tightestGapMs - this.engineStepMs - this.waitingMs;
   }
 
   /** Time to the first token of a prompt of which `readMs` are read here, milliseconds. */
-  firstTokenMs(readMs: number, isPart: boolean): number {
-    const ownMs = this.load.pace * readMs;
-    if (this.isWriting) return this.pendingMs + ownMs + this.passMs;
-    return (isPart ? this.restMs : this.pendingMs) + ownMs;
+  firstTokenMs(prefillMs: number, isPart: boolean): number {
+    const partMs = this.load.slowdown * prefillMs;
+    if (this.isDecoding) return this.pendingMs + partMs + this.engineStepMs;
+    return (isPart ? this.stepRestMs : this.pendingMs) + partMs;
   }
 
   /** Whether those who write here bear a reading of `readMs` once what waits has been read. */
-  bears(readMs: number): boolean {
-    return this.passMs + this.load.pace * readMs <= PAUSE_SHARE * this.load.tightestPauseMs;
+  tolerates(prefillMs: number): boolean {
+    return (
+      this.engineStepMs + this.load.slowdown * prefillMs <= GAP_FRACTION * this.load.tightestGapMs
+    );
   }
 
   /** Value of the writers here whose pauses a further reading of `readMs` makes too long. */
-  valueAtRisk(readMs: number): number {
-    const pauseMs = this.passMs + this.waitingMs + readMs;
-    return this.load.valueOfTighter(pauseMs / PAUSE_SHARE);
+  valueAtRisk(prefillMs: number): number {
+    const gapMs = this.engineStepMs + this.waitingMs + prefillMs;
+    return this.load.valueWithTighterGap(gapMs / GAP_FRACTION);
   }
 
   /** The readings here that end later with a further one of `readMs`. */
-  delays(readMs: number, isPart: boolean): Delay[] {
-    if (!isPart && !this.isWriting) return [];
-    const ownMs = this.load.pace * readMs;
-    this.known ??= this.load.queue.waitingShares(this.now).map(({ reading: each, endsAt }) => {
-      return { reading: each, sooner: each.endsAt(this.now), later: endsAt };
-    });
-    return this.known.map((each) => ({
+  delays(prefillMs: number, isPart: boolean): Delay[] {
+    if (!isPart && !this.isDecoding) return [];
+    const partMs = this.load.slowdown * prefillMs;
+    this.pendingDelays ??= this.load.prefillQueue
+      .waitingShares(this.now)
+      .map(({ prefill: each, endsAt }) => {
+        return { prefill: each, sooner: each.endsAt(this.now), later: endsAt };
+      });
+    return this.pendingDelays.map((each) => ({
       ...each,
-      later: Math.max(each.sooner, each.later + ownMs),
+      later: Math.max(each.sooner, each.later + partMs),
     }));
   }
 }
 
 /** What is lost by delays, in tokens of work; a reading that several engines delay counts once. */
-export function lossBy(delays: readonly Delay[]): number {
+export function delayPenalty(delays: readonly Delay[]): number {
   const latest = new Map<reading.Reading, Delay>();
   delays.forEach((each) => {
-    const known = latest.get(each.reading);
-    if (known === undefined || known.later < each.later) latest.set(each.reading, each);
+    const known = latest.get(each.prefill);
+    if (known === undefined || known.later < each.later) latest.set(each.prefill, each);
   });
-  const losses = [...latest.values()].map((each) => each.reading.lossBy(each.sooner, each.later));
-  return losses.reduce((sum, each) => sum + each, 0);
+  const penalties = [...latest.values()].map((each) =>
+    each.prefill.penaltyOfDelay(each.sooner, each.later),
+  );
+  return penalties.reduce((sum, each) => sum + each, 0);
 }
--- a/packages/domain/src/allocation/planner.ts
+++ b/packages/domain/src/allocation/planner.ts
@@ -37,15 +37,15 @@
 }
 
 export interface Plan {
-  writer: load.Load;
+  decoder: load.Load;
   /** Tokens of memory that the request takes on the writer's engine. */
-  writerTokens: number;
+  decoderTokens: number;
   helpers: Helper[];
   /** Reading on each of the engines, milliseconds. */
   partMs: number;
   firstTokenMs: number;
   /** What the plan spoils: tokens of work that come late, of this request and of others. */
-  harm: number;
+  penalty: number;
 }
 
 export type Decision =
@@ -59,7 +59,7 @@
  * Parts aren't shorter than this, milliseconds: less than a pass saves nothing, and a request fails with each of
  * the engines that read it.
  */
-const SHORTEST_PART_MS = 40;
+const MIN_PART_MS = 40;
 
 /** Numbers of engines that are tried for one prompt. */
 const PART_COUNTS = [1, 2, 3, 4, 6, 8, 12, 17];
@@ -71,23 +71,23 @@
 const ANSWER_WEIGHT = 5;
 
 /** Writers whose pauses are at least this share of a request's own are as tolerant as it is. */
-const ALIKE_SHARE = 0.5;
+const SIMILAR_GAP_FRACTION = 0.5;
 
 /** Parts up to this length shut an engine for nobody; milliseconds, two passes. */
-const HARMLESS_PART_MS = 100;
+const MAX_NONBLOCKING_PART_MS = 100;
 
 /** Share of an engine's memory that must be free to write the answer of a prompt larger than the engine. */
-const LEAST_WRITER_SHARE = 0.5;
+const MIN_DECODER_MEMORY_FRACTION = 0.5;
 
 /** Part of the free memory of an engine that a larger prompt may take there. */
-const RESERVED_SHARE = 0.92;
+const MAX_RESERVATION_FRACTION = 0.92;
 
 /** Fewer tokens aren't worth a reservation on an engine; a tenth of one's memory. */
-const LEAST_KEPT_TOKENS = 30_000;
+const MIN_KEPT_TOKENS = 30_000;
 
 interface Candidate {
   load: load.Load;
-  outlook: outlooks.Outlook;
+  forecast: outlooks.LoadForecast;
   /** Whether it may help to read for one more. */
   mayHelp: boolean;
   /** Share of its last dispatches that failed. */
@@ -96,7 +96,7 @@
 
 /** What each of the engines that read a prompt has to do for it. */
 interface Part {
-  readMs: number;
+  prefillMs: number;
   /** Whether others read parts too. */
   isShared: boolean;
 }
@@ -104,144 +104,170 @@
 interface Scored {
   candidate: Candidate;
   /** What a part there spoils by longer pauses of those who write there. */
-  spoiledPauses: number;
+  gapPenalty: number;
   /** That, what it delays, and what the request itself loses by the wait there. */
-  harm: number;
+  penalty: number;
   /** Order among helpers, the least first. */
-  asHelper: number;
+  helperPenalty: number;
 }
 
 export class Planner {
   constructor(
     private readonly engine: catalogue.Engine,
-    private readonly weighed: weights.Weights = weights.WEIGHTS,
+    private readonly planWeights: weights.Weights = weights.WEIGHTS,
   ) {}
 
   /** What is best for a prompt over `loads`; with `mayWait`, also to begin later. */
   decide(prompt: Prompt, loads: readonly load.Load[], now: number, mayWait: boolean): Decision {
-    const needed = this.leastWriterMemory(prompt);
-    const hasPlace = new Set(
+    const needed = this.minDecoderMemory(prompt);
+    const mayDecode = new Set(
       loads.filter(({ freeSlots, freeMemory, record }) => {
-        const mayWrite = prompt.writers?.includes(record.id) !== false;
-        return mayWrite && freeSlots > 0 && freeMemory >= needed;
+        const isAllowed = prompt.writers?.includes(record.id) !== false;
+        return isAllowed && freeSlots > 0 && freeMemory >= needed;
       }),
     );
-    if (hasPlace.size === 0) return { kind: 'full' };
+    if (mayDecode.size === 0) return { kind: 'full' };
     const candidates = loads.map((each) => {
       return {
         load: each,
-        outlook: new outlooks.Outlook(each, now),
-        mayHelp: each.mayHelp(this.weighed.mostHelped, now),
-        failureShare: each.soundness.failureShare(now),
+        forecast: new outlooks.LoadForecast(each, now),
+        mayHelp: each.mayHelp(this.planWeights.mostHelped, now),
+        failureShare: each.health.failureShare(now),
       };
     });
-    const mostParts = Math.min(loads.length, this.weighed.mostParts);
-    const counts = PART_COUNTS.filter((count) => count <= mostParts);
-    const whole = cost.readMs(this.engine, prompt.tokens);
-    const sensible = counts.filter((count) => count === 1 || whole / count >= SHORTEST_PART_MS);
-    const plans = sensible.flatMap((parts) => {
-      const plan = this.planFor(prompt, parts, candidates, hasPlace);
+    const maxParts = Math.min(loads.length, this.planWeights.mostParts);
+    const partCounts = PART_COUNTS.filter((count) => count <= maxParts);
+    const wholeMs = cost.readMs(this.engine, prompt.tokens);
+    const usefulPartCounts = partCounts.filter(
+      (count) => count === 1 || wholeMs / count >= MIN_PART_MS,
+    );
+    const plans = usefulPartCounts.flatMap((parts) => {
+      const plan = this.planWithParts(prompt, parts, candidates, mayDecode);
       return plan === undefined ? [] : [plan];
     });
     if (plans.length === 0) return { kind: 'full' };
-    const best = least(plans, ({ harm }) => harm);
+    const best = minBy(plans, ({ penalty }) => penalty);
     const value = valueOf(prompt);
-    const laterMs = !(mayWait && this.weighed.mayPostpone)
+    const deferralMs = !(mayWait && this.planWeights.mayPostpone)
       ? undefined
-      : postponement.betterInMs({
+      : postponement.deferralMs({
           engine: this.engine,
           prompt,
           value,
-          harm: best.harm,
-          partCounts: sensible,
-          outlooks: candidates.map(({ outlook }) => outlook),
+          penalty: best.penalty,
+          partCounts: usefulPartCounts,
+          forecasts: candidates.map(({ forecast }) => forecast),
         });
-    if (laterMs !== undefined) return { kind: 'later', inMs: laterMs };
+    if (deferralMs !== undefined) return { kind: 'later', inMs: deferralMs };
     // An answer that spoils more than it is worth, or that its caller won't wait for, isn't begun.
-    const isWorthIt = best.harm < value || !this.weighed.refusesHarmful;
+    const isWorthIt = best.penalty < value || !this.planWeights.refusesHarmful;
     return isWorthIt ? { kind: 'begin', plan: best } : { kind: 'full' };
   }
 
   /** Most engines among which it makes sense to divide the reading of a prompt. */
-  sensibleParts({ tokens }: Prompt): number {
-    return Math.max(1, cost.readMs(this.engine, tokens) / SHORTEST_PART_MS);
+  maxUsefulParts({ tokens }: Prompt): number {
+    return Math.max(1, cost.readMs(this.engine, tokens) / MIN_PART_MS);
   }
 
   /** Memory that an engine must have free to write the answer: all of it, or what helpers can't keep. */
-  private leastWriterMemory({ tokens, answerTokens }: Prompt): number {
+  private minDecoderMemory({ tokens, answerTokens }: Prompt): number {
     const whole = tokens + answerTokens;
     const { memoryTokens } = this.engine;
-    return whole <= memoryTokens ? whole : LEAST_WRITER_SHARE * memoryTokens;
+    return whole <= memoryTokens ? whole : MIN_DECODER_MEMORY_FRACTION * memoryTokens;
   }
 
-  private planFor(
+  private planWithParts(
     prompt: Prompt,
     parts: number,
     candidates: readonly Candidate[],
-    hasPlace: ReadonlySet<load.Load>,
+    mayDecode: ReadonlySet<load.Load>,
   ): Plan | undefined {
     const part = {
-      readMs: cost.readMs(this.engine, prompt.tokens, parts),
+      prefillMs: cost.readMs(this.engine, prompt.tokens, parts),
       isShared: parts > 1,
     };
     const value = valueOf(prompt);
     const scored = candidates
       .filter(({ mayHelp }) => parts === 1 || mayHelp)
       .map((candidate) => this.score(prompt, candidate, part));
-    const withPlace = scored.filter(({ candidate }) => hasPlace.has(candidate.load));
-    if (withPlace.length === 0) return undefined;
-    const writer = least(withPlace, ({ candidate, harm }) => {
-      return harm - value * this.weighed.packGain * alikeWriters(prompt, candidate.load);
+    const decoderCandidates = scored.filter(({ candidate }) => mayDecode.has(candidate.load));
+    if (decoderCandidates.length === 0) return undefined;
+    const decoder = minBy(decoderCandidates, ({ candidate, penalty }) => {
+      return (
+        penalty - value * this.planWeights.packGain * similarDecodingCount(prompt, candidate.load)
+      );
     });
-    const helpers = parts === 1 ? [] : bestHelpers(scored, writer, parts - 1);
+    const helpers = parts === 1 ? [] : bestHelpers(scored, decoder, parts - 1);
     const storing = helpers.map(({ candidate }) => candidate.load);
     // A reservation takes several messages, of which an engine with a limit takes few.
     const storage =
-      store(prompt, writer.candidate.load, storing, ({ isLimited }) => !isLimited) ??
-      store(prompt, writer.candidate.load, storing, () => true);
+      distributeMemory(prompt, decoder.candidate.load, storing, ({ isLimited }) => !isLimited) ??
+      distributeMemory(prompt, decoder.candidate.load, storing, () => true);
     if (storage === undefined) return undefined;
-    const all = [writer, ...helpers];
-    const outlookOf = all.map(({ candidate }) => candidate.outlook);
+    const all = [decoder, ...helpers];
+    const forecasts = all.map(({ candidate }) => candidate.forecast);
     const firstTokenMs = Math.max(
-      ...outlookOf.map((each) => each.firstTokenMs(part.readMs, part.isShared)),
+      ...forecasts.map((each) => each.firstTokenMs(part.prefillMs, part.isShared)),
     );
-    const pauses = all.reduce((sum, each) => sum + each.spoiledPauses, 0);
-    const delays = this.delaysBy(part, outlookOf);
-    const { partLoss, blockLoss } = this.weighed;
-    const blocked = Math.max(0, part.readMs - HARMLESS_PART_MS) / prompt.objectiveMs;
-    const late = value * lateness.loss(prompt.waitedMs + firstTokenMs, prompt.objectiveMs);
+    const gapPenalty = all.reduce((sum, each) => sum + each.gapPenalty, 0);
+    const delayPenalty = this.delayPenalty(part, forecasts);
+    const { partLoss, blockLoss } = this.planWeights;
+    const blocked = Math.max(0, part.prefillMs - MAX_NONBLOCKING_PART_MS) / prompt.objectiveMs;
+    const latenessPenalty =
+      value * lateness.latenessPenalty(prompt.waitedMs + firstTokenMs, prompt.objectiveMs);
     return {
-      writer: writer.candidate.load,
+      decoder: decoder.candidate.load,
       ...storage,
-      partMs: part.readMs,
+      partMs: part.prefillMs,
       firstTokenMs,
-      harm: pauses + delays + late + value * (parts * partLoss + blockLoss * blocked),
+      penalty:
+        gapPenalty +
+        delayPenalty +
+        latenessPenalty +
+        value * (parts * partLoss + blockLoss * blocked),
     };
   }
 
   /** What readings lose by a further part on these engines. */
-  private delaysBy({ readMs, isShared }: Part, on: readonly outlooks.Outlook[]): number {
-    if (!this.weighed.countsDelays) return 0;
-    return outlooks.lossBy(on.flatMap((each) => each.delays(readMs, isShared)));
+  private delayPenalty(
+    { prefillMs, isShared }: Part,
+    on: readonly outlooks.LoadForecast[],
+  ): number {
+    if (!this.planWeights.countsDelays) return 0;
+    return outlooks.delayPenalty(on.flatMap((each) => each.delays(prefillMs, isShared)));
   }
 
   /** What a part on this engine spoils, with a preference for the shorter queue and way. */
   private score(prompt: Prompt, candidate: Candidate, part: Part): Scored {
-    const { load: on, outlook } = candidate;
-    const { readMs, isShared } = part;
-    const { tightRisk, nearMs, waitLoss, failureLoss } = this.weighed;
-    const risk = isTight(prompt, on) ? tightRisk * lateness.LATE_LOSS : lateness.LATE_LOSS;
-    const isTooLong = readMs > outlook.allowanceMs;
-    const spoiledPauses = isTooLong ? risk * outlook.valueAtRisk(readMs) : 0;
-    const firstTokenMs = outlook.firstTokenMs(readMs, isShared);
-    const waits = lateness.loss(prompt.waitedMs + firstTokenMs, prompt.objectiveMs);
-    const way = on.record.dataCentre === prompt.dataCentre ? 0 : nearMs;
-    const queue = (waitLoss * (outlook.pendingMs + firstTokenMs + way)) / prompt.objectiveMs;
-    const fails = failureLoss * candidate.failureShare;
+    const { load: on, forecast } = candidate;
+    const { prefillMs, isShared } = part;
+    const { tightRisk, nearMs, waitLoss, failureLoss } = this.planWeights;
+    const weight = hasTighterGaps(prompt, on)
+      ? tightRisk * lateness.LATE_PENALTY
+      : lateness.LATE_PENALTY;
+    const isTooLong = prefillMs > forecast.allowanceMs;
+    const gapPenalty = isTooLong ? weight * forecast.valueAtRisk(prefillMs) : 0;
+    const firstTokenMs = forecast.firstTokenMs(prefillMs, isShared);
+    const waitPenalty = lateness.latenessPenalty(
+      prompt.waitedMs + firstTokenMs,
+      prompt.objectiveMs,
+    );
+    const distanceMs = on.record.dataCentre === prompt.dataCentre ? 0 : nearMs;
+    const queuePenalty =
+      (waitLoss * (forecast.pendingMs + firstTokenMs + distanceMs)) / prompt.objectiveMs;
+    const failurePenalty = failureLoss * candidate.failureShare;
     const value = valueOf(prompt);
-    const harm = spoiledPauses + this.delaysBy(part, [outlook]) + value * (waits + queue + fails);
-    const steps = this.weighed.spreadLoss * helpSteps(prompt, candidate);
-    return { candidate, spoiledPauses, harm, asHelper: harm + value * steps };
+    const penalty =
+      gapPenalty +
+      this.delayPenalty(part, [forecast]) +
+      value * (waitPenalty + queuePenalty + failurePenalty);
+    const spread = this.planWeights.spreadLoss * helperRank(prompt, candidate);
+    return {
+      candidate,
+      gapPenalty,
+      penalty,
+      helperPenalty: penalty + value * spread,
+    };
   }
 }
 
@@ -249,22 +275,23 @@
  * Spreads a prompt's memory: as much as fits on the writer's engine, the rest on helpers with room. A
  * reservation never asks for all that is free, as what is counted as free may be used by now.
  */
-function store(
+function distributeMemory(
   { tokens, answerTokens }: Prompt,
-  writer: load.Load,
+  decoder: load.Load,
   helpers: readonly load.Load[],
   mayKeep: (helper: load.Load) => boolean,
-): Pick<Plan, 'writerTokens' | 'helpers'> | undefined {
+): Pick<Plan, 'decoderTokens' | 'helpers'> | undefined {
   const whole = tokens + answerTokens;
-  const writerTokens = whole <= writer.freeMemory ? whole : RESERVED_SHARE * writer.freeMemory;
-  let rest = whole - writerTokens;
+  const decoderTokens =
+    whole <= decoder.freeMemory ? whole : MAX_RESERVATION_FRACTION * decoder.freeMemory;
+  let remaining = whole - decoderTokens;
   const storing = helpers.map((each) => {
-    const room = mayKeep(each) ? RESERVED_SHARE * each.freeMemory : 0;
-    const keptTokens = Math.ceil(room >= LEAST_KEPT_TOKENS ? Math.min(room, rest) : 0);
-    rest -= keptTokens;
+    const room = mayKeep(each) ? MAX_RESERVATION_FRACTION * each.freeMemory : 0;
+    const keptTokens = Math.ceil(room >= MIN_KEPT_TOKENS ? Math.min(room, remaining) : 0);
+    remaining -= keptTokens;
     return { load: each, keptTokens };
   });
-  return rest > 0 ? undefined : { writerTokens, helpers: storing };
+  return remaining > 0 ? undefined : { decoderTokens, helpers: storing };
 }
 
 /** The work of a request in tokens; what is lost when it fails, and most of it when it is late. */
@@ -273,33 +300,33 @@
 }
 
 /** Requests on an engine whose callers bear pauses as long: with those a request is packed. */
-function alikeWriters({ pauseMs }: Prompt, on: load.Load): number {
-  const tightest = on.tightestPauseMs;
-  const isAlike = tightest <= pauseMs && tightest >= ALIKE_SHARE * pauseMs;
-  return isAlike ? on.writers : 0;
+function similarDecodingCount({ pauseMs }: Prompt, on: load.Load): number {
+  const tightest = on.tightestGapMs;
+  const isSimilar = tightest <= pauseMs && tightest >= SIMILAR_GAP_FRACTION * pauseMs;
+  return isSimilar ? on.decodingCount : 0;
 }
 
 /** Whether callers of an engine bear clearly shorter pauses than this one. */
-function isTight(prompt: Prompt, on: load.Load): boolean {
-  return on.tightestPauseMs < ALIKE_SHARE * prompt.pauseMs;
+function hasTighterGaps(prompt: Prompt, on: load.Load): boolean {
+  return on.tightestGapMs < SIMILAR_GAP_FRACTION * prompt.pauseMs;
 }
 
 /**
  * Among engines on which a part spoils nothing, those help first that already work for callers as tolerant
  * as this one; then idle ones; last those with tight pauses, the emptiest first.
  */
-function helpSteps(prompt: Prompt, { load: on, outlook }: Candidate): number {
-  const isIdle = on.writers === 0 && outlook.pendingMs === 0;
-  return (isIdle ? 1 : 0) + (isTight(prompt, on) ? 2 + on.writers : 0);
+function helperRank(prompt: Prompt, { load: on, forecast }: Candidate): number {
+  const isIdle = on.decodingCount === 0 && forecast.pendingMs === 0;
+  return (isIdle ? 1 : 0) + (hasTighterGaps(prompt, on) ? 2 + on.decodingCount : 0);
 }
 
-function bestHelpers(scored: readonly Scored[], writer: Scored, count: number): Scored[] {
+function bestHelpers(scored: readonly Scored[], decoder: Scored, count: number): Scored[] {
   return scored
-    .filter((each) => each !== writer)
-    .sort((a, b) => a.asHelper - b.asHelper)
+    .filter((each) => each !== decoder)
+    .sort((a, b) => a.helperPenalty - b.helperPenalty)
     .slice(0, count);
 }
 
-function least<T>(items: readonly T[], sizeOf: (item: T) => number): T {
+function minBy<T>(items: readonly T[], sizeOf: (item: T) => number): T {
   return items.reduce((best, item) => (sizeOf(item) < sizeOf(best) ? item : best));
 }
--- a/packages/domain/src/allocation/postponement.ts
+++ b/packages/domain/src/allocation/postponement.ts
@@ -9,51 +9,55 @@
 import type * as planner from './planner';
 
 /** Harm by beginning now, as a share of the request, below which waiting isn't weighed: the model misses by as much. */
-const LEAST_HARM = 0.1;
+const MIN_PENALTY_FRACTION = 0.1;
 
 /** What waiting must win, as a share of the request: others may take the engines that it waits for. */
-const LEAST_GAIN = 0.1;
+const MIN_GAIN_FRACTION = 0.1;
 
 /** A wait shorter than this is none, milliseconds: engines' reports of what they read are as old. */
-const LEAST_WAIT_MS = 20;
+const MIN_DEFERRAL_MS = 20;
 
-export interface Case {
+export interface DeferralInput {
   engine: catalogue.Engine;
   prompt: planner.Prompt;
   /** Work of the request, and what beginning now spoils, in tokens. */
   value: number;
-  harm: number;
+  penalty: number;
   /** Numbers of engines that may read it. */
   partCounts: readonly number[];
-  outlooks: readonly outlooks.Outlook[];
+  forecasts: readonly outlooks.LoadForecast[];
 }
 
 /** How long to wait, milliseconds; undefined where it is as well begun now. */
-export function betterInMs(asked: Case): number | undefined {
-  const { value, harm } = asked;
-  if (harm < LEAST_HARM * value) return undefined;
-  const starts = asked.partCounts.flatMap((parts) => startOf(asked, parts) ?? []);
+export function deferralMs(input: DeferralInput): number | undefined {
+  const { value, penalty } = input;
+  if (penalty < MIN_PENALTY_FRACTION * value) return undefined;
+  const starts = input.partCounts.flatMap((parts) => deferredStart(input, parts) ?? []);
   if (starts.length === 0) return undefined;
-  const best = starts.reduce((least, each) => (each.loss < least.loss ? each : least));
-  const isBetter = best.inMs >= LEAST_WAIT_MS && (best.loss + LEAST_GAIN) * value < harm;
+  const best = starts.reduce((least, each) => (each.penalty < least.penalty ? each : least));
+  const isBetter =
+    best.inMs >= MIN_DEFERRAL_MS && (best.penalty + MIN_GAIN_FRACTION) * value < penalty;
   return isBetter ? best.inMs : undefined;
 }
 
-interface Start {
+interface DeferredStart {
   inMs: number;
   /** Part of the request's value that is lost by beginning then. */
-  loss: number;
+  penalty: number;
 }
 
 /** When so many engines have read what they have to, and whose writers bear a part of this prompt. */
-function startOf({ engine, prompt, outlooks: all }: Case, parts: number): Start | undefined {
-  const readMs = cost.readMs(engine, prompt.tokens, parts);
-  const free = all
-    .filter((each) => each.bears(readMs))
+function deferredStart(
+  { engine, prompt, forecasts: all }: DeferralInput,
+  parts: number,
+): DeferredStart | undefined {
+  const prefillMs = cost.readMs(engine, prompt.tokens, parts);
+  const availableInMs = all
+    .filter((each) => each.tolerates(prefillMs))
     .map(({ pendingMs }) => pendingMs)
     .sort((a, b) => a - b);
-  if (free.length < parts) return undefined;
-  const inMs = free[parts - 1];
-  const firstTokenMs = prompt.waitedMs + inMs + readMs;
-  return { inMs, loss: lateness.loss(firstTokenMs, prompt.objectiveMs) };
+  if (availableInMs.length < parts) return undefined;
+  const inMs = availableInMs[parts - 1];
+  const firstTokenMs = prompt.waitedMs + inMs + prefillMs;
+  return { inMs, penalty: lateness.latenessPenalty(firstTokenMs, prompt.objectiveMs) };
 }
--- a/packages/domain/src/allocation/readQueue.ts
+++ b/packages/domain/src/allocation/readQueue.ts
@@ -10,7 +10,7 @@
 import type * as reading from './reading';
 
 /** The part of a reading that this engine does. */
-export interface Share {
+export interface PrefillPart {
   reading: reading.Reading;
   /** Whether other engines read parts of the same prompt. */
   isPart: boolean;
@@ -19,7 +19,7 @@
 }
 
 /** What the length of passes depends on. */
-export interface Writing {
+export interface DecodeState {
   /** Whether somebody writes here. */
   readonly isWriting: boolean;
   /** Length of a pass that reads nothing, milliseconds. */
@@ -27,59 +27,59 @@
 }
 
 /** A share that waits, and when it will have been read, if nothing is added. */
-export interface Waiting {
-  reading: reading.Reading;
+export interface PendingPart {
+  prefill: reading.Reading;
   endsAt: number;
 }
 
-interface Pass {
+interface EngineStep {
   endsAt: number;
-  shares: Share[];
+  parts: PrefillPart[];
 }
 
 export class ReadQueue {
   /** The next first. */
-  private waiting: Share[] = [];
+  private waiting: PrefillPart[] = [];
 
-  private pass: Pass | undefined;
+  private step: EngineStep | undefined;
 
   private clock = 0;
 
-  constructor(private readonly writing: Writing) {}
+  constructor(private readonly decodeState: DecodeState) {}
 
-  add(share: Share, now: number): void {
+  add(part: PrefillPart, now: number): void {
     this.advance(now);
     // A pass without reading was under way, in whatever phase.
-    if (this.pass === undefined && this.writing.isWriting && this.waiting.length === 0) {
-      this.pass = { endsAt: now + this.writing.passMs() / 2, shares: [] };
+    if (this.step === undefined && this.decodeState.isWriting && this.waiting.length === 0) {
+      this.step = { endsAt: now + this.decodeState.passMs() / 2, parts: [] };
     }
-    if (share.isPart) this.waiting.unshift(share);
-    else this.waiting.push(share);
+    if (part.isPart) this.waiting.unshift(part);
+    else this.waiting.push(part);
   }
 
   remove(request: string, now: number): void {
     this.advance(now);
-    const isOther = (share: Share): boolean => share.reading.request !== request;
+    const isOther = (part: PrefillPart): boolean => part.reading.request !== request;
     this.waiting = this.waiting.filter(isOther);
-    if (this.pass !== undefined) this.pass.shares = this.pass.shares.filter(isOther);
+    if (this.step !== undefined) this.step.parts = this.step.parts.filter(isOther);
   }
 
   has(request: string): boolean {
-    const isIt = (share: Share): boolean => share.reading.request === request;
-    return this.waiting.some(isIt) || this.pass?.shares.some(isIt) === true;
+    const isIt = (part: PrefillPart): boolean => part.reading.request === request;
+    return this.waiting.some(isIt) || this.step?.parts.some(isIt) === true;
   }
 
   /** Whether nothing is left to read. */
   isIdle(now: number): boolean {
     this.advance(now);
-    return this.waiting.length === 0 && this.pass === undefined;
+    return this.waiting.length === 0 && this.step === undefined;
   }
 
   /** Time until the pass under way ends, milliseconds; of one without reading the mean. */
-  restMs(now: number): number {
+  stepRestMs(now: number): number {
     this.advance(now);
-    if (this.pass !== undefined) return this.pass.endsAt - now;
-    return this.writing.isWriting ? this.writing.passMs() / 2 : 0;
+    if (this.step !== undefined) return this.step.endsAt - now;
+    return this.decodeState.isWriting ? this.decodeState.passMs() / 2 : 0;
   }
 
   /** Reading that waits for the next pass, milliseconds. */
@@ -89,48 +89,48 @@
   }
 
   /** Shares that wait and that one more part would hold up. */
-  waitingShares(now: number): Waiting[] {
+  waitingShares(now: number): PendingPart[] {
     this.advance(now);
-    let endsAt = now + this.restMs(now);
-    if (this.writing.isWriting) {
-      endsAt += this.waitingMs(now) + this.writing.passMs();
-      return this.waiting.map((share) => ({ reading: share.reading, endsAt }));
+    let endsAt = now + this.stepRestMs(now);
+    if (this.decodeState.isWriting) {
+      endsAt += this.waitingMs(now) + this.decodeState.passMs();
+      return this.waiting.map((part) => ({ prefill: part.reading, endsAt }));
     }
-    return this.waiting.map((share) => {
-      endsAt += share.leftMs;
-      return { reading: share.reading, endsAt };
+    return this.waiting.map((part) => {
+      endsAt += part.leftMs;
+      return { prefill: part.reading, endsAt };
     });
   }
 
-  endOf(wanted: reading.Reading, now: number): number | undefined {
+  completionTime(prefill: reading.Reading, now: number): number | undefined {
     this.advance(now);
-    if (this.pass?.shares.some((share) => share.reading === wanted) === true) {
-      return this.pass.endsAt;
+    if (this.step?.parts.some((part) => part.reading === prefill) === true) {
+      return this.step.endsAt;
     }
-    return this.waitingShares(now).find((share) => share.reading === wanted)?.endsAt;
+    return this.waitingShares(now).find((part) => part.prefill === prefill)?.endsAt;
   }
 
   private advance(now: number): void {
     while (this.clock < now) {
-      if (this.pass !== undefined) {
-        if (this.pass.endsAt > now) break;
-        this.clock = Math.max(this.clock, this.pass.endsAt);
-        this.pass = undefined;
+      if (this.step !== undefined) {
+        if (this.step.endsAt > now) break;
+        this.clock = Math.max(this.clock, this.step.endsAt);
+        this.step = undefined;
       } else if (this.waiting.length === 0) break;
-      else if (this.writing.isWriting) this.beginPass();
-      else this.readOn(now);
+      else if (this.decodeState.isWriting) this.beginStep();
+      else this.prefillNext(now);
     }
     this.clock = Math.max(this.clock, now);
   }
 
-  private beginPass(): void {
-    const readMs = this.waiting.reduce((sum, { leftMs }) => sum + leftMs, 0);
-    const endsAt = this.clock + readMs + this.writing.passMs();
-    this.pass = { endsAt, shares: this.waiting.splice(0) };
+  private beginStep(): void {
+    const prefillMs = this.waiting.reduce((sum, { leftMs }) => sum + leftMs, 0);
+    const endsAt = this.clock + prefillMs + this.decodeState.passMs();
+    this.step = { endsAt, parts: this.waiting.splice(0) };
   }
 
   /** Reads the first one that waits until it ends or time does. */
-  private readOn(now: number): void {
+  private prefillNext(now: number): void {
     const [next] = this.waiting;
     const doneMs = Math.min(next.leftMs, now - this.clock);
     next.leftMs -= doneMs;
--- a/packages/domain/src/allocation/reading.ts
+++ b/packages/domain/src/allocation/reading.ts
@@ -5,13 +5,13 @@
 import * as lateness from './lateness';
 
 /** Where a part of the prompt is read. */
-export interface Place {
+export interface PartSchedule {
   /** When the part there will have been read; undefined once it has. */
-  endOf(reading: Reading, now: number): number | undefined;
+  completionTime(reading: Reading, now: number): number | undefined;
 }
 
 export class Reading {
-  private readonly places: Place[] = [];
+  private readonly parts: PartSchedule[] = [];
 
   /**
    * `value` is what is lost if the request fails, in tokens of work; `since` when its caller began to wait,
@@ -21,22 +21,23 @@
     readonly request: string,
     readonly value: number,
     private readonly objectiveMs: number,
-    private readonly since: number,
+    private readonly waitingSince: number,
   ) {}
 
-  addPlace(place: Place): void {
-    this.places.push(place);
+  addPlace(part: PartSchedule): void {
+    this.parts.push(part);
   }
 
   /** When the last part will have been read. */
   endsAt(now: number): number {
-    return Math.max(now, ...this.places.map((place) => place.endOf(this, now) ?? now));
+    return Math.max(now, ...this.parts.map((part) => part.completionTime(this, now) ?? now));
   }
 
   /** What its caller loses more if the prompt is read at `later` instead of at `sooner`, in tokens of work. */
-  lossBy(sooner: number, later: number): number {
+  penaltyOfDelay(sooner: number, later: number): number {
     if (later <= sooner) return 0;
-    const lossAt = (at: number): number => lateness.loss(at - this.since, this.objectiveMs);
-    return this.value * (lossAt(later) - lossAt(sooner));
+    const penaltyAt = (at: number): number =>
+      lateness.latenessPenalty(at - this.waitingSince, this.objectiveMs);
+    return this.value * (penaltyAt(later) - penaltyAt(sooner));
   }
 }
--- a/packages/domain/src/allocation/soundness.ts
+++ b/packages/domain/src/allocation/soundness.ts
@@ -18,7 +18,7 @@
   | 'cancelled';
 
 /** How long a target is shut out after the first failure in a row, milliseconds. */
-const SHUT_OUT_MS: Record<Ending, number> = {
+const EJECTION_MS: Record<Ending, number> = {
   done: 0,
   cancelled: 0,
   // A few passes later the model may be right again.
@@ -31,62 +31,62 @@
 };
 
 /** Longest time that a target is shut out, milliseconds; usual failures last five to ten seconds. */
-const LONGEST_SHUT_OUT_MS = 4_000;
+const MAX_EJECTION_MS = 4_000;
 
 /**
  * Failures in a row after which a target must pass a trial. One may be chance, or our own doing, as where a long
  * reading made a stream pause; a trial of one stream takes its engine away for two seconds.
  */
-const FAILURES_TO_TRIAL = 2;
+const FAILURES_TO_CANARY = 2;
 
 /**
  * Weight of a new outcome in the share of failures, and how fast that share is forgotten where nothing new comes,
  * milliseconds. Ten answers tell a target that fails two in five from one that fails by chance.
  */
 const OUTCOME_WEIGHT = 0.15;
-const FORGET_MS = 5_000;
+const FAILURE_DECAY_MS = 5_000;
 
 /** Beyond this every shut-out is the longest. */
-const MOST_DOUBLINGS = 4;
+const MAX_DOUBLINGS = 4;
 
 export class Soundness {
   private failures = 0;
 
-  private shutUntil = 0;
+  private ejectedUntil = 0;
 
-  private failedShare = 0;
+  private lastFailureShare = 0;
 
-  private lastEndedAt = 0;
+  private lastOutcomeAt = 0;
 
   /**
    * Share of its last dispatches that failed or that it refused. Failures in a row miss a target that fails two in
    * five with good ones between: where others are as good, they should be chosen.
    */
   failureShare(now: number): number {
-    return this.failedShare * Math.exp((this.lastEndedAt - now) / FORGET_MS);
+    return this.lastFailureShare * Math.exp((this.lastOutcomeAt - now) / FAILURE_DECAY_MS);
   }
 
-  ended(ending: Ending, now: number): void {
-    if (ending !== 'cancelled') this.count(ending === 'done' ? 0 : 1, now);
-    if (ending === 'done') this.failures = 0;
-    if (SHUT_OUT_MS[ending] === 0) return;
+  ended(outcome: Ending, now: number): void {
+    if (outcome !== 'cancelled') this.updateFailureShare(outcome === 'done' ? 0 : 1, now);
+    if (outcome === 'done') this.failures = 0;
+    if (EJECTION_MS[outcome] === 0) return;
     // Requests that were sent together fail together; that is one failure.
-    if (now < this.shutUntil) return;
-    const shutOut = SHUT_OUT_MS[ending] * 2 ** Math.min(this.failures, MOST_DOUBLINGS);
-    this.shutUntil = now + Math.min(LONGEST_SHUT_OUT_MS, shutOut);
-    if (ending === 'full') return;
-    this.failures += ending === 'broken' ? 1 : FAILURES_TO_TRIAL;
+    if (now < this.ejectedUntil) return;
+    const ejectionMs = EJECTION_MS[outcome] * 2 ** Math.min(this.failures, MAX_DOUBLINGS);
+    this.ejectedUntil = now + Math.min(MAX_EJECTION_MS, ejectionMs);
+    if (outcome === 'full') return;
+    this.failures += outcome === 'broken' ? 1 : FAILURES_TO_CANARY;
   }
 
   /** Whether the target takes work; after failures in a row only if it has none, as a trial. */
   isUsable(now: number, isIdle: boolean): boolean {
-    if (now < this.shutUntil) return false;
-    return this.failures < FAILURES_TO_TRIAL || isIdle;
+    if (now < this.ejectedUntil) return false;
+    return this.failures < FAILURES_TO_CANARY || isIdle;
   }
 
-  private count(failed: 0 | 1, now: number): void {
+  private updateFailureShare(failed: 0 | 1, now: number): void {
     const share = this.failureShare(now);
-    this.failedShare = share + OUTCOME_WEIGHT * (failed - share);
-    this.lastEndedAt = now;
+    this.lastFailureShare = share + OUTCOME_WEIGHT * (failed - share);
+    this.lastOutcomeAt = now;
   }
 }
--- a/packages/domain/src/allocation/unseen.ts
+++ b/packages/domain/src/allocation/unseen.ts
@@ -16,16 +16,16 @@
 }
 
 /** Id of the assumed writer among an engine's tasks. */
-const ASSUMED = 'unseen';
+const ASSUMED_REQUEST = 'unseen';
 
 /** A prompt of few thousand tokens, as most are. */
-const PROMPT_TOKENS = 5_000;
+const ASSUMED_PROMPT_TOKENS = 5_000;
 
 /** Averages over the engines of a service. */
-export function crowdingOf(service: string, loads: readonly load.Load[]): Crowding {
-  const pauses = loads.map(({ tightestPauseMs }) => tightestPauseMs);
-  const tightest = Math.min(Infinity, ...pauses);
-  const value = loads.reduce((sum, each) => sum + each.valueOfTighter(Infinity), 0);
+export function averageLoadOf(service: string, loads: readonly load.Load[]): Crowding {
+  const gaps = loads.map(({ tightestGapMs }) => tightestGapMs);
+  const tightest = Math.min(Infinity, ...gaps);
+  const value = loads.reduce((sum, each) => sum + each.valueWithTighterGap(Infinity), 0);
   return {
     service,
     value: Math.round(value / Math.max(1, loads.length)),
@@ -33,20 +33,20 @@
   };
 }
 
-function assumed({ value, pauseMs }: Crowding): load.Task {
+function assumedTask({ value, pauseMs }: Crowding): load.Task {
   return {
-    request: ASSUMED,
-    role: 'writer',
-    readMs: 0,
-    contextTokens: PROMPT_TOKENS,
+    request: ASSUMED_REQUEST,
+    role: 'decoder',
+    prefillMs: 0,
+    contextTokens: ASSUMED_PROMPT_TOKENS,
     memoryTokens: 0,
-    pauseMs,
+    maxGapMs: pauseMs,
     value,
   };
 }
 
 /** Counts the assumed writer on an engine, or none where nobody writes. */
-export function assume(on: load.Load, crowding: Crowding): void {
-  if (crowding.pauseMs > 0) on.assume(assumed(crowding));
-  else on.forgetAssumed(ASSUMED);
+export function applyAssumedLoad(on: load.Load, average: Crowding): void {
+  if (average.pauseMs > 0) on.assume(assumedTask(average));
+  else on.forgetAssumed(ASSUMED_REQUEST);
 }
--- a/packages/domain/src/backOff/__tests__/backOffs.test.ts
+++ b/packages/domain/src/backOff/__tests__/backOffs.test.ts
@@ -28,7 +28,7 @@
     ]);
     expect(known.takesRequest(TARGET, 3_000)).to.equal(true);
     known.ask(TARGET, 1e12, 3_000);
-    expect(known.waitMs(TARGET, 3_000)).to.equal(backOffs.LONGEST_MS);
+    expect(known.waitMs(TARGET, 3_000)).to.equal(backOffs.MAX_BACK_OFF_MS);
   });
 
   /** Guards against a target that is only presumed gone, and asks in vain once it is back. */
--- a/packages/domain/src/backOff/backOffs.ts
+++ b/packages/domain/src/backOff/backOffs.ts
@@ -8,20 +8,20 @@
  */
 
 /** Longest time that is kept to, milliseconds: one that is meant for good, or mistaken, must not take a target out of use for good. */
-export const LONGEST_MS = 600_000;
+export const MAX_BACK_OFF_MS = 600_000;
 
 /** Messages about requests that run already which a target gets while it wants nothing. */
-const MOST_UPKEEP = 2;
+const MAX_UPKEEP_MESSAGES = 2;
 
 /** So many answers after the time show that a target takes requests like any other. */
-const ANSWERS_TO_FORGET = 4;
+const ANSWERS_TO_RECOVER = 4;
 
 interface BackOff {
   until: number;
   /** Messages about running requests that were sent since it began. */
   upkeep: number;
   /** Requests sent after it ended whose answers are still to come, and the answers so far. */
-  underWay: number;
+  inFlight: number;
   answers: number;
 }
 
@@ -33,7 +33,7 @@
   ended: () => void;
 }
 
-const FREE: Passage = { answered: () => undefined, ended: () => undefined };
+const UNCOUNTED: Passage = { answered: () => undefined, ended: () => undefined };
 
 export class BackOffs {
   private readonly backOffs = new Map<string, BackOff>();
@@ -50,10 +50,10 @@
   /** A target asks; how long it is left alone from now on comes back, milliseconds. */
   ask(target: string, forMs: number, now: number): number {
     const known = this.backOffs.get(target);
-    const until = Math.max(known?.until ?? now, now + Math.min(forMs, LONGEST_MS));
+    const until = Math.max(known?.until ?? now, now + Math.min(forMs, MAX_BACK_OFF_MS));
     if (until <= now) return 0;
     const upkeep = known !== undefined && now < known.until ? known.upkeep : 0;
-    this.backOffs.set(target, { until, upkeep, underWay: 0, answers: 0 });
+    this.backOffs.set(target, { until, upkeep, inFlight: 0, answers: 0 });
     return until - now;
   }
 
@@ -61,13 +61,13 @@
   takesRequest(target: string, now: number): boolean {
     const known = this.backOffs.get(target);
     if (known === undefined) return true;
-    return now >= known.until && known.underWay < 2 ** known.answers;
+    return now >= known.until && known.inFlight < 2 ** known.answers;
   }
 
   /** Whether it takes a message about a request that it has. */
   takesUpkeep(target: string, now: number): boolean {
     const known = this.backOffs.get(target);
-    return known === undefined || now >= known.until || known.upkeep < MOST_UPKEEP;
+    return known === undefined || now >= known.until || known.upkeep < MAX_UPKEEP_MESSAGES;
   }
 
   /** How long a target still wants nothing, milliseconds; 0 where it may get a request, also if others are tried first. */
@@ -78,16 +78,16 @@
   /** A message is sent to a target. */
   sent(target: string, now: number): Passage {
     const known = this.backOffs.get(target);
-    if (known === undefined) return FREE;
+    if (known === undefined) return UNCOUNTED;
     if (now < known.until) {
       known.upkeep += 1;
-      return FREE;
+      return UNCOUNTED;
     }
-    known.underWay += 1;
+    known.inFlight += 1;
     return {
       answered: () => this.answered(target, known),
       ended: () => {
-        known.underWay -= 1;
+        known.inFlight -= 1;
       },
     };
   }
@@ -99,7 +99,7 @@
 
   private answered(target: string, known: BackOff): void {
     known.answers += 1;
-    const isOver = known.answers >= ANSWERS_TO_FORGET;
-    if (isOver && this.backOffs.get(target) === known) this.backOffs.delete(target);
+    const hasRecovered = known.answers >= ANSWERS_TO_RECOVER;
+    if (hasRecovered && this.backOffs.get(target) === known) this.backOffs.delete(target);
   }
 }
--- a/packages/domain/src/placement/order.ts
+++ b/packages/domain/src/placement/order.ts
@@ -33,7 +33,7 @@
 }
 
 /** What this system ordered and may therefore unload again; everything else is the older system's. */
-export type Ours = ReadonlySet<string>;
+export type OwnedModels = ReadonlySet<string>;
 
 export function keyOf(name: string, model: target.Loaded): string {
   return [name, model.base, model.adapter, model.version].join('/');
@@ -54,7 +54,7 @@
 export function differences(
   wanted: readonly document.Model[],
   targets: readonly target.Target[],
-  ours: Ours,
+  owned: OwnedModels,
 ): Difference[] {
   const models: target.Loaded[] = wanted.map(({ base, adapter, version }) => {
     return { base, adapter, version };
@@ -71,7 +71,7 @@
   });
   const unloads = engines.flatMap((engine) =>
     engine.models
-      .filter((model) => ours.has(keyOf(engine.name, model)))
+      .filter((model) => owned.has(keyOf(engine.name, model)))
       .filter((model) => !models.some((wish) => sameModel(wish, model)))
       .filter((model) => replacementIsUp(engine, model, models))
       .map((model): Difference => ({ kind: 'unload', target: engine.name, model, urgency: 2 })),
@@ -103,41 +103,42 @@
 export class Issuer {
   private sequence = 0;
 
-  private allowance = 1;
+  private loadTokens = 1;
 
-  private allowedAt: number;
+  private refilledAt: number;
 
   private readonly issuedAt = new Map<string, number>();
 
   /**
    * @param term the leader's term
    * @param since when it became leader
-   * @param quietMs how long the former leader's lease and its orders may still be under way
+   * @param formerOrdersMs how long the former leader's lease and its orders may still be under way
    */
   constructor(
     private readonly term: number,
     private readonly since: number,
-    private readonly quietMs: number,
+    private readonly formerOrdersMs: number,
     private readonly options: Options = DEFAULT_OPTIONS,
   ) {
-    this.allowedAt = since;
+    this.refilledAt = since;
   }
 
   /** The orders to send now. */
   issue(
-    wishes: readonly Difference[],
+    wanted: readonly Difference[],
     fencingOf: (name: string) => target.Fencing,
     now: number,
   ): Order[] {
     this.refill(now);
     const orders: Order[] = [];
-    wishes.forEach((difference) => {
+    wanted.forEach((difference) => {
       const key = `${difference.kind}/${keyOf(difference.target, difference.model)}`;
-      const repeated = now - (this.issuedAt.get(key) ?? -Infinity) < this.options.repeatMs;
+      const wasIssuedRecently = now - (this.issuedAt.get(key) ?? -Infinity) < this.options.repeatMs;
       // A target that ignores fencing numbers would carry out a late order of the former leader
       // after ours, and end in its state. So nothing goes to it until no such order can be left.
-      const tooSoon = fencingOf(difference.target) === 'ignored' && now < this.since + this.quietMs;
-      if (repeated || tooSoon || !this.allow(difference)) return;
+      const mayBeOvertaken =
+        fencingOf(difference.target) === 'ignored' && now < this.since + this.formerOrdersMs;
+      if (wasIssuedRecently || mayBeOvertaken || !this.takeLoadToken(difference)) return;
       this.issuedAt.set(key, now);
       orders.push(this.order(difference, now));
     });
@@ -151,15 +152,15 @@
   }
 
   private refill(now: number): void {
-    const gained = ((now - this.allowedAt) / 1_000) * this.options.loadsPerSecond;
-    this.allowance = Math.min(Math.max(1, this.options.loadsPerSecond), this.allowance + gained);
-    this.allowedAt = now;
+    const gained = ((now - this.refilledAt) / 1_000) * this.options.loadsPerSecond;
+    this.loadTokens = Math.min(Math.max(1, this.options.loadsPerSecond), this.loadTokens + gained);
+    this.refilledAt = now;
   }
 
-  private allow({ kind }: Difference): boolean {
+  private takeLoadToken({ kind }: Difference): boolean {
     if (kind === 'unload') return true;
-    if (this.allowance < 1) return false;
-    this.allowance -= 1;
+    if (this.loadTokens < 1) return false;
+    this.loadTokens -= 1;
     return true;
   }
 }
--- a/packages/domain/src/rateLimits/rateLimits.ts
+++ b/packages/domain/src/rateLimits/rateLimits.ts
@@ -21,13 +21,13 @@
 }
 
 /** Seconds between two requests to a target that takes none: without any, nobody would learn that it takes some again. */
-const TRIAL_EVERY_SECONDS = 10;
+const CANARY_INTERVAL_SECONDS = 10;
 
 /** A limit is forgotten when no target has listened at its place for so long, milliseconds. */
-const FORGET_MS = 60_000;
+const RETENTION_MS = 60_000;
 
 /** Checks whether a target lives may be owed one token more than requests: otherwise a busy target could never be checked. */
-const CHECK_RESERVE = 1;
+const PROBE_DEBT_TOKENS = 1;
 
 interface Limited extends Place {
   perSecond: number;
@@ -113,7 +113,7 @@
   mayCheck(place: Place, now: number): boolean {
     const known = this.find(place);
     if (known === undefined) return true;
-    return this.share > 0 && known.bucket.levelAt(now) >= 1 - CHECK_RESERVE;
+    return this.share > 0 && known.bucket.levelAt(now) >= 1 - PROBE_DEBT_TOKENS;
   }
 
   /** Messages that a place takes at once; infinite where there is no limit. */
@@ -145,7 +145,9 @@
     this.limited.forEach((each) => {
       if (isServed(each)) each.servedAt = now;
     });
-    const unserved = [...this.limited.values()].filter((each) => now - each.servedAt > FORGET_MS);
+    const unserved = [...this.limited.values()].filter(
+      (each) => now - each.servedAt > RETENTION_MS,
+    );
     return unserved.map(({ service, address }) => {
       const ended = { service, address, perSecond: undefined };
       this.set(ended, now);
@@ -154,7 +156,7 @@
   }
 
   private rateOf(perSecond: number): number {
-    return this.share * Math.max(perSecond, 1 / TRIAL_EVERY_SECONDS);
+    return this.share * Math.max(perSecond, 1 / CANARY_INTERVAL_SECONDS);
   }
 
   private find(place: Place): Limited | undefined {
--- a/packages/domain/src/rateLimits/tokenBucket.ts
+++ b/packages/domain/src/rateLimits/tokenBucket.ts
@@ -7,11 +7,11 @@
 const BURST_SECONDS = 0.5;
 
 /** A request costs one token, so fewer would never let one pass. */
-const LEAST_CAPACITY = 1;
+const MIN_CAPACITY = 1;
 
 /** Seconds of the rate that may be owed at most; what was sent longer ago counts no more. */
-const DEBT_SECONDS = 4;
-const LEAST_DEBT = 4;
+const MAX_DEBT_SECONDS = 4;
+const MIN_DEBT_LIMIT = 4;
 
 export class TokenBucket {
   private tokens = 0;
@@ -33,8 +33,8 @@
   }
 
   take(count: number, now: number): void {
-    const mostDebt = Math.max(LEAST_DEBT, this.perSecond * DEBT_SECONDS);
-    this.tokens = Math.max(-mostDebt, this.levelAt(now) - count);
+    const maxDebt = Math.max(MIN_DEBT_LIMIT, this.perSecond * MAX_DEBT_SECONDS);
+    this.tokens = Math.max(-maxDebt, this.levelAt(now) - count);
     this.filledAt = now;
   }
 
@@ -51,6 +51,6 @@
   }
 
   private get capacity(): number {
-    return Math.max(LEAST_CAPACITY, this.perSecond * BURST_SECONDS);
+    return Math.max(MIN_CAPACITY, this.perSecond * BURST_SECONDS);
   }
 }
--- a/packages/domain/src/request/__tests__/request.test.ts
+++ b/packages/domain/src/request/__tests__/request.test.ts
@@ -67,8 +67,8 @@
       budget.firstAttempt();
       if (budget.spend()) spent += 1;
     }
-    const { reserve, share } = retry.DEFAULT_OPTIONS;
-    expect(spent).to.be.at.most(reserve + 1_000 * share + 1);
+    const { maxBalance, retriesPerFirstAttempt } = retry.DEFAULT_OPTIONS;
+    expect(spent).to.be.at.most(maxBalance + 1_000 * retriesPerFirstAttempt + 1);
   });
 });
 
@@ -180,7 +180,7 @@
           ended = last;
         });
         expect(tested.text).to.equal(Array.from({ length: next }, (_v, i) => `${i}`).join(''));
-        expect(tested.whole).to.equal(ended);
+        expect(tested.isComplete).to.equal(ended);
       }),
       { seed: 6, numRuns: 2_000 },
     );
--- a/packages/domain/src/request/__tests__/streamsAndBudget.test.ts
+++ b/packages/domain/src/request/__tests__/streamsAndBudget.test.ts
@@ -46,7 +46,7 @@
   it('keeps all entries together under the bound while entries come', () => {
     const rule = { ratio: 0.2, slack: 100, windowMs: 10_000 };
     const entries = Array.from({ length: 8 }, () => new repeatBudget.RepeatBudget(rule));
-    entries.forEach((entry) => entry.shareWith(8, 0));
+    entries.forEach((entry) => entry.setEntryCount(8, 0));
     let firsts = 0;
     let repeats = 0;
     for (let now = 0; now < 10_000; now += 100) {
@@ -62,7 +62,7 @@
 
   it('gives repeats back when they leave the window', () => {
     const entry = new repeatBudget.RepeatBudget({ ratio: 0, slack: 10, windowMs: 1_000 });
-    entry.shareWith(1, 0);
+    entry.setEntryCount(1, 0);
     const taken = (now: number): number => {
       let count = 0;
       while (entry.spend(now)) count += 1;
@@ -80,7 +80,7 @@
     const entry = new repeatBudget.RepeatBudget(rule);
     let repeats = 0;
     [59, 59, 3, 20, 59, 2].forEach((entries, i) => {
-      entry.shareWith(entries, i * 1_000);
+      entry.setEntryCount(entries, i * 1_000);
       while (entry.spend(i * 1_000)) repeats += 1;
     });
     expect(repeats).to.be.at.most(rule.slack / 59);
--- a/packages/domain/src/request/circuit.ts
+++ b/packages/domain/src/request/circuit.ts
@@ -7,7 +7,7 @@
   /** Outcomes looked at. */
   window: number;
   /** Fewest outcomes before a share means anything. */
-  minimum: number;
+  minOutcomes: number;
   failureShare: number;
   openMs: number;
   maxOpenMs: number;
@@ -15,7 +15,7 @@
 
 export const DEFAULT_OPTIONS: Options = {
   window: 20,
-  minimum: 4,
+  minOutcomes: 4,
   failureShare: 0.5,
   openMs: 1_000,
   maxOpenMs: 30_000,
@@ -28,33 +28,34 @@
 
   private openUntil = 0;
 
-  private openFor: number;
+  private openForMs: number;
 
   state: State = 'closed';
 
   constructor(private readonly options: Options = DEFAULT_OPTIONS) {
-    this.openFor = options.openMs;
+    this.openForMs = options.openMs;
   }
 
   succeeded(): void {
     if (this.state !== 'closed') {
       this.state = 'closed';
       this.outcomes = [];
-      this.openFor = this.options.openMs;
+      this.openForMs = this.options.openMs;
     }
     this.push(true);
   }
 
   failed(now: number): void {
     if (this.state === 'trial') {
-      this.openFor = Math.min(this.options.maxOpenMs, this.openFor * 2);
+      this.openForMs = Math.min(this.options.maxOpenMs, this.openForMs * 2);
       this.open(now);
       return;
     }
     this.push(false);
     const failures = this.outcomes.filter((good) => !good).length;
-    const enough = this.outcomes.length >= this.options.minimum;
-    if (enough && failures / this.outcomes.length >= this.options.failureShare) this.open(now);
+    const hasEnoughOutcomes = this.outcomes.length >= this.options.minOutcomes;
+    if (hasEnoughOutcomes && failures / this.outcomes.length >= this.options.failureShare)
+      this.open(now);
   }
 
   /** Lets time pass; true when the state changed to a trial. */
@@ -66,12 +67,12 @@
 
   private open(now: number): void {
     this.state = 'open';
-    this.openUntil = now + this.openFor;
+    this.openUntil = now + this.openForMs;
     this.outcomes = [];
   }
 
-  private push(good: boolean): void {
-    this.outcomes.push(good);
+  private push(isSuccess: boolean): void {
+    this.outcomes.push(isSuccess);
     if (this.outcomes.length > this.options.window) this.outcomes.shift();
   }
 }
--- a/packages/domain/src/request/eventSplitter.ts
+++ b/packages/domain/src/request/eventSplitter.ts
@@ -9,7 +9,7 @@
 const ID_FIELD = Buffer.from('id:');
 
 /** Whole events, ready to be passed on, and the id of the last of them. */
-export interface Cut {
+export interface SplitEvents {
   bytes: Buffer;
   events: number;
   /** Undefined where none of these events has an id. */
@@ -40,15 +40,15 @@
 }
 
 export class EventSplitter {
-  private rest: Buffer = Buffer.alloc(0);
+  private partialEvent: Buffer = Buffer.alloc(0);
 
   /** Whether an event has begun that isn't whole yet. */
   get isInsideEvent(): boolean {
-    return this.rest.length > 0;
+    return this.partialEvent.length > 0;
   }
 
-  push(chunk: Buffer): Cut {
-    const all = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
+  push(chunk: Buffer): SplitEvents {
+    const all = this.partialEvent.length === 0 ? chunk : Buffer.concat([this.partialEvent, chunk]);
     let end = 0;
     let events = 0;
     let lastId: string | undefined;
@@ -57,7 +57,7 @@
       events += 1;
       end = next;
     }
-    this.rest = all.subarray(end);
+    this.partialEvent = all.subarray(end);
     return { bytes: all.subarray(0, end), events, lastId };
   }
 }
--- a/packages/domain/src/request/limit.ts
+++ b/packages/domain/src/request/limit.ts
@@ -11,14 +11,14 @@
 const DEMAND_WINDOW_MS = 2_000;
 
 /** Part of the limit that stays reachable for a daemon that had no demand so far. */
-const FLOOR_SHARE = 0.02;
+const MIN_SHARE = 0.02;
 
 export type Admission = { kind: 'admitted' } | { kind: 'overLimit'; retryAfterMs: number };
 
 export class SharedLimit {
   private level: number;
 
-  private filledAt: number;
+  private refilledAt: number;
 
   private demand = 0;
 
@@ -33,32 +33,32 @@
   ) {
     this.share = 1 / Math.max(1, daemons);
     this.level = tokensPerSecond * this.share * BURST_SECONDS;
-    this.filledAt = now;
+    this.refilledAt = now;
     this.demandAt = now;
   }
 
   /** Own demand in tokens per second, admitted or not. */
   demandRate(now: number): number {
-    this.fade(now);
+    this.decayDemand(now);
     return (this.demand / DEMAND_WINDOW_MS) * 1_000;
   }
 
   /** New settings or new word of the peers' demand for this organisation. */
   rebalance(tokensPerSecond: number, peerDemand: number, daemons: number, now: number): void {
-    this.fill(now);
+    this.refill(now);
     this.tokensPerSecond = tokensPerSecond;
     const own = this.demandRate(now);
     const total = own + peerDemand;
     const count = Math.max(1, daemons);
-    const floor = Math.min(FLOOR_SHARE, 1 / count);
+    const floor = Math.min(MIN_SHARE, 1 / count);
     const proportional = total > 0 ? own / total : 1 / count;
     this.share = floor + (1 - floor * count) * proportional;
     this.level = Math.min(this.level, this.capacity);
   }
 
   admit(tokens: number, now: number): Admission {
-    this.fill(now);
-    this.fade(now);
+    this.refill(now);
+    this.decayDemand(now);
     this.demand += tokens;
     if (this.tokensPerSecond === 0) return { kind: 'admitted' };
     // A request larger than the burst passes on a full bucket and leaves a debt.
@@ -75,13 +75,13 @@
     return this.tokensPerSecond * this.share * BURST_SECONDS;
   }
 
-  private fill(now: number): void {
-    const gained = ((now - this.filledAt) / 1_000) * this.tokensPerSecond * this.share;
+  private refill(now: number): void {
+    const gained = ((now - this.refilledAt) / 1_000) * this.tokensPerSecond * this.share;
     this.level = Math.min(this.capacity, this.level + gained);
-    this.filledAt = now;
+    this.refilledAt = now;
   }
 
-  private fade(now: number): void {
+  private decayDemand(now: number): void {
     this.demand *= Math.exp(-(now - this.demandAt) / DEMAND_WINDOW_MS);
     this.demandAt = now;
   }
--- a/packages/domain/src/request/repeatBudget.ts
+++ b/packages/domain/src/request/repeatBudget.ts
@@ -16,56 +16,56 @@
  * Part of the whole that is given out. The rest covers entries that start before others have heard of
  * them, and repeats that one entry counts in the next window and a target in this one.
  */
-const GIVEN_SHARE = 0.7;
+const ALLOCATED_FRACTION = 0.7;
 
 /**
  * How many entries share the slack. The largest number of the last window counts: those that ended since have spent their
  * parts in it.
  */
-class Sharers {
+class EntryCounts {
   /** Numbers that were told within the last window, oldest first. */
-  private told: { at: number; entries: number }[] = [];
+  private reports: { at: number; entries: number }[] = [];
 
   constructor(private readonly windowMs: number) {}
 
-  tell(entries: number, now: number): void {
-    this.told = this.told.filter(({ at }) => now - at < this.windowMs);
-    this.told.push({ at: now, entries });
+  report(entries: number, now: number): void {
+    this.reports = this.reports.filter(({ at }) => now - at < this.windowMs);
+    this.reports.push({ at: now, entries });
   }
 
-  get most(): number {
-    return Math.max(0, ...this.told.map(({ entries }) => entries));
+  get peak(): number {
+    return Math.max(0, ...this.reports.map(({ entries }) => entries));
   }
 }
 
 export class RepeatBudget {
-  private readonly firsts: number[] = [];
+  private readonly firstAttempts: number[] = [];
 
   private readonly repeats: number[] = [];
 
   constructor(
     private readonly rule: Rule,
-    private readonly sharers = new Sharers(rule.windowMs),
+    private readonly entryCounts = new EntryCounts(rule.windowMs),
   ) {}
 
   /** So many entries share the budget now. */
-  shareWith(entries: number, now: number): void {
-    this.sharers.tell(entries, now);
+  setEntryCount(entries: number, now: number): void {
+    this.entryCounts.report(entries, now);
   }
 
   countFirst(now: number): void {
-    this.firsts.push(now);
+    this.firstAttempts.push(now);
   }
 
   /** Takes one repeat out of the budget, if there is one. */
   spend(now: number): boolean {
-    this.expire(this.firsts, now);
+    this.expire(this.firstAttempts, now);
     this.expire(this.repeats, now);
     const { ratio, slack } = this.rule;
     // Without any number there is no part of the slack: an entry can't tell how small its own is.
-    const entries = this.sharers.most;
+    const entries = this.entryCounts.peak;
     const share = entries === 0 ? 0 : slack / entries;
-    const allowed = GIVEN_SHARE * (ratio * this.firsts.length + share);
+    const allowed = ALLOCATED_FRACTION * (ratio * this.firstAttempts.length + share);
     if (this.repeats.length + 1 > allowed) return false;
     this.repeats.push(now);
     return true;
@@ -84,21 +84,21 @@
 export class RepeatBudgets {
   private readonly byService = new Map<string, RepeatBudget>();
 
-  private readonly sharers: Sharers;
+  private readonly entryCounts: EntryCounts;
 
   constructor(private readonly rule: Rule) {
-    this.sharers = new Sharers(rule.windowMs);
+    this.entryCounts = new EntryCounts(rule.windowMs);
   }
 
   /** So many entries share each budget now. */
   shareWith(entries: number, now: number): void {
-    this.sharers.tell(entries, now);
+    this.entryCounts.report(entries, now);
   }
 
   of(service: string): RepeatBudget {
     const known = this.byService.get(service);
     if (known !== undefined) return known;
-    const made = new RepeatBudget(this.rule, this.sharers);
+    const made = new RepeatBudget(this.rule, this.entryCounts);
     this.byService.set(service, made);
     return made;
   }
--- a/packages/domain/src/request/retry.ts
+++ b/packages/domain/src/request/retry.ts
@@ -9,18 +9,18 @@
 
 export interface Options {
   /** Retries earned by each first attempt. */
-  share: number;
+  retriesPerFirstAttempt: number;
   /** Most retries saved up. */
-  reserve: number;
-  attempts: number;
+  maxBalance: number;
+  maxAttempts: number;
   baseDelayMs: number;
   maxDelayMs: number;
 }
 
 export const DEFAULT_OPTIONS: Options = {
-  share: 0.2,
-  reserve: 50,
-  attempts: 6,
+  retriesPerFirstAttempt: 0.2,
+  maxBalance: 50,
+  maxAttempts: 6,
   baseDelayMs: 50,
   maxDelayMs: 2_000,
 };
@@ -29,11 +29,14 @@
   private balance: number;
 
   constructor(private readonly options: Options = DEFAULT_OPTIONS) {
-    this.balance = options.reserve;
+    this.balance = options.maxBalance;
   }
 
   firstAttempt(): void {
-    this.balance = Math.min(this.options.reserve, this.balance + this.options.share);
+    this.balance = Math.min(
+      this.options.maxBalance,
+      this.balance + this.options.retriesPerFirstAttempt,
+    );
   }
 
   /** Takes one retry out, if there is one. */
@@ -55,7 +58,7 @@
  * Targets that may be lost under one request before it is taken for the cause. With all attempts it would end twice as many;
  * three that fail by themselves under one request are rarer than a request that crashes what runs it.
  */
-const MOST_LOST = quarantine.MOST_ENDINGS;
+const MAX_TARGETS_LOST = quarantine.MOST_ENDINGS;
 
 /** Faults that show that a target was lost under a request. */
 export const LOST: readonly outcome.Fault[] = ['connectionLost', 'cutShort'];
@@ -78,14 +81,14 @@
   if (last.fault === 'callerGone' || last.fault === 'deadline') {
     return { kind: 'giveUp', reason: 'deadline' };
   }
-  const lost = attempts.filter(({ fault }) => LOST.includes(fault));
-  if (lost.length >= MOST_LOST) return { kind: 'giveUp', reason: 'targetsLost' };
-  if (attempts.length >= options.attempts) return { kind: 'giveUp', reason: 'attempts' };
+  const lostAttempts = attempts.filter(({ fault }) => LOST.includes(fault));
+  if (lostAttempts.length >= MAX_TARGETS_LOST) return { kind: 'giveUp', reason: 'targetsLost' };
+  if (attempts.length >= options.maxAttempts) return { kind: 'giveUp', reason: 'attempts' };
   const ceiling = Math.min(options.maxDelayMs, options.baseDelayMs * 2 ** (attempts.length - 1));
   const delayMs = Math.max(retryAfterMs, source.uniform() * ceiling);
   if (delayMs >= timeLeftMs) return { kind: 'giveUp', reason: 'deadline' };
   // A planned stop is nobody's fault, so moving its streams costs no budget.
-  const free = last.fault === 'targetStopped';
-  if (!free && !budget.spend()) return { kind: 'giveUp', reason: 'budget' };
+  const isFree = last.fault === 'targetStopped';
+  if (!isFree && !budget.spend()) return { kind: 'giveUp', reason: 'budget' };
   return { kind: 'retry', delayMs };
 }
--- a/packages/domain/src/request/stream.ts
+++ b/packages/domain/src/request/stream.ts
@@ -26,7 +26,7 @@
 
   text = '';
 
-  whole = false;
+  isComplete = false;
 
   constructor(private request: string) {}
 
@@ -37,11 +37,11 @@
 
   take(frame: Frame): Finding {
     if (frame.request !== this.request) return { kind: 'crossed' };
-    if (this.whole || frame.position < this.position) return { kind: 'repeated' };
+    if (this.isComplete || frame.position < this.position) return { kind: 'repeated' };
     if (frame.position > this.position) return { kind: 'gap' };
     this.position += frame.tokens;
     this.text += frame.text;
-    this.whole = frame.last;
+    this.isComplete = frame.last;
     return { kind: 'next', text: frame.text, last: frame.last };
   }
 }
--- a/packages/domain/src/request/tokens.ts
+++ b/packages/domain/src/request/tokens.ts
@@ -8,23 +8,23 @@
 const LEARNING_WEIGHT = 0.1;
 
 /** Ratios outside this range are errors of the report. */
-const RATIO_RANGE = { low: 0.5, high: 16 };
+const BYTES_PER_TOKEN_RANGE = { low: 0.5, high: 16 };
 
 export class Estimator {
-  private readonly ratios = new Map<string, number>();
+  private readonly bytesPerToken = new Map<string, number>();
 
   estimate(model: string, bytes: number): number {
-    return Math.max(1, Math.round(bytes / this.ratio(model)));
+    return Math.max(1, Math.round(bytes / this.bytesPerTokenOf(model)));
   }
 
   learn(model: string, bytes: number, tokens: number): void {
-    const seen = bytes / tokens;
-    if (!(seen >= RATIO_RANGE.low && seen <= RATIO_RANGE.high)) return;
-    const believed = this.ratio(model);
-    this.ratios.set(model, believed + LEARNING_WEIGHT * (seen - believed));
+    const observed = bytes / tokens;
+    if (!(observed >= BYTES_PER_TOKEN_RANGE.low && observed <= BYTES_PER_TOKEN_RANGE.high)) return;
+    const current = this.bytesPerTokenOf(model);
+    this.bytesPerToken.set(model, current + LEARNING_WEIGHT * (observed - current));
   }
 
-  ratio(model: string): number {
-    return this.ratios.get(model) ?? INITIAL_RATIO;
+  bytesPerTokenOf(model: string): number {
+    return this.bytesPerToken.get(model) ?? INITIAL_RATIO;
   }
 }
--- a/packages/domain/src/routing/__tests__/routing.test.ts
+++ b/packages/domain/src/routing/__tests__/routing.test.ts
@@ -207,7 +207,7 @@
    */
   it('distrusts a target after a gap until a listing', () => {
     const tested = new prefixIndex.PrefixIndex();
-    const stored = (sequence: number, key: number): prefixIndex.Finding =>
+    const stored = (sequence: number, key: number): prefixIndex.EventOrder =>
       tested.event('e', { sequence, kind: 'stored', key });
     const cached = (): number => tested.cachedTokens('e', [1, 2, 3]);
     const seen: unknown[] = [stored(1, 1), stored(2, 2), cached(), stored(4, 3), cached()];
--- a/packages/domain/src/routing/band.ts
+++ b/packages/domain/src/routing/band.ts
@@ -27,7 +27,7 @@
 /** Demand of each band in engine-milliseconds per millisecond: how many targets it keeps busy. */
 export type Demand = PerBand<number>;
 
-export interface Plan {
+export interface ReservePlan {
   /** Targets in the reserve for each that short demand keeps busy, at least. */
   shortHeadroom: number;
   /** Targets left to longer work for each that it keeps busy; what is beyond joins the reserve. */
@@ -36,7 +36,11 @@
   hysteresis: number;
 }
 
-export const DEFAULT_PLAN: Plan = { shortHeadroom: 2, otherHeadroom: 1.25, hysteresis: 0.75 };
+export const DEFAULT_PLAN: ReservePlan = {
+  shortHeadroom: 2,
+  otherHeadroom: 1.25,
+  hysteresis: 0.75,
+};
 
 /**
  * Size of the reserve among `count` targets, moving from `current` only where the wish is further away
@@ -47,15 +51,16 @@
   demand: Demand,
   othersWait: boolean,
   current: number | undefined,
-  plan: Plan,
+  plan: ReservePlan,
 ): number {
   const others = demand.medium + demand.long;
   if (others === 0) return count;
   const needed = demand.short * plan.shortHeadroom;
-  const spare = count - others * plan.otherHeadroom;
+  const surplus = count - others * plan.otherHeadroom;
   // While longer work waits, the reserve keeps only what short demand needs.
-  const wish = othersWait ? needed : Math.max(needed, spare);
-  const bounded = Math.min(Math.max(wish, count > 1 ? 1 : 0), count - 1);
-  const settled = current !== undefined && Math.abs(bounded - current) <= plan.hysteresis;
-  return settled && current < count ? current : Math.round(bounded);
+  const desired = othersWait ? needed : Math.max(needed, surplus);
+  const bounded = Math.min(Math.max(desired, count > 1 ? 1 : 0), count - 1);
+  const isWithinHysteresis =
+    current !== undefined && Math.abs(bounded - current) <= plan.hysteresis;
+  return isWithinHysteresis && current < count ? current : Math.round(bounded);
 }
--- a/packages/domain/src/routing/cell.ts
+++ b/packages/domain/src/routing/cell.ts
@@ -25,7 +25,7 @@
   allocator: string;
 }
 
-function inCell(hash: hashing.Hash, kind: string, name: string, count: number): number {
+function cellIndex(hash: hashing.Hash, kind: string, name: string, count: number): number {
   return hash(`cell/${kind}/${name}`) % count;
 }
 
@@ -37,16 +37,16 @@
   targets: readonly Placed[],
 ): Cell {
   const small = daemons.length <= SMALL_FLEET;
-  const near = (placed: Placed): boolean => small || placed.dataCentre === self.dataCentre;
-  const nearTargets = targets.filter(near).map(({ id }) => id);
-  const nearDaemons = daemons.filter(near).map(({ id }) => id);
-  const count = Math.max(1, Math.ceil(nearTargets.length / CELL_TARGETS));
-  const own = inCell(hash, 'daemon', self.id, count);
-  const members = nearDaemons.filter((id) => inCell(hash, 'daemon', id, count) === own);
-  const place = small ? 'fleet' : self.dataCentre;
-  const ranked = hashing.rendezvous(hash, `allocator/${place}/${own}`, members);
+  const isNearby = (placed: Placed): boolean => small || placed.dataCentre === self.dataCentre;
+  const nearbyTargets = targets.filter(isNearby).map(({ id }) => id);
+  const nearbyDaemons = daemons.filter(isNearby).map(({ id }) => id);
+  const count = Math.max(1, Math.ceil(nearbyTargets.length / CELL_TARGETS));
+  const own = cellIndex(hash, 'daemon', self.id, count);
+  const members = nearbyDaemons.filter((id) => cellIndex(hash, 'daemon', id, count) === own);
+  const scope = small ? 'fleet' : self.dataCentre;
+  const ranked = hashing.rendezvous(hash, `allocator/${scope}/${own}`, members);
   return {
-    targets: nearTargets.filter((name) => inCell(hash, 'target', name, count) === own),
+    targets: nearbyTargets.filter((name) => cellIndex(hash, 'target', name, count) === own),
     allocator: ranked[0] ?? self.id,
   };
 }
--- a/packages/domain/src/routing/cost.ts
+++ b/packages/domain/src/routing/cost.ts
@@ -12,16 +12,16 @@
 const WEIGHT = { shared: 0.05, own: 0.05 };
 
 /** Observations outside this factor of the present belief are clipped to it. */
-const CLIP = 3;
+const CLIP_FACTOR = 3;
 
 /** Fixed time of a request on an idle engine, in milliseconds: one step. */
 const BASE_MS = 12;
 
 /** Shorter prompts are mostly fixed time and teach nothing about tokens. */
-const LEAST_TOKENS = 512;
+const MIN_TOKENS = 512;
 
 function clipped(value: number, around: number): number {
-  return Math.min(around * CLIP, Math.max(around / CLIP, value));
+  return Math.min(around * CLIP_FACTOR, Math.max(around / CLIP_FACTOR, value));
 }
 
 /** The cost shared by all targets of a dispatcher. */
@@ -33,8 +33,8 @@
   }
 
   learn(inBand: band.Band, observed: number): void {
-    const believed = this.ms[inBand];
-    this.ms[inBand] = believed + WEIGHT.shared * (clipped(observed, believed) - believed);
+    const current = this.ms[inBand];
+    this.ms[inBand] = current + WEIGHT.shared * (clipped(observed, current) - current);
   }
 }
 
@@ -58,7 +58,7 @@
   learn(inBand: band.Band, tokens: number, tookMs: number, aheadMs: number): void {
     const own = tookMs - BASE_MS;
     // Waiting blurs the measurement, so only requests that hardly waited teach.
-    if (own <= 0 || tokens < LEAST_TOKENS || aheadMs > own / 3) return;
+    if (own <= 0 || tokens < MIN_TOKENS || aheadMs > own / 3) return;
     const observed = (own - aheadMs / 2) / tokens;
     const ratio = clipped(observed / this.shared.of(inBand), 1);
     this.factor += WEIGHT.own * (ratio - this.factor);
--- a/packages/domain/src/routing/dispatcher.ts
+++ b/packages/domain/src/routing/dispatcher.ts
@@ -48,13 +48,13 @@
 
 export interface Options {
   thresholds: band.Thresholds;
-  plan: band.Plan;
+  plan: band.ReservePlan;
   /** Prompt tokens that may wait in this daemon. */
   queueTokens: number;
   /** Requests that may wait in this daemon. */
   queueLength: number;
   /** Extra round trip to a target in another data centre, in milliseconds. */
-  remoteMs: number;
+  crossDataCentreMs: number;
 }
 
 export const DEFAULT_OPTIONS: Options = {
@@ -62,7 +62,7 @@
   plan: band.DEFAULT_PLAN,
   queueTokens: 40_000_000,
   queueLength: 4_000,
-  remoteMs: 1.5,
+  crossDataCentreMs: 1.5,
 };
 
 /** Between two looks at the sizes of the bands, in milliseconds. */
@@ -74,19 +74,19 @@
  */
 export const PRIMARY_SHARE = 0.8;
 
-interface Waiting extends Request {
+interface QueuedRequest extends Request {
   tokens: number;
   band: band.Band;
 }
 
-interface Known {
+interface TargetState {
   announced: target.Target;
-  belief: estimate.Estimate;
+  estimate: estimate.Estimate;
 }
 
 interface Running {
   target: string;
-  waiting: Waiting;
+  queued: QueuedRequest;
   /** Its place in the fair queue, in case the target has no room. */
   start: number;
 }
@@ -94,13 +94,13 @@
 export class Dispatcher {
   readonly prefixes = new prefixIndex.PrefixIndex();
 
-  private readonly targets = new Map<string, Known>();
+  private readonly targets = new Map<string, TargetState>();
 
   private readonly sharedCost = new cost.SharedCost();
 
-  private readonly broken = new Set<string>();
+  private readonly openCircuits = new Set<string>();
 
-  private readonly queues: band.PerBand<fairQueue.FairQueue<Waiting>> = {
+  private readonly queues: band.PerBand<fairQueue.FairQueue<QueuedRequest>> = {
     short: new fairQueue.FairQueue(),
     medium: new fairQueue.FairQueue(),
     long: new fairQueue.FairQueue(),
@@ -114,10 +114,10 @@
 
   private reserveSize: number | undefined;
 
-  private reserve = new Set<string>();
+  private reservedTargets = new Set<string>();
 
   /** Place of each target on the circle on which daemons take their preferences, from 0 to 1. */
-  private circle = new Map<string, number>();
+  private preferencePositions = new Map<string, number>();
 
   private offset = 0;
 
@@ -126,7 +126,7 @@
   constructor(
     private readonly dataCentre: string,
     private readonly hash: hashing.Hash,
-    private readonly choice: policy.Policy,
+    private readonly placer: policy.Policy,
     private readonly options: Options = DEFAULT_OPTIONS,
   ) {}
 
@@ -145,13 +145,15 @@
 
   private setTarget(announced: target.Target): void {
     const known = this.targets.get(announced.name);
-    const restarted = known !== undefined && known.announced.incarnation !== announced.incarnation;
-    if (restarted) this.prefixes.forget(announced.name);
-    const belief = known === undefined || restarted ? this.newBelief(announced) : known.belief;
-    this.targets.set(announced.name, { announced, belief });
+    const hasRestarted =
+      known !== undefined && known.announced.incarnation !== announced.incarnation;
+    if (hasRestarted) this.prefixes.forget(announced.name);
+    const targetEstimate =
+      known === undefined || hasRestarted ? this.newEstimate(announced) : known.estimate;
+    this.targets.set(announced.name, { announced, estimate: targetEstimate });
   }
 
-  private newBelief({ memoryTokens }: target.Target): estimate.Estimate {
+  private newEstimate({ memoryTokens }: target.Target): estimate.Estimate {
     return new estimate.Estimate(new cost.Cost(this.sharedCost), memoryTokens);
   }
 
@@ -165,21 +167,21 @@
 
   /** Targets whose circuit is open get nothing until it closes. */
   setBroken(name: string, broken: boolean): void {
-    if (broken) this.broken.add(name);
-    else this.broken.delete(name);
+    if (broken) this.openCircuits.add(name);
+    else this.openCircuits.delete(name);
   }
 
   /** Largest memory of any one target that serves the model. */
   largestMemory(model: target.Loaded): number {
-    const able = [...this.targets.values()].filter(({ announced }) =>
+    const serving = [...this.targets.values()].filter(({ announced }) =>
       target.serves(announced, model),
     );
-    return Math.max(0, ...able.map(({ announced }) => announced.memoryTokens));
+    return Math.max(0, ...serving.map(({ announced }) => announced.memoryTokens));
   }
 
   /** Memory believed free on a target, in tokens. */
   freeTokens(name: string, now: number): number {
-    return this.targets.get(name)?.belief.freeTokens(now) ?? 0;
+    return this.targets.get(name)?.estimate.freeTokens(now) ?? 0;
   }
 
   enqueue(request: Request, now: number): Refusal | undefined {
@@ -198,11 +200,11 @@
 
   /** Requests whose deadline passed while they waited; they were certainly not run. */
   expire(now: number): Request[] {
-    const late = band.BANDS.flatMap((each) => this.queues[each].items()).filter(
+    const expired = band.BANDS.flatMap((each) => this.queues[each].items()).filter(
       ({ deadline }) => deadline <= now,
     );
-    late.forEach(({ id }) => this.withdraw(id));
-    return late;
+    expired.forEach(({ id }) => this.withdraw(id));
+    return expired;
   }
 
   /** Everything that may go now. */
@@ -213,14 +215,14 @@
 
   firstToken(id: string, now: number): void {
     const running = this.running.get(id);
-    if (running !== undefined) this.targets.get(running.target)?.belief.firstToken(id, now);
+    if (running !== undefined) this.targets.get(running.target)?.estimate.firstToken(id, now);
   }
 
   ended(id: string, now: number): void {
     const running = this.running.get(id);
     if (running === undefined) return;
     this.running.delete(id);
-    this.targets.get(running.target)?.belief.ended(id, now);
+    this.targets.get(running.target)?.estimate.ended(id, now);
   }
 
   /** The target had no room after all and ran nothing; the request waits again, in its old place. */
@@ -228,16 +230,16 @@
     const running = this.running.get(id);
     if (running === undefined) return;
     this.ended(id, now);
-    this.targets.get(running.target)?.belief.reported(report);
-    this.queues[running.waiting.band].putBack(running.waiting, running.start);
+    this.targets.get(running.target)?.estimate.reported(report);
+    this.queues[running.queued.band].putBack(running.queued, running.start);
   }
 
   reported(name: string, report: estimate.Report): void {
-    this.targets.get(name)?.belief.reported(report);
+    this.targets.get(name)?.estimate.reported(report);
   }
 
   peersReported(name: string, outstanding: estimate.Outstanding, now: number): void {
-    this.targets.get(name)?.belief.peersReported(outstanding, now);
+    this.targets.get(name)?.estimate.setPeersOutstanding(outstanding, now);
   }
 
   /** Demand that other daemons see, so that all size the bands for the whole. */
@@ -252,7 +254,12 @@
 
   /** Own outstanding tokens by target, for the peers. */
   outstanding(): Map<string, estimate.Outstanding> {
-    return new Map([...this.targets].map(([name, { belief }]) => [name, belief.outstanding()]));
+    return new Map(
+      [...this.targets].map(([name, { estimate: targetEstimate }]) => [
+        name,
+        targetEstimate.outstanding(),
+      ]),
+    );
   }
 
   /** Running requests on a target. */
@@ -273,35 +280,39 @@
     // All circuits open: it waits for the next trial, as long as its deadline allows.
     if (candidates.length === 0) return undefined;
     const soonest = Math.min(
-      ...candidates.map(({ estimate: belief }) =>
-        belief.costs.serviceMs(inBand, request.promptTokens),
+      ...candidates.map(({ estimate: targetEstimate }) =>
+        targetEstimate.costs.serviceMs(inBand, request.promptTokens),
       ),
     );
-    // Half the belief, since it is a guess: refusing what could have been served is the worse error.
+    // Half the targetEstimate, since it is a guess: refusing what could have been served is the worse error.
     return now + soonest / 2 > request.deadline ? 'deadlineInfeasible' : undefined;
   }
 
-  private serving({ model }: Request): Known[] {
+  private serving({ model }: Request): TargetState[] {
     return [...this.targets.values()].filter(({ announced }) => target.serves(announced, model));
   }
 
   /** Sound targets that were not tried yet; when all were, one that failed once is better than none. */
   private candidates(request: Request): policy.Candidate[] {
-    const sound = this.serving(request).filter(({ announced }) => !this.broken.has(announced.name));
-    const untried = sound.filter(({ announced }) => !request.excluded.has(announced.name));
-    return (untried.length > 0 ? untried : sound).map(({ announced, belief }) => ({
-      name: announced.name,
-      estimate: belief,
-      distanceMs: announced.dataCentre === this.dataCentre ? 0 : this.options.remoteMs,
-      cachedTokens: this.prefixes.cachedTokens(announced.name, request.prefixKeys),
-      reserved: this.reserve.has(announced.name),
-      preference: this.preferenceOf(announced.name),
-      memoryTokens: announced.memoryTokens,
-    }));
+    const healthy = this.serving(request).filter(
+      ({ announced }) => !this.openCircuits.has(announced.name),
+    );
+    const untried = healthy.filter(({ announced }) => !request.excluded.has(announced.name));
+    return (untried.length > 0 ? untried : healthy).map(
+      ({ announced, estimate: targetEstimate }) => ({
+        name: announced.name,
+        estimate: targetEstimate,
+        distanceMs: announced.dataCentre === this.dataCentre ? 0 : this.options.crossDataCentreMs,
+        cachedTokens: this.prefixes.cachedTokens(announced.name, request.prefixKeys),
+        reserved: this.reservedTargets.has(announced.name),
+        preference: this.preferenceOf(announced.name),
+        memoryTokens: announced.memoryTokens,
+      }),
+    );
   }
 
   private preferenceOf(name: string): number {
-    const place = this.circle.get(name) ?? 0;
+    const place = this.preferencePositions.get(name) ?? 0;
     return (place - this.offset + 1) % 1;
   }
 
@@ -312,26 +323,26 @@
       const dispatch = this.place(next, now);
       if (dispatch === undefined) break;
       const start = queue.remove(next.id)?.start ?? 0;
-      this.running.set(next.id, { target: dispatch.target.name, waiting: next, start });
+      this.running.set(next.id, { target: dispatch.target.name, queued: next, start });
       dispatches.push(dispatch);
     }
     return dispatches;
   }
 
-  private place(waiting: Waiting, now: number): Dispatch | undefined {
+  private place(waiting: QueuedRequest, now: number): Dispatch | undefined {
     const { id, promptTokens: tokens, answerTokens } = waiting;
     const largest = this.largestMemory(waiting.model);
     // Longer than any one engine: the daemon gathers memory of others before it starts.
     const memoryTokens = Math.min(tokens + answerTokens, Math.floor(largest * PRIMARY_SHARE));
     const job = { id, band: waiting.band, tokens, memoryTokens };
-    const placement = this.choice.place(job, this.candidates(waiting), now);
+    const placement = this.placer.place(job, this.candidates(waiting), now);
     if (placement === undefined) return undefined;
     const { target: name, enginePriority, needsRoom, predictedMs } = placement;
-    const known = this.targets.get(name) as Known;
+    const known = this.targets.get(name) as TargetState;
     const cached = this.prefixes.cachedTokens(name, waiting.prefixKeys);
     const uncached = Math.max(0, tokens - cached);
-    known.belief.dispatched(id, waiting.band, uncached, memoryTokens, now);
-    this.prefixes.expect(name, waiting.prefixKeys);
+    known.estimate.dispatched(id, waiting.band, uncached, memoryTokens, now);
+    this.prefixes.expectCached(name, waiting.prefixKeys);
     const { announced } = known;
     const { band: inBand } = waiting;
     return {
@@ -345,12 +356,12 @@
   }
 
   private countDemand(inBand: band.Band, tokens: number, now: number): void {
-    const beliefs = [...this.targets.values()];
-    const total = beliefs.reduce(
-      (sum, { belief }) => sum + belief.costs.serviceMs(inBand, tokens),
+    const states = [...this.targets.values()];
+    const total = states.reduce(
+      (sum, { estimate: targetEstimate }) => sum + targetEstimate.costs.serviceMs(inBand, tokens),
       0,
     );
-    this.demand.count(inBand, total / Math.max(1, beliefs.length), now);
+    this.demand.count(inBand, total / Math.max(1, states.length), now);
   }
 
   private replan(now: number): void {
@@ -377,8 +388,8 @@
     const ranked = hashing.rendezvous(this.hash, 'reserve', names);
     const reserved = ranked.slice(0, this.reserveSize);
     const open = ranked.slice(this.reserveSize);
-    this.reserve = new Set(reserved);
-    this.circle = new Map(
+    this.reservedTargets = new Set(reserved);
+    this.preferencePositions = new Map(
       [reserved, open].flatMap((part) =>
         part.map((name, i): [string, number] => [name, i / part.length]),
       ),
--- a/packages/domain/src/routing/estimate.ts
+++ b/packages/domain/src/routing/estimate.ts
@@ -16,7 +16,7 @@
   aheadMs: number;
 }
 
-interface Held {
+interface HeldMemory {
   tokens: number;
   since: number;
 }
@@ -35,7 +35,7 @@
 export const NOTHING_OUTSTANDING: Outstanding = { short: 0, medium: 0, long: 0 };
 
 /** An unseen lump of more tokens than this counts as long work. */
-const LONG_LUMP_TOKENS = 100_000;
+const LONG_BACKLOG_TOKENS = 100_000;
 
 /** Prompt tokens that engines usually take into one step. */
 const CHUNK_TOKENS = 3_072;
@@ -44,7 +44,7 @@
 const HISTORY_LENGTH = 64;
 
 /** A report older than this says nothing about memory now; milliseconds. */
-const REPORT_AGE_MS = 3_000;
+const MAX_REPORT_AGE_MS = 3_000;
 
 interface Total {
   at: number;
@@ -55,15 +55,15 @@
   private readonly pending = new Map<string, Pending>();
 
   /** Memory of own requests, streaming ones included. */
-  private readonly held = new Map<string, Held>();
+  private readonly held = new Map<string, HeldMemory>();
 
   private peers: Outstanding = NOTHING_OUTSTANDING;
 
   private peersAt = 0;
 
-  private unseen = 0;
+  private unattributed = 0;
 
-  private unseenAt = 0;
+  private unattributedAt = 0;
 
   private report: Report | undefined;
 
@@ -100,9 +100,9 @@
   /** Memory believed free, in tokens: the last report less what was sent there since. */
   freeTokens(now: number): number {
     const { report } = this;
-    const known = report !== undefined && now - report.measuredAt < REPORT_AGE_MS;
-    const since = known ? report.measuredAt : -Infinity;
-    let free = known ? report.freeTokens : this.memoryTokens;
+    const isFresh = report !== undefined && now - report.measuredAt < MAX_REPORT_AGE_MS;
+    const since = isFresh ? report.measuredAt : -Infinity;
+    let free = isFresh ? report.freeTokens : this.memoryTokens;
     this.held.forEach((each) => {
       if (each.since >= since) free -= each.tokens;
     });
@@ -119,7 +119,7 @@
     const aheadMs = this.aheadMs(inBand, now);
     this.pending.set(id, { band: inBand, tokens, dispatchedAt: now, aheadMs });
     this.held.set(id, { tokens: memoryTokens, since: now });
-    this.remember(now);
+    this.recordTotal(now);
   }
 
   /** The first token came: the prompt is done, and its time teaches the cost of a token. */
@@ -127,17 +127,17 @@
     const entry = this.pending.get(id);
     if (entry === undefined) return;
     this.pending.delete(id);
-    this.remember(now);
+    this.recordTotal(now);
     this.costs.learn(entry.band, entry.tokens, now - entry.dispatchedAt, entry.aheadMs);
   }
 
   ended(id: string, now: number): void {
     this.pending.delete(id);
     this.held.delete(id);
-    this.remember(now);
+    this.recordTotal(now);
   }
 
-  peersReported(outstanding: Outstanding, now: number): void {
+  setPeersOutstanding(outstanding: Outstanding, now: number): void {
     this.peers = outstanding;
     this.peersAt = now;
   }
@@ -146,10 +146,10 @@
     if (this.report !== undefined && report.measuredAt < this.report.measuredAt) return;
     this.report = report;
     const { short, medium, long } = this.peers;
-    const known = this.ownAt(report.measuredAt) + short + medium + long;
-    this.unseen = Math.max(0, report.queuedTokens - known);
+    const known = this.ownTokensAt(report.measuredAt) + short + medium + long;
+    this.unattributed = Math.max(0, report.queuedTokens - known);
     // The engine has worked on it since the measurement, not only since the report's arrival.
-    this.unseenAt = report.measuredAt;
+    this.unattributedAt = report.measuredAt;
   }
 
   /**
@@ -160,7 +160,7 @@
     const upTo = band.BANDS.indexOf(inBand);
     const counted = band.BANDS.slice(0, upTo + 1);
     const ms = counted.reduce((sum, each) => sum + this.knownMs(each, now), 0);
-    return ms + this.unseenMs(inBand, now);
+    return ms + this.unattributedMs(inBand, now);
   }
 
   /** Known waiting work of one band alone, in milliseconds. */
@@ -179,29 +179,30 @@
   residualMs(inBand: band.Band, now: number): number {
     const longer = band.BANDS.slice(band.BANDS.indexOf(inBand) + 1).reverse();
     const running = longer.find((each) => this.knownMs(each, now) > 0);
-    const lump = this.unseen > LONG_LUMP_TOKENS && inBand !== 'long' ? 'long' : undefined;
-    const worst = running ?? lump;
-    return worst === undefined ? 0 : (CHUNK_TOKENS / 2) * this.costs.perToken(worst);
+    const unattributedBand =
+      this.unattributed > LONG_BACKLOG_TOKENS && inBand !== 'long' ? 'long' : undefined;
+    const longest = running ?? unattributedBand;
+    return longest === undefined ? 0 : (CHUNK_TOKENS / 2) * this.costs.perToken(longest);
   }
 
   /**
    * Work that a report showed beyond what was known then. A lump longer than a medium prompt is most
    * likely a peer's long prompt, which waits for shorter ones and not they for it.
    */
-  private unseenMs(inBand: band.Band, now: number): number {
-    if (inBand !== 'long' && this.unseen > LONG_LUMP_TOKENS) return 0;
-    const ms = this.unseen * this.costs.perToken('medium');
-    return Math.max(0, ms - Math.max(0, now - this.unseenAt));
+  private unattributedMs(inBand: band.Band, now: number): number {
+    if (inBand !== 'long' && this.unattributed > LONG_BACKLOG_TOKENS) return 0;
+    const ms = this.unattributed * this.costs.perToken('medium');
+    return Math.max(0, ms - Math.max(0, now - this.unattributedAt));
   }
 
-  private remember(now: number): void {
+  private recordTotal(now: number): void {
     const { short, medium, long } = this.outstanding();
     this.history.push({ at: now, tokens: short + medium + long });
     if (this.history.length > HISTORY_LENGTH * 2)
       this.history = this.history.slice(-HISTORY_LENGTH);
   }
 
-  private ownAt(at: number): number {
+  private ownTokensAt(at: number): number {
     return this.history.findLast((total) => total.at <= at)?.tokens ?? 0;
   }
 }
--- a/packages/domain/src/routing/fairQueue.ts
+++ b/packages/domain/src/routing/fairQueue.ts
@@ -14,7 +14,7 @@
   enqueuedAt: number;
 }
 
-const CLASS: Record<document.Priority, number> = { high: 0, normal: 1, low: 2 };
+const PRIORITY_CLASS: Record<document.Priority, number> = { high: 0, normal: 1, low: 2 };
 
 /** Waiting this long raises a request by one class. */
 export const DEFAULT_AGEING_MS = 5_000;
@@ -28,11 +28,11 @@
 export class FairQueue<T extends Item> {
   private readonly waiting: Tagged<T>[] = [];
 
-  private readonly finish = new Map<string, number>();
+  private readonly virtualFinish = new Map<string, number>();
 
-  private virtual = 0;
+  private virtualTime = 0;
 
-  private sum = 0;
+  private waitingTokens = 0;
 
   constructor(private readonly ageingMs: number = DEFAULT_AGEING_MS) {}
 
@@ -42,20 +42,20 @@
 
   /** Prompt tokens waiting. */
   get tokens(): number {
-    return this.sum;
+    return this.waitingTokens;
   }
 
   push(item: T): void {
-    const start = Math.max(this.virtual, this.finish.get(item.organisation) ?? 0);
-    this.finish.set(item.organisation, start + item.tokens / item.share);
+    const start = Math.max(this.virtualTime, this.virtualFinish.get(item.organisation) ?? 0);
+    this.virtualFinish.set(item.organisation, start + item.tokens / item.share);
     this.waiting.push({ item, start });
-    this.sum += item.tokens;
+    this.waitingTokens += item.tokens;
   }
 
   /** Puts back a request that a target refused, at the place in line that it had. */
   putBack(item: T, start: number): void {
     this.waiting.push({ item, start });
-    this.sum += item.tokens;
+    this.waitingTokens += item.tokens;
   }
 
   /** The request to serve next, left in place. */
@@ -68,9 +68,9 @@
     const position = this.waiting.findIndex(({ item }) => item.id === id);
     if (position === -1) return undefined;
     const [removed] = this.waiting.splice(position, 1) as [Tagged<T>];
-    this.sum -= removed.item.tokens;
-    this.virtual = Math.max(this.virtual, removed.start);
-    if (this.waiting.length === 0) this.finish.clear();
+    this.waitingTokens -= removed.item.tokens;
+    this.virtualTime = Math.max(this.virtualTime, removed.start);
+    if (this.waiting.length === 0) this.virtualFinish.clear();
     return removed;
   }
 
@@ -89,6 +89,6 @@
 
   private rank({ item }: Tagged<T>, now: number): number {
     const raised = Math.floor((now - item.enqueuedAt) / this.ageingMs);
-    return Math.max(0, CLASS[item.priority] - raised);
+    return Math.max(0, PRIORITY_CLASS[item.priority] - raised);
   }
 }
--- a/packages/domain/src/routing/policy.ts
+++ b/packages/domain/src/routing/policy.ts
@@ -57,13 +57,17 @@
 }
 
 /** Predicted milliseconds until the first token. */
-function predicted(job: Job, { estimate: belief, ...candidate }: Candidate, now: number): number {
+function predictedFirstTokenMs(
+  job: Job,
+  { estimate: targetEstimate, ...candidate }: Candidate,
+  now: number,
+): number {
   const uncached = Math.max(0, job.tokens - candidate.cachedTokens);
-  const service = belief.costs.serviceMs(job.band, uncached);
-  return belief.aheadMs(job.band, now) + service + candidate.distanceMs;
+  const service = targetEstimate.costs.serviceMs(job.band, uncached);
+  return targetEstimate.aheadMs(job.band, now) + service + candidate.distanceMs;
 }
 
-function least(
+function minBy(
   candidates: readonly Candidate[],
   measure: (candidate: Candidate) => number,
 ): Candidate | undefined {
@@ -85,7 +89,7 @@
     if (able.length === 0) return undefined;
     const chosen = able[this.next % able.length];
     this.next += 1;
-    const predictedMs = predicted(job, chosen, now);
+    const predictedMs = predictedFirstTokenMs(job, chosen, now);
     return { target: chosen.name, enginePriority: NEUTRAL_PRIORITY, needsRoom: false, predictedMs };
   }
 }
@@ -98,11 +102,11 @@
 
   place(job: Job, candidates: readonly Candidate[], now: number): Placement | undefined {
     const able = candidates.filter((candidate) => fits(job, candidate));
-    const fewest = Math.min(...able.map(({ estimate: belief }) => belief.streams));
-    const tied = able.filter(({ estimate: belief }) => belief.streams === fewest);
+    const fewest = Math.min(...able.map(({ estimate: targetEstimate }) => targetEstimate.streams));
+    const tied = able.filter(({ estimate: targetEstimate }) => targetEstimate.streams === fewest);
     if (tied.length === 0) return undefined;
     const chosen = random.pick(this.source, tied);
-    const predictedMs = predicted(job, chosen, now);
+    const predictedMs = predictedFirstTokenMs(job, chosen, now);
     return { target: chosen.name, enginePriority: NEUTRAL_PRIORITY, needsRoom: false, predictedMs };
   }
 }
@@ -122,7 +126,7 @@
     );
     if (free.length === 0) return undefined;
     const chosen = random.pick(this.source, free);
-    const predictedMs = predicted(job, chosen, now);
+    const predictedMs = predictedFirstTokenMs(job, chosen, now);
     return { target: chosen.name, enginePriority: NEUTRAL_PRIORITY, needsRoom: false, predictedMs };
   }
 }
@@ -133,10 +137,10 @@
 
   place(job: Job, candidates: readonly Candidate[], now: number): Placement | undefined {
     const able = candidates.filter((candidate) => fits(job, candidate));
-    const chosen = least(able, (candidate) => predicted(job, candidate, now));
+    const chosen = minBy(able, (candidate) => predictedFirstTokenMs(job, candidate, now));
     if (chosen === undefined) return undefined;
     const enginePriority = ENGINE_PRIORITY[job.band];
-    const predictedMs = predicted(job, chosen, now);
+    const predictedMs = predictedFirstTokenMs(job, chosen, now);
     return { target: chosen.name, enginePriority, needsRoom: false, predictedMs };
   }
 }
@@ -149,7 +153,7 @@
 
   place(job: Job, candidates: readonly Candidate[], now: number): Placement | undefined {
     if (job.band !== 'long') return this.inner.place(job, candidates, now);
-    const free = candidates.filter(({ estimate: belief }) => !belief.hasLong());
+    const free = candidates.filter(({ estimate: targetEstimate }) => !targetEstimate.hasLong());
     return this.inner.place(job, free, now);
   }
 }
@@ -186,20 +190,21 @@
 
   place(job: Job, candidates: readonly Candidate[], now: number): Placement | undefined {
     const able = this.withRoom(job, this.reachable(job, candidates), now);
-    const scored = able.map((candidate) => ({ candidate, cost: this.cost(job, candidate, now) }));
+    const scored = able.map((candidate) => ({ candidate, cost: this.costMs(job, candidate, now) }));
     const bestCost = Math.min(...scored.map(({ cost }) => cost));
     const near = scored.filter(({ cost }) => cost <= bestCost * (1 + TIE.share) + TIE.ms);
     if (near.length === 0) return undefined;
     const { candidate } = random.pick(this.source, near);
     if (this.isFull(job.band, candidate, now)) return undefined;
     const enginePriority = ENGINE_PRIORITY[job.band];
-    const predictedMs = predicted(job, candidate, now);
+    const predictedMs = predictedFirstTokenMs(job, candidate, now);
     return { target: candidate.name, enginePriority, needsRoom: true, predictedMs };
   }
 
   /** A long prompt waits for long ones only: shorter ones pass it on the engine all the time. */
-  private isFull(inBand: band.Band, { estimate: belief }: Candidate, now: number): boolean {
-    const waiting = inBand === 'long' ? belief.knownMs('long', now) : belief.aheadMs(inBand, now);
+  private isFull(inBand: band.Band, { estimate: targetEstimate }: Candidate, now: number): boolean {
+    const waiting =
+      inBand === 'long' ? targetEstimate.knownMs('long', now) : targetEstimate.aheadMs(inBand, now);
     return waiting > this.options.windowMs[inBand];
   }
 
@@ -217,14 +222,16 @@
    */
   private withRoom(job: Job, candidates: readonly Candidate[], now: number): readonly Candidate[] {
     const roomy = candidates.filter(
-      ({ estimate: belief }) => belief.freeTokens(now) >= job.memoryTokens,
+      ({ estimate: targetEstimate }) => targetEstimate.freeTokens(now) >= job.memoryTokens,
     );
     return roomy.length > 0 || job.band !== 'short' ? roomy : candidates;
   }
 
-  private cost(job: Job, candidate: Candidate, now: number): number {
-    const { preference, estimate: belief } = candidate;
+  private costMs(job: Job, candidate: Candidate, now: number): number {
+    const { preference, estimate: targetEstimate } = candidate;
     const bias = preference * this.options.preferenceMs;
-    return predicted(job, candidate, now) + belief.residualMs(job.band, now) + bias;
+    return (
+      predictedFirstTokenMs(job, candidate, now) + targetEstimate.residualMs(job.band, now) + bias
+    );
   }
 }
--- a/packages/domain/src/routing/prefixIndex.ts
+++ b/packages/domain/src/routing/prefixIndex.ts
@@ -11,7 +11,7 @@
 export const KEYS_PER_TARGET = 2_048;
 
 /** Share of a claimed hit that is believed while the target is distrusted. */
-const DISTRUST = 0.5;
+const UNTRUSTED_FACTOR = 0.5;
 
 export interface CacheEvent {
   sequence: number;
@@ -19,7 +19,7 @@
   key: number;
 }
 
-export type Finding = 'inOrder' | 'gap' | 'old';
+export type EventOrder = 'inOrder' | 'gap' | 'old';
 
 interface Cached {
   keys: Set<number>;
@@ -36,17 +36,17 @@
     if (cached === undefined) return 0;
     const firstMiss = keys.findIndex((key) => !cached.keys.has(key));
     const blocks = firstMiss === -1 ? keys.length : firstMiss;
-    return blocks * BLOCK_TOKENS * (cached.trusted ? 1 : DISTRUST);
+    return blocks * BLOCK_TOKENS * (cached.trusted ? 1 : UNTRUSTED_FACTOR);
   }
 
   /** Own dispatch: its prompt will be cached there, before any event says so. */
-  expect(target: string, keys: readonly number[]): void {
+  expectCached(target: string, keys: readonly number[]): void {
     const cached = this.of(target);
     keys.forEach((key) => this.add(cached, key));
   }
 
   /** One event of the target; a gap asks for a listing. */
-  event(target: string, event: CacheEvent): Finding {
+  event(target: string, event: CacheEvent): EventOrder {
     const cached = this.of(target);
     if (event.sequence <= cached.sequence) return 'old';
     const inOrder = event.sequence === cached.sequence + 1;
