--- a/packages/domain/src/allocation/allocator.ts
+++ b/packages/domain/src/allocation/allocator.ts
@@ -1,7 +1,8 @@
 /**
- * Gives every prompt of a service its engines, with one view of all dispatches. Entries ask for a place,
- * say when an answer ended, and the allocator counts what each engine has. Losing the allocator loses only the
- * counts: entries then choose by their own dispatches until another one has taken over.
+ * Places every prompt of a service on its engines with one view of all dispatches. Entries request
+ * a placement and report when the dispatch ends; the allocator tracks the load of each engine.
+ * Losing the allocator loses only that load: until another takes over, entries place requests by
+ * their own dispatches.
  */
 import type * as catalogue from '../catalogue/catalogue';
 import * as rateLimits from '../rateLimits/rateLimits';
@@ -19,26 +20,29 @@
 
 export interface Request extends planner.Prompt {
   id: string;
-  /** The entry that asks; its dispatches end with it. */
+  /** The entry that requests the placement; its dispatches end with it. */
   entry: string;
   service: string;
-  /** Targets that this request was sent to before. */
+  /** Targets that the request was already sent to. */
   excluded: readonly string[];
-  /** How many targets ended while they ran this content; undefined for none. */
+  /**
+   * Number of targets that crashed while running a request with this fingerprint; undefined for
+   * none.
+   */
   endings?: number;
 }
 
-/** A target that helps to read. */
+/** A prefill helper. */
 export interface Helper {
   target: string;
   /** HOST:PORT. */
   address: string;
-  /** Tokens of memory to reserve there for the prompt; 0 where it only reads. */
+  /** Tokens of memory to reserve there for the prompt; 0 where it only prefills. */
   keptTokens: number;
 }
 
 export interface Placement {
-  /** Id of the target that gets the request. */
+  /** Id of the target that decodes the answer. */
   target: string;
   /** HOST:PORT of that target. */
   address: string;
@@ -49,26 +53,27 @@
 export type Choice =
   { kind: 'placed'; placement: Placement } | Exclude<planner.Decision, { kind: 'begin' }>;
 
-/** What an entry saw of a dispatch beside its ending. */
+/** What an entry observed of a dispatch beside its outcome. */
 export interface DispatchObservations {
-  /** The target that made it fail, where that isn't the writer. */
+  /** The target that made it fail, if not the decoder. */
   faulty?: string;
-  /** Usual pause between the events of its answer, milliseconds. */
+  /** Typical inter-token gap of its answer, milliseconds. */
   gapMs?: number;
 }
 
 /**
- * Engines of the caller's data centre that are enough to choose among, and how many of them there must be for each
- * engine that may read the prompt. A plan asks each engine what the prompt would spoil there; with 150 engines, a burst
- * after a loss of all cost a new leader 2 ms a prompt, and it answered nobody for half a second at a time. With
- * 30 of them a short prompt takes 0.08 ms in place of 0.35, and one of 45k tokens 0.5 in place of 1.7.
+ * Fewest engines of the caller's data centre that a plan may be limited to, and how many of them
+ * there must be for each useful prefill part. A plan computes the prompt's cost on every candidate:
+ * with 150 engines, re-placing all requests after a total loss cost a new leader 2 ms per prompt,
+ * and it was unresponsive for half a second at a time. With 30 engines a short prompt takes 0.08 ms
+ * instead of 0.35, and one of 45k tokens 0.5 instead of 1.7.
  */
 const MIN_NEARBY_ENGINES = 24;
 const NEARBY_ENGINES_PER_PART = 2;
 
 /**
- * Part of what a prompt is worth that a plan in its data centre may spoil. With more, the engines there are busier than
- * usual, and the others are asked too.
+ * Largest penalty of a plan within the caller's data centre, as a fraction of the request's value.
+ * Above it the engines there are busier than usual, and engines elsewhere are considered too.
  */
 const MAX_NEARBY_PENALTY_FRACTION = 0.05;
 
@@ -81,27 +86,28 @@
 export class Allocator {
   private readonly loads = new Map<string, load.Load>();
 
-  /** The same by service. */
+  /** The loads by service. */
   private readonly cells = new Map<string, cells.Cells>();
 
-  /** Targets that aren't gone, of all services. */
+  /** Announcements of all targets that aren't gone, of all services. */
   private readonly records = new Map<string, registry.Announcement>();
 
   private readonly planners = new Map<string, planner.Planner>();
 
   private readonly dispatches = new Map<string, Dispatch>();
 
-  /** Requests that run now and may end their engine. */
+  /** Running requests that are suspected of crashing their target. */
   private readonly suspects = new isolation.SuspectIsolation();
 
   private engines = new Map<string, catalogue.Engine>();
 
-  /** What is assumed to be written where this allocator doesn't see it, by service. */
+  /** Average load reported by the leader, by service; assumed on each engine. */
   private readonly averageLoads = new Map<string, unseen.Crowding>();
 
   /**
-   * `chance` is for an allocator that sees only a part of all dispatches: it chooses among equal engines by
-   * chance. Without that, all entries that lost their leader chose the same few engines for all prompts.
+   * `randomSource` is for an allocator that sees only part of all dispatches: it shuffles the
+   * candidates, so that ties are broken randomly. Otherwise all entries that lost the leader chose
+   * the same few engines for every prompt.
    */
   constructor(
     private readonly randomSource?: random.Random,
@@ -109,7 +115,10 @@
     private readonly limits = new rateLimits.RateLimits(),
   ) {}
 
-  /** Takes the engines of a new catalogue; loads of an engine that changed begin anew. */
+  /**
+   * Applies the engines of a new catalogue; the load of an engine whose figures changed starts
+   * empty.
+   */
   setServices(services: readonly catalogue.Service[]): void {
     const before = this.engines;
     this.engines = new Map(
@@ -126,7 +135,10 @@
     });
   }
 
-  /** Takes what the registry says of a target, which may come before the catalogue that knows its service. */
+  /**
+   * Applies an announcement of a target, which may arrive before the catalogue that defines its
+   * service.
+   */
   observe(record: registry.Announcement): void {
     if (record.state === 'gone') {
       this.records.delete(record.id);
@@ -140,7 +152,7 @@
     else if (engine !== undefined) this.replaceLoad(this.createLoad(engine, record));
   }
 
-  /** What is written on the engines of each service on average, for those who see only a part of it. */
+  /** Average load of the engines of each service, for allocators that see only part of it. */
   averages(): unseen.Crowding[] {
     return [...this.engines.keys()].map((name) => {
       const ready = this.cellsOf(name)
@@ -150,19 +162,19 @@
     });
   }
 
-  /** Assumes that others write as much on each engine. */
+  /** Assumes the given average load on each engine. */
   assume(averages: readonly unseen.Crowding[]): void {
     averages.forEach((each) => this.averageLoads.set(each.service, each));
     this.loads.forEach((each) => this.applyAverageLoad(each));
   }
 
-  /** A place for the request at once, or undefined where every engine is full. */
+  /** Places the request at once; undefined where every engine is full. */
   place(request: Request, now: number): Placement | undefined {
     const choice = this.choose(request, now, false);
     return choice.kind === 'placed' ? choice.placement : undefined;
   }
 
-  /** A place for the request, or with `mayWait` the time at which to ask again. */
+  /** Places the request or, with `mayWait`, returns the time after which to try again. */
   choose(request: Request, now: number, mayWait: boolean): Choice {
     const enginePlanner = this.planners.get(request.service);
     if (enginePlanner === undefined) return { kind: 'full' };
@@ -180,14 +192,20 @@
     return { kind: 'placed', placement: placementOf(plan) };
   }
 
-  /** Engines that are asked for a request: all of a small service, else some cells and those that it is bound to. */
+  /**
+   * Candidate engines: all of a small service, otherwise those of some cells and those that the
+   * request is bound to.
+   */
   private candidateScope({ service, dataCentre, writers = [] }: Request): cells.Scope {
     const scope = this.cellsOf(service).scope(dataCentre);
     const bound = writers.flatMap((id) => this.loads.get(id) ?? []);
     return { ...scope, all: [...new Set([...scope.all, ...bound])] };
   }
 
-  /** A plan among the engines of the first cell or of the caller's data centre, where these are enough and it spoils next to nothing. */
+  /**
+   * A plan limited to the first cell or to the caller's data centre; undefined if that has too few
+   * engines or the penalty is too high.
+   */
   private decideNearby(
     enginePlanner: planner.Planner,
     request: Request,
@@ -201,7 +219,7 @@
         : ofFirst.has(each);
     });
     const minForParts = NEARBY_ENGINES_PER_PART * enginePlanner.maxUsefulParts(request);
-    // A cell has engines enough for any prompt.
+    // A cell has enough engines for any prompt.
     const enough =
       first === undefined ? Math.max(MIN_NEARBY_ENGINES, minForParts) : MIN_NEARBY_ENGINES;
     if (nearby.length < enough || nearby.length === all.length) return undefined;
@@ -213,8 +231,8 @@
   }
 
   /**
-   * When the least busy engine of a service will have read what it was given, milliseconds from now; infinite
-   * without engines. A request that found no place finds one then, if nobody else takes it.
+   * Milliseconds until the least busy engine of a service has prefilled its queue; infinite without
+   * engines. A request that found no place finds one then, unless another takes it.
    */
   nextPlaceMs(service: string, now: number): number {
     const waits = this.cellsOf(service)
@@ -224,7 +242,10 @@
     return Math.min(Infinity, ...waits);
   }
 
-  /** How long the limits of a service's engines let no more pass than `ahead` requests, milliseconds; 0 where one has none. */
+  /**
+   * Milliseconds for which the rate limits of a service's engines admit no more than `ahead`
+   * requests; 0 where an engine has no limit.
+   */
   limitedForMs(service: string, ahead: number, now: number): number {
     if (this.limits.size === 0) return 0;
     const ready = this.cellsOf(service)
@@ -234,7 +255,7 @@
     return this.limits.waitMs(ready, ahead, now);
   }
 
-  /** Counts a dispatch that another allocator made, whose reading is over by now. */
+  /** Restores a dispatch that another allocator made, assuming that its prefill is over. */
   restore(request: Request, target: string, now: number): void {
     const decoder = this.loads.get(target);
     if (decoder === undefined || this.dispatches.has(request.id)) return;
@@ -242,7 +263,7 @@
     this.recordDispatch({ ...request, tokens: 0 }, { decoder, decoderTokens, helpers: [] }, now);
   }
 
-  /** A dispatch ended. */
+  /** Records the end of a dispatch. */
   ended(
     id: string,
     outcome: soundness.Ending,
@@ -268,7 +289,7 @@
       .forEach(([id]) => this.ended(id, 'cancelled', now));
   }
 
-  /** Most engines that one prompt is weighed on. */
+  /** Most engines that one placement considers. */
   get mostAsked(): number {
     return Math.max(0, ...[...this.cells.values()].map((each) => each.maxCandidates));
   }
@@ -307,7 +328,7 @@
     if (crowding !== undefined) unseen.applyAssumedLoad(on, crowding);
   }
 
-  /** Engines that take work, and whose limits let a request pass; those that failed lately only where there are no others. */
+  /** Ready engines whose rate limits admit a request; ejected ones only if there are no others. */
   private eligibleEngines(
     { excluded, writers, endings }: Request,
     candidates: readonly load.Load[],
@@ -319,7 +340,7 @@
     });
     const healthy = ready.filter((each) => each.health.isUsable(now, each.decodingCount === 0));
     const available = healthy.length > 0 ? healthy : ready;
-    // Whoever is bound to a target that has the request already can't go elsewhere.
+    // A request that is bound to targets which already hold its state can't go elsewhere.
     const eligible =
       writers === undefined ? this.suspects.eligibleEngines(available, endings) : available;
     return this.randomSource === undefined
--- a/packages/domain/src/allocation/cells.ts
+++ b/packages/domain/src/allocation/cells.ts
@@ -1,21 +1,28 @@
 /**
- * Engines of a service in cells, so that what a choice costs doesn't grow with the fleet. A plan asks each engine what the prompt
- * would spoil there; with 3,000 engines that takes longer than the next prompt takes to come, and prompts wait seconds for a place
- * while most engines are idle. Within a cell the plan stays as good as in a small fleet: short prompts are packed
+ * Divides the engines of a service into cells, so that the cost of a placement doesn't grow with
+ * the fleet. A plan computes the prompt's cost on every candidate; with 3,000 engines that takes
+ * longer than the interval between prompts, and prompts waited seconds for a placement while most
+ * engines were idle. Within a cell plans are as good as in a small fleet: short prompts are packed
  * together, and there are enough engines to divide a long one.
  */
 import type * as load from './load';
 
-/** A service with no more engines than this is one cell; a plan over them takes half a millisecond. */
+/**
+ * A service with at most this many engines is a single cell; planning over 256 takes half a
+ * millisecond.
+ */
 const MAX_SINGLE_CELL_ENGINES = 256;
 
-/** Engines of a cell in a larger service: some seven times what the longest prompt is divided among. */
+/**
+ * Engines per cell of a larger service: about seven times as many as the longest prompt is divided
+ * among.
+ */
 const ENGINES_PER_CELL = 128;
 
-/** Cells that are asked together where the first one has no good place. */
+/** Cells that one placement considers if the first has no good place. */
 const CELLS_PER_CHOICE = 3;
 
-/** Engines of one data centre; each stays in its cell for its lifetime. */
+/** The cells of one data centre; an engine stays in its cell for its lifetime. */
 class DataCentre {
   readonly cells: load.Load[][] = [];
 
@@ -33,7 +40,10 @@
   }
 }
 
-/** What a choice looks at: the cell that is asked first, undefined where all are asked at once, and all that may be asked. */
+/**
+ * Candidates of a placement: the cell to try first (undefined for a single cell) and all engines
+ * that may be tried.
+ */
 export interface Scope {
   first: readonly load.Load[] | undefined;
   all: readonly load.Load[];
@@ -44,14 +54,14 @@
 
   private readonly dataCentres = new Map<string, DataCentre>();
 
-  /** Cells are asked in turn, so that prompts that come together spread. */
+  /** Rotates the cells, so that concurrent prompts spread. */
   private nextCell = 0;
 
   get size(): number {
     return this.engines.size;
   }
 
-  /** Most engines that one choice asks. */
+  /** Most engines that one placement considers. */
   get maxCandidates(): number {
     return this.size <= MAX_SINGLE_CELL_ENGINES ? this.size : ENGINES_PER_CELL * CELLS_PER_CHOICE;
   }
@@ -73,7 +83,7 @@
     return [...this.engines];
   }
 
-  /** Engines to ask for a prompt from a data centre. */
+  /** Candidates for a prompt from a data centre. */
   scope(dataCentre: string): Scope {
     if (this.size <= MAX_SINGLE_CELL_ENGINES) return { first: undefined, all: this.all() };
     this.nextCell += 1;
@@ -82,7 +92,8 @@
       .filter(([name]) => name !== dataCentre)
       .flatMap(([, { cells }]) => cells);
     const nearby = own.length > 0 ? own : others;
-    // The emptier of two spreads prompts nearly as evenly as the emptiest of all, at a bounded cost.
+    // Power of two choices: the less loaded of two cells spreads prompts nearly as evenly as the
+    // least loaded of all, at a bounded cost.
     const pair = [
       nearby[this.nextCell % nearby.length],
       nearby[(this.nextCell + 1) % nearby.length],
@@ -98,7 +109,7 @@
   return averageDecoding(a) - averageDecoding(b);
 }
 
-/** Requests that write on the engines of a cell, on average. */
+/** Average number of decoding requests per engine of a cell. */
 function averageDecoding(cell: readonly load.Load[]): number {
   return cell.reduce((sum, { decodingCount }) => sum + decodingCount, 0) / cell.length;
 }
--- a/packages/domain/src/allocation/isolation.ts
+++ b/packages/domain/src/allocation/isolation.ts
@@ -1,20 +1,25 @@
 /**
- * Which engines a request may use beside requests that may end theirs. A crash leaves a suspect for each request that the engine
- * had, ten or so; placed together again, they would be blamed for the next end together too, and the innocent among them
- * refused with the culprit. Apart, only the culprit is blamed twice. A suspect that was blamed twice runs where the fewest
- * others do, and nothing is added there while it runs.
+ * Separates suspect requests, those that ran on a target when it crashed, from each other. A crash
+ * leaves about ten suspects; if they were placed together again, the next crash would count against
+ * all of them, and the innocent ones would be refused with the one that causes the crashes. Kept
+ * apart, only that one counts two crashes. A suspect with two crashes runs on a nearly empty
+ * engine, and nothing is added there while it runs.
  */
 import type * as load from './load';
 
-/** Ends from which on nothing is placed beside a suspect. */
+/** Crashes from which on a suspect runs alone. */
 const MIN_CRASHES_TO_RUN_ALONE = 2;
 
-/** Part of the engines, the emptiest, among which such a suspect is placed; enough that a long prompt finds helpers. */
+/**
+ * Fraction of the engines, the least loaded, among which such a suspect is placed; enough for a
+ * long prompt to find helpers.
+ */
 const LEAST_LOADED_FRACTION = 1 / 3;
 
 /**
- * Part of the engines that may be kept for such suspects alone. When many engines crash at once, twice in a row, dozens of
- * innocent requests are blamed twice, and their engines would be missing for as long as they write.
+ * Largest fraction of the engines reserved for such suspects. When many engines crash at once,
+ * twice in a row, dozens of innocent requests count two crashes, and their engines would be
+ * unavailable until they finish.
  */
 const MAX_RESERVED_FRACTION = 0.1;
 
@@ -24,7 +29,7 @@
 }
 
 export class SuspectIsolation {
-  /** Suspects that run, by request. */
+  /** Running suspects by request id. */
   private readonly running = new Map<string, { endings: number; target: string }>();
 
   begin({ id, endings = 0 }: Suspect, { record }: load.Load): void {
@@ -35,7 +40,10 @@
     this.running.delete(id);
   }
 
-  /** Engines that suit a request of which so many ended; all where none do, as a suspicion may be wrong and must not refuse. */
+  /**
+   * Engines allowed for a request with this number of crashes; all if none is left, as a suspicion
+   * may be wrong and must not cause a refusal.
+   */
   eligibleEngines(loads: load.Load[], endings = 0): load.Load[] {
     if (this.running.size === 0 && endings < MIN_CRASHES_TO_RUN_ALONE) return loads;
     const running = [...this.running.values()];
--- a/packages/domain/src/allocation/lateness.ts
+++ b/packages/domain/src/allocation/lateness.ts
@@ -1,25 +1,30 @@
-/** What a caller loses by waiting for its first token, as a part of what its request is worth. */
+/** Penalty for the wait until the first token, as a fraction of the request's value. */
 
 /**
- * Shares of the objective between which a predicted first token turns from surely in time to surely late.
- * Wide, as the prediction misses by a pass or two.
+ * Fractions of the objective between which a predicted first token goes from in time to late. The
+ * range is wide, as predictions are off by an engine step or two.
  */
 const IN_TIME_FRACTION = 0.6;
 const LATE_FRACTION = 1;
 
-/** What a late answer is worth less than one in time; callers' own figures lie around a quarter. */
+/**
+ * Penalty of an answer that just misses its objective; callers value late answers at about a
+ * quarter.
+ */
 export const LATE_PENALTY = 0.75;
 
-/** Further loss for each objective that an answer is later; prefers the sooner of two late ones. */
+/** Additional penalty per objective of further delay; prefers the sooner of two late answers. */
 const LATE_PENALTY_SLOPE = 0.02;
 
 /**
- * Callers wait for a first token up to this many objectives, and leave; an answer after that is lost. From the
- * users' pages.
+ * Callers wait up to this many objectives for a first token and then leave; a later answer is lost.
  */
 const ABANDONED_FRACTION = 4;
 
-/** Nothing where the first token comes well in time, most where it is late, all where its caller has left by then. */
+/**
+ * 0 for a first token well in time, most of the value for a late one, all of it once the caller has
+ * left.
+ */
 export function latenessPenalty(ms: number, objectiveMs: number): number {
   const fraction = ms / objectiveMs;
   if (fraction <= IN_TIME_FRACTION) return 0;
--- a/packages/domain/src/allocation/load.ts
+++ b/packages/domain/src/allocation/load.ts
@@ -1,7 +1,7 @@
 /**
- * What one engine has been given and has not finished, and what more it bears. The allocator's own
- * dispatches are exact where an engine's report is some hundred milliseconds old, so a load is counted
- * from them; what the model gets wrong ends when the request does.
+ * Tracks the unfinished work of one engine and what more it can take. The allocator's own
+ * dispatches are exact, whereas an engine's report is some hundred milliseconds old, so the load is
+ * computed from the dispatches; an error of the model ends with its request.
  */
 import type * as catalogue from '../catalogue/catalogue';
 import type * as rateLimits from '../rateLimits/rateLimits';
@@ -11,68 +11,68 @@
 import * as readQueue from './readQueue';
 import * as soundness from './soundness';
 
-/** One request's share in an engine: as the engine that writes, or as one that only helps to read. */
+/** One request's work on an engine: as the decoder, or as a prefill helper. */
 export interface Task {
   request: string;
   role: 'decoder' | 'helper';
-  /** Reading that this engine does for it, milliseconds. */
+  /** Prefill work on this engine, milliseconds. */
   prefillMs: number;
-  /** Tokens of context that each of its steps costs here. */
+  /** Context tokens that add to the cost of each of its steps here. */
   contextTokens: number;
-  /** Memory it takes here at its end, tokens. */
+  /** Memory held here when the request ends, tokens. */
   memoryTokens: number;
-  /** Longest pause between its events that its caller bears; infinite for a helper. */
+  /** Longest inter-token gap that its caller tolerates; infinite for a helper. */
   maxGapMs: number;
-  /** What is lost if it comes late, in tokens of work. */
+  /** Value of the request, in tokens of work. */
   value: number;
 }
 
 /**
- * Bounds of a measured pace, and the weight of a new measure: a few answers turn the figure, and one odd
- * answer doesn't.
+ * Bounds of a slowdown sample and the weight of a new one: a few answers change the average, and
+ * one outlier doesn't.
  */
 const SLOWDOWN = { min: 0.8, max: 8, weight: 0.25 } as const;
 
 /**
- * Requests that a remembered engine gets until it has spoken. It may have ended while the keepers were down, and
- * whoever is sent there then waits in vain; engines that live speak within about a second.
+ * Requests sent to an engine that was loaded from disk until it announces itself. It may have
+ * stopped while the keepers were down, and a request sent there would wait in vain; live engines
+ * announce themselves within about a second.
  */
 const MAX_UNCONFIRMED_REQUESTS = 1;
 
-/** Sums and extremes over an engine's tasks. */
+/** Aggregates over an engine's tasks. */
 interface Aggregates {
   /** Tokens. */
   freeMemory: number;
   tightestGapMs: number;
-  /** Length of a pass on an engine of usual speed. */
+  /** Duration of an engine step at the modelled speed. */
   engineStepMs: number;
 }
 
 export class Load implements reading.PartSchedule, readQueue.DecodeState {
   private readonly tasks = new Map<string, Task>();
 
-  /** Ids among `tasks` that nobody dispatched. */
+  /** Ids of assumed tasks, which nobody dispatched. */
   private readonly assumedIds = new Set<string>();
 
-  /** The writers among `tasks`, and the others. */
+  /** The tasks by role. */
   private decoderTasks: Task[] = [];
 
   private helperTasks: Task[] = [];
 
   /**
-   * What follows from the tasks. A plan asks every engine for it some ten times, and tasks change once a
-   * request: with 78 engines, kept figures make a plan three times cheaper.
+   * Cached aggregates of the tasks. A plan reads them about ten times per engine, while tasks
+   * change once per request: with 78 engines, caching makes a plan three times cheaper.
    */
   private aggregates: Aggregates;
 
-  /** What it has to read. */
   readonly prefillQueue = new readQueue.ReadQueue(this);
 
   readonly health = new soundness.Soundness();
 
   /**
-   * Its time for a piece of work against the model's; over 1 for a slow one. Learned from the pauses between
-   * the events of answers that it wrote: the engines of a service differ, and some turn several times slower.
+   * Measured time over modelled time; above 1 for a slow engine. Learned from the inter-token gaps
+   * of its answers: engines of one service differ, and some become several times slower.
    */
   slowdown = 1;
 
@@ -93,18 +93,18 @@
     return this.record.isRemembered === true ? Math.min(free, this.unconfirmedQuota) : free;
   }
 
-  /** Whether it may help to read for one request more. */
+  /** Whether it may become prefill helper for one more request. */
   mayHelp(maxHelped: number, now: number): boolean {
     if (this.record.isRemembered === true && this.unconfirmedQuota <= 0) return false;
     return this.helpingCount(now) < Math.min(maxHelped, this.engine.slots);
   }
 
-  /** Whether it names how many requests it takes. */
+  /** Whether the target has announced a rate limit. */
   get isLimited(): boolean {
     return this.isLimitedAt(this.record);
   }
 
-  /** Requests, written or read for, that it may still get before it has spoken. */
+  /** Requests that it may still get, in either role, before it has announced itself. */
   private get unconfirmedQuota(): number {
     return MAX_UNCONFIRMED_REQUESTS - (this.tasks.size - this.assumedIds.size);
   }
@@ -113,18 +113,18 @@
     return this.aggregates.freeMemory;
   }
 
-  /** Requests that this engine still helps to read for others. */
+  /** Requests that it still prefills a part for as a helper. */
   helpingCount(now: number): number {
     if (this.prefillQueue.isIdle(now)) return 0;
     return this.helperTasks.filter(({ request }) => this.prefillQueue.has(request)).length;
   }
 
-  /** Whether somebody's answer is being written here, and not still read. */
+  /** Whether any request decodes here, that is, has been prefilled. */
   get isWriting(): boolean {
     return this.decoderTasks.some(({ request }) => !this.prefillQueue.has(request));
   }
 
-  /** The tightest pause that a caller of this engine bears, infinite where nobody writes. */
+  /** The shortest maximum inter-token gap of its decoding requests; infinite without any. */
   get tightestGapMs(): number {
     return this.aggregates.tightestGapMs;
   }
@@ -133,7 +133,10 @@
     return this.slowdown * this.aggregates.engineStepMs;
   }
 
-  /** A pass without reading took `ms`, with the writers that are here now. */
+  /**
+   * Takes the measured duration of an engine step without prefill, with the current decoding
+   * requests.
+   */
   observeStep(ms: number): void {
     const sample = Math.min(
       SLOWDOWN.max,
@@ -142,12 +145,12 @@
     this.slowdown += SLOWDOWN.weight * (sample - this.slowdown);
   }
 
-  /** Time until this engine could begin to read a prompt alone, milliseconds. */
+  /** Time until this engine could begin to prefill a whole prompt, milliseconds. */
   pendingPrefillMs(now: number): number {
     return this.prefillQueue.stepRestMs(now) + this.prefillQueue.waitingMs(now);
   }
 
-  /** Value of those who write here and bear only pauses shorter than so many milliseconds. */
+  /** Total value of the decoding requests whose maximum gap is below `gapMs`. */
   valueWithTighterGap(gapMs: number): number {
     return this.decoderTasks
       .filter(({ maxGapMs }) => maxGapMs < gapMs)
@@ -158,7 +161,7 @@
     return this.prefillQueue.completionTime(wanted, now);
   }
 
-  /** Counts a writer that isn't known to be there, and has nothing to read. */
+  /** Adds an assumed decoding request without prefill work. */
   assume(task: Task): void {
     this.assumedIds.add(task.request);
     this.tasks.set(task.request, task);
@@ -171,7 +174,7 @@
     this.refresh();
   }
 
-  /** Takes a share of a request; `isPart` where others read parts of the same prompt. */
+  /** Adds one request's work; `isPart` where other engines prefill parts of the same prompt. */
   add(task: Task, part: { reading: reading.Reading; isPart: boolean }, now: number): void {
     const leftMs = this.slowdown * task.prefillMs;
     if (leftMs > 0) {
--- a/packages/domain/src/allocation/outlook.ts
+++ b/packages/domain/src/allocation/outlook.ts
@@ -1,29 +1,33 @@
 /**
- * What one more reading on an engine would mean at a moment: for the request itself, for those who write there,
- * and for the prompts that the engine reads already.
+ * Forecasts what one more prefill on an engine would mean at a given time: for the request itself,
+ * for the requests that decode there and for the prompts already in its queue.
  */
 import type * as load from './load';
 import type * as reading from './reading';
 
-/** A prompt that one more reading holds up. */
+/** A prompt that one more prefill delays. */
 export interface Delay {
   prefill: reading.Reading;
-  /** When it will have been read without the further reading, and with it. */
+  /** When its prefill ends without and with the additional one. */
   sooner: number;
   later: number;
 }
 
 /**
- * Part of a caller's longest pause that predictions may use up. The rest covers the way of an event to
- * the caller, prompts that arrive in the same pass, and the model's error.
+ * Fraction of a caller's maximum inter-token gap that predictions may use. The rest covers the
+ * transmission of an event to the caller, prompts that arrive during the same engine step and the
+ * model's error.
  */
 const GAP_FRACTION = 0.85;
 
 export class LoadForecast {
-  /** Time until a prompt that is read alone could begin, milliseconds. */
+  /** Time until the prefill of a whole prompt could begin, milliseconds. */
   readonly pendingMs: number;
 
-  /** How much more reading the next pass takes before a pause of someone who writes there is too long. */
+  /**
+   * How much more prefill the next step can take before a gap of a decoding request becomes too
+   * long.
+   */
   readonly allowanceMs: number;
 
   private readonly stepRestMs: number;
@@ -48,27 +52,32 @@
     this.allowanceMs = GAP_FRACTION * load.tightestGapMs - this.engineStepMs - this.waitingMs;
   }
 
-  /** Time to the first token of a prompt of which `readMs` are read here, milliseconds. */
+  /**
+   * Time to the first token of a prompt of which this engine prefills `prefillMs`, milliseconds.
+   */
   firstTokenMs(prefillMs: number, isPart: boolean): number {
     const partMs = this.load.slowdown * prefillMs;
     if (this.isDecoding) return this.pendingMs + partMs + this.engineStepMs;
     return (isPart ? this.stepRestMs : this.pendingMs) + partMs;
   }
 
-  /** Whether those who write here bear a reading of `readMs` once what waits has been read. */
+  /** Whether the decoding requests tolerate a prefill of `prefillMs` once the queue is empty. */
   tolerates(prefillMs: number): boolean {
     return (
       this.engineStepMs + this.load.slowdown * prefillMs <= GAP_FRACTION * this.load.tightestGapMs
     );
   }
 
-  /** Value of the writers here whose pauses a further reading of `readMs` makes too long. */
+  /**
+   * Total value of the decoding requests whose gaps become too long by a further prefill of
+   * `prefillMs`.
+   */
   valueAtRisk(prefillMs: number): number {
     const gapMs = this.engineStepMs + this.waitingMs + prefillMs;
     return this.load.valueWithTighterGap(gapMs / GAP_FRACTION);
   }
 
-  /** The readings here that end later with a further one of `readMs`. */
+  /** Prefills on this engine that end later with a further one of `prefillMs`. */
   delays(prefillMs: number, isPart: boolean): Delay[] {
     if (!isPart && !this.isDecoding) return [];
     const partMs = this.load.slowdown * prefillMs;
@@ -84,7 +93,7 @@
   }
 }
 
-/** What is lost by delays, in tokens of work; a reading that several engines delay counts once. */
+/** Penalty of delays, in tokens of work; a prefill that several engines delay counts once. */
 export function delayPenalty(delays: readonly Delay[]): number {
   const latest = new Map<reading.Reading, Delay>();
   delays.forEach((each) => {
--- a/packages/domain/src/allocation/planner.ts
+++ b/packages/domain/src/allocation/planner.ts
@@ -1,12 +1,12 @@
 /**
- * Chooses the engines for one prompt. Two figures decide: how long the caller waits for the first token,
- * and how long the pauses of those become who already write on the engines that read it.
+ * Chooses the engines for one prompt by the predicted time to its first token and by the
+ * inter-token gaps that its prefill causes for the requests that decode on the same engines.
  *
- * The pattern it answers: many short prompts whose callers bear pauses of a quarter of a second, and few
- * long ones whose reading takes seconds. A long prompt is read in parts by several engines, each part
- * within the pause that the engine's writers bear; requests with tight pauses are packed together, so
- * that the other engines stay free for long parts. The border between the two moves with demand, as both
- * follow from what the engines hold at the moment.
+ * The typical load is many short prompts whose callers tolerate gaps of a quarter of a second, and
+ * few long prompts whose prefill takes seconds. A long prompt is prefilled in parts by several
+ * engines, each part within the gap that the engine's decoding requests tolerate; requests with
+ * tight gaps are packed together, so that the other engines stay free for long parts. The boundary
+ * between the two groups moves with demand, as both follow from the current loads.
  */
 import type * as catalogue from '../catalogue/catalogue';
 import * as cost from './cost';
@@ -18,96 +18,108 @@
 
 export interface Prompt {
   tokens: number;
-  /** Expected answer, tokens. */
+  /** Expected length of the answer, tokens. */
   answerTokens: number;
   objectiveMs: number;
   pauseMs: number;
-  /** How long the caller has waited already, milliseconds. */
+  /** How long the caller has already waited, milliseconds. */
   waitedMs: number;
   dataCentre: string;
-  /** The only targets that may write the answer; undefined for any. */
+  /** The only targets that may decode the answer; undefined for any. */
   writers?: readonly string[];
 }
 
-/** An engine that helps to read, and keeps tokens of the prompt's memory where the writer lacks room. */
+/** A prefill helper, which also keeps part of the prompt's memory where the decoder lacks room. */
 export interface Helper {
   load: load.Load;
-  /** Tokens of memory that are reserved there; 0 where it only reads. */
+  /** Tokens of memory reserved there; 0 where it only prefills. */
   keptTokens: number;
 }
 
 export interface Plan {
   decoder: load.Load;
-  /** Tokens of memory that the request takes on the writer's engine. */
+  /** Tokens of memory that the request takes on the decoder. */
   decoderTokens: number;
   helpers: Helper[];
-  /** Reading on each of the engines, milliseconds. */
+  /** Prefill time on each of the engines, milliseconds. */
   partMs: number;
   firstTokenMs: number;
-  /** What the plan spoils: tokens of work that come late, of this request and of others. */
+  /**
+   * Tokens of work that become late by this plan, of this request and of others, and smaller
+   * preferences.
+   */
   penalty: number;
 }
 
 export type Decision =
   | { kind: 'begin'; plan: Plan }
-  /** It is better begun in so many milliseconds, when engines have read what they have to. */
+  /** Starting in so many milliseconds, after queued prefills have ended, has a lower penalty. */
   | { kind: 'later'; inMs: number }
-  /** No engine has a place, or none for which it is worth it. */
+  /** No engine has a free slot, or the penalty exceeds the request's value. */
   | { kind: 'full' };
 
 /**
- * Parts aren't shorter than this, milliseconds: less than a pass saves nothing, and a request fails with each of
- * the engines that read it.
+ * Shortest prefill part, milliseconds: a part shorter than an engine step saves nothing, and the
+ * request fails if any of its engines does.
  */
 const MIN_PART_MS = 40;
 
-/** Numbers of engines that are tried for one prompt. */
+/** Part counts considered for one prompt. */
 const PART_COUNTS = [1, 2, 3, 4, 6, 8, 12, 17];
 
 /**
- * What a token of an answer counts against one of a prompt. With five, requests of 5k, 45k and 154k tokens count
- * as 1 : 3.8 : 12; their callers say that they are worth 1 : 3.2 : 16 to them.
+ * Weight of an answer token against a prompt token. With 5, requests of 5k, 45k and 154k tokens
+ * weigh 1 : 3.8 : 12; their callers value them 1 : 3.2 : 16.
  */
 const ANSWER_WEIGHT = 5;
 
-/** Writers whose pauses are at least this share of a request's own are as tolerant as it is. */
+/**
+ * Decoding requests whose maximum gap is at least this fraction of a request's own count as equally
+ * tolerant.
+ */
 const SIMILAR_GAP_FRACTION = 0.5;
 
-/** Parts up to this length shut an engine for nobody; milliseconds, two passes. */
+/**
+ * Parts up to this length don't block an engine for short prompts; milliseconds, about two engine
+ * steps.
+ */
 const MAX_NONBLOCKING_PART_MS = 100;
 
-/** Share of an engine's memory that must be free to write the answer of a prompt larger than the engine. */
+/**
+ * Fraction of an engine's memory that must be free to decode the answer of a prompt larger than the
+ * engine.
+ */
 const MIN_DECODER_MEMORY_FRACTION = 0.5;
 
-/** Part of the free memory of an engine that a larger prompt may take there. */
+/** Fraction of an engine's free memory that such a prompt may take there. */
 const MAX_RESERVATION_FRACTION = 0.92;
 
-/** Fewer tokens aren't worth a reservation on an engine; a tenth of one's memory. */
+/** Smallest reservation on a helper: a tenth of an engine's memory. */
 const MIN_KEPT_TOKENS = 30_000;
 
 interface Candidate {
   load: load.Load;
   forecast: outlooks.LoadForecast;
-  /** Whether it may help to read for one more. */
+  /** Whether it may become prefill helper for one more request. */
   mayHelp: boolean;
-  /** Share of its last dispatches that failed. */
+  /** Share of its recent dispatches that failed. */
   failureShare: number;
 }
 
-/** What each of the engines that read a prompt has to do for it. */
+/** The part that each engine prefills. */
 interface Part {
   prefillMs: number;
-  /** Whether others read parts too. */
+  /** Whether other engines prefill parts of the same prompt. */
   isShared: boolean;
 }
 
 interface Scored {
   candidate: Candidate;
-  /** What a part there spoils by longer pauses of those who write there. */
+  /** Penalty of the longer gaps of requests that decode there. */
   gapPenalty: number;
-  /** That, what it delays, and what the request itself loses by the wait there. */
+  /** That, the delays of queued prefills and the request's own wait there. */
   penalty: number;
-  /** Order among helpers, the least first. */
+  /** Sort key among helpers, lowest first. */
   helperPenalty: number;
 }
 
@@ -117,7 +129,7 @@
     private readonly planWeights: weights.Weights = weights.WEIGHTS,
   ) {}
 
-  /** What is best for a prompt over `loads`; with `mayWait`, also to begin later. */
+  /** Best decision for a prompt over `loads`; with `mayWait` that may be a deferral. */
   decide(prompt: Prompt, loads: readonly load.Load[], now: number, mayWait: boolean): Decision {
     const needed = this.minDecoderMemory(prompt);
     const mayDecode = new Set(
@@ -159,17 +171,20 @@
           forecasts: candidates.map(({ forecast }) => forecast),
         });
     if (deferralMs !== undefined) return { kind: 'later', inMs: deferralMs };
-    // An answer that spoils more than it is worth, or that its caller won't wait for, isn't begun.
+    // A request whose penalty exceeds its value, or whose caller will have left, isn't started.
     const isWorthIt = best.penalty < value || !this.planWeights.refusesHarmful;
     return isWorthIt ? { kind: 'begin', plan: best } : { kind: 'full' };
   }
 
-  /** Most engines among which it makes sense to divide the reading of a prompt. */
+  /** Most engines among which dividing a prompt's prefill pays off. */
   maxUsefulParts({ tokens }: Prompt): number {
     return Math.max(1, cost.readMs(this.engine, tokens) / MIN_PART_MS);
   }
 
-  /** Memory that an engine must have free to write the answer: all of it, or what helpers can't keep. */
+  /**
+   * Free memory that a decoder needs: all of the request's, or a fixed fraction if the request
+   * exceeds an engine.
+   */
   private minDecoderMemory({ tokens, answerTokens }: Prompt): number {
     const whole = tokens + answerTokens;
     const { memoryTokens } = this.engine;
@@ -199,7 +214,7 @@
     });
     const helpers = parts === 1 ? [] : bestHelpers(scored, decoder, parts - 1);
     const storing = helpers.map(({ candidate }) => candidate.load);
-    // A reservation takes several messages, of which an engine with a limit takes few.
+    // A reservation costs several messages, of which a rate-limited engine admits few.
     const storage =
       distributeMemory(prompt, decoder.candidate.load, storing, ({ isLimited }) => !isLimited) ??
       distributeMemory(prompt, decoder.candidate.load, storing, () => true);
@@ -228,7 +243,7 @@
     };
   }
 
-  /** What readings lose by a further part on these engines. */
+  /** Penalty of delaying queued prefills on these engines by a further part. */
   private delayPenalty(
     { prefillMs, isShared }: Part,
     on: readonly outlooks.LoadForecast[],
@@ -237,7 +252,9 @@
     return outlooks.delayPenalty(on.flatMap((each) => each.delays(prefillMs, isShared)));
   }
 
-  /** What a part on this engine spoils, with a preference for the shorter queue and way. */
+  /**
+   * Scores a part on this engine, with a preference for short queues and the caller's data centre.
+   */
   private score(prompt: Prompt, candidate: Candidate, part: Part): Scored {
     const { load: on, forecast } = candidate;
     const { prefillMs, isShared } = part;
@@ -272,8 +289,8 @@
 }
 
 /**
- * Spreads a prompt's memory: as much as fits on the writer's engine, the rest on helpers with room. A
- * reservation never asks for all that is free, as what is counted as free may be used by now.
+ * Distributes a prompt's memory: as much as fits on the decoder, the rest on helpers with room.
+ * Never reserves all free memory, as some of it may be in use by now.
  */
 function distributeMemory(
   { tokens, answerTokens }: Prompt,
@@ -294,26 +311,26 @@
   return remaining > 0 ? undefined : { decoderTokens, helpers: storing };
 }
 
-/** The work of a request in tokens; what is lost when it fails, and most of it when it is late. */
+/** Value of a request in tokens of work: lost if it fails, and most of it if it is late. */
 export function valueOf({ tokens, answerTokens }: Prompt): number {
   return tokens + ANSWER_WEIGHT * answerTokens;
 }
 
-/** Requests on an engine whose callers bear pauses as long: with those a request is packed. */
+/** Decoding requests that tolerate gaps about as long; the request is packed with them. */
 function similarDecodingCount({ pauseMs }: Prompt, on: load.Load): number {
   const tightest = on.tightestGapMs;
   const isSimilar = tightest <= pauseMs && tightest >= SIMILAR_GAP_FRACTION * pauseMs;
   return isSimilar ? on.decodingCount : 0;
 }
 
-/** Whether callers of an engine bear clearly shorter pauses than this one. */
+/** Whether an engine's decoding requests tolerate only clearly shorter gaps than this request. */
 function hasTighterGaps(prompt: Prompt, on: load.Load): boolean {
   return on.tightestGapMs < SIMILAR_GAP_FRACTION * prompt.pauseMs;
 }
 
 /**
- * Among engines on which a part spoils nothing, those help first that already work for callers as tolerant
- * as this one; then idle ones; last those with tight pauses, the emptiest first.
+ * Preference among helpers of equal penalty: first those that serve equally tolerant callers, then
+ * idle ones, last those with tight gaps, the least loaded first.
  */
 function helperRank(prompt: Prompt, { load: on, forecast }: Candidate): number {
   const isIdle = on.decodingCount === 0 && forecast.pendingMs === 0;
--- a/packages/domain/src/allocation/postponement.ts
+++ b/packages/domain/src/allocation/postponement.ts
@@ -1,6 +1,7 @@
 /**
- * Whether a prompt is better begun later. Engines read the newest part first, so a prompt that begins now on engines that
- * read for others makes these wait; begun when they have ended, it may be in time as well.
+ * Decides whether to defer the start of a prompt. Engines prefill the newest part first, so
+ * starting now on engines that prefill for others delays those; started after they have ended, the
+ * prompt may be in time as well.
  */
 import type * as catalogue from '../catalogue/catalogue';
 import * as cost from './cost';
@@ -8,27 +9,33 @@
 import type * as outlooks from './outlook';
 import type * as planner from './planner';
 
-/** Harm by beginning now, as a share of the request, below which waiting isn't weighed: the model misses by as much. */
+/**
+ * Penalty of starting now, as a fraction of the request's value, below which no deferral is
+ * considered: the model's error is as large.
+ */
 const MIN_PENALTY_FRACTION = 0.1;
 
-/** What waiting must win, as a share of the request: others may take the engines that it waits for. */
+/**
+ * Least improvement by a deferral, as a fraction of the request's value: other requests may take
+ * the engines meanwhile.
+ */
 const MIN_GAIN_FRACTION = 0.1;
 
-/** A wait shorter than this is none, milliseconds: engines' reports of what they read are as old. */
+/** Shortest deferral, milliseconds: reports of engines' prefill queues are as old. */
 const MIN_DEFERRAL_MS = 20;
 
 export interface DeferralInput {
   engine: catalogue.Engine;
   prompt: planner.Prompt;
-  /** Work of the request, and what beginning now spoils, in tokens. */
+  /** Value of the request and penalty of starting now, in tokens of work. */
   value: number;
   penalty: number;
-  /** Numbers of engines that may read it. */
+  /** Part counts considered. */
   partCounts: readonly number[];
   forecasts: readonly outlooks.LoadForecast[];
 }
 
-/** How long to wait, milliseconds; undefined where it is as well begun now. */
+/** How long to defer, milliseconds; undefined where starting now is as good. */
 export function deferralMs(input: DeferralInput): number | undefined {
   const { value, penalty } = input;
   if (penalty < MIN_PENALTY_FRACTION * value) return undefined;
@@ -42,11 +49,14 @@
 
 interface DeferredStart {
   inMs: number;
-  /** Part of the request's value that is lost by beginning then. */
+  /** Penalty of starting then, as a fraction of the request's value. */
   penalty: number;
 }
 
-/** When so many engines have read what they have to, and whose writers bear a part of this prompt. */
+/**
+ * The earliest time at which `parts` engines have finished their prefills and their decoding
+ * requests tolerate a part of this prompt.
+ */
 function deferredStart(
   { engine, prompt, forecasts: all }: DeferralInput,
   parts: number,
--- a/packages/domain/src/allocation/readQueue.ts
+++ b/packages/domain/src/allocation/readQueue.ts
@@ -1,32 +1,33 @@
 /**
- * The prompts that one engine still has to read, in the order in which engines read. Parts of prompts that several
- * engines read go before prompts that it reads alone, and a newer part goes before an older one. An engine
- * where nobody writes takes up the newest part at once, in the middle of an older one. Where somebody writes, a
- * pass reads all that waits at its beginning, and what comes meanwhile waits for its end.
+ * The prefill queue of one engine, in the order in which engines prefill. Parts of divided prompts
+ * go before whole prompts, and a newer part before an older one. An engine on which nothing decodes
+ * starts the newest part at once and preempts an older one. On an engine with decoding requests, a
+ * step prefills everything that is queued when it begins, and later arrivals wait for its end.
  *
- * The order was found by replaying all dispatches of a day: with it, 99 in 100 prompts of over 100k tokens had
- * their first token within 1.27 times the predicted time; with parts in order of arrival, within 4 times.
+ * The order matches a replay of a day's dispatches: with it, 99 in 100 prompts of over 100k tokens
+ * had their first token within 1.27 times the predicted time; with parts in order of arrival,
+ * within 4 times.
  */
 import type * as reading from './reading';
 
-/** The part of a reading that this engine does. */
+/** The part of a prompt that this engine prefills. */
 export interface PrefillPart {
   reading: reading.Reading;
-  /** Whether other engines read parts of the same prompt. */
+  /** Whether other engines prefill parts of the same prompt. */
   isPart: boolean;
-  /** Work that is left, milliseconds of this engine. */
+  /** Remaining work, milliseconds of this engine. */
   leftMs: number;
 }
 
-/** What the length of passes depends on. */
+/** The engine state that determines the duration of its steps. */
 export interface DecodeState {
-  /** Whether somebody writes here. */
+  /** Whether any request decodes here. */
   readonly isWriting: boolean;
-  /** Length of a pass that reads nothing, milliseconds. */
+  /** Duration of an engine step without prefill, milliseconds. */
   passMs(): number;
 }
 
-/** A share that waits, and when it will have been read, if nothing is added. */
+/** A queued part and when its prefill ends, if nothing is added. */
 export interface PendingPart {
   prefill: reading.Reading;
   endsAt: number;
@@ -38,7 +39,7 @@
 }
 
 export class ReadQueue {
-  /** The next first. */
+  /** The next part first. */
   private waiting: PrefillPart[] = [];
 
   private step: EngineStep | undefined;
@@ -49,7 +50,7 @@
 
   add(part: PrefillPart, now: number): void {
     this.advance(now);
-    // A pass without reading was under way, in whatever phase.
+    // A step without prefill was under way; its phase is unknown, so assume half of it is left.
     if (this.step === undefined && this.decodeState.isWriting && this.waiting.length === 0) {
       this.step = { endsAt: now + this.decodeState.passMs() / 2, parts: [] };
     }
@@ -69,26 +70,26 @@
     return this.waiting.some(isIt) || this.step?.parts.some(isIt) === true;
   }
 
-  /** Whether nothing is left to read. */
+  /** Whether nothing is left to prefill. */
   isIdle(now: number): boolean {
     this.advance(now);
     return this.waiting.length === 0 && this.step === undefined;
   }
 
-  /** Time until the pass under way ends, milliseconds; of one without reading the mean. */
+  /** Time until the current engine step ends, milliseconds; the mean for one without prefill. */
   stepRestMs(now: number): number {
     this.advance(now);
     if (this.step !== undefined) return this.step.endsAt - now;
     return this.decodeState.isWriting ? this.decodeState.passMs() / 2 : 0;
   }
 
-  /** Reading that waits for the next pass, milliseconds. */
+  /** Prefill work queued for the next step, milliseconds. */
   waitingMs(now: number): number {
     this.advance(now);
     return this.waiting.reduce((sum, { leftMs }) => sum + leftMs, 0);
   }
 
-  /** Shares that wait and that one more part would hold up. */
+  /** Queued parts, which one more part would delay. */
   waitingShares(now: number): PendingPart[] {
     this.advance(now);
     let endsAt = now + this.stepRestMs(now);
@@ -129,7 +130,7 @@
     this.step = { endsAt, parts: this.waiting.splice(0) };
   }
 
-  /** Reads the first one that waits until it ends or time does. */
+  /** Prefills the first queued part until it is done or `now` is reached. */
   private prefillNext(now: number): void {
     const [next] = this.waiting;
     const doneMs = Math.min(next.leftMs, now - this.clock);
--- a/packages/domain/src/allocation/reading.ts
+++ b/packages/domain/src/allocation/reading.ts
@@ -1,12 +1,12 @@
 /**
- * A prompt that is being read, by one engine or in parts by several. Its first token follows the last part, so
- * what holds up one of its engines holds up the whole.
+ * A prompt during its prefill, by one engine or in parts by several. Its first token follows the
+ * last part, so whatever delays one of its engines delays the whole prompt.
  */
 import * as lateness from './lateness';
 
-/** Where a part of the prompt is read. */
+/** The engine queue that holds a part of the prompt. */
 export interface PartSchedule {
-  /** When the part there will have been read; undefined once it has. */
+  /** When the prefill of that part ends; undefined once it has. */
   completionTime(reading: Reading, now: number): number | undefined;
 }
 
@@ -14,8 +14,8 @@
   private readonly parts: PartSchedule[] = [];
 
   /**
-   * `value` is what is lost if the request fails, in tokens of work; `since` when its caller began to wait,
-   * milliseconds.
+   * `value` is what is lost if the request fails, in tokens of work; `waitingSince` is when its
+   * caller began to wait, milliseconds.
    */
   constructor(
     readonly request: string,
@@ -28,12 +28,12 @@
     this.parts.push(part);
   }
 
-  /** When the last part will have been read. */
+  /** When the prefill of the last part ends. */
   endsAt(now: number): number {
     return Math.max(now, ...this.parts.map((part) => part.completionTime(this, now) ?? now));
   }
 
-  /** What its caller loses more if the prompt is read at `later` instead of at `sooner`, in tokens of work. */
+  /** Additional penalty if the prefill ends at `later` instead of `sooner`, in tokens of work. */
   penaltyOfDelay(sooner: number, later: number): number {
     if (later <= sooner) return 0;
     const penaltyAt = (at: number): number =>
--- a/packages/domain/src/allocation/soundness.ts
+++ b/packages/domain/src/allocation/soundness.ts
@@ -1,52 +1,55 @@
 /**
- * Whether a target that failed gets work again. Health checks of a grey target are good, so outcomes decide:
- * each failure in a row shuts it out for twice as long, and then one request at a time tries it until one
- * succeeds. One bad answer may be chance and costs a target little.
+ * Tracks the health of a target by the outcomes of its dispatches, as a target with a gray failure
+ * passes health checks. Each failure in a row ejects it for twice as long; after that it gets one
+ * canary request at a time until one succeeds. A single bad answer may be chance and costs a target
+ * little.
  */
 
-/** How a dispatch ended, as far as it says something of the target. */
+/** Outcome of a dispatch, as far as it concerns the health of the target. */
 export type Ending =
   | 'done'
-  /** The target was full, against the model. */
+  /** The target was full although the model predicted room. */
   | 'full'
-  /** Its answer broke off, was none, or didn't come. */
+  /** Its answer broke off, was empty or didn't arrive. */
   | 'broken'
-  /** No connection was made. */
+  /** No connection could be made. */
   | 'unreachable'
-  /** Another lifetime answered at its address. */
+  /** A restarted target answered at its address. */
   | 'replaced'
   | 'cancelled';
 
-/** How long a target is shut out after the first failure in a row, milliseconds. */
+/** How long a target is ejected after the first failure in a row, milliseconds. */
 const EJECTION_MS: Record<Ending, number> = {
   done: 0,
   cancelled: 0,
-  // A few passes later the model may be right again.
+  // A few engine steps later the model may be right again.
   full: 250,
   broken: 500,
   // Most likely it is down; a restart takes seconds.
   unreachable: 1_500,
-  // It doesn't come back, unless it announces itself.
+  // It doesn't come back unless it announces itself.
   replaced: 3_000,
 };
 
-/** Longest time that a target is shut out, milliseconds; usual failures last five to ten seconds. */
+/** Longest ejection, milliseconds; failures usually last five to ten seconds. */
 const MAX_EJECTION_MS = 4_000;
 
 /**
- * Failures in a row after which a target must pass a trial. One may be chance, or our own doing, as where a long
- * reading made a stream pause; a trial of one stream takes its engine away for two seconds.
+ * Failures in a row after which a target must pass a canary request. A single one may be chance or
+ * caused by this system, for example by a long prefill that paused a stream; a canary request takes
+ * the engine out of use for two seconds.
  */
 const FAILURES_TO_CANARY = 2;
 
 /**
- * Weight of a new outcome in the share of failures, and how fast that share is forgotten where nothing new comes,
- * milliseconds. Ten answers tell a target that fails two in five from one that fails by chance.
+ * Weight of a new outcome in the failure share, and the time constant by which the share decays
+ * without new outcomes, milliseconds. Ten outcomes distinguish a target that fails two in five from
+ * one that fails by chance.
  */
 const OUTCOME_WEIGHT = 0.15;
 const FAILURE_DECAY_MS = 5_000;
 
-/** Beyond this every shut-out is the longest. */
+/** From here on every ejection has the maximum length. */
 const MAX_DOUBLINGS = 4;
 
 export class Soundness {
@@ -59,8 +62,9 @@
   private lastOutcomeAt = 0;
 
   /**
-   * Share of its last dispatches that failed or that it refused. Failures in a row miss a target that fails two in
-   * five with good ones between: where others are as good, they should be chosen.
+   * Share of its recent dispatches that failed or were refused. Counting only failures in a row
+   * misses a target that fails two in five with successes in between; a healthy target should be
+   * preferred to it.
    */
   failureShare(now: number): number {
     return this.lastFailureShare * Math.exp((this.lastOutcomeAt - now) / FAILURE_DECAY_MS);
@@ -70,7 +74,7 @@
     if (outcome !== 'cancelled') this.updateFailureShare(outcome === 'done' ? 0 : 1, now);
     if (outcome === 'done') this.failures = 0;
     if (EJECTION_MS[outcome] === 0) return;
-    // Requests that were sent together fail together; that is one failure.
+    // Concurrent requests fail together; they count as one failure.
     if (now < this.ejectedUntil) return;
     const ejectionMs = EJECTION_MS[outcome] * 2 ** Math.min(this.failures, MAX_DOUBLINGS);
     this.ejectedUntil = now + Math.min(MAX_EJECTION_MS, ejectionMs);
@@ -78,7 +82,10 @@
     this.failures += outcome === 'broken' ? 1 : FAILURES_TO_CANARY;
   }
 
-  /** Whether the target takes work; after failures in a row only if it has none, as a trial. */
+  /**
+   * Whether the target may get a request; after failures in a row only while idle, as a canary
+   * request.
+   */
   isUsable(now: number, isIdle: boolean): boolean {
     if (now < this.ejectedUntil) return false;
     return this.failures < FAILURES_TO_CANARY || isIdle;
--- a/packages/domain/src/allocation/unseen.ts
+++ b/packages/domain/src/allocation/unseen.ts
@@ -1,27 +1,28 @@
 /**
- * What an allocator assumes of engines that it sees only in part. An entry that has lost the leader knows its own dispatches
- * alone. It took engines for idle that write for others, and had one prompt of half a million tokens read by 17 of
- * 21 engines: all who wrote there paused for two seconds, and their prompts were late or read again. So it assumes on
- * each engine what the leader last said of all on average.
+ * Load that an allocator assumes on engines of which it sees only part. An entry that has lost the
+ * leader knows only its own dispatches. Without the assumption it took engines that decode for
+ * others for idle and divided one prompt of half a million tokens among 17 of 21 engines: every
+ * request decoding there paused for two seconds, and the prompts were late or prefilled again. So
+ * it assumes on each engine the average that the leader last reported.
  */
 import type * as load from './load';
 
-/** What is written on the engines of a service, on average. */
+/** Average load of the engines of a service. */
 export interface Crowding {
   service: string;
-  /** Work of the requests that an engine writes for, in tokens. */
+  /** Value of the requests that decode on an engine, in tokens of work. */
   value: number;
-  /** The tightest pause that any of their callers bears, milliseconds; 0 where nobody writes. */
+  /** The shortest maximum inter-token gap of any of them, milliseconds; 0 where nothing decodes. */
   pauseMs: number;
 }
 
-/** Id of the assumed writer among an engine's tasks. */
+/** Id of the assumed request among an engine's tasks. */
 const ASSUMED_REQUEST = 'unseen';
 
-/** A prompt of few thousand tokens, as most are. */
+/** Most prompts have a few thousand tokens. */
 const ASSUMED_PROMPT_TOKENS = 5_000;
 
-/** Averages over the engines of a service. */
+/** Average load of the engines of a service. */
 export function averageLoadOf(service: string, loads: readonly load.Load[]): Crowding {
   const gaps = loads.map(({ tightestGapMs }) => tightestGapMs);
   const tightest = Math.min(Infinity, ...gaps);
@@ -45,7 +46,7 @@
   };
 }
 
-/** Counts the assumed writer on an engine, or none where nobody writes. */
+/** Adds the assumed request to an engine, or removes it where nothing decodes. */
 export function applyAssumedLoad(on: load.Load, average: Crowding): void {
   if (average.pauseMs > 0) on.assume(assumedTask(average));
   else on.forgetAssumed(ASSUMED_REQUEST);
--- a/packages/domain/src/allocation/weights.ts
+++ b/packages/domain/src/allocation/weights.ts
@@ -1,41 +1,48 @@
 /**
- * What the planner weighs, in one place, so that a simulation can switch each off. Shares are of what the request is
- * worth; what each buys is told in docs/DECISIONS-UNDER-LOAD.md.
+ * Weights of the planner in one place, so that a simulation can switch each off. Fractions refer to
+ * the request's value; docs/DECISIONS-UNDER-LOAD.md has the effect of each.
  */
 
 export interface Weights {
-  /** Most engines that read one prompt; the engines' interface takes no more than 17. */
+  /** Most engines that prefill one prompt; the engines' interface takes at most 17. */
   mostParts: number;
   /**
-   * Prompts that an engine helps to read at once. A second part makes the first wait, as engines read the newest first. The
-   * planner counts that, but can't know what comes next, nor what entries without a leader do: on days with bursts of
-   * long prompts, a quarter fewer prompt tokens were read twice than with as many as an engine takes.
+   * Most prompts that an engine prefills parts for as a helper. Engines prefill the newest part
+   * first, so a second part delays the first; the planner accounts for that, but can't predict
+   * later prompts or the placements of entries without a leader. With bursts of long prompts, a
+   * limit of one saved a quarter of the prompt tokens that were prefilled twice without it.
    */
   mostHelped: number;
-  /** Preference for the caller's own data centre, as milliseconds of its objective. */
+  /** Preference for the caller's own data centre, as milliseconds of the objective. */
   nearMs: number;
-  /** Preference for an engine for each request there with equally tight pauses, so that others stay clear. */
+  /**
+   * Bonus per decoding request with similarly tight gaps on an engine, so that other engines stay
+   * free.
+   */
   packGain: number;
-  /** Loss by a wait of the whole objective that still leaves the answer in time. */
+  /** Penalty of a wait as long as the objective, in addition to lateness. */
   waitLoss: number;
-  /** Loss by a failure: a second target answers most, and most of them late. */
+  /** Penalty of a failure: a second target answers most such requests, mostly late. */
   failureLoss: number;
-  /** Cost of one more engine for a prompt: it may fail, and reads for nobody else meanwhile. */
+  /** Penalty per engine: it may fail, and prefills for no other prompt meanwhile. */
   partLoss: number;
-  /** Cost of keeping each engine for the whole objective: long parts shut an engine for short prompts. */
+  /**
+   * Penalty of occupying each engine for the whole objective: long parts block an engine for short
+   * prompts.
+   */
   blockLoss: number;
   /**
-   * What a part spoils where callers bear less than this one's, against what the writers there are worth now: others
-   * come before the part is read.
+   * Factor on the gap penalty where decoding requests tolerate less than this one: more of them
+   * arrive before the part is prefilled.
    */
   tightRisk: number;
-  /** Cost of help by an engine that is idle or whose callers bear less, in steps. */
+  /** Penalty per step of preference of a helper that is idle or has tighter gaps. */
   spreadLoss: number;
-  /** Whether it counts that engines' other readings end later. */
+  /** Whether delays of other prefills on the engines count. */
   countsDelays: boolean;
-  /** Whether a prompt may begin later where that spoils less. */
+  /** Whether a prompt may be deferred where that has a lower penalty. */
   mayPostpone: boolean;
-  /** Whether a plan that spoils more than its request is worth isn't begun. */
+  /** Whether a plan whose penalty exceeds the request's value is refused. */
   refusesHarmful: boolean;
 }
 
