--- a/packages/domain/src/allocation/__tests__/__fixtures__/engine.ts
+++ b/packages/domain/src/allocation/__tests__/__fixtures__/engine.ts
@@ -1,4 +1,4 @@
-/** An engine with the users' published figures, targets that run one, and prompts for them. */
+/** An engine with published figures, targets that run one, and prompts for them. */
 import type * as catalogue from '../../../catalogue/catalogue';
 import type * as registry from '../../../registry/registry';
 import type * as allocator from '../../allocator';
@@ -54,5 +54,5 @@
   };
 }
 
-/** What a long prompt has other than a short one. */
+/** Properties in which a long prompt differs from a short one. */
 export const LONG = { tokens: 154_000, answerTokens: 800, objectiveMs: 3_000, pauseMs: 1_000 };
--- a/packages/domain/src/allocation/__tests__/allocator.test.ts
+++ b/packages/domain/src/allocation/__tests__/allocator.test.ts
@@ -1,4 +1,4 @@
-/** Placement of prompts on engines, with the users' published figures. */
+/** Tests of the placement of prompts on engines with published engine figures. */
 import * as chai from 'chai';
 import * as random from '../../shared/random';
 import * as allocator from '../allocator';
@@ -32,10 +32,11 @@
 
 describe('allocator', () => {
   /*
-   * Ten requests ran beside one that crashed their engine. Sent on together they were blamed for the next crash together, and
-   * refused with the culprit after the third. Apart, each can be told from the others; whoever is blamed twice runs alone.
+   * Guards against innocent requests that are refused with the one that crashes engines: placed
+   * together again after a crash, all of them would count the next crash too. Kept apart, only the
+   * cause counts it, and a suspect with two crashes runs alone.
    */
-  it('places suspects apart from each other, and alone before the last end that is allowed', () => {
+  it('places suspects apart from each other, and alone before the last crash that is allowed', () => {
     const made = fleet(12);
     const where = (id: string, endings?: number): string | undefined => {
       return made.place(request(id, { endings }), 0)?.target;
@@ -50,7 +51,7 @@
     expect(Array.from({ length: 60 }, (_, i) => where(`p${i}`))).to.include(last);
   });
 
-  it('refuses no suspect for want of an engine apart', () => {
+  it('refuses no suspect when no separate engine is left', () => {
     const made = fleet(2);
     const placed = Array.from({ length: 6 }, (_, i) =>
       made.place(request(`s${i}`, { endings: 2 }), 0),
@@ -59,11 +60,11 @@
   });
 
   /*
-   * Readers of short summaries would see their text stop for seconds. A prompt of 154k tokens takes 3 s to
-   * read on one engine, and all who write there wait for it; over many engines each waits under the pause
-   * that its callers bear.
+   * Guards against short streams that stall: a prompt of 154k tokens takes 3 s to prefill on one
+   * engine, and every request decoding there waits for it. Divided among many engines, each part
+   * stays below the gap that the callers tolerate.
    */
-  it('reads a long prompt in parts that the writers on each engine bear', () => {
+  it('divides a long prompt into parts that the decoding requests on each engine tolerate', () => {
     const made = fleet(23);
     const hosts = new Set<string>();
     for (let i = 0; i < 30; i++) {
@@ -77,14 +78,14 @@
     expect(engines.filter((address) => hosts.has(address))).to.deep.equal([]);
   });
 
-  it('packs short streams, so that other engines stay clear for long readings', () => {
+  it('packs short streams, so that other engines stay free for long prefills', () => {
     const made = fleet(23);
     const targets = new Set<string>();
     for (let i = 0; i < 20; i++) targets.add(made.place(request(`s${i}`), i * 60)?.target ?? '');
     expect(targets.size).to.be.lessThan(6);
   });
 
-  it('gives the place of a request back when it ended or its entry is gone', () => {
+  it('releases the slot of a request when it ends or its entry is gone', () => {
     const made = fleet(1);
     for (let i = 0; i < 11; i++) made.place(request(`s${i}`, { pauseMs: 1e6 }), 0);
     expect(made.place(request('more'), 0)).to.equal(undefined);
@@ -95,8 +96,8 @@
   });
 
   /*
-   * Half of the engines would stay idle while callers are refused. Targets announce themselves as soon as they
-   * run, and the first catalogue, which says that their service has engines, comes later.
+   * Guards against idle engines while requests are refused: targets announce themselves as soon as
+   * they run, possibly before the first catalogue says that their service has engines.
    */
   it('uses targets that announced themselves before the catalogue came', () => {
     const made = new allocator.Allocator();
@@ -105,7 +106,7 @@
     expect(made.place(request('a'), 0)?.target).to.equal('t0');
   });
 
-  it('predicts when the least busy engine is free again', () => {
+  it('predicts when the least busy engine becomes available', () => {
     const made = fleet(1);
     expect(made.nextPlaceMs('engines', 0)).to.be.lessThan(100);
     made.place(request('long', { ...LONG, tokens: 100_000 }), 0);
@@ -114,7 +115,7 @@
     expect(made.nextPlaceMs('other', 0)).to.equal(Infinity);
   });
 
-  it('passes over a target that failed, unless there is no other', () => {
+  it('avoids a target that failed, unless there is no other', () => {
     const made = fleet(2);
     const first = made.place(request('a'), 0)?.target;
     made.ended('a', 'unreachable', 10);
@@ -129,8 +130,8 @@
   const huge = { tokens: 500_000, answerTokens: 800, objectiveMs: 3_000, pauseMs: 1_000 };
 
   /*
-   * Callers with the longest histories would always be refused: no engine holds 500k tokens. Helpers keep
-   * what the writer's engine has no room for.
+   * Guards against refusing every prompt that no single engine can hold. Helpers keep what exceeds
+   * the decoder's memory.
    */
   it('are kept by several engines', () => {
     const made = fleet(8);
@@ -142,7 +143,7 @@
     });
   });
 
-  it('take their memory from what later prompts find free, and give it back', () => {
+  it('reserve memory that later prompts then lack, and release it', () => {
     const made = fleet(2);
     const patient = { ...huge, objectiveMs: 6_000 };
     expect(made.place(request('huge', patient), 0)).to.not.equal(undefined);
@@ -153,15 +154,15 @@
     );
   });
 
-  it('find no place where all engines together have no room', () => {
+  it('are refused where all engines together lack the memory', () => {
     expect(fleet(1).place(request('huge', huge), 0)).to.equal(undefined);
   });
 });
 
-describe('prompts that nobody should begin', () => {
+describe('prompts that should not be started', () => {
   /*
-   * Callers wait seconds for a refusal, or for a token that comes after they left, while an engine reads for
-   * nobody. Two engines need 13 s for half a million tokens, and their caller leaves after 12.
+   * Guards against prefills whose caller leaves before the first token. Two engines need 13 s for
+   * half a million tokens, and the caller leaves after 12.
    */
   it('are those whose callers will have left', () => {
     const made = fleet(2);
@@ -170,10 +171,10 @@
   });
 
   /*
-   * Everybody's text would stop for one late answer. All engines write for callers with tight pauses, and a long
-   * prompt, read anywhere, makes most of them late.
+   * Guards against stalling every stream for one late answer: all engines decode for callers with
+   * tight gaps, and a long prompt on any of them makes most of them late.
    */
-  it('are those that spoil more than they are worth', () => {
+  it('are those whose penalty exceeds their value', () => {
     const made = fleet(2);
     for (let i = 0; i < 22; i++) made.place(request(`s${i}`), i * 100);
     const long = { ...LONG, tokens: 60_000, objectiveMs: 500 };
@@ -181,24 +182,25 @@
   });
 
   /*
-   * Others would be late for nothing. A prompt that has waited past its objective is late in any case; it may no
-   * longer spoil the pauses of those who write, as one that can still be in time may.
+   * Guards against delaying others in vain: a prompt that has already missed its objective may
+   * cause less delay than one that can still be in time.
    */
-  it('spoils less for a prompt that is late already', () => {
-    const spoiledBy = (waitedMs: number): number => {
+  it('include a late prompt, though the same prompt still in time is started', () => {
+    const engineCount = (waitedMs: number): number => {
       const made = fleet(2);
       for (let i = 0; i < 8; i++) made.place(request(`s${i}`), 0);
       const placed = made.place(request('long', { ...LONG, waitedMs }), 800);
       return placed === undefined ? 0 : placed.helpers.length + 1;
     };
-    expect([spoiledBy(0), spoiledBy(4_000)]).to.deep.equal([2, 0]);
+    expect([engineCount(0), engineCount(4_000)]).to.deep.equal([2, 0]);
   });
 
   /*
-   * Readers waited for seconds on three engines while 75 stood idle. The leader froze; 59 entries chose engines by
-   * themselves, each by its own few dispatches, and in the same order.
+   * Guards against entries without a leader that choose the same engines: when the leader froze, 59
+   * entries placed by their own few dispatches in the same order, and requests waited for seconds
+   * on three engines while 75 were idle.
    */
-  it("doesn't choose the same engines in all entries that choose by themselves", () => {
+  it("doesn't choose the same engines in all entries without a leader", () => {
     const chosen = new Set<string>();
     for (let entry = 0; entry < 12; entry++) {
       const made = fleet(20, random.seeded(entry));
@@ -208,10 +210,11 @@
   });
 
   /*
-   * All who wrote anywhere paused for two seconds. An entry that had lost the leader took all engines for idle, as it
-   * knew its own dispatches alone, and had one prompt read by 17 of them, a second each.
+   * Guards against an entry without a leader that takes all engines for idle, as it knows only its
+   * own dispatches: it divided one prompt among 17 of them, and all decoding requests paused for
+   * two seconds.
    */
-  it('spares writers that it may not see, in an entry that chooses by itself', () => {
+  it('assumes decoding requests that an entry without a leader does not see', () => {
     const leader = fleet(21);
     for (let i = 0; i < 120; i++) leader.place(request(`s${i}`, { pauseMs: 250 }), i * 40);
     const partsIn = (entry: allocator.Allocator): number => {
@@ -229,29 +232,30 @@
   });
 
   /*
-   * Long prompts were late on idle engines. One engine had turned four times slower, and went on getting a
-   * part of each, as only outcomes that fail were counted against it.
+   * Guards against an engine that becomes four times slower and still gets a part of each long
+   * prompt, as only failed outcomes counted against it.
    */
-  it('learns from the pauses of answers which engine is slow, and when it is well again', () => {
+  it('learns from the inter-token gaps which engine is slow, and when it has recovered', () => {
     const made = fleet(2);
     let slow = 't0';
-    const write = (more: Partial<allocator.Request> = {}): string => {
+    const decode = (more: Partial<allocator.Request> = {}): string => {
       const { target: id = '' } = made.place(request('r', more), 0) ?? {};
       made.ended('r', 'done', 0, { gapMs: id === slow ? 4 * 43 : 43 });
       return id;
     };
-    for (let i = 0; i < 10; i++) write();
-    expect(write()).to.equal('t1');
+    for (let i = 0; i < 10; i++) decode();
+    expect(decode()).to.equal('t1');
     slow = '';
-    for (let i = 0; i < 30; i++) write({ excluded: ['t1'] });
-    expect(write({ excluded: [] })).to.equal('t0');
+    for (let i = 0; i < 30; i++) decode({ excluded: ['t1'] });
+    expect(decode({ excluded: [] })).to.equal('t0');
   });
 
   /*
-   * Sixteen prompts waited 1.6 s at one engine and then failed, while others were idle. The engine had ended while
-   * the keepers were down; their disks still named it, and those with equally tight pauses are packed together.
+   * Guards against sending many prompts to an engine that stopped while the keepers were down but
+   * is still in their stored state: prompts with similar gaps are packed together, so 16 of them
+   * waited 1.6 s there and failed while other engines were idle.
    */
-  it('gives a remembered engine one request until it has spoken', () => {
+  it('sends one request to an engine loaded from disk until it announces itself', () => {
     const made = fleet(0);
     [0, 1, 2].forEach((index) => made.observe({ ...target(index), isRemembered: true }));
     const targets = [1, 2, 3, 4].map((id) => made.place(request(`r${id}`), 0)?.target);
@@ -262,10 +266,10 @@
   });
 
   /*
-   * A long prompt would be late, or read by one engine for seconds, were remembered engines no help; and it would fail
-   * with each of them that ended, were they to help several.
+   * Guards against engines loaded from disk that help with no prompt, which makes long prompts
+   * late, or with several, all of which fail if the engine has stopped.
    */
-  it('has remembered engines help one prompt each', () => {
+  it('lets each engine loaded from disk help with one prompt', () => {
     const made = fleet(0);
     for (let i = 0; i < 10; i++) made.observe({ ...target(i), isRemembered: true });
     const first = made.place(request('long1', LONG), 0);
@@ -278,11 +282,11 @@
   });
 
   /*
-   * Entries lost a leader that answered nobody for half a second: for each of hundreds of prompts that came back
-   * after a loss of all it asked 150 engines what they bear. Those in the caller's data centre are enough, as long as
-   * they have room; then the others are asked too.
+   * Guards against a leader that is unresponsive for half a second, as it weighs each of hundreds
+   * of returning prompts on 150 engines. Engines of the caller's data centre are enough while they
+   * have room; then the others are considered too.
    */
-  it('chooses among the near engines of a large fleet while they have room', () => {
+  it('chooses among the nearby engines of a large fleet while they have room', () => {
     const made = fleet(0);
     for (let i = 0; i < 150; i++) {
       made.observe({ ...target(i), dataCentre: `dc${i % 5}` });
@@ -293,7 +297,8 @@
     });
     const near = places.filter((dataCentre) => dataCentre === 2).length;
     expect(places.slice(0, 100).every((dataCentre) => dataCentre === 2)).to.equal(true);
-    // 30 engines with 11 places, fewer while they read; what they don't bear goes elsewhere, and nobody is refused.
+    // 30 engines with 11 slots, fewer while they prefill; the excess goes elsewhere, and nothing is
+    // refused.
     expect(near).to.be.within(100, 330);
     expect(places.some(Number.isNaN)).to.equal(false);
   });
@@ -301,26 +306,26 @@
 
 describe('a fleet of thousands of engines', () => {
   /*
-   * Prompts waited seconds for a place although most engines were idle: the leader weighed each prompt on all 3,000 engines,
-   * which takes it longer than the next prompt takes to come.
+   * Guards against prompts that wait seconds while most engines are idle: weighing each prompt on
+   * all 3,000 engines takes longer than the interval between prompts.
    */
-  it('weighs a prompt on a bounded number of engines, and finds idle ones', () => {
+  it('considers a bounded number of engines per prompt, and finds idle ones', () => {
     const made = fleet(3_000);
-    const asked = new Set<load.Load>();
+    const considered = new Set<load.Load>();
     const { get } = Object.getOwnPropertyDescriptor(load.Load.prototype, 'freeMemory') ?? {};
     Object.defineProperty(load.Load.prototype, 'freeMemory', {
       configurable: true,
       get(this: load.Load) {
-        asked.add(this);
+        considered.add(this);
         return get?.call(this);
       },
     });
     const most: number[] = [];
     const waits: number[] = [];
     for (let i = 0; i < 100; i++) {
-      asked.clear();
+      considered.clear();
       const placed = made.place(request(`r${i}`, i % 10 === 0 ? LONG : {}), 0);
-      most.push(asked.size);
+      most.push(considered.size);
       waits.push(placed?.firstTokenMs ?? Infinity);
     }
     Object.defineProperty(load.Load.prototype, 'freeMemory', { configurable: true, get });
--- a/packages/domain/src/allocation/__tests__/limitedEngines.test.ts
+++ b/packages/domain/src/allocation/__tests__/limitedEngines.test.ts
@@ -1,4 +1,4 @@
-/** Placement where engines name how many requests a second they take. */
+/** Tests of placement on engines that announce a rate limit. */
 import * as chai from 'chai';
 import * as rateLimits from '../../rateLimits/rateLimits';
 import * as allocator from '../allocator';
@@ -8,7 +8,7 @@
 
 const { LONG, SERVICE, request, target } = fixture;
 
-/** More than the memory of an engine. */
+/** Exceeds the memory of one engine. */
 const LARGER = { ...LONG, tokens: 400_000 };
 
 interface Fleet {
@@ -27,9 +27,9 @@
   return { limits, made };
 }
 
-describe('engines with a limit', () => {
-  /** Guards against parts of prompts beside the limit: an engine that helps to read gets a message as well. */
-  it('are counted for each prompt that they write or help to read', () => {
+describe('engines with a rate limit', () => {
+  /** Guards against parts that bypass the limit: a prefill helper gets a message as well. */
+  it('are charged for each prompt that they decode or help to prefill', () => {
     const { limits, made } = fleet(4, 4);
     const placed = made.place(request('long', LONG), 1_000);
     const used = [placed?.target, ...(placed?.helpers ?? []).map((helper) => helper.target)];
@@ -38,14 +38,14 @@
     expect(left).to.deep.equal([0, 1, 2, 3].map((i) => !used.includes(`t${i}`)));
   });
 
-  it('are left to others until their limits let a request pass', () => {
+  it('are avoided until their limits admit a request', () => {
     const { made } = fleet(2, 1);
     const targets = ['a', 'b', 'c'].map((id) => made.place(request(id), 0)?.target);
     expect(targets).to.deep.equal(['t1', 't1', 't1']);
   });
 
-  /** Guards against reservations on engines in need, each of which takes several messages. */
-  it('keep no memory for others while those without a limit have room', () => {
+  /** Guards against reservations on rate-limited engines, each of which takes several messages. */
+  it('keep no memory for decoders while engines without a limit have room', () => {
     const { made } = fleet(8, 4);
     const placed = made.place(request('larger', LARGER), 1_000);
     const kept = placed?.helpers.filter(({ keptTokens }) => keptTokens > 0) ?? [];
@@ -60,7 +60,7 @@
     expect(made.place(request('larger', LARGER), 1_000)).to.not.equal(undefined);
   });
 
-  it('tell how long they let nothing pass, with those who wait before', () => {
+  it('report how long they admit nothing, with the requests queued ahead', () => {
     const { made } = fleet(2, 2);
     expect([made.limitedForMs('engines', 0, 0), made.limitedForMs('engines', 4, 0)]).to.deep.equal([
       1_000, 3_000,
--- a/packages/domain/src/allocation/__tests__/reading.test.ts
+++ b/packages/domain/src/allocation/__tests__/reading.test.ts
@@ -1,4 +1,7 @@
-/** In which order engines read, and what one more reading costs those that are read already. */
+/**
+ * Tests of the order in which engines prefill, and of the cost of one more prefill for those in
+ * progress.
+ */
 import * as chai from 'chai';
 import * as load from '../load';
 import * as outlook from '../outlook';
@@ -12,7 +15,7 @@
 const IDLE: readQueue.DecodeState = { isWriting: false, passMs: () => 45 };
 const BUSY: readQueue.DecodeState = { isWriting: true, passMs: () => 40 };
 
-/** A reading whose only place is one queue. */
+/** Adds a prompt whose only part is in `queue`. */
 function added(
   queue: readQueue.ReadQueue,
   name: string,
@@ -25,12 +28,13 @@
   return made;
 }
 
-describe('what an engine reads next', () => {
+describe('what an engine prefills next', () => {
   /*
-   * A review of 171k tokens that was predicted after 0.8 s came after 2.8 s, with all of its engines idle when it
-   * began: parts of four later prompts went before its own on one of them, each newer one before the older.
+   * Guards against predictions that ignore the engines' order: a prompt of 171k tokens that was
+   * predicted after 0.8 s came after 2.8 s. Its engines were idle when it began, but on one of them
+   * parts of four later prompts preempted its own, each newer one first.
    */
-  it('is the newest part, where nobody writes', () => {
+  it('is the newest part, where nothing decodes', () => {
     const queue = new readQueue.ReadQueue(IDLE);
     const first = added(queue, 'a', { leftMs: 610, isPart: true }, 0);
     const second = added(queue, 'b', { leftMs: 516, isPart: true }, 280);
@@ -40,7 +44,7 @@
     expect(ends).to.deep.equal([1_972, 1_642, 1_540]);
   });
 
-  it('is a part before a prompt that is read alone, and those in the order of their arrival', () => {
+  it('is a part before a whole prompt, and whole prompts in order of arrival', () => {
     const queue = new readQueue.ReadQueue(IDLE);
     const whole = added(queue, 'whole', { leftMs: 100, isPart: false }, 0);
     const next = added(queue, 'next', { leftMs: 100, isPart: false }, 0);
@@ -49,10 +53,10 @@
   });
 
   /*
-   * A writer's pass reads all that waits when it begins. What comes later waits for its end, however urgent, and
-   * all that is read in one pass has its first token at the end of that pass.
+   * A step of an engine with decoding requests prefills everything queued at its beginning. Later
+   * arrivals wait for its end, and all prompts of one step have their first token at its end.
    */
-  it('is all that waits, where somebody writes', () => {
+  it('is everything queued, where a request decodes', () => {
     const queue = new readQueue.ReadQueue(BUSY);
     const first = added(queue, 'a', { leftMs: 100, isPart: true }, 0);
     expect(first.endsAt(0)).to.equal(20 + 100 + 40);
@@ -70,7 +74,7 @@
   });
 });
 
-describe('a part on an engine that reads for others', () => {
+describe('a part on an engine that prefills for others', () => {
   const { ENGINE } = fixture;
 
   const PROMPT = {
@@ -88,7 +92,7 @@
     });
   }
 
-  /** Gives a prompt to the engines that the planner chooses. */
+  /** Adds a prompt to the engines that the planner chooses. */
   function begin(loads: load.Load[], name: string, tokens: number, now: number): reading.Reading {
     const prompt = { ...PROMPT, tokens };
     const decision = new planner.Planner(ENGINE).decide(prompt, loads, now, false);
@@ -109,10 +113,11 @@
   }
 
   /*
-   * Long prompts in a row were all to be read by nearly all engines, as each alone was in time that way; each held up
-   * those before it, and these came late. The engines had time for all, each on some of them.
+   * Guards against dividing consecutive long prompts among nearly all engines, as each alone would
+   * be in time: each delayed the previous ones, and these were late. Dividing each among some of
+   * the engines leaves time for all.
    */
-  it('is given only as far as the others bear', () => {
+  it('is added only as far as the other prompts tolerate', () => {
     const loads = fleet(12);
     const made = [0, 100, 200].map((now, i) => begin(loads, `r${i}`, 200_000, now));
     const waits = made.map((each, i) => each.endsAt(200) - 100 * i);
@@ -120,17 +125,18 @@
   });
 
   /*
-   * In a burst of long prompts all were read by the same engines, each newer one first, and most of them late; parts of
-   * later prompts came before the planner could know of them. An engine reads for one prompt at a time.
+   * Guards against helpers with parts of several prompts: in a burst of long prompts the same
+   * engines prefilled for all, the newest first, and most were late, as the planner can't predict
+   * later prompts.
    */
-  it('is given to no engine that reads a part for another prompt', () => {
+  it('is added to no engine that prefills a part of another prompt', () => {
     const loads = fleet(12);
     ['a', 'b', 'c', 'd'].forEach((name, i) => begin(loads, name, 150_000, i * 50));
     const helping = loads.map((each) => each.helpingCount(150));
     expect(Math.max(...helping)).to.equal(1);
   });
 
-  it('costs what the delayed ones lose, each once, however many engines delay it', () => {
+  it('costs the penalty of each delayed prompt once, however many engines delay it', () => {
     const delayed = new reading.Reading('a', 1_000, 3_000, 0);
     const delay = { prefill: delayed, sooner: 1_000 };
     const twice = outlook.delayPenalty([
@@ -142,23 +148,24 @@
   });
 
   /*
-   * A review that was half read came late, for one that could have waited: the newer one's parts went first on all of
-   * its engines. Begun when these have ended, the newer one is in time as well.
+   * Guards against a half prefilled prompt that becomes late, as a newer one which could have
+   * waited preempts it on all engines. Started after the first has ended, the newer one is in time
+   * as well.
    */
-  it('is begun later where that spoils less', () => {
+  it('is deferred where that has a lower penalty', () => {
     const loads = fleet(4);
     begin(loads, 'first', 250_000, 0);
-    const decide = (now: number, waitedMs: number): planner.Decision => {
+    const decideAt = (now: number, waitedMs: number): planner.Decision => {
       const prompt = { ...PROMPT, tokens: 100_000, waitedMs };
       return new planner.Planner(ENGINE).decide(prompt, loads, now, true);
     };
-    const sooner = decide(100, 0);
-    if (sooner.kind !== 'later') throw new Error(sooner.kind);
-    expect(sooner.inMs).to.be.within(1_500, 1_800);
-    expect(decide(1_900, 1_800).kind).to.equal('begin');
+    const first = decideAt(100, 0);
+    if (first.kind !== 'later') throw new Error(first.kind);
+    expect(first.inMs).to.be.within(1_500, 1_800);
+    expect(decideAt(1_900, 1_800).kind).to.equal('begin');
   });
 
-  it('is begun at once where waiting wins nothing', () => {
+  it('is started at once where a deferral has no benefit', () => {
     const prompt = { ...PROMPT, tokens: 100_000 };
     const decision = new planner.Planner(ENGINE).decide(prompt, fleet(4), 0, true);
     expect(decision.kind).to.equal('begin');
--- a/packages/domain/src/allocation/__tests__/soundness.test.ts
+++ b/packages/domain/src/allocation/__tests__/soundness.test.ts
@@ -1,11 +1,11 @@
-/** Targets that fail while their health is good. */
+/** Tests of targets that fail requests while they pass health checks. */
 import * as chai from 'chai';
 import * as soundness from '../soundness';
 
 const { expect } = chai;
 
-/** Times at which an idle target would get a request that fails in the same way. */
-function trials(ending: soundness.Ending, forMs: number): number[] {
+/** Times at which an idle target gets requests that all fail in the same way. */
+function canaryTimes(ending: soundness.Ending, forMs: number): number[] {
   const made = new soundness.Soundness();
   const times: number[] = [];
   for (let now = 0; now < forMs; now += 50) {
@@ -16,16 +16,18 @@
   return times;
 }
 
-describe('soundness', () => {
+describe('target health', () => {
   /*
-   * Every request would fail once before another target serves it. A target goes silent and is tried with all
-   * that comes, again and again, because each pause after a failure is as short as the first.
+   * Guards against a silent target that fails every request once, as each ejection is as short as
+   * the first.
    */
-  it('shuts a target that goes on failing out for longer each time, up to a bound', () => {
-    expect(trials('broken', 16_000)).to.deep.equal([0, 500, 1_500, 3_500, 7_500, 11_500, 15_500]);
+  it('ejects a target that keeps failing for longer each time, up to a bound', () => {
+    expect(canaryTimes('broken', 16_000)).to.deep.equal([
+      0, 500, 1_500, 3_500, 7_500, 11_500, 15_500,
+    ]);
   });
 
-  it('lets one request at a time try a target that failed, and all once it succeeded', () => {
+  it('sends one canary request at a time to a failed target, and all once it succeeds', () => {
     const made = new soundness.Soundness();
     made.ended('unreachable', 0);
     expect(made.isUsable(1_499, true)).to.equal(false);
@@ -34,7 +36,7 @@
     expect(made.isUsable(1_600, false)).to.equal(true);
   });
 
-  it('gives a target the benefit of the doubt after one broken answer, not after two', () => {
+  it('requires no canary request after one broken answer, but after two', () => {
     const made = new soundness.Soundness();
     made.ended('broken', 0);
     expect(made.isUsable(500, false)).to.equal(true);
@@ -42,13 +44,13 @@
     expect([made.isUsable(1_600, false), made.isUsable(1_600, true)]).to.deep.equal([false, true]);
   });
 
-  it('takes requests that fail together for one failure', () => {
+  it('counts concurrent failures as one', () => {
     const made = new soundness.Soundness();
     for (let i = 0; i < 8; i++) made.ended('broken', i);
     expect(made.isUsable(500, true)).to.equal(true);
   });
 
-  it('holds neither a full target nor a caller that left against a target for long', () => {
+  it('ejects a full target only briefly, and none whose caller left', () => {
     const made = new soundness.Soundness();
     made.ended('cancelled', 0);
     made.ended('full', 0);
@@ -56,18 +58,19 @@
   });
 
   /*
-   * Callers were refused while engines were free. Three engines refused two in five of their requests with good
-   * answers between, so none of them failed twice in a row for long, and both tries of a request went to them.
+   * Guards against refusals while engines are free: three engines refused two in five requests with
+   * successes in between, so none failed often in a row, and both attempts of a request went to
+   * them.
    */
-  it('tells a target that fails two in five from a good one', () => {
-    const grey = new soundness.Soundness();
-    const good = new soundness.Soundness();
+  it('distinguishes a target that fails two in five from a healthy one', () => {
+    const failing = new soundness.Soundness();
+    const healthy = new soundness.Soundness();
     for (let i = 0; i < 10; i++) {
-      grey.ended(i % 5 < 2 ? 'full' : 'done', 100 * i);
-      good.ended(i === 3 ? 'broken' : 'done', 100 * i);
+      failing.ended(i % 5 < 2 ? 'full' : 'done', 100 * i);
+      healthy.ended(i === 3 ? 'broken' : 'done', 100 * i);
     }
-    expect(grey.failureShare(1_000)).to.be.greaterThan(0.15);
-    expect(good.failureShare(1_000)).to.be.lessThan(0.06);
-    expect(grey.failureShare(20_000)).to.be.lessThan(0.01);
+    expect(failing.failureShare(1_000)).to.be.greaterThan(0.15);
+    expect(healthy.failureShare(1_000)).to.be.lessThan(0.06);
+    expect(failing.failureShare(20_000)).to.be.lessThan(0.01);
   });
 });
