--- a/packages/domain/src/placement/__tests__/placement.test.ts
+++ b/packages/domain/src/placement/__tests__/placement.test.ts
@@ -1,4 +1,7 @@
-/** Orders: fencing, targets that ignore it, the weight store's rate, and what is not ours. */
+/**
+ * Tests of orders: fencing, targets that ignore it, the rate of the weight store, and models of the
+ * older system.
+ */
 import * as chai from 'chai';
 import * as fastCheck from 'fast-check';
 import * as random from '../../shared/random';
@@ -49,9 +52,9 @@
 
 describe('issuer', () => {
   /*
-   * A model comes back that was taken out of service: a former leader's order arrived late at a target
-   * that ignores fencing numbers, after the new leader's. Random delays up to the stated one, and a
-   * former leader that sends until its lease ends.
+   * Guards against the return of a model that was taken out of service: a former leader's order
+   * arrives late, after the new leader's, at a target that ignores fencing numbers. Delays are
+   * random up to the stated limit, and the former leader sends until its lease ends.
    */
   it("leaves targets in the newest leader's state, fencing or not", () => {
     const delay = order.ORDER_DELAY_MS;
@@ -66,7 +69,7 @@
           repeatMs: 50,
         });
         const flying: { order: order.Order; arrives: number }[] = [];
-        const wish = (version: string): order.Difference[] => [
+        const wanted = (version: string): order.Difference[] => [
           { kind: 'load', target: 'e', model: loaded(version), urgency: 0 },
         ];
         const send = (orders: order.Order[], now: number): void => {
@@ -75,15 +78,15 @@
           });
         };
         for (let now = 0; now < 6_000; now += 50) {
-          // Deposed at 1,000, the former leader goes on until its lease ends.
+          // Deposed at 1,000, the former leader continues until its lease ends.
           if (now < 1_000 + lease)
             send(
-              former.issue(wish('old'), () => fencing, now),
+              former.issue(wanted('old'), () => fencing, now),
               now,
             );
           if (now >= 1_000)
             send(
-              next.issue(wish('new'), () => fencing, now),
+              next.issue(wanted('new'), () => fencing, now),
               now,
             );
         }
--- a/packages/domain/src/placement/order.ts
+++ b/packages/domain/src/placement/order.ts
@@ -1,8 +1,9 @@
 /**
- * Orders to targets: load a model, adapter and version, or unload it. Desired state follows from the
- * settings; an order is the difference to what a target reports. Orders carry (term, sequence); some
- * targets refuse old numbers, others ignore them, and for those time does the work: one issuer at a
- * time by its lease, an expiry on every order, and a wait after a change of issuer.
+ * Orders to targets: load a model, adapter and version, or unload it. The desired state follows
+ * from the settings; an order is the difference to what a target reports. Orders carry a fencing
+ * number (term, sequence). Some targets refuse old numbers; for those that ignore them, safety
+ * depends on time: a single issuer by its lease, an expiry on every order, and a wait after a
+ * change of issuer.
  */
 import * as document from '../settings/document';
 import * as target from '../target/target';
@@ -25,14 +26,17 @@
   return order.term < seen.term || (order.term === seen.term && order.sequence <= seen.sequence);
 }
 
-/** How long an order may travel, in milliseconds. */
+/** Longest time an order may be in transit, in milliseconds. */
 export const ORDER_DELAY_MS = 2_000;
 
 function sameModel(a: target.Loaded, b: target.Loaded): boolean {
   return a.base === b.base && a.adapter === b.adapter && a.version === b.version;
 }
 
-/** What this system ordered and may therefore unload again; everything else is the older system's. */
+/**
+ * Keys of the models that this system loaded and may therefore unload; all others belong to the
+ * older system.
+ */
 export type OwnedModels = ReadonlySet<string>;
 
 export function keyOf(name: string, model: target.Loaded): string {
@@ -43,13 +47,14 @@
   kind: 'load' | 'unload';
   target: string;
   model: target.Loaded;
-  /** Lower goes first: a model that nobody serves comes before one more copy. */
+  /** Lower goes first: a model that no target serves comes before a further copy. */
   urgency: number;
 }
 
 /**
- * The differences between wanted and reported. A new version is loaded wherever its base already
- * runs; an old version is unloaded only where the new one is up and only if this system loaded it.
+ * The differences between the desired and the reported state. A new version is loaded wherever its
+ * base already runs; an old version is unloaded only where its successor is loaded, and only if
+ * this system loaded it.
  */
 export function differences(
   wanted: readonly document.Model[],
@@ -72,7 +77,7 @@
   const unloads = engines.flatMap((engine) =>
     engine.models
       .filter((model) => owned.has(keyOf(engine.name, model)))
-      .filter((model) => !models.some((wish) => sameModel(wish, model)))
+      .filter((model) => !models.some((each) => sameModel(each, model)))
       .filter((model) => replacementIsUp(engine, model, models))
       .map((model): Difference => ({ kind: 'unload', target: engine.name, model, urgency: 2 })),
   );
@@ -91,15 +96,15 @@
 }
 
 export interface Options {
-  /** Loads that the weight store stands per second. */
+  /** Loads per second that the weight store sustains. */
   loadsPerSecond: number;
-  /** Between two orders of the same thing to the same target, in milliseconds. */
+  /** Interval between two identical orders to the same target, in milliseconds. */
   repeatMs: number;
 }
 
 export const DEFAULT_OPTIONS: Options = { loadsPerSecond: 2, repeatMs: 10_000 };
 
-/** Issues orders for one leader. A new leader makes a new issuer. */
+/** Issues orders for one leader. A new leader creates a new issuer. */
 export class Issuer {
   private sequence = 0;
 
@@ -112,7 +117,7 @@
   /**
    * @param term the leader's term
    * @param since when it became leader
-   * @param formerOrdersMs how long the former leader's lease and its orders may still be under way
+   * @param formerOrdersMs how long the former leader's lease and its orders may remain in effect
    */
   constructor(
     private readonly term: number,
@@ -134,8 +139,8 @@
     wanted.forEach((difference) => {
       const key = `${difference.kind}/${keyOf(difference.target, difference.model)}`;
       const wasIssuedRecently = now - (this.issuedAt.get(key) ?? -Infinity) < this.options.repeatMs;
-      // A target that ignores fencing numbers would carry out a late order of the former leader
-      // after ours, and end in its state. So nothing goes to it until no such order can be left.
+      // A target that ignores fencing numbers would apply a late order of the former leader after a
+      // new one and end in the former state. So it gets nothing until no such order can be left.
       const mayBeOvertaken =
         fencingOf(difference.target) === 'ignored' && now < this.since + this.formerOrdersMs;
       if (wasIssuedRecently || mayBeOvertaken || !this.takeLoadToken(difference)) return;
--- a/packages/domain/src/routing/__tests__/routing.test.ts
+++ b/packages/domain/src/routing/__tests__/routing.test.ts
@@ -1,4 +1,7 @@
-/** The dispatcher's rules: nothing lost or sent twice, fairness, reserve, beliefs, prefixes, subsets. */
+/**
+ * Tests of the dispatcher: no request is lost or sent twice, fairness, reserve, estimates, prefix
+ * index, cells.
+ */
 import * as chai from 'chai';
 import * as fastCheck from 'fast-check';
 import * as hashing from '../../shared/hashing';
@@ -61,14 +64,14 @@
     tokens: fastCheck.constantFrom(1_000, 6_000, 30_000, 200_000, 900_000),
   });
 
-  it('sends each request to one sound target at a time, and loses none', () => {
+  it('sends each request to one target with a closed circuit at a time, and loses none', () => {
     fastCheck.assert(
       fastCheck.property(fastCheck.array(STEP, { maxLength: 80 }), (steps) => {
         const choice = new policy.ElasticReserve(random.seeded(1));
         const tested = new dispatcher.Dispatcher('dc', hash, choice);
         const names = ['e1', 'e2', 'e3', 'e4', 'e5'];
         tested.setTargets(names.map((name) => engine(name)));
-        // The naive record: where each request is.
+        // The model: where each request is.
         const waiting = new Set<string>();
         const running = new Map<string, string>();
         const broken = new Set<string>();
@@ -118,10 +121,10 @@
   });
 
   /*
-   * A foreman's summary waits behind season-long bore logs: every engine had a long prompt under way
-   * when it came. The reserve keeps some clear.
+   * Guards against short requests that wait behind long prompts because every engine has one in
+   * progress. The reserve keeps some engines free.
    */
-  it('keeps a reserve clear of long prompts while short ones are in demand', () => {
+  it('keeps a reserve free of long prompts while there is short demand', () => {
     const choice = new policy.ElasticReserve(random.seeded(2));
     const tested = new dispatcher.Dispatcher('dc', hash, choice);
     tested.setTargets(Array.from({ length: 10 }, (_v, i) => engine(`e${i}`)));
@@ -175,7 +178,7 @@
     expect(served).to.deep.equal({ small: 100, large: 300 });
   });
 
-  /** Low priority must wait, but not for ever: after a while it ranks with the others. */
+  /** Guards against starvation: after a while a low priority request ranks with the others. */
   it('lets low priority pass after ageing', () => {
     const tested = new fairQueue.FairQueue(1_000);
     const item = { organisation: 'o', share: 1, tokens: 1 };
@@ -202,8 +205,8 @@
 
 describe('prefix index', () => {
   /*
-   * Events of an engine's cache come with gaps; a daemon that believes its index sends prompts to an
-   * engine that evicted them long ago.
+   * Guards against sending prompts to an engine that evicted their prefixes long ago, as cache
+   * events were lost.
    */
   it('distrusts a target after a gap until a listing', () => {
     const tested = new prefixIndex.PrefixIndex();
@@ -233,7 +236,7 @@
     expect(cells.every((each) => each.targets.length === 25)).to.equal(true);
   });
 
-  it('stay within a data centre and bounded at the size of the letter', async () => {
+  it('stay within a data centre and bounded in a fleet of 810 daemons and 2,400 targets', async () => {
     const hash = await hashing.load();
     const daemons = places(810, 'd');
     const targets = places(2_400, 't');
--- a/packages/domain/src/routing/band.ts
+++ b/packages/domain/src/routing/band.ts
@@ -1,8 +1,9 @@
 /**
- * Bands of prompt length, and the elastic reserve of targets that is kept clear of longer work. Short
- * requests must not wait behind long ones; a fixed partition would keep them apart, but leaves targets
- * idle on one side while the other queues. So only a reserve is fenced off, as large as short demand
- * needs and as the rest can spare, and short requests may use idle targets of the rest as well.
+ * Bands of prompt length, and the elastic reserve of targets that is kept free of longer work.
+ * Short requests must not wait behind long ones. A fixed partition would separate them but leave
+ * targets idle on one side while the other queues. So only a reserve is set aside, sized by short
+ * demand and by what the rest can spare, and short requests may use idle targets of the rest as
+ * well.
  */
 
 export type Band = 'short' | 'medium' | 'long';
@@ -24,15 +25,17 @@
 
 export type PerBand<T> = Record<Band, T>;
 
-/** Demand of each band in engine-milliseconds per millisecond: how many targets it keeps busy. */
+/**
+ * Demand of each band in engine-milliseconds per millisecond: the number of targets it keeps busy.
+ */
 export type Demand = PerBand<number>;
 
 export interface ReservePlan {
-  /** Targets in the reserve for each that short demand keeps busy, at least. */
+  /** Least number of targets in the reserve per target that short demand keeps busy. */
   shortHeadroom: number;
-  /** Targets left to longer work for each that it keeps busy; what is beyond joins the reserve. */
+  /** Targets left to longer work per target that it keeps busy; the others join the reserve. */
   otherHeadroom: number;
-  /** How far, in targets, the wish must be from the present size before the size changes. */
+  /** How far, in targets, the desired size must be from the current size before it changes. */
   hysteresis: number;
 }
 
@@ -43,8 +46,9 @@
 };
 
 /**
- * Size of the reserve among `count` targets, moving from `current` only where the wish is further away
- * than the hysteresis: a target that joins has to finish its longer work first, so flapping costs.
+ * Size of the reserve among `count` targets. It changes from `current` only where the desired size
+ * differs by more than the hysteresis: a target that joins has to finish its longer work first, so
+ * flapping is costly.
  */
 export function reserveSize(
   count: number,
--- a/packages/domain/src/routing/cell.ts
+++ b/packages/domain/src/routing/cell.ts
@@ -1,16 +1,17 @@
 /**
- * Which daemon places requests for whom. Daemons that place each for itself on second-old views of the
- * others collide: every seventh short request would meet another daemon's. So the targets
- * are split into cells, and in each cell one daemon, the allocator, places the requests of all; it knows
- * every dispatch exactly. Allocators are picked by rendezvous hashing, so there is nothing to elect, and
- * a daemon that can't reach its allocator places by itself until another takes over.
+ * Determines which daemon places requests for which others. Daemons that place independently on
+ * views of the others that are seconds old collide: every seventh short request met one of another
+ * daemon. So the targets are split into cells, and in each cell one daemon, the allocator, places
+ * all requests and knows every dispatch exactly. Rendezvous hashing picks the allocators, so no
+ * election is needed; a daemon that can't reach its allocator places by itself until another takes
+ * over.
  */
 import * as hashing from '../shared/hashing';
 
-/** Targets in a cell. All of today's 20 to 25 servers fit into one. */
+/** Targets per cell; a fleet of 20 to 25 servers fits into one. */
 export const CELL_TARGETS = 32;
 
-/** Fleets up to this many daemons share cells over all data centres. */
+/** Fleets of up to this many daemons share cells across all data centres. */
 export const SMALL_FLEET = 16;
 
 export interface Placed {
@@ -21,7 +22,7 @@
 export interface Cell {
   /** Names of the targets that the daemon uses. */
   targets: string[];
-  /** Id of the daemon that places. */
+  /** Id of the daemon that places its requests. */
   allocator: string;
 }
 
@@ -29,7 +30,7 @@
   return hash(`cell/${kind}/${name}`) % count;
 }
 
-/** The cell of the daemon `self`; `daemons` are the live ones, itself included or not. */
+/** The cell of the daemon `self`; `daemons` are the live ones, with or without itself. */
 export function cellOf(
   hash: hashing.Hash,
   self: Placed,
--- a/packages/domain/src/routing/cost.ts
+++ b/packages/domain/src/routing/cost.ts
@@ -1,23 +1,24 @@
 /**
- * What a prompt token costs in engine time, learned from answers. The users give no step times, and
- * attention makes long prompts dearer per token, so each band has a cost of its own. All targets of a
- * dispatcher share it, which learns twenty times as fast; a target's own factor covers unlike hardware.
+ * Engine time per prompt token, learned from answers. No step times are published, and attention
+ * makes tokens of long prompts more expensive, so each band has its own cost. All targets of a
+ * dispatcher share it, which makes it converge about twenty times as fast; a factor per target
+ * covers different hardware.
  */
 import * as band from './band';
 
-/** First guess, in milliseconds per token, until answers teach better. */
+/** Initial estimate, in milliseconds per token. */
 const INITIAL_MS: band.PerBand<number> = { short: 0.01, medium: 0.01, long: 0.015 };
 
 /** Weight of a new observation in the shared cost and in a target's factor. */
 const WEIGHT = { shared: 0.05, own: 0.05 };
 
-/** Observations outside this factor of the present belief are clipped to it. */
+/** Observations outside this factor of the current estimate are clipped to it. */
 const CLIP_FACTOR = 3;
 
-/** Fixed time of a request on an idle engine, in milliseconds: one step. */
+/** Fixed time of a request on an idle engine, in milliseconds: one engine step. */
 const BASE_MS = 12;
 
-/** Shorter prompts are mostly fixed time and teach nothing about tokens. */
+/** Shorter prompts are mostly fixed time and carry no information about the cost per token. */
 const MIN_TOKENS = 512;
 
 function clipped(value: number, around: number): number {
@@ -49,15 +50,18 @@
     return this.shared.of(inBand) * this.factor;
   }
 
-  /** Milliseconds of one prompt on the idle target. */
+  /** Milliseconds for one prompt on the idle target. */
   serviceMs(inBand: band.Band, tokens: number): number {
     return BASE_MS + tokens * this.perToken(inBand);
   }
 
-  /** A prompt took so long from dispatch to first token, of which `aheadMs` was expected waiting. */
+  /**
+   * Learns from a prompt that took `tookMs` from dispatch to first token, of which `aheadMs` was
+   * the expected wait.
+   */
   learn(inBand: band.Band, tokens: number, tookMs: number, aheadMs: number): void {
     const own = tookMs - BASE_MS;
-    // Waiting blurs the measurement, so only requests that hardly waited teach.
+    // Waiting distorts the measurement, so only requests that hardly waited count.
     if (own <= 0 || tokens < MIN_TOKENS || aheadMs > own / 3) return;
     const observed = (own - aheadMs / 2) / tokens;
     const ratio = clipped(observed / this.shared.of(inBand), 1);
--- a/packages/domain/src/routing/demandMeter.ts
+++ b/packages/domain/src/routing/demandMeter.ts
@@ -1,10 +1,13 @@
-/** Measures demand by band: how many targets the requests of the last half minute keep busy. */
+/**
+ * Measures demand by band: the number of targets that the requests of the last half minute keep
+ * busy.
+ */
 import * as band from './band';
 
 /** Time over which demand is averaged, in milliseconds. */
 const WINDOW_MS = 30_000;
 
-/** Shortest time that a rate is taken over, in milliseconds. */
+/** Shortest time over which a rate is computed, in milliseconds. */
 const MIN_AGE_MS = 1_000;
 
 export class DemandMeter {
@@ -14,7 +17,7 @@
 
   private firstAt: number | undefined;
 
-  /** A request came that keeps an engine busy for `ms`. */
+  /** Counts a request that keeps an engine busy for `ms`. */
   count(inBand: band.Band, ms: number, now: number): void {
     this.decay(now);
     this.firstAt ??= now;
@@ -24,7 +27,7 @@
   /** Engine-milliseconds per millisecond. */
   rate(now: number): band.Demand {
     this.decay(now);
-    // Since the first request less than the whole window may have passed.
+    // Less than the whole window may have passed since the first request.
     const age = Math.max(MIN_AGE_MS, now - (this.firstAt ?? now));
     const window = WINDOW_MS * (1 - Math.exp(-age / WINDOW_MS));
     const { short, medium, long } = this.sums;
--- a/packages/domain/src/routing/dispatcher.ts
+++ b/packages/domain/src/routing/dispatcher.ts
@@ -1,7 +1,7 @@
 /**
- * The queue of one daemon and its choice of targets. It keeps the beliefs about each target, sizes
- * the bands from demand, and lets a request go when the policy finds a place for it. Several daemons
- * run one each without a central scheduler; what they know of each other are `outstanding` summaries.
+ * The queue of one daemon and its choice of targets. It keeps an estimate of each target, sizes the
+ * bands from demand and releases a request when the policy finds a place for it. Several daemons
+ * run one each without a central scheduler; they exchange `outstanding` summaries.
  */
 import * as hashing from '../shared/hashing';
 import * as document from '../settings/document';
@@ -26,7 +26,7 @@
   answerTokens: number;
   prefixKeys: readonly number[];
   enqueuedAt: number;
-  /** Milliseconds; after it the request is of no use. */
+  /** Milliseconds; after it the request is useless. */
   deadline: number;
   /** Targets on which it was already tried. */
   excluded: ReadonlySet<string>;
@@ -38,20 +38,20 @@
   target: target.Target;
   band: band.Band;
   enginePriority: number;
-  /** The engine should refuse at once rather than queue it for lack of memory. */
+  /** The engine should refuse it at once rather than queue it for lack of memory. */
   needsRoom: boolean;
   predictedMs: number;
 }
 
-/** Why a request can't be queued. All of these are certain to be "not run". */
+/** Why a request can't be queued. Each reason implies that it was not run. */
 export type Refusal = 'queueFull' | 'deadlineInfeasible' | 'noTarget';
 
 export interface Options {
   thresholds: band.Thresholds;
   plan: band.ReservePlan;
-  /** Prompt tokens that may wait in this daemon. */
+  /** Most prompt tokens that may wait in this daemon. */
   queueTokens: number;
-  /** Requests that may wait in this daemon. */
+  /** Most requests that may wait in this daemon. */
   queueLength: number;
   /** Extra round trip to a target in another data centre, in milliseconds. */
   crossDataCentreMs: number;
@@ -65,12 +65,12 @@
   crossDataCentreMs: 1.5,
 };
 
-/** Between two looks at the sizes of the bands, in milliseconds. */
+/** Interval at which the bands are resized, in milliseconds. */
 const REPLAN_MS = 1_000;
 
 /**
- * Largest share of an engine's memory for one prompt; the rest of a longer one is held by others. It
- * leaves shorter requests some room on every engine.
+ * Largest fraction of an engine's memory for one prompt; other engines hold the rest of a longer
+ * one. Leaves room for shorter requests on every engine.
  */
 export const PRIMARY_SHARE = 0.8;
 
@@ -87,7 +87,7 @@
 interface Running {
   target: string;
   queued: QueuedRequest;
-  /** Its place in the fair queue, in case the target has no room. */
+  /** Its start tag in the fair queue, in case the target refuses it. */
   start: number;
 }
 
@@ -116,7 +116,9 @@
 
   private reservedTargets = new Set<string>();
 
-  /** Place of each target on the circle on which daemons take their preferences, from 0 to 1. */
+  /**
+   * Position of each target on the circle from which daemons derive their preferences, from 0 to 1.
+   */
   private preferencePositions = new Map<string, number>();
 
   private offset = 0;
@@ -130,7 +132,7 @@
     private readonly options: Options = DEFAULT_OPTIONS,
   ) {}
 
-  /** Sets the targets in use; leaving and gone ones must already be left out. */
+  /** Sets the targets in use, without draining and gone ones. */
   setTargets(targets: readonly target.Target[]): void {
     const names = new Set(targets.map(({ name }) => name));
     [...this.targets.keys()]
@@ -158,8 +160,8 @@
   }
 
   /**
-   * Where this daemon stands among the `count` live ones. Each prefers other targets, evenly spread:
-   * its own dispatches it knows exactly, those of the others only late.
+   * Sets the index of this daemon among the `count` live ones. Each prefers other targets, evenly
+   * spread: it knows its own dispatches exactly, and those of the others only with a delay.
    */
   setPosition(index: number, count: number): void {
     this.offset = count > 0 ? index / count : 0;
@@ -171,7 +173,7 @@
     else this.openCircuits.delete(name);
   }
 
-  /** Largest memory of any one target that serves the model. */
+  /** Largest memory of a single target that serves the model. */
   largestMemory(model: target.Loaded): number {
     const serving = [...this.targets.values()].filter(({ announced }) =>
       target.serves(announced, model),
@@ -179,7 +181,7 @@
     return Math.max(0, ...serving.map(({ announced }) => announced.memoryTokens));
   }
 
-  /** Memory believed free on a target, in tokens. */
+  /** Estimated free memory on a target, in tokens. */
   freeTokens(name: string, now: number): number {
     return this.targets.get(name)?.estimate.freeTokens(now) ?? 0;
   }
@@ -193,12 +195,12 @@
     return undefined;
   }
 
-  /** Takes a request out that waits no longer, because its caller went or its deadline came. */
+  /** Removes a waiting request whose caller left or whose deadline passed. */
   withdraw(id: string): boolean {
     return band.BANDS.some((each) => this.queues[each].remove(id) !== undefined);
   }
 
-  /** Requests whose deadline passed while they waited; they were certainly not run. */
+  /** Removes and returns waiting requests whose deadline passed; they were certainly not run. */
   expire(now: number): Request[] {
     const expired = band.BANDS.flatMap((each) => this.queues[each].items()).filter(
       ({ deadline }) => deadline <= now,
@@ -207,7 +209,7 @@
     return expired;
   }
 
-  /** Everything that may go now. */
+  /** Dispatches everything that the policy places now. */
   poll(now: number): Dispatch[] {
     this.replan(now);
     return band.BANDS.flatMap((each) => this.drain(each, now));
@@ -225,7 +227,7 @@
     this.targets.get(running.target)?.estimate.ended(id, now);
   }
 
-  /** The target had no room after all and ran nothing; the request waits again, in its old place. */
+  /** The target had no room and ran nothing; the request returns to its old place in the queue. */
   refused(id: string, report: estimate.Report, now: number): void {
     const running = this.running.get(id);
     if (running === undefined) return;
@@ -242,7 +244,7 @@
     this.targets.get(name)?.estimate.setPeersOutstanding(outstanding, now);
   }
 
-  /** Demand that other daemons see, so that all size the bands for the whole. */
+  /** Demand measured by the other daemons, so that all size the bands for the total. */
   setPeerDemand(demand: band.Demand): void {
     this.peerDemand = demand;
   }
@@ -277,14 +279,15 @@
     if (this.queueLength >= this.options.queueLength) return 'queueFull';
     if (this.serving(request).length === 0) return 'noTarget';
     const candidates = this.candidates(request);
-    // All circuits open: it waits for the next trial, as long as its deadline allows.
+    // All circuits are open: it waits for the next trial, as long as its deadline allows.
     if (candidates.length === 0) return undefined;
     const soonest = Math.min(
       ...candidates.map(({ estimate: targetEstimate }) =>
         targetEstimate.costs.serviceMs(inBand, request.promptTokens),
       ),
     );
-    // Half the targetEstimate, since it is a guess: refusing what could have been served is the worse error.
+    // Half the estimate, as it is uncertain: refusing a request that could have been served is the
+    // worse error.
     return now + soonest / 2 > request.deadline ? 'deadlineInfeasible' : undefined;
   }
 
@@ -292,7 +295,7 @@
     return [...this.targets.values()].filter(({ announced }) => target.serves(announced, model));
   }
 
-  /** Sound targets that were not tried yet; when all were, one that failed once is better than none. */
+  /** Targets with a closed circuit that were not tried yet; if all were, those that failed once. */
   private candidates(request: Request): policy.Candidate[] {
     const healthy = this.serving(request).filter(
       ({ announced }) => !this.openCircuits.has(announced.name),
@@ -332,7 +335,7 @@
   private place(waiting: QueuedRequest, now: number): Dispatch | undefined {
     const { id, promptTokens: tokens, answerTokens } = waiting;
     const largest = this.largestMemory(waiting.model);
-    // Longer than any one engine: the daemon gathers memory of others before it starts.
+    // For a prompt longer than any engine, the daemon reserves memory of others before it starts.
     const memoryTokens = Math.min(tokens + answerTokens, Math.floor(largest * PRIMARY_SHARE));
     const job = { id, band: waiting.band, tokens, memoryTokens };
     const placement = this.placer.place(job, this.candidates(waiting), now);
@@ -383,8 +386,8 @@
       this.reserveSize,
       this.options.plan,
     );
-    // All daemons rank the same names alike, so they agree on the reserve without asking, but for the
-    // targets next to its border while their views of demand differ.
+    // All daemons rank the names identically, so they agree on the reserve without communicating,
+    // except for targets near its boundary while their views of demand differ.
     const ranked = hashing.rendezvous(this.hash, 'reserve', names);
     const reserved = ranked.slice(0, this.reserveSize);
     const open = ranked.slice(this.reserveSize);
--- a/packages/domain/src/routing/estimate.ts
+++ b/packages/domain/src/routing/estimate.ts
@@ -1,13 +1,13 @@
 /**
- * What a daemon believes about the work and memory on one target. Load reports arrive late, several
- * daemons send work at the same time, and an older system uses the engines unseen, so the belief is
- * put together from three parts: own dispatches that have shown no token yet (exact), the peers'
- * summaries of theirs (a second old), and what a report held beyond both when it was made (unseen).
+ * Estimates the work and memory on one target. Load reports arrive late, several daemons dispatch
+ * at the same time, and an older system uses the engines invisibly. So the estimate has three
+ * parts: own dispatches without a first token yet (exact), the peers' summaries of theirs (a second
+ * old), and what a report contained beyond both when it was measured (unattributed).
  */
 import * as band from './band';
 import type * as cost from './cost';
 
-/** A dispatched request that has shown no token yet. */
+/** A dispatched request without a first token yet. */
 interface Pending {
   band: band.Band;
   tokens: number;
@@ -34,16 +34,16 @@
 
 export const NOTHING_OUTSTANDING: Outstanding = { short: 0, medium: 0, long: 0 };
 
-/** An unseen lump of more tokens than this counts as long work. */
+/** Unattributed work of more tokens than this counts as a long prompt. */
 const LONG_BACKLOG_TOKENS = 100_000;
 
-/** Prompt tokens that engines usually take into one step. */
+/** Prompt tokens that engines usually prefill per step. */
 const CHUNK_TOKENS = 3_072;
 
-/** Own totals kept to compare with reports. */
+/** Number of own totals kept for comparison with reports. */
 const HISTORY_LENGTH = 64;
 
-/** A report older than this says nothing about memory now; milliseconds. */
+/** A report older than this is ignored for memory; milliseconds. */
 const MAX_REPORT_AGE_MS = 3_000;
 
 interface Total {
@@ -54,7 +54,7 @@
 export class Estimate {
   private readonly pending = new Map<string, Pending>();
 
-  /** Memory of own requests, streaming ones included. */
+  /** Memory of own requests, including those that stream. */
   private readonly held = new Map<string, HeldMemory>();
 
   private peers: Outstanding = NOTHING_OUTSTANDING;
@@ -74,7 +74,7 @@
     private readonly memoryTokens: number,
   ) {}
 
-  /** Running requests of this daemon on the target, streaming ones included. */
+  /** Running requests of this daemon on the target, including those that stream. */
   get streams(): number {
     return this.held.size;
   }
@@ -88,7 +88,7 @@
     return sums;
   }
 
-  /** Whether this daemon or, as far as known, a peer has a long prompt under way there. */
+  /** Whether this daemon or, as far as known, a peer has a long prompt in progress there. */
   hasLong(): boolean {
     return this.peers.long > 0 || [...this.pending.values()].some((entry) => entry.band === 'long');
   }
@@ -97,7 +97,7 @@
     return this.pending.size;
   }
 
-  /** Memory believed free, in tokens: the last report less what was sent there since. */
+  /** Estimated free memory, in tokens: the last report less what was dispatched since. */
   freeTokens(now: number): number {
     const { report } = this;
     const isFresh = report !== undefined && now - report.measuredAt < MAX_REPORT_AGE_MS;
@@ -122,7 +122,7 @@
     this.recordTotal(now);
   }
 
-  /** The first token came: the prompt is done, and its time teaches the cost of a token. */
+  /** Records the first token: the prefill is done, and its duration updates the cost per token. */
   firstToken(id: string, now: number): void {
     const entry = this.pending.get(id);
     if (entry === undefined) return;
@@ -148,7 +148,7 @@
     const { short, medium, long } = this.peers;
     const known = this.ownTokensAt(report.measuredAt) + short + medium + long;
     this.unattributed = Math.max(0, report.queuedTokens - known);
-    // The engine has worked on it since the measurement, not only since the report's arrival.
+    // The engine has worked on it since the measurement, not only since the report arrived.
     this.unattributedAt = report.measuredAt;
   }
 
@@ -163,18 +163,19 @@
     return ms + this.unattributedMs(inBand, now);
   }
 
-  /** Known waiting work of one band alone, in milliseconds. */
+  /** Known waiting work of one band, in milliseconds. */
   knownMs(inBand: band.Band, now: number): number {
     const perToken = this.costs.perToken(inBand);
     const own = this.outstanding()[inBand] * perToken;
-    // What peers told drains as the engine works on it, one millisecond each millisecond at best.
+    // The peers' work drains as the engine processes it, by at most one millisecond per
+    // millisecond.
     const peers = this.peers[inBand] * perToken;
     return own + Math.max(0, peers - Math.max(0, now - this.peersAt));
   }
 
   /**
-   * Milliseconds until a step under way with a chunk of longer work ends, on average. Priorities act
-   * between steps, so this is what a request of `inBand` waits even when it goes first.
+   * Mean time until a step with a chunk of longer work ends, in milliseconds. Priorities act
+   * between steps, so a request of `inBand` waits this long even when it is first.
    */
   residualMs(inBand: band.Band, now: number): number {
     const longer = band.BANDS.slice(band.BANDS.indexOf(inBand) + 1).reverse();
@@ -186,8 +187,8 @@
   }
 
   /**
-   * Work that a report showed beyond what was known then. A lump longer than a medium prompt is most
-   * likely a peer's long prompt, which waits for shorter ones and not they for it.
+   * Work that a report contained beyond the known dispatches. More than a medium prompt is most
+   * likely a peer's long prompt, which waits for shorter ones and doesn't delay them.
    */
   private unattributedMs(inBand: band.Band, now: number): number {
     if (inBand !== 'long' && this.unattributed > LONG_BACKLOG_TOKENS) return 0;
--- a/packages/domain/src/routing/fairQueue.ts
+++ b/packages/domain/src/routing/fairQueue.ts
@@ -1,7 +1,7 @@
 /**
- * The waiting requests of one band: weighted fair queueing by tokens between organisations, after
- * start-time fair queueing (Goyal, Vin, Cheng, 1996), within classes of priority, with ageing so that
- * no class starves. Tokens and requests are bounded; what doesn't fit is refused at once.
+ * The waiting requests of one band: weighted fair queueing by tokens between organisations
+ * (start-time fair queueing; Goyal, Vin, Cheng, 1996) within priority classes, with ageing so that
+ * no class starves. The caller bounds tokens and requests and refuses what exceeds them.
  */
 import * as document from '../settings/document';
 
@@ -16,7 +16,7 @@
 
 const PRIORITY_CLASS: Record<document.Priority, number> = { high: 0, normal: 1, low: 2 };
 
-/** Waiting this long raises a request by one class. */
+/** Waiting this long raises a request by one priority class. */
 export const DEFAULT_AGEING_MS = 5_000;
 
 export interface Tagged<T extends Item> {
@@ -52,18 +52,18 @@
     this.waitingTokens += item.tokens;
   }
 
-  /** Puts back a request that a target refused, at the place in line that it had. */
+  /** Puts back a request that a target refused, at its previous place in the queue. */
   putBack(item: T, start: number): void {
     this.waiting.push({ item, start });
     this.waitingTokens += item.tokens;
   }
 
-  /** The request to serve next, left in place. */
+  /** The request to serve next, without removing it. */
   peek(now: number): T | undefined {
     return this.best(now)?.item;
   }
 
-  /** Takes out one request, normally the one that `peek` showed. */
+  /** Removes one request, normally the one that `peek` returned. */
   remove(id: string): Tagged<T> | undefined {
     const position = this.waiting.findIndex(({ item }) => item.id === id);
     if (position === -1) return undefined;
--- a/packages/domain/src/routing/policy.ts
+++ b/packages/domain/src/routing/policy.ts
@@ -1,7 +1,7 @@
 /**
- * The ways of placing a request on a target that were weighed against each other. All see the same
- * beliefs; they differ in which targets they consider, what they compare, and whether they hold a
- * request back until a target is nearly free. docs/decisions/0005 has the comparison.
+ * The placement policies that were compared. All use the same estimates; they differ in which
+ * targets they consider, what they compare, and whether they hold a request back until a target is
+ * nearly free. docs/decisions/0005 has the comparison.
  */
 import * as random from '../shared/random';
 import * as band from './band';
@@ -17,39 +17,39 @@
   memoryTokens: number;
 }
 
-/** A target that serves the job's model and isn't leaving, excluded or broken. */
+/** A target that serves the job's model and isn't draining, excluded or behind an open circuit. */
 export interface Candidate {
   name: string;
   estimate: estimate.Estimate;
-  /** Round trip beyond that to the own data centre, in milliseconds. */
+  /** Round trip beyond that within the own data centre, in milliseconds. */
   distanceMs: number;
-  /** Prompt tokens believed cached there. */
+  /** Prompt tokens estimated to be cached there. */
   cachedTokens: number;
-  /** In the reserve that is kept clear of longer work. */
+  /** In the reserve that is kept free of longer work. */
   reserved: boolean;
-  /** From 0, the daemon's own favourite, to 1. */
+  /** From 0, most preferred by this daemon, to 1. */
   preference: number;
   memoryTokens: number;
 }
 
 export interface Placement {
   target: string;
-  /** Priority told to the engine; lower is served first. */
+  /** Priority sent to the engine; lower is served first. */
   enginePriority: number;
-  /** The engine should refuse at once rather than queue it for lack of memory. */
+  /** The engine should refuse it at once rather than queue it for lack of memory. */
   needsRoom: boolean;
   predictedMs: number;
 }
 
 export interface Policy {
   readonly name: string;
-  /** Where to send the job now, or undefined to let it wait. */
+  /** Where to send the job now; undefined to let it wait. */
   place(job: Job, candidates: readonly Candidate[], now: number): Placement | undefined;
 }
 
 const ENGINE_PRIORITY: band.PerBand<number> = { short: 0, medium: 1, long: 2 };
 
-/** Same priority for all: what a policy sends that doesn't use the engine's own. */
+/** Priority sent by policies that don't use the engine's priorities. */
 const NEUTRAL_PRIORITY = 1;
 
 function fits(job: Job, candidate: Candidate): boolean {
@@ -78,7 +78,7 @@
   );
 }
 
-/** Naive: each target in turn. */
+/** Baseline: each target in turn. */
 export class RoundRobin implements Policy {
   readonly name = 'roundRobin';
 
@@ -94,7 +94,7 @@
   }
 }
 
-/** Naive: the target on which this daemon runs the fewest requests. */
+/** Baseline: the target on which this daemon runs the fewest requests. */
 export class LeastOutstanding implements Policy {
   readonly name = 'leastOutstanding';
 
@@ -111,7 +111,10 @@
   }
 }
 
-/** Naive: one queue in order of arrival; a target takes the next when it has few without a token. */
+/**
+ * Baseline: one queue in order of arrival; a target takes the next request while few of its
+ * requests lack a first token.
+ */
 export class SharedFifo implements Policy {
   readonly name = 'fifo';
 
@@ -131,7 +134,7 @@
   }
 }
 
-/** One shared pool; the engine's priorities alone keep short requests in front. */
+/** One shared pool; only the engine's priorities put short requests first. */
 export class EnginePriority implements Policy {
   readonly name = 'enginePriority';
 
@@ -145,7 +148,7 @@
   }
 }
 
-/** One shared pool with engine priorities, and at most one long prompt under way per target. */
+/** One shared pool with engine priorities and at most one long prompt in progress per target. */
 export class LongCap implements Policy {
   readonly name = 'longCap';
 
@@ -158,11 +161,11 @@
   }
 }
 
-/** How the elastic policy holds back. */
+/** When the elastic policy holds requests back. */
 export interface ElasticOptions {
-  /** Most predicted waiting on a target, in milliseconds, at which it still gets a request. */
+  /** Longest predicted wait on a target, in milliseconds, at which it still gets a request. */
   windowMs: band.PerBand<number>;
-  /** Cost put on the least preferred target, in milliseconds. */
+  /** Cost added to the least preferred target, in milliseconds. */
   preferenceMs: number;
 }
 
@@ -171,14 +174,15 @@
   preferenceMs: 10,
 };
 
-/** Predictions this close together, as a share and in milliseconds, count as equal. */
+/** Predictions within this fraction plus this many milliseconds count as equal. */
 const TIE = { share: 0.02, ms: 0.5 };
 
 /**
- * A reserve of targets is kept clear of medium and long prompts; the rest is shared by all, with engine
- * priorities. A request goes where its first token is predicted soonest, the step under way there
- * included. Longer ones wait in the daemon until a target is nearly free (late binding). Near ties are
- * broken at random, so that daemons with the same stale view don't all run to the same target.
+ * Keeps a reserve of targets free of medium and long prompts; all requests share the rest, with
+ * engine priorities. A request goes where its first token is predicted soonest, including the
+ * engine step in progress. Longer requests wait in the daemon until a target is nearly free (late
+ * binding). Near ties are broken randomly, so that daemons with the same stale view don't choose
+ * the same target.
  */
 export class ElasticReserve implements Policy {
   readonly name: string = 'elasticReserve';
@@ -201,7 +205,10 @@
     return { target: candidate.name, enginePriority, needsRoom: true, predictedMs };
   }
 
-  /** A long prompt waits for long ones only: shorter ones pass it on the engine all the time. */
+  /**
+   * A long prompt counts only the wait for other long ones, as shorter ones always overtake it on
+   * the engine.
+   */
   private isFull(inBand: band.Band, { estimate: targetEstimate }: Candidate, now: number): boolean {
     const waiting =
       inBand === 'long' ? targetEstimate.knownMs('long', now) : targetEstimate.aheadMs(inBand, now);
@@ -212,13 +219,13 @@
     const able = candidates.filter((candidate) => fits(job, candidate));
     if (job.band === 'short') return able;
     const open = able.filter(({ reserved }) => !reserved);
-    // With every other target gone, the reserve is better than nothing.
+    // If only the reserve is left, use it.
     return open.length > 0 ? open : able;
   }
 
   /**
-   * Those with memory for it now. An engine that lacks it would hold the request in its own queue,
-   * where no other engine that frees memory sooner can take it.
+   * Candidates with enough free memory. An engine without it would hold the request in its own
+   * queue, where no engine that frees memory sooner can take it.
    */
   private withRoom(job: Job, candidates: readonly Candidate[], now: number): readonly Candidate[] {
     const roomy = candidates.filter(
--- a/packages/domain/src/routing/prefixIndex.ts
+++ b/packages/domain/src/routing/prefixIndex.ts
@@ -1,16 +1,16 @@
 /**
- * An approximate index of which prompt prefixes each target has cached. Cache events come late and
- * with gaps; after a gap the index of that target is distrusted until a full listing arrives. Memory
- * is bounded per target, oldest keys first.
+ * An approximate index of the prompt prefixes that each target has cached. Cache events arrive late
+ * and with gaps; after a gap the index of that target is distrusted until a full listing arrives.
+ * Memory is bounded per target, oldest keys are dropped first.
  */
 
-/** Tokens in one cached block. A prompt's keys form a chain: each covers all blocks before it. */
+/** Tokens per cached block. The keys of a prompt form a chain: each covers all blocks before it. */
 export const BLOCK_TOKENS = 1_024;
 
 /** Keys kept per target. */
 export const KEYS_PER_TARGET = 2_048;
 
-/** Share of a claimed hit that is believed while the target is distrusted. */
+/** Fraction of a predicted hit that counts while the target is distrusted. */
 const UNTRUSTED_FACTOR = 0.5;
 
 export interface CacheEvent {
@@ -30,7 +30,7 @@
 export class PrefixIndex {
   private readonly targets = new Map<string, Cached>();
 
-  /** Believed cached tokens of a prompt on a target. */
+  /** Estimated cached tokens of a prompt on a target. */
   cachedTokens(target: string, keys: readonly number[]): number {
     const cached = this.targets.get(target);
     if (cached === undefined) return 0;
@@ -39,13 +39,13 @@
     return blocks * BLOCK_TOKENS * (cached.trusted ? 1 : UNTRUSTED_FACTOR);
   }
 
-  /** Own dispatch: its prompt will be cached there, before any event says so. */
+  /** Records that a dispatched prompt will be cached there, before any event reports it. */
   expectCached(target: string, keys: readonly number[]): void {
     const cached = this.of(target);
     keys.forEach((key) => this.add(cached, key));
   }
 
-  /** One event of the target; a gap asks for a listing. */
+  /** Applies one event of the target; after a gap the caller should request a listing. */
   event(target: string, event: CacheEvent): EventOrder {
     const cached = this.of(target);
     if (event.sequence <= cached.sequence) return 'old';
@@ -57,13 +57,13 @@
     return inOrder ? 'inOrder' : 'gap';
   }
 
-  /** A full listing as of `sequence`. */
+  /** Applies a full listing as of `sequence`. */
   resync(target: string, keys: readonly number[], sequence: number): void {
     const kept = new Set(keys.slice(-KEYS_PER_TARGET));
     this.targets.set(target, { keys: kept, sequence, trusted: true });
   }
 
-  /** The target restarted or went: nothing is cached there. */
+  /** The target restarted or is gone: nothing is cached there. */
   forget(target: string): void {
     this.targets.delete(target);
   }
