--- a/packages/domain/src/backOff/__tests__/backOffs.test.ts
+++ b/packages/domain/src/backOff/__tests__/backOffs.test.ts
@@ -1,4 +1,4 @@
-/** Targets that ask to be left alone, in virtual time. */
+/** Tests of targets that request a back-off, in virtual time. */
 import * as chai from 'chai';
 import * as fc from 'fast-check';
 import * as backOffs from '../backOffs';
@@ -7,7 +7,7 @@
 
 const TARGET = 't';
 
-/** Of what a sender sends within half a second, some may be under way when the target asks. */
+/** Messages sent within half a second may be in flight when the target requests a back-off. */
 const GRACE_MS = 500;
 
 describe('back-offs', () => {
@@ -17,8 +17,11 @@
     known = new backOffs.BackOffs();
   });
 
-  /** Guards against a shorter time that ends a longer one, and against one that takes a target out of use for good. */
-  it('keep to the longest time, up to a bound', () => {
+  /**
+   * Guards against a shorter back-off that ends a longer one, and against one that takes a target
+   * out of use for good.
+   */
+  it('last for the longest requested time, up to a bound', () => {
     known.ask(TARGET, 3_000, 0);
     known.ask(TARGET, 100, 1_000);
     known.ask(TARGET, 0, 1_500);
@@ -31,8 +34,10 @@
     expect(known.waitMs(TARGET, 3_000)).to.equal(backOffs.MAX_BACK_OFF_MS);
   });
 
-  /** Guards against a target that is only presumed gone, and asks in vain once it is back. */
-  it('outlast the end of a target until their time is over', () => {
+  /**
+   * Guards against a target that is only presumed gone and whose back-off is lost when it returns.
+   */
+  it('outlast the target until their time is over', () => {
     known.ask(TARGET, 3_000, 0);
     known.forget(TARGET, 1_000);
     expect(known.takesRequest(TARGET, 1_000)).to.equal(false);
@@ -41,8 +46,11 @@
     expect(known.size).to.equal(0);
   });
 
-  /** Guards against a crowd that waits for the end of the time and arrives in its first millisecond. */
-  it('let few requests pass after the time, twice as many with each answer', () => {
+  /**
+   * Guards against a thundering herd: requests that wait for the end of the back-off and are all
+   * sent in its first millisecond.
+   */
+  it('admit few requests after the time, twice as many with each answer', () => {
     known.ask(TARGET, 1_000, 0);
     const passed: number[] = [];
     while (known.size > 0) {
@@ -55,8 +63,11 @@
     expect(passed).to.deep.equal([1, 2, 4, 8]);
   });
 
-  /** Guards against more than two messages in the time that a target asked for, whatever was sent, answered or lost before. */
-  it('let no more than two messages pass, in any order of answers and losses', () => {
+  /**
+   * Guards against more than two messages during a back-off, whatever was sent, answered or lost
+   * before.
+   */
+  it('admit no more than two messages, in any order of answers and losses', () => {
     const step = fc.record({
       kind: fc.constantFrom('request', 'upkeep', 'answer', 'lose', 'ask'),
       waitMs: fc.integer({ min: 0, max: 400 }),
--- a/packages/domain/src/backOff/backOffs.ts
+++ b/packages/domain/src/backOff/backOffs.ts
@@ -1,35 +1,40 @@
 /**
- * Targets that turned a message of this VM away and asked it to back off. Until the time is over they get nothing but what keeps alive
- * the requests that they have. After it they get few requests at first, twice as many with each answer: all that waited for the
- * moment would only be turned away again.
+ * Targets that rejected a message of this VM and asked it to back off. Until the time is over they
+ * get only the messages that keep their running requests alive. After that they get few requests at
+ * first, twice as many with each answer: all requests that waited for that moment would only be
+ * rejected again.
  *
- * What starts at a target's address under another id begins without. One that starts again under its id doesn't: its sender may hear of
- * the start after the answer, and couldn't tell which lifetime gave it.
+ * A target that starts under another id at the same address begins without a back-off. One that
+ * restarts under its id keeps it: the sender may learn of the restart after the answer and couldn't
+ * tell which lifetime sent it.
  */
 
-/** Longest time that is kept to, milliseconds: one that is meant for good, or mistaken, must not take a target out of use for good. */
+/**
+ * Longest back-off that is honoured, milliseconds: one that is permanent or mistaken must not take
+ * a target out of use for good.
+ */
 export const MAX_BACK_OFF_MS = 600_000;
 
-/** Messages about requests that run already which a target gets while it wants nothing. */
+/** Messages about running requests that a target gets during its back-off. */
 const MAX_UPKEEP_MESSAGES = 2;
 
-/** So many answers after the time show that a target takes requests like any other. */
+/** After this many answers a target gets requests like any other. */
 const ANSWERS_TO_RECOVER = 4;
 
 interface BackOff {
   until: number;
-  /** Messages about running requests that were sent since it began. */
+  /** Messages about running requests that were sent during it. */
   upkeep: number;
-  /** Requests sent after it ended whose answers are still to come, and the answers so far. */
+  /** Requests sent after it ended that are in flight, and answers since. */
   inFlight: number;
   answers: number;
 }
 
-/** A message under way to a target; knows what it counts against. */
+/** A message in flight to a target; knows which back-off it counts for. */
 export interface Passage {
-  /** An answer came that asks for nothing. */
+  /** An answer arrived that requests no back-off. */
   answered: () => void;
-  /** It is over, with or without an answer. */
+  /** The message has ended, with or without an answer. */
   ended: () => void;
 }
 
@@ -42,12 +47,17 @@
     return this.backOffs.size;
   }
 
-  /** Ids of targets that have asked, also those whose time is over and that haven't answered often enough since. */
+  /**
+   * Ids of targets with a back-off, including those whose time is over but that haven't answered
+   * often enough since.
+   */
   get targets(): string[] {
     return [...this.backOffs.keys()];
   }
 
-  /** A target asks; how long it is left alone from now on comes back, milliseconds. */
+  /**
+   * A target requests a back-off; returns for how long it is honoured from now on, milliseconds.
+   */
   ask(target: string, forMs: number, now: number): number {
     const known = this.backOffs.get(target);
     const until = Math.max(known?.until ?? now, now + Math.min(forMs, MAX_BACK_OFF_MS));
@@ -57,25 +67,28 @@
     return until - now;
   }
 
-  /** Whether a target takes a request from this VM now. */
+  /** Whether a target may get a request from this VM now. */
   takesRequest(target: string, now: number): boolean {
     const known = this.backOffs.get(target);
     if (known === undefined) return true;
     return now >= known.until && known.inFlight < 2 ** known.answers;
   }
 
-  /** Whether it takes a message about a request that it has. */
+  /** Whether it may get a message about one of its running requests. */
   takesUpkeep(target: string, now: number): boolean {
     const known = this.backOffs.get(target);
     return known === undefined || now >= known.until || known.upkeep < MAX_UPKEEP_MESSAGES;
   }
 
-  /** How long a target still wants nothing, milliseconds; 0 where it may get a request, also if others are tried first. */
+  /**
+   * Remaining time of a target's back-off, milliseconds; 0 where it may get a request, even if
+   * others are preferred.
+   */
   waitMs(target: string, now: number): number {
     return Math.max(0, (this.backOffs.get(target)?.until ?? now) - now);
   }
 
-  /** A message is sent to a target. */
+  /** Counts a message that is sent to a target. */
   sent(target: string, now: number): Passage {
     const known = this.backOffs.get(target);
     if (known === undefined) return UNCOUNTED;
@@ -92,7 +105,10 @@
     };
   }
 
-  /** A target is gone; one that is only presumed to be may come back before its time is over. */
+  /**
+   * A target is gone; the back-off remains until its time is over, as a target that is only
+   * presumed gone may return.
+   */
   forget(target: string, now: number): void {
     if (this.waitMs(target, now) === 0) this.backOffs.delete(target);
   }
--- a/packages/domain/src/rateLimits/__tests__/rateLimits.test.ts
+++ b/packages/domain/src/rateLimits/__tests__/rateLimits.test.ts
@@ -1,4 +1,7 @@
-/** Limits that targets name for the whole fleet, and who gives them out. */
+/**
+ * Tests of the rate limits that targets announce for the whole fleet, and of the processes that
+ * hand them out.
+ */
 import * as chai from 'chai';
 import * as fc from 'fast-check';
 import * as rateLimits from '../rateLimits';
@@ -14,7 +17,7 @@
   return made;
 }
 
-/** Takes what it can, every 10 ms; the times come back. */
+/** Takes a token whenever possible, every 10 ms; returns the times. */
 function takeAll(limits: rateLimits.RateLimits, from: number, to: number): number[] {
   const taken: number[] = [];
   for (let now = from; now < to; now += 10) {
@@ -27,49 +30,52 @@
 }
 
 describe('rate limits', () => {
-  it('give out so many a second, beginning with none', () => {
+  it('admit the given requests per second, starting with none', () => {
     expect(takeAll(limited(2), 0, 2_000)).to.deep.equal([500, 1_000, 1_500]);
   });
 
-  it('let anything pass where no limit is known', () => {
+  it('admit everything where no limit is known', () => {
     const limits = new rateLimits.RateLimits();
     expect([limits.mayTake(PLACE, 0), limits.mayCheck(PLACE, 0)]).to.deep.equal([true, true]);
     expect(limits.waitMs([PLACE], 5, 0)).to.equal(0);
   });
 
-  /** Guards against a target that takes none for good, as nobody asks it any more. */
-  it('try a target that takes none now and then', () => {
+  /** Guards against a target that accepts no requests and is never tried again. */
+  it('send a canary request now and then to a target that accepts none', () => {
     expect(takeAll(limited(0), 0, 25_000)).to.deep.equal([10_000, 20_000]);
   });
 
-  /** Guards against a target that comes back in need under another id and gets all at once. */
-  it('hold for whoever listens at the place next, and for that service only', () => {
+  /**
+   * Guards against an overloaded target that restarts under another id and gets all requests at
+   * once.
+   */
+  it('apply to the next target at the address, and to that service only', () => {
     const limits = limited(1);
     expect(limits.at({ ...PLACE })).to.equal(1);
     expect(limits.at({ ...PLACE, service: 'other' })).to.equal(undefined);
   });
 
-  it('end when the target names none any more', () => {
+  it('end when the target announces none any more', () => {
     const limits = limited(1);
     expect(limits.set({ ...PLACE, perSecond: undefined }, 10)).to.equal(true);
     expect(limits.mayTake(PLACE, 11)).to.equal(true);
   });
 
-  it('are forgotten some time after the last target left the place', () => {
+  it('are removed some time after the last target left the address', () => {
     const limits = limited(1);
     limits.forget(() => true, 50_000);
     expect(limits.forget(() => false, 100_000)).to.deep.equal([]);
     expect(limits.forget(() => false, 120_000)).to.deep.equal([{ ...PLACE, perSecond: undefined }]);
   });
 
-  it('count what was sent without asking as owed', () => {
+  it('count unconditional messages as debt', () => {
     const limits = limited(1);
     limits.take(PLACE, 2, 1_000);
     expect(limits.waitMs([PLACE], 0, 1_000)).to.equal(2_000);
     expect(limits.waitMs([PLACE], 3, 1_000)).to.equal(5_000);
   });
 
-  it('leave one more for a check whether the target lives', () => {
+  it('leave one more token for a liveness probe', () => {
     const limits = limited(1);
     limits.take(PLACE, 1, 1_000);
     expect([limits.mayTake(PLACE, 1_000), limits.mayCheck(PLACE, 1_000)]).to.deep.equal([
@@ -80,15 +86,15 @@
     expect(limits.mayCheck(PLACE, 1_000)).to.equal(false);
   });
 
-  it('say that nobody knows when, while nothing is given out here', () => {
+  it('report an infinite wait where this process hands out nothing', () => {
     expect(limited(1, 0).waitMs([PLACE], 0, 60_000)).to.equal(Infinity);
   });
 
   /*
-   * Guards against more than the limit when leaders and entries take over from each other: each begins with nothing, so the sum of all
-   * who give out in turn stays that of one.
+   * Guards against exceeding the limit when leaders and entries take over from each other: each
+   * begins with an empty bucket, so the total of consecutive processes stays that of one.
    */
-  it('hold whoever gives them out, in whatever order they take over', () => {
+  it('hold across processes, in whatever order they take over', () => {
     const windowMs = 4_000;
     const handovers = fc.array(fc.tuple(fc.integer({ min: 10, max: 3_000 }), fc.nat(3)), {
       minLength: 1,
--- a/packages/domain/src/rateLimits/rateLimits.ts
+++ b/packages/domain/src/rateLimits/rateLimits.ts
@@ -1,54 +1,61 @@
 /**
- * Limits that targets in need name: how many requests a second each takes from the whole fleet. One process at a time gives out all of
- * a limit, the leader; while nobody leads, each entry gives out its own part. Whoever begins does so with nothing: what its
- * predecessor gave out isn't known, and together they stay within the limit.
+ * Rate limits that targets announce: how many requests per second each accepts from the whole
+ * fleet. One process at a time, the leader, hands out all of a limit; without a leader each entry
+ * hands out its own share. A process begins with an empty bucket, as it doesn't know what its
+ * predecessor handed out and both together must stay within the limit.
  *
- * A limit belongs to the place where a target listens. A target that starts again there, under whatever id, is in need until an answer
- * of its own shows otherwise.
+ * A limit belongs to the address at which a target listens. A target that restarts there, under
+ * whatever id, is limited until an answer of its own shows otherwise.
  */
 import * as tokenBucket from './tokenBucket';
 
-/** Where a target listens. */
+/** The service and address at which a target listens. */
 export interface Place {
   service: string;
   /** HOST:PORT. */
   address: string;
 }
 
-/** The limit at a place, requests a second; undefined where it ended. */
+/** The limit at an address, requests per second; undefined where it ended. */
 export interface RateLimit extends Place {
   perSecond: number | undefined;
 }
 
-/** Seconds between two requests to a target that takes none: without any, nobody would learn that it takes some again. */
+/**
+ * Seconds between two canary requests to a target that accepts none: without any, its recovery
+ * would go unnoticed.
+ */
 const CANARY_INTERVAL_SECONDS = 10;
 
-/** A limit is forgotten when no target has listened at its place for so long, milliseconds. */
+/** How long a limit is kept after a target last listened at its address, milliseconds. */
 const RETENTION_MS = 60_000;
 
-/** Checks whether a target lives may be owed one token more than requests: otherwise a busy target could never be checked. */
+/**
+ * Liveness probes may owe one token more than requests; otherwise a busy target could never be
+ * probed.
+ */
 const PROBE_DEBT_TOKENS = 1;
 
 interface Limited extends Place {
   perSecond: number;
   bucket: tokenBucket.TokenBucket;
-  /** Since when this limit is known here. */
+  /** When this process learned of the limit. */
   knownAt: number;
-  /** When a target was last seen at the place. */
+  /** When a target last listened at the address. */
   servedAt: number;
 }
 
 export class RateLimits {
   private readonly limited = new Map<string, Limited>();
 
-  /** Part of each limit that is given out here. */
+  /** Share of each limit that this process hands out. */
   private share = 0;
 
   get size(): number {
     return this.limited.size;
   }
 
-  /** Gives out so much of each limit from now on, beginning with nothing. */
+  /** Hands out this share of each limit from now on, starting with empty buckets. */
   giveOut(share: number, now: number): void {
     if (share === this.share) return;
     this.share = share;
@@ -58,17 +65,17 @@
     });
   }
 
-  /** The limit at a place as it is known; undefined where there is none. */
+  /** The known limit at an address; undefined where there is none. */
   at(place: Place): number | undefined {
     return this.find(place)?.perSecond;
   }
 
-  /** Since when a limit is known at a place; undefined where there is none. */
+  /** When the limit at an address became known; undefined where there is none. */
   knownSince(place: Place): number | undefined {
     return this.find(place)?.knownAt;
   }
 
-  /** Takes a limit, or its end; whether anything changed. */
+  /** Sets or ends a limit; returns whether anything changed. */
   set({ service, address, perSecond }: RateLimit, now: number): boolean {
     const key = keyOf({ service, address });
     const known = this.limited.get(key);
@@ -85,7 +92,7 @@
     return true;
   }
 
-  /** Takes all limits that are known elsewhere in place of those that are known here; whether anything changed. */
+  /** Replaces the known limits by those of another process; returns whether anything changed. */
   setAll(limits: readonly RateLimit[], now: number): boolean {
     const kept = new Set(limits.map(keyOf));
     const ended = this.all()
@@ -104,31 +111,31 @@
     return this.find(place) !== undefined;
   }
 
-  /** Whether a request may be sent to a place now. */
+  /** Whether a request may be sent to an address now. */
   mayTake(place: Place, now: number): boolean {
     return this.find(place)?.bucket.isReady(now) !== false;
   }
 
-  /** Whether a target may be asked now whether it lives. */
+  /** Whether a liveness probe may be sent to an address now. */
   mayCheck(place: Place, now: number): boolean {
     const known = this.find(place);
     if (known === undefined) return true;
     return this.share > 0 && known.bucket.levelAt(now) >= 1 - PROBE_DEBT_TOKENS;
   }
 
-  /** Messages that a place takes at once; infinite where there is no limit. */
+  /** Messages that may be sent to an address at once; infinite where there is no limit. */
   room(place: Place, now: number): number {
     return this.find(place)?.bucket.levelAt(now) ?? Infinity;
   }
 
-  /** Counts messages that were sent, or will be. */
+  /** Counts messages that were sent or will be. */
   take(place: Place, count: number, now: number): void {
     this.find(place)?.bucket.take(count, now);
   }
 
   /**
-   * Until one of some places takes a request, milliseconds, with so many requests before it; 0 where one of them has no limit, infinite
-   * where nothing is given out here.
+   * Milliseconds until one of the addresses accepts a request with `ahead` requests queued before
+   * it; 0 where one of them has no limit, infinite where this process hands out nothing.
    */
   waitMs(places: readonly Place[], ahead: number, now: number): number {
     const limited = places.flatMap((place) => this.find(place) ?? []);
@@ -140,7 +147,7 @@
     return Math.max(0, Math.min(...waits) + ahead / perSecond) * 1_000;
   }
 
-  /** Forgets limits of places where no target listens any more; those come back. */
+  /** Removes and returns the limits of addresses at which no target listens any more. */
   forget(isServed: (place: Place) => boolean, now: number): RateLimit[] {
     this.limited.forEach((each) => {
       if (isServed(each)) each.servedAt = now;
@@ -164,7 +171,7 @@
   }
 }
 
-/** One text for each place. */
+/** A unique string per address. */
 export function keyOf({ service, address }: Place): string {
   return `${service} ${address}`;
 }
--- a/packages/domain/src/rateLimits/tokenBucket.ts
+++ b/packages/domain/src/rateLimits/tokenBucket.ts
@@ -1,15 +1,18 @@
 /**
- * A token bucket that starts empty. It may fall into debt, as some messages can't wait: those that end or renew what a
- * request began.
+ * A token bucket that starts empty. It may go into debt, as messages that end or renew what a
+ * request began can't wait.
  */
 
 /** Seconds of the rate that may be used in one burst. */
 const BURST_SECONDS = 0.5;
 
-/** A request costs one token, so fewer would never let one pass. */
+/** A request costs one token; a smaller capacity would never admit one. */
 const MIN_CAPACITY = 1;
 
-/** Seconds of the rate that may be owed at most; what was sent longer ago counts no more. */
+/**
+ * Longest debt in seconds of the rate, and the debt in tokens that is always allowed; older
+ * messages no longer count.
+ */
 const MAX_DEBT_SECONDS = 4;
 const MIN_DEBT_LIMIT = 4;
 
@@ -26,7 +29,7 @@
     return this.levelAt(now) >= 1;
   }
 
-  /** Tokens that are there, negative while some are owed. */
+  /** Available tokens, negative while in debt. */
   levelAt(now: number): number {
     const gained = (Math.max(0, now - this.filledAt) / 1_000) * this.perSecond;
     return Math.min(this.capacity, this.tokens + gained);
@@ -38,7 +41,7 @@
     this.filledAt = now;
   }
 
-  /** Another rate from now on; what was gained by the old one is kept. */
+  /** Changes the rate; tokens gained by the old one are kept. */
   setRate(perSecond: number, now: number): void {
     this.tokens = this.levelAt(now);
     this.filledAt = now;
--- a/packages/domain/src/request/__tests__/request.test.ts
+++ b/packages/domain/src/request/__tests__/request.test.ts
@@ -1,4 +1,4 @@
-/** Outcomes, retries, limits over many daemons, and the check of streams. */
+/** Tests of outcomes, retries, shared limits and the validation of streams. */
 import * as chai from 'chai';
 import * as fastCheck from 'fast-check';
 import * as random from '../../shared/random';
@@ -19,24 +19,24 @@
 
 describe('outcome', () => {
   /*
-   * A clerk is told that a parts hold was not run, sends it again, and it goes out twice. "Not run"
-   * may be said only if no attempt can have reached the service.
+   * Guards against a call that runs twice because the caller, told that it was not run, sends it
+   * again. "Not run" may be reported only if no attempt can have reached the service.
    */
   it('says "not run" only when every attempt proves it', () => {
-    const told = PROGRESS.map((progress) => [
+    const outcomes = PROGRESS.map((progress) => [
       progress,
       outcome.outcomeOf([attempt(progress)], true),
       outcome.outcomeOf([attempt(progress)], false),
       outcome.outcomeOf([attempt('notSent'), attempt(progress)], false),
     ]);
-    expect(told).toMatchSnapshot();
+    expect(outcomes).toMatchSnapshot();
   });
 });
 
 describe('retry', () => {
-  it('never repeats what may have run and may not be repeated, nor past the deadline', () => {
+  it('never retries a request that may have run and is not repeatable, nor past the deadline', () => {
     const source = random.seeded(1);
-    const wish = fastCheck.record({
+    const failure = fastCheck.record({
       progress: fastCheck.constantFrom(...PROGRESS),
       repeatable: fastCheck.boolean(),
       left: fastCheck.integer({ min: -10, max: 3_000 }),
@@ -44,7 +44,7 @@
       count: fastCheck.integer({ min: 1, max: 6 }),
     });
     fastCheck.assert(
-      fastCheck.property(wish, ({ progress, repeatable, left, after, count }) => {
+      fastCheck.property(failure, ({ progress, repeatable, left, after, count }) => {
         const attempts = Array.from({ length: count }, () => attempt(progress));
         const budget = new retry.Budget();
         const decision = retry.decide(attempts, repeatable, left, after, budget, source);
@@ -57,10 +57,10 @@
   });
 
   /*
-   * All engines are down for a while and callers see errors for minutes after: each request was tried
-   * four times, so the outage was followed by four times the load. The budget bounds the retries.
+   * Guards against a retry storm: four attempts per request multiplied the load after an outage by
+   * four, and errors continued for minutes.
    */
-  it('bounds retries in an outage to a share of first attempts', () => {
+  it('bounds retries in an outage to a fraction of first attempts', () => {
     const budget = new retry.Budget();
     let spent = 0;
     for (let i = 0; i < 1_000; i++) {
@@ -74,10 +74,10 @@
 
 describe('a request whose targets are lost', () => {
   /*
-   * Six engines ended under one prompt within a second. It crashed each that began to run it, and the attempts that cover a
-   * long outage were all spent on it.
+   * Guards against a request that crashes every engine it runs on: six engines crashed within a
+   * second, as the number of attempts is meant for long outages.
    */
-  it('gets no fourth', () => {
+  it('is not sent to a fourth target', () => {
     const source = random.seeded(1);
     const kinds = [1, 2, 3].map((count) => {
       const attempts = Array.from({ length: count }, () => attempt('answering'));
@@ -88,7 +88,7 @@
 });
 
 describe('circuit', () => {
-  it('opens by the share of failures, and closes after one good trial', () => {
+  it('opens by the failure share, and closes after one successful trial', () => {
     const tested = new circuit.Circuit();
     const seen: string[] = [];
     const note = (): number => seen.push(tested.state);
@@ -111,16 +111,16 @@
 });
 
 describe('shared limit', () => {
-  /** The naive limit: one bucket that sees every request. */
-  function naive(rate: number, seconds: number): number {
+  /** Reference: a single bucket that sees every request. */
+  function singleBucket(rate: number, seconds: number): number {
     return rate * (seconds + 2);
   }
 
   /*
-   * An organisation with a limit reaches eight daemons through the balancer and gets eight times its
-   * limit, and the others' fitters wait behind it.
+   * Guards against an organisation that gets eight times its limit by reaching eight daemons
+   * through the load balancer, so that others wait.
    */
-  it('lets through no more than one bucket would, whatever daemons the demand comes to', () => {
+  it('admits no more than one bucket would, however the demand is spread over daemons', () => {
     const shares = fastCheck.array(fastCheck.integer({ min: 0, max: 20 }), {
       minLength: 8,
       maxLength: 8,
@@ -145,7 +145,7 @@
           limits.forEach((each, i) => each.rebalance(rate, all - rates[i], 8, now));
         }
         // Demand that moves between daemons may use each one's burst, as stated in CONFIGURATION.
-        expect(admitted).to.be.at.most(naive(rate, 20) * 1.1);
+        expect(admitted).to.be.at.most(singleBucket(rate, 20) * 1.1);
         const asked = weights.reduce((sum, each) => sum + each, 0) * 500 * 0.1 * 20;
         if (asked > rate * 2) expect(admitted).to.be.at.least(rate * 20 * 0.7);
       }),
@@ -162,8 +162,8 @@
   });
 
   /*
-   * A foreman reads a stranger's text, or half of his own as if it were whole: frames of another
-   * request came on a reused connection, or frames were lost on the way.
+   * Guards against passing on another request's text from a reused connection, or an incomplete
+   * answer as complete after lost frames.
    */
   it('passes on exactly the next frames of its own request', () => {
     fastCheck.assert(
--- a/packages/domain/src/request/__tests__/streamsAndBudget.test.ts
+++ b/packages/domain/src/request/__tests__/streamsAndBudget.test.ts
@@ -1,4 +1,4 @@
-/** Cutting streams at events, and one entry's part of the budget for repeats. */
+/** Tests of splitting streams at events and of one entry's share of the repeat budget. */
 import * as chai from 'chai';
 import * as fc from 'fast-check';
 import * as eventSplitter from '../eventSplitter';
@@ -10,10 +10,10 @@
 
 describe('event splitter', () => {
   /*
-   * A caller would read the beginning of an event twice. A target breaks off in the middle of one, and the
-   * stream goes on at another target after the last whole event.
+   * Guards against an event whose beginning is passed on twice: a target breaks off within an
+   * event, and the stream continues at another target after the last whole one.
    */
-  it('passes on only whole events, however the bytes are cut', () => {
+  it('passes on only whole events, however the bytes are split', () => {
     fc.assert(
       fc.property(fc.array(fc.integer({ min: 1, max: 9 }), { maxLength: 60 }), (sizes) => {
         const splitter = new eventSplitter.EventSplitter();
@@ -40,10 +40,10 @@
 
 describe('repeat budget', () => {
   /*
-   * A service that fails would be failed by our own repeats. All entries lose their targets at once, each
-   * repeats all it may, and one of them has just started and counts itself alone.
+   * Guards against repeats that overload a failing service: all entries lose their targets at once,
+   * each repeats all it may, and one of them has just started and counts only itself.
    */
-  it('keeps all entries together under the bound while entries come', () => {
+  it('keeps all entries together under the bound while entries start', () => {
     const rule = { ratio: 0.2, slack: 100, windowMs: 10_000 };
     const entries = Array.from({ length: 8 }, () => new repeatBudget.RepeatBudget(rule));
     entries.forEach((entry) => entry.setEntryCount(8, 0));
@@ -60,7 +60,7 @@
     expect(repeats).to.be.greaterThan(100);
   });
 
-  it('gives repeats back when they leave the window', () => {
+  it('releases repeats when they leave the window', () => {
     const entry = new repeatBudget.RepeatBudget({ ratio: 0, slack: 10, windowMs: 1_000 });
     entry.setEntryCount(1, 0);
     const taken = (now: number): number => {
@@ -72,10 +72,11 @@
   });
 
   /*
-   * A service got 796 repeats where 790 were allowed. The keepers changed their leader three times in five
-   * seconds; each new one knew few entries at first, and told those that they shared the slack with a few.
+   * Guards against a share of the slack that is too large: after three changes of leader within
+   * five seconds, each new leader knew few entries and reported that number, and a service got 796
+   * repeats where 790 were allowed.
    */
-  it('trusts no small number of entries that follows a larger one within the window', () => {
+  it('uses the largest reported number of entries within the window', () => {
     const rule = { ratio: 0, slack: 194, windowMs: 10_000 };
     const entry = new repeatBudget.RepeatBudget(rule);
     let repeats = 0;
@@ -86,7 +87,7 @@
     expect(repeats).to.be.at.most(rule.slack / 59);
   });
 
-  it('spends no slack before it knows with how many it shares', () => {
+  it('spends no slack before the number of entries is reported', () => {
     const entry = new repeatBudget.RepeatBudget({ ratio: 1, slack: 100, windowMs: 1_000 });
     expect(entry.spend(0)).to.equal(false);
     entry.countFirst(0);
@@ -95,10 +96,10 @@
   });
 
   /*
-   * A call of a sound service would fail for want of a repeat. The engines of another service fail in numbers, and the
-   * entry has spent all the repeats that it may make on them; the rule binds each service by itself.
+   * Guards against a call of a healthy service that fails for lack of a repeat, as the entry has
+   * spent its repeats on another service whose engines fail.
    */
-  it('keeps the repeats of one service from another', () => {
+  it('keeps the budgets of services separate', () => {
     const budgets = new repeatBudget.RepeatBudgets({ ratio: 0, slack: 30, windowMs: 1_000 });
     budgets.shareWith(10, 0);
     const failing = [1, 2, 3, 4].map(() => budgets.of('engines').spend(10));
--- a/packages/domain/src/request/circuit.ts
+++ b/packages/domain/src/request/circuit.ts
@@ -1,12 +1,13 @@
 /**
- * A circuit breaker per target, by the share of failures among recent outcomes and not by one error.
- * Open, it lets one trial through after a while, and each failed trial doubles the while.
+ * A circuit breaker per target that opens by the failure share of recent outcomes rather than by a
+ * single error. After a while an open circuit becomes half-open and lets one trial through; each
+ * failed trial doubles the time until the next.
  */
 
 export interface Options {
-  /** Outcomes looked at. */
+  /** Number of recent outcomes considered. */
   window: number;
-  /** Fewest outcomes before a share means anything. */
+  /** Fewest outcomes for which the failure share is meaningful. */
   minOutcomes: number;
   failureShare: number;
   openMs: number;
@@ -58,7 +59,7 @@
       this.open(now);
   }
 
-  /** Lets time pass; true when the state changed to a trial. */
+  /** Advances the time; true when the circuit becomes half-open. */
   tick(now: number): boolean {
     if (this.state !== 'open' || now < this.openUntil) return false;
     this.state = 'trial';
--- a/packages/domain/src/request/eventSplitter.ts
+++ b/packages/domain/src/request/eventSplitter.ts
@@ -1,6 +1,6 @@
 /**
- * Cuts a stream of server-sent events at the ends of events. Only whole events go on to a caller, so a
- * target that breaks off in the middle of one leaves nothing that a continuation would repeat.
+ * Splits a stream of server-sent events at event boundaries. Only whole events are passed on, so a
+ * target that breaks off within an event leaves nothing that a continuation would repeat.
  */
 
 const LF = 0x0a;
@@ -8,7 +8,7 @@
 
 const ID_FIELD = Buffer.from('id:');
 
-/** Whole events, ready to be passed on, and the id of the last of them. */
+/** Whole events that can be passed on, and the id of the last of them. */
 export interface SplitEvents {
   bytes: Buffer;
   events: number;
@@ -16,7 +16,7 @@
   lastId: string | undefined;
 }
 
-/** End of the event at the beginning of `bytes`, or -1 while it isn't whole. */
+/** End of the event that starts `bytes`, or -1 while it is incomplete. */
 function endOfEvent(bytes: Buffer, from: number): number {
   for (let at = bytes.indexOf(LF, from); at !== -1; at = bytes.indexOf(LF, at + 1)) {
     if (bytes[at + 1] === LF) return at + 2;
@@ -42,7 +42,7 @@
 export class EventSplitter {
   private partialEvent: Buffer = Buffer.alloc(0);
 
-  /** Whether an event has begun that isn't whole yet. */
+  /** Whether an incomplete event is buffered. */
   get isInsideEvent(): boolean {
     return this.partialEvent.length > 0;
   }
--- a/packages/domain/src/request/limit.ts
+++ b/packages/domain/src/request/limit.ts
@@ -1,7 +1,7 @@
 /**
- * An organisation's limit on tokens per second, held by all daemons together. Each daemon lets
- * through its part of the limit, in proportion to its part of the demand that the daemons tell each
- * other; the parts add up to the limit, not to eight times it.
+ * An organisation's limit on tokens per second, enforced by all daemons together. Each daemon
+ * admits a share of the limit in proportion to its share of the demand, which the daemons report to
+ * each other; the shares add up to the limit instead of multiplying it by the number of daemons.
  */
 
 /** Seconds of the limit that may be used in one burst. */
@@ -10,7 +10,7 @@
 /** Time over which demand is averaged, in milliseconds. */
 const DEMAND_WINDOW_MS = 2_000;
 
-/** Part of the limit that stays reachable for a daemon that had no demand so far. */
+/** Share of the limit that a daemon without previous demand keeps. */
 const MIN_SHARE = 0.02;
 
 export type Admission = { kind: 'admitted' } | { kind: 'overLimit'; retryAfterMs: number };
@@ -43,7 +43,7 @@
     return (this.demand / DEMAND_WINDOW_MS) * 1_000;
   }
 
-  /** New settings or new word of the peers' demand for this organisation. */
+  /** Applies new settings or a new report of the peers' demand for this organisation. */
   rebalance(tokensPerSecond: number, peerDemand: number, daemons: number, now: number): void {
     this.refill(now);
     this.tokensPerSecond = tokensPerSecond;
@@ -61,7 +61,7 @@
     this.decayDemand(now);
     this.demand += tokens;
     if (this.tokensPerSecond === 0) return { kind: 'admitted' };
-    // A request larger than the burst passes on a full bucket and leaves a debt.
+    // A request larger than the burst is admitted on a full bucket and leaves a debt.
     const needed = Math.min(tokens, this.capacity);
     if (this.level >= needed) {
       this.level -= tokens;
--- a/packages/domain/src/request/outcome.ts
+++ b/packages/domain/src/request/outcome.ts
@@ -1,11 +1,11 @@
 /**
- * How a request ended, and what may be said about it. "Not run" is said only on proof: no byte of
- * the request reached a target, or the target itself said that it did not run it.
+ * Outcomes of requests and attempts. "Not run" is reported only on proof: no byte of the request
+ * reached a target, or the target itself reported that it did not run it.
  */
 
 export type Outcome = 'completed' | 'notRun' | 'failed' | 'unknown';
 
-/** How far an attempt got, from which the proof follows. */
+/** How far an attempt got, which determines the proof. */
 export type Progress = 'notSent' | 'refusedByTarget' | 'sent' | 'answering';
 
 export type Fault =
--- a/packages/domain/src/request/repeatBudget.ts
+++ b/packages/domain/src/request/repeatBudget.ts
@@ -1,29 +1,29 @@
 /**
- * One entry's part of the budget for sending requests to a second target. The budget binds all entries
- * together over a sliding window, so the parts are chosen to add up to less than the whole, also while
- * entries come and go.
+ * One entry's share of the budget for repeats, that is, for sending requests to a second target.
+ * The budget binds all entries together over a sliding window, so the shares add up to less than
+ * the whole, also while entries start and stop.
  */
 
 export interface Rule {
-  /** Repeats for each first sending, of all entries together. */
+  /** Repeats per first attempt, of all entries together. */
   ratio: number;
-  /** Repeats beyond that, of all entries together, in each window. */
+  /** Additional repeats per window, of all entries together. */
   slack: number;
   windowMs: number;
 }
 
 /**
- * Part of the whole that is given out. The rest covers entries that start before others have heard of
- * them, and repeats that one entry counts in the next window and a target in this one.
+ * Fraction of the budget that is allocated. The rest covers entries that start before the others
+ * know of them, and repeats that an entry and a target count in different windows.
  */
 const ALLOCATED_FRACTION = 0.7;
 
 /**
- * How many entries share the slack. The largest number of the last window counts: those that ended since have spent their
- * parts in it.
+ * Number of entries that share the slack: the largest reported within the last window, as entries
+ * that stopped since have spent their shares in it.
  */
 class EntryCounts {
-  /** Numbers that were told within the last window, oldest first. */
+  /** Reported numbers within the last window, oldest first. */
   private reports: { at: number; entries: number }[] = [];
 
   constructor(private readonly windowMs: number) {}
@@ -48,7 +48,7 @@
     private readonly entryCounts = new EntryCounts(rule.windowMs),
   ) {}
 
-  /** So many entries share the budget now. */
+  /** Reports how many entries share the budget now. */
   setEntryCount(entries: number, now: number): void {
     this.entryCounts.report(entries, now);
   }
@@ -62,7 +62,7 @@
     this.expire(this.firstAttempts, now);
     this.expire(this.repeats, now);
     const { ratio, slack } = this.rule;
-    // Without any number there is no part of the slack: an entry can't tell how small its own is.
+    // Before any report there is no share of the slack, as the entry can't know how small it is.
     const entries = this.entryCounts.peak;
     const share = entries === 0 ? 0 : slack / entries;
     const allowed = ALLOCATED_FRACTION * (ratio * this.firstAttempts.length + share);
@@ -78,8 +78,9 @@
 }
 
 /**
- * One entry's parts of the budgets of all services. The rule binds each service by itself: in one budget for all, the
- * repeats of a service whose targets fail would use up what a sound one needs for a single failure.
+ * One entry's shares of the budgets of all services. Each service has a budget of its own: in a
+ * common one, the repeats of a failing service would use up what a healthy one needs for a single
+ * failure.
  */
 export class RepeatBudgets {
   private readonly byService = new Map<string, RepeatBudget>();
@@ -90,7 +91,7 @@
     this.entryCounts = new EntryCounts(rule.windowMs);
   }
 
-  /** So many entries share each budget now. */
+  /** Reports how many entries share each budget now. */
   shareWith(entries: number, now: number): void {
     this.entryCounts.report(entries, now);
   }
--- a/packages/domain/src/request/retry.ts
+++ b/packages/domain/src/request/retry.ts
@@ -1,7 +1,7 @@
 /**
- * Whether a failed attempt is tried again, where and when. Only what may be repeated, or certainly
- * did not run; never past the deadline; on another target; and from a budget that is a share of the
- * recent first attempts, so that an outage isn't multiplied by its retries.
+ * Decides whether and when a failed attempt is retried: only requests that are repeatable or
+ * certainly did not run, never past the deadline, and from a budget proportional to recent first
+ * attempts, so that an outage isn't multiplied by its retries.
  */
 import * as quarantine from '../quarantine/quarantine';
 import * as random from '../shared/random';
@@ -10,7 +10,7 @@
 export interface Options {
   /** Retries earned by each first attempt. */
   retriesPerFirstAttempt: number;
-  /** Most retries saved up. */
+  /** Most retries that accumulate. */
   maxBalance: number;
   maxAttempts: number;
   baseDelayMs: number;
@@ -39,7 +39,7 @@
     );
   }
 
-  /** Takes one retry out, if there is one. */
+  /** Takes one retry out of the budget, if there is one. */
   spend(): boolean {
     if (this.balance < 1) return false;
     this.balance -= 1;
@@ -55,15 +55,16 @@
     };
 
 /**
- * Targets that may be lost under one request before it is taken for the cause. With all attempts it would end twice as many;
- * three that fail by themselves under one request are rarer than a request that crashes what runs it.
+ * Targets that may be lost under one request before it counts as the cause. All attempts together
+ * would crash twice as many; three targets that fail independently under one request are rarer than
+ * a request that crashes its targets.
  */
 const MAX_TARGETS_LOST = quarantine.MOST_ENDINGS;
 
-/** Faults that show that a target was lost under a request. */
+/** Faults that indicate that a target was lost under a request. */
 export const LOST: readonly outcome.Fault[] = ['connectionLost', 'cutShort'];
 
-/** What to do after the latest of `attempts` failed. */
+/** Decides what to do after the latest of `attempts` failed. */
 export function decide(
   attempts: readonly outcome.Attempt[],
   repeatable: boolean,
@@ -87,7 +88,7 @@
   const ceiling = Math.min(options.maxDelayMs, options.baseDelayMs * 2 ** (attempts.length - 1));
   const delayMs = Math.max(retryAfterMs, source.uniform() * ceiling);
   if (delayMs >= timeLeftMs) return { kind: 'giveUp', reason: 'deadline' };
-  // A planned stop is nobody's fault, so moving its streams costs no budget.
+  // A planned stop is not a failure, so moving its streams costs no budget.
   const isFree = last.fault === 'targetStopped';
   if (!isFree && !budget.spend()) return { kind: 'giveUp', reason: 'budget' };
   return { kind: 'retry', delayMs };
--- a/packages/domain/src/request/stream.ts
+++ b/packages/domain/src/request/stream.ts
@@ -1,14 +1,14 @@
 /**
- * The check of a streamed answer. Every frame names its request and position; only a frame of this
- * request at the next position is passed on, and only the terminal frame makes the answer whole.
- * Failures guarded against: an engine answers on a connection that was used for another request, and
- * the caller would read a stranger's text; a stream ends early, and the caller would take a part for
- * the whole.
+ * Validates a streamed answer. Every frame names its request and position; only a frame of this
+ * request at the next position is passed on, and only the terminal frame completes the answer. This
+ * guards against an engine that answers on a connection previously used for another request, which
+ * would show the caller another caller's text, and against a stream that ends early, which would
+ * pass for a complete answer.
  */
 
 export interface Frame {
   request: string;
-  /** Count of tokens before this frame. */
+  /** Number of tokens before this frame. */
   position: number;
   text: string;
   tokens: number;
@@ -30,7 +30,7 @@
 
   constructor(private request: string) {}
 
-  /** A new attempt goes on from the tokens already passed on. */
+  /** Continues with a new attempt after the tokens already passed on. */
   continueAs(request: string): void {
     this.request = request;
   }
--- a/packages/domain/src/request/tokens.ts
+++ b/packages/domain/src/request/tokens.ts
@@ -1,13 +1,13 @@
 /**
- * Estimates prompt tokens from bytes. The ratio is learned per model from what engines report.
+ * Estimates prompt tokens from bytes, with a ratio per model that is learned from engines' reports.
  */
 
-/** Bytes per token before anything is learned; typical of English text. */
+/** Initial bytes per token; typical of English text. */
 export const INITIAL_RATIO = 4;
 
 const LEARNING_WEIGHT = 0.1;
 
-/** Ratios outside this range are errors of the report. */
+/** Ratios outside this range are reporting errors. */
 const BYTES_PER_TOKEN_RANGE = { low: 0.5, high: 16 };
 
 export class Estimator {
