--- a/packages/domain/src/allocation/__tests__/allocator.test.ts
+++ b/packages/domain/src/allocation/__tests__/allocator.test.ts
@@ -11,10 +11,10 @@
 const { ENGINE, LONG, SERVICE, request, target } = fixture;
 
 function fleet(size: number, chance?: random.Random): allocator.Allocator {
-  const made = new allocator.Allocator(chance);
-  made.setServices([SERVICE]);
-  for (let i = 0; i < size; i++) made.observe(target(i));
-  return made;
+  const placer = new allocator.Allocator(chance);
+  placer.setServices([SERVICE]);
+  for (let i = 0; i < size; i++) placer.observe(target(i));
+  return placer;
 }
 
 describe('cost of an engine', () => {
@@ -37,9 +37,9 @@
    * cause counts it, and a suspect with two crashes runs alone.
    */
   it('places suspects apart from each other, and alone before the last crash that is allowed', () => {
-    const made = fleet(12);
+    const placer = fleet(12);
     const where = (id: string, endings?: number): string | undefined => {
-      return made.place(request(id, { endings }), 0)?.target;
+      return placer.place(request(id, { endings }), 0)?.target;
     };
     const suspects = Array.from({ length: 10 }, (_, i) => where(`s${i}`, 1));
     expect(new Set(suspects).size).to.equal(10);
@@ -47,14 +47,14 @@
     expect(suspects).not.to.include(last);
     const others = Array.from({ length: 60 }, (_, i) => where(`o${i}`));
     expect(others).not.to.include(last);
-    made.ended('last', 'done', 0);
+    placer.ended('last', 'done', 0);
     expect(Array.from({ length: 60 }, (_, i) => where(`p${i}`))).to.include(last);
   });
 
   it('refuses no suspect when no separate engine is left', () => {
-    const made = fleet(2);
+    const placer = fleet(2);
     const placed = Array.from({ length: 6 }, (_, i) =>
-      made.place(request(`s${i}`, { endings: 2 }), 0),
+      placer.place(request(`s${i}`, { endings: 2 }), 0),
     );
     expect(placed.every((each) => each !== undefined)).to.equal(true);
   });
@@ -65,12 +65,12 @@
    * stays below the gap that the callers tolerate.
    */
   it('divides a long prompt into parts that the decoding requests on each engine tolerate', () => {
-    const made = fleet(23);
+    const placer = fleet(23);
     const hosts = new Set<string>();
     for (let i = 0; i < 30; i++) {
-      hosts.add(made.place(request(`s${i}`), 5_000 + i * 30)?.address ?? '');
+      hosts.add(placer.place(request(`s${i}`), 5_000 + i * 30)?.address ?? '');
     }
-    const placed = made.place(request('long', LONG), 6_000);
+    const placed = placer.place(request('long', LONG), 6_000);
     const helpers = placed?.helpers.map(({ address }) => address) ?? [];
     const engines = [placed?.address ?? '', ...helpers];
     expect(engines.length).to.be.at.least(4);
@@ -79,20 +79,20 @@
   });
 
   it('packs short streams, so that other engines stay free for long prefills', () => {
-    const made = fleet(23);
+    const placer = fleet(23);
     const targets = new Set<string>();
-    for (let i = 0; i < 20; i++) targets.add(made.place(request(`s${i}`), i * 60)?.target ?? '');
+    for (let i = 0; i < 20; i++) targets.add(placer.place(request(`s${i}`), i * 60)?.target ?? '');
     expect(targets.size).to.be.lessThan(6);
   });
 
   it('releases the slot of a request when it ends or its entry is gone', () => {
-    const made = fleet(1);
-    for (let i = 0; i < 11; i++) made.place(request(`s${i}`, { pauseMs: 1e6 }), 0);
-    expect(made.place(request('more'), 0)).to.equal(undefined);
-    made.ended('s3', 'done', 10);
-    expect(made.place(request('more', { entry: 'e2' }), 10)).to.not.equal(undefined);
-    made.forgetEntry('e1', 20);
-    expect(made.size).to.equal(1);
+    const placer = fleet(1);
+    for (let i = 0; i < 11; i++) placer.place(request(`s${i}`, { pauseMs: 1e6 }), 0);
+    expect(placer.place(request('more'), 0)).to.equal(undefined);
+    placer.ended('s3', 'done', 10);
+    expect(placer.place(request('more', { entry: 'e2' }), 10)).to.not.equal(undefined);
+    placer.forgetEntry('e1', 20);
+    expect(placer.size).to.equal(1);
   });
 
   /*
@@ -100,29 +100,29 @@
    * they run, possibly before the first catalogue says that their service has engines.
    */
   it('uses targets that announced themselves before the catalogue came', () => {
-    const made = new allocator.Allocator();
-    made.observe(target(0));
-    made.setServices([SERVICE]);
-    expect(made.place(request('a'), 0)?.target).to.equal('t0');
+    const placer = new allocator.Allocator();
+    placer.observe(target(0));
+    placer.setServices([SERVICE]);
+    expect(placer.place(request('a'), 0)?.target).to.equal('t0');
   });
 
   it('predicts when the least busy engine becomes available', () => {
-    const made = fleet(1);
-    expect(made.nextPlaceMs('engines', 0)).to.be.lessThan(100);
-    made.place(request('long', { ...LONG, tokens: 100_000 }), 0);
-    expect(made.nextPlaceMs('engines', 0)).to.be.within(1_400, 1_700);
-    expect(made.nextPlaceMs('engines', 1_000)).to.be.within(400, 700);
-    expect(made.nextPlaceMs('other', 0)).to.equal(Infinity);
+    const placer = fleet(1);
+    expect(placer.nextPlaceMs('engines', 0)).to.be.lessThan(100);
+    placer.place(request('long', { ...LONG, tokens: 100_000 }), 0);
+    expect(placer.nextPlaceMs('engines', 0)).to.be.within(1_400, 1_700);
+    expect(placer.nextPlaceMs('engines', 1_000)).to.be.within(400, 700);
+    expect(placer.nextPlaceMs('other', 0)).to.equal(Infinity);
   });
 
   it('avoids a target that failed, unless there is no other', () => {
-    const made = fleet(2);
-    const first = made.place(request('a'), 0)?.target;
-    made.ended('a', 'unreachable', 10);
-    expect(made.place(request('b'), 20)?.target).to.not.equal(first);
-    made.observe({ ...target(0), state: 'draining' });
-    made.observe({ ...target(1), state: 'draining' });
-    expect(made.place(request('c'), 20)).to.equal(undefined);
+    const placer = fleet(2);
+    const first = placer.place(request('a'), 0)?.target;
+    placer.ended('a', 'unreachable', 10);
+    expect(placer.place(request('b'), 20)?.target).to.not.equal(first);
+    placer.observe({ ...target(0), state: 'draining' });
+    placer.observe({ ...target(1), state: 'draining' });
+    expect(placer.place(request('c'), 20)).to.equal(undefined);
   });
 });
 
@@ -134,8 +134,8 @@
    * the decoder's memory.
    */
   it('are kept by several engines', () => {
-    const made = fleet(8);
-    const placed = made.place(request('huge', huge), 0);
+    const placer = fleet(8);
+    const placed = placer.place(request('huge', huge), 0);
     const kept = placed?.helpers.reduce((sum, { keptTokens }) => sum + keptTokens, 0) ?? 0;
     expect(kept).to.be.greaterThan(huge.tokens + huge.answerTokens - ENGINE.memoryTokens);
     placed?.helpers.forEach(({ keptTokens }) => {
@@ -144,12 +144,12 @@
   });
 
   it('reserve memory that later prompts then lack, and release it', () => {
-    const made = fleet(2);
+    const placer = fleet(2);
     const patient = { ...huge, objectiveMs: 6_000 };
-    expect(made.place(request('huge', patient), 0)).to.not.equal(undefined);
-    expect(made.place(request('next', { ...LONG, tokens: 250_000 }), 0)).to.equal(undefined);
-    made.ended('huge', 'done', 5_000);
-    expect(made.place(request('next', { ...LONG, tokens: 250_000 }), 5_000)).to.not.equal(
+    expect(placer.place(request('huge', patient), 0)).to.not.equal(undefined);
+    expect(placer.place(request('next', { ...LONG, tokens: 250_000 }), 0)).to.equal(undefined);
+    placer.ended('huge', 'done', 5_000);
+    expect(placer.place(request('next', { ...LONG, tokens: 250_000 }), 5_000)).to.not.equal(
       undefined,
     );
   });
@@ -165,9 +165,9 @@
    * half a million tokens, and the caller leaves after 12.
    */
   it('are those whose callers will have left', () => {
-    const made = fleet(2);
+    const placer = fleet(2);
     const huge = { tokens: 500_000, answerTokens: 800, objectiveMs: 3_000, pauseMs: 1_000 };
-    expect(made.place(request('huge', huge), 0)).to.equal(undefined);
+    expect(placer.place(request('huge', huge), 0)).to.equal(undefined);
   });
 
   /*
@@ -175,10 +175,10 @@
    * tight gaps, and a long prompt on any of them makes most of them late.
    */
   it('are those whose penalty exceeds their value', () => {
-    const made = fleet(2);
-    for (let i = 0; i < 22; i++) made.place(request(`s${i}`), i * 100);
+    const placer = fleet(2);
+    for (let i = 0; i < 22; i++) placer.place(request(`s${i}`), i * 100);
     const long = { ...LONG, tokens: 60_000, objectiveMs: 500 };
-    expect(made.place(request('long', long), 2_300)).to.equal(undefined);
+    expect(placer.place(request('long', long), 2_300)).to.equal(undefined);
   });
 
   /*
@@ -187,9 +187,9 @@
    */
   it('include a late prompt, though the same prompt still in time is started', () => {
     const engineCount = (waitedMs: number): number => {
-      const made = fleet(2);
-      for (let i = 0; i < 8; i++) made.place(request(`s${i}`), 0);
-      const placed = made.place(request('long', { ...LONG, waitedMs }), 800);
+      const placer = fleet(2);
+      for (let i = 0; i < 8; i++) placer.place(request(`s${i}`), 0);
+      const placed = placer.place(request('long', { ...LONG, waitedMs }), 800);
       return placed === undefined ? 0 : placed.helpers.length + 1;
     };
     expect([engineCount(0), engineCount(4_000)]).to.deep.equal([2, 0]);
@@ -203,8 +203,8 @@
   it("doesn't choose the same engines in all entries without a leader", () => {
     const chosen = new Set<string>();
     for (let entry = 0; entry < 12; entry++) {
-      const made = fleet(20, random.seeded(entry));
-      chosen.add(made.place(request('r1'), 0)?.target ?? '');
+      const placer = fleet(20, random.seeded(entry));
+      chosen.add(placer.place(request('r1'), 0)?.target ?? '');
     }
     expect(chosen.size).to.be.greaterThan(6);
   });
@@ -236,11 +236,11 @@
    * prompt, as only failed outcomes counted against it.
    */
   it('learns from the inter-token gaps which engine is slow, and when it has recovered', () => {
-    const made = fleet(2);
+    const placer = fleet(2);
     let slow = 't0';
     const decode = (more: Partial<allocator.Request> = {}): string => {
-      const { target: id = '' } = made.place(request('r', more), 0) ?? {};
-      made.ended('r', 'done', 0, { gapMs: id === slow ? 4 * 43 : 43 });
+      const { target: id = '' } = placer.place(request('r', more), 0) ?? {};
+      placer.ended('r', 'done', 0, { gapMs: id === slow ? 4 * 43 : 43 });
       return id;
     };
     for (let i = 0; i < 10; i++) decode();
@@ -256,13 +256,13 @@
    * waited 1.6 s there and failed while other engines were idle.
    */
   it('sends one request to an engine loaded from disk until it announces itself', () => {
-    const made = fleet(0);
-    [0, 1, 2].forEach((index) => made.observe({ ...target(index), isRemembered: true }));
-    const targets = [1, 2, 3, 4].map((id) => made.place(request(`r${id}`), 0)?.target);
+    const placer = fleet(0);
+    [0, 1, 2].forEach((index) => placer.observe({ ...target(index), isRemembered: true }));
+    const targets = [1, 2, 3, 4].map((id) => placer.place(request(`r${id}`), 0)?.target);
     expect([...targets].sort()).to.deep.equal(['t0', 't1', 't2', undefined]);
-    made.observe(target(1));
-    expect(made.place(request('r5'), 100)?.target).to.equal('t1');
-    expect(made.place(request('r6'), 100)?.target).to.equal('t1');
+    placer.observe(target(1));
+    expect(placer.place(request('r5'), 100)?.target).to.equal('t1');
+    expect(placer.place(request('r6'), 100)?.target).to.equal('t1');
   });
 
   /*
@@ -270,10 +270,10 @@
    * late, or with several, all of which fail if the engine has stopped.
    */
   it('lets each engine loaded from disk help with one prompt', () => {
-    const made = fleet(0);
-    for (let i = 0; i < 10; i++) made.observe({ ...target(i), isRemembered: true });
-    const first = made.place(request('long1', LONG), 0);
-    const second = made.place(request('long2', LONG), 0);
+    const placer = fleet(0);
+    for (let i = 0; i < 10; i++) placer.observe({ ...target(i), isRemembered: true });
+    const first = placer.place(request('long1', LONG), 0);
+    const second = placer.place(request('long2', LONG), 0);
     const used = [first, second].flatMap((each) => {
       return each === undefined ? [] : [each.target, ...each.helpers.map(({ target: id }) => id)];
     });
@@ -287,12 +287,12 @@
    * have room; then the others are considered too.
    */
   it('chooses among the nearby engines of a large fleet while they have room', () => {
-    const made = fleet(0);
+    const placer = fleet(0);
     for (let i = 0; i < 150; i++) {
-      made.observe({ ...target(i), dataCentre: `dc${i % 5}` });
+      placer.observe({ ...target(i), dataCentre: `dc${i % 5}` });
     }
     const places = Array.from({ length: 400 }, (_each, i) => {
-      const placed = made.place(request(`r${i}`, { dataCentre: 'dc2' }), i);
+      const placed = placer.place(request(`r${i}`, { dataCentre: 'dc2' }), i);
       return Number(placed?.target.slice(1)) % 5;
     });
     const near = places.filter((dataCentre) => dataCentre === 2).length;
@@ -310,7 +310,7 @@
    * all 3,000 engines takes longer than the interval between prompts.
    */
   it('considers a bounded number of engines per prompt, and finds idle ones', () => {
-    const made = fleet(3_000);
+    const placer = fleet(3_000);
     const considered = new Set<load.Load>();
     const { get } = Object.getOwnPropertyDescriptor(load.Load.prototype, 'freeMemory') ?? {};
     Object.defineProperty(load.Load.prototype, 'freeMemory', {
@@ -324,7 +324,7 @@
     const waits: number[] = [];
     for (let i = 0; i < 100; i++) {
       considered.clear();
-      const placed = made.place(request(`r${i}`, i % 10 === 0 ? LONG : {}), 0);
+      const placed = placer.place(request(`r${i}`, i % 10 === 0 ? LONG : {}), 0);
       most.push(considered.size);
       waits.push(placed?.firstTokenMs ?? Infinity);
     }
--- a/packages/domain/src/allocation/__tests__/limitedEngines.test.ts
+++ b/packages/domain/src/allocation/__tests__/limitedEngines.test.ts
@@ -13,25 +13,25 @@
 
 interface Fleet {
   limits: rateLimits.RateLimits;
-  made: allocator.Allocator;
+  placer: allocator.Allocator;
 }
 
 /** The first `limited` of `size` engines take one request a second. */
 function fleet(size: number, limited: number): Fleet {
   const limits = new rateLimits.RateLimits();
   limits.giveOut(1, 0);
-  const made = new allocator.Allocator(undefined, undefined, limits);
-  made.setServices([SERVICE]);
-  for (let i = 0; i < size; i++) made.observe(target(i));
+  const placer = new allocator.Allocator(undefined, undefined, limits);
+  placer.setServices([SERVICE]);
+  for (let i = 0; i < size; i++) placer.observe(target(i));
   for (let i = 0; i < limited; i++) limits.set({ ...target(i), perSecond: 1 }, 0);
-  return { limits, made };
+  return { limits, placer };
 }
 
 describe('engines with a rate limit', () => {
   /** Guards against parts that bypass the limit: a prefill helper gets a message as well. */
   it('are charged for each prompt that they decode or help to prefill', () => {
-    const { limits, made } = fleet(4, 4);
-    const placed = made.place(request('long', LONG), 1_000);
+    const { limits, placer } = fleet(4, 4);
+    const placed = placer.place(request('long', LONG), 1_000);
     const used = [placed?.target, ...(placed?.helpers ?? []).map((helper) => helper.target)];
     expect(used.length).to.be.above(1);
     const left = [0, 1, 2, 3].map((i) => limits.mayTake(target(i), 1_000));
@@ -39,15 +39,15 @@
   });
 
   it('are avoided until their limits admit a request', () => {
-    const { made } = fleet(2, 1);
-    const targets = ['a', 'b', 'c'].map((id) => made.place(request(id), 0)?.target);
+    const { placer } = fleet(2, 1);
+    const targets = ['a', 'b', 'c'].map((id) => placer.place(request(id), 0)?.target);
     expect(targets).to.deep.equal(['t1', 't1', 't1']);
   });
 
   /** Guards against reservations on rate-limited engines, each of which takes several messages. */
   it('keep no memory for decoders while engines without a limit have room', () => {
-    const { made } = fleet(8, 4);
-    const placed = made.place(request('larger', LARGER), 1_000);
+    const { placer } = fleet(8, 4);
+    const placed = placer.place(request('larger', LARGER), 1_000);
     const kept = placed?.helpers.filter(({ keptTokens }) => keptTokens > 0) ?? [];
     expect(kept.length).to.be.above(0);
     expect(kept.filter(({ target: id }) => ['t0', 't1', 't2', 't3'].includes(id))).to.deep.equal(
@@ -56,15 +56,16 @@
   });
 
   it('keep memory where all are limited, as the prompt could not be served otherwise', () => {
-    const { made } = fleet(4, 4);
-    expect(made.place(request('larger', LARGER), 1_000)).to.not.equal(undefined);
+    const { placer } = fleet(4, 4);
+    expect(placer.place(request('larger', LARGER), 1_000)).to.not.equal(undefined);
   });
 
   it('report how long they admit nothing, with the requests queued ahead', () => {
-    const { made } = fleet(2, 2);
-    expect([made.limitedForMs('engines', 0, 0), made.limitedForMs('engines', 4, 0)]).to.deep.equal([
-      1_000, 3_000,
-    ]);
-    expect(fleet(2, 1).made.limitedForMs('engines', 4, 0)).to.equal(0);
+    const { placer } = fleet(2, 2);
+    expect([
+      placer.limitedForMs('engines', 0, 0),
+      placer.limitedForMs('engines', 4, 0),
+    ]).to.deep.equal([1_000, 3_000]);
+    expect(fleet(2, 1).placer.limitedForMs('engines', 4, 0)).to.equal(0);
   });
 });
--- a/packages/domain/src/allocation/__tests__/reading.test.ts
+++ b/packages/domain/src/allocation/__tests__/reading.test.ts
@@ -16,16 +16,16 @@
 const BUSY: readQueue.DecodeState = { isWriting: true, passMs: () => 40 };
 
 /** Adds a prompt whose only part is in `queue`. */
-function added(
+function addPart(
   queue: readQueue.ReadQueue,
   name: string,
-  share: { leftMs: number; isPart: boolean },
+  part: { leftMs: number; isPart: boolean },
   now: number,
 ): reading.Reading {
-  const made = new reading.Reading(name, 1_000, 3_000, now);
-  queue.add({ reading: made, ...share }, now);
-  made.addPlace(queue);
-  return made;
+  const prefill = new reading.Reading(name, 1_000, 3_000, now);
+  queue.add({ reading: prefill, ...part }, now);
+  prefill.addPlace(queue);
+  return prefill;
 }
 
 describe('what an engine prefills next', () => {
@@ -36,19 +36,19 @@
    */
   it('is the newest part, where nothing decodes', () => {
     const queue = new readQueue.ReadQueue(IDLE);
-    const first = added(queue, 'a', { leftMs: 610, isPart: true }, 0);
-    const second = added(queue, 'b', { leftMs: 516, isPart: true }, 280);
+    const first = addPart(queue, 'a', { leftMs: 610, isPart: true }, 0);
+    const second = addPart(queue, 'b', { leftMs: 516, isPart: true }, 280);
     expect([first.endsAt(280), second.endsAt(280)]).to.deep.equal([1_126, 796]);
-    const third = added(queue, 'c', { leftMs: 846, isPart: true }, 694);
+    const third = addPart(queue, 'c', { leftMs: 846, isPart: true }, 694);
     const ends = [first, second, third].map((each) => each.endsAt(694));
     expect(ends).to.deep.equal([1_972, 1_642, 1_540]);
   });
 
   it('is a part before a whole prompt, and whole prompts in order of arrival', () => {
     const queue = new readQueue.ReadQueue(IDLE);
-    const whole = added(queue, 'whole', { leftMs: 100, isPart: false }, 0);
-    const next = added(queue, 'next', { leftMs: 100, isPart: false }, 0);
-    const part = added(queue, 'part', { leftMs: 300, isPart: true }, 50);
+    const whole = addPart(queue, 'whole', { leftMs: 100, isPart: false }, 0);
+    const next = addPart(queue, 'next', { leftMs: 100, isPart: false }, 0);
+    const part = addPart(queue, 'part', { leftMs: 300, isPart: true }, 50);
     expect([whole, next, part].map((each) => each.endsAt(50))).to.deep.equal([400, 500, 350]);
   });
 
@@ -58,16 +58,16 @@
    */
   it('is everything queued, where a request decodes', () => {
     const queue = new readQueue.ReadQueue(BUSY);
-    const first = added(queue, 'a', { leftMs: 100, isPart: true }, 0);
+    const first = addPart(queue, 'a', { leftMs: 100, isPart: true }, 0);
     expect(first.endsAt(0)).to.equal(20 + 100 + 40);
-    const late = added(queue, 'late', { leftMs: 50, isPart: true }, 30);
+    const late = addPart(queue, 'late', { leftMs: 50, isPart: true }, 30);
     expect([first.endsAt(30), late.endsAt(30)]).to.deep.equal([160, 160 + 50 + 40]);
   });
 
   it('is nothing of a request that has ended', () => {
     const queue = new readQueue.ReadQueue(IDLE);
-    const first = added(queue, 'a', { leftMs: 100, isPart: true }, 0);
-    added(queue, 'b', { leftMs: 500, isPart: true }, 50);
+    const first = addPart(queue, 'a', { leftMs: 100, isPart: true }, 0);
+    addPart(queue, 'b', { leftMs: 500, isPart: true }, 50);
     queue.remove('b', 150);
     expect(first.endsAt(150)).to.equal(200);
     expect(queue.isIdle(200)).to.equal(true);
@@ -93,14 +93,19 @@
   }
 
   /** Adds a prompt to the engines that the planner chooses. */
-  function begin(loads: load.Load[], name: string, tokens: number, now: number): reading.Reading {
+  function startPrefill(
+    loads: load.Load[],
+    name: string,
+    tokens: number,
+    now: number,
+  ): reading.Reading {
     const prompt = { ...PROMPT, tokens };
     const decision = new planner.Planner(ENGINE).decide(prompt, loads, now, false);
-    const made = new reading.Reading(name, planner.valueOf(prompt), PROMPT.objectiveMs, now);
+    const prefill = new reading.Reading(name, planner.valueOf(prompt), PROMPT.objectiveMs, now);
     if (decision.kind !== 'begin') throw new Error(`no plan for ${name}`);
     const { helpers, decoder, partMs, decoderTokens } = decision.plan;
     const task = { request: name, prefillMs: partMs, contextTokens: 0, value: 0 };
-    const part = { reading: made, isPart: helpers.length > 0 };
+    const part = { reading: prefill, isPart: helpers.length > 0 };
     decoder.add(
       { ...task, role: 'decoder', memoryTokens: decoderTokens, maxGapMs: PROMPT.pauseMs },
       part,
@@ -109,7 +114,7 @@
     helpers.forEach((each) => {
       each.load.add({ ...task, role: 'helper', memoryTokens: 0, maxGapMs: Infinity }, part, now);
     });
-    return made;
+    return prefill;
   }
 
   /*
@@ -119,8 +124,8 @@
    */
   it('is added only as far as the other prompts tolerate', () => {
     const loads = fleet(12);
-    const made = [0, 100, 200].map((now, i) => begin(loads, `r${i}`, 200_000, now));
-    const waits = made.map((each, i) => each.endsAt(200) - 100 * i);
+    const prefills = [0, 100, 200].map((now, i) => startPrefill(loads, `r${i}`, 200_000, now));
+    const waits = prefills.map((each, i) => each.endsAt(200) - 100 * i);
     expect(Math.max(...waits)).to.be.lessThan(0.75 * PROMPT.objectiveMs);
   });
 
@@ -131,7 +136,7 @@
    */
   it('is added to no engine that prefills a part of another prompt', () => {
     const loads = fleet(12);
-    ['a', 'b', 'c', 'd'].forEach((name, i) => begin(loads, name, 150_000, i * 50));
+    ['a', 'b', 'c', 'd'].forEach((name, i) => startPrefill(loads, name, 150_000, i * 50));
     const helping = loads.map((each) => each.helpingCount(150));
     expect(Math.max(...helping)).to.equal(1);
   });
@@ -154,7 +159,7 @@
    */
   it('is deferred where that has a lower penalty', () => {
     const loads = fleet(4);
-    begin(loads, 'first', 250_000, 0);
+    startPrefill(loads, 'first', 250_000, 0);
     const decideAt = (now: number, waitedMs: number): planner.Decision => {
       const prompt = { ...PROMPT, tokens: 100_000, waitedMs };
       return new planner.Planner(ENGINE).decide(prompt, loads, now, true);
--- a/packages/domain/src/allocation/__tests__/soundness.test.ts
+++ b/packages/domain/src/allocation/__tests__/soundness.test.ts
@@ -5,13 +5,13 @@
 const { expect } = chai;
 
 /** Times at which an idle target gets requests that all fail in the same way. */
-function canaryTimes(ending: soundness.Ending, forMs: number): number[] {
-  const made = new soundness.Soundness();
+function canaryTimes(outcome: soundness.Ending, forMs: number): number[] {
+  const health = new soundness.Soundness();
   const times: number[] = [];
   for (let now = 0; now < forMs; now += 50) {
-    if (!made.isUsable(now, true)) continue;
+    if (!health.isUsable(now, true)) continue;
     times.push(now);
-    made.ended(ending, now);
+    health.ended(outcome, now);
   }
   return times;
 }
@@ -28,33 +28,39 @@
   });
 
   it('sends one canary request at a time to a failed target, and all once it succeeds', () => {
-    const made = new soundness.Soundness();
-    made.ended('unreachable', 0);
-    expect(made.isUsable(1_499, true)).to.equal(false);
-    expect([made.isUsable(1_500, true), made.isUsable(1_500, false)]).to.deep.equal([true, false]);
-    made.ended('done', 1_600);
-    expect(made.isUsable(1_600, false)).to.equal(true);
+    const health = new soundness.Soundness();
+    health.ended('unreachable', 0);
+    expect(health.isUsable(1_499, true)).to.equal(false);
+    expect([health.isUsable(1_500, true), health.isUsable(1_500, false)]).to.deep.equal([
+      true,
+      false,
+    ]);
+    health.ended('done', 1_600);
+    expect(health.isUsable(1_600, false)).to.equal(true);
   });
 
   it('requires no canary request after one broken answer, but after two', () => {
-    const made = new soundness.Soundness();
-    made.ended('broken', 0);
-    expect(made.isUsable(500, false)).to.equal(true);
-    made.ended('broken', 600);
-    expect([made.isUsable(1_600, false), made.isUsable(1_600, true)]).to.deep.equal([false, true]);
+    const health = new soundness.Soundness();
+    health.ended('broken', 0);
+    expect(health.isUsable(500, false)).to.equal(true);
+    health.ended('broken', 600);
+    expect([health.isUsable(1_600, false), health.isUsable(1_600, true)]).to.deep.equal([
+      false,
+      true,
+    ]);
   });
 
   it('counts concurrent failures as one', () => {
-    const made = new soundness.Soundness();
-    for (let i = 0; i < 8; i++) made.ended('broken', i);
-    expect(made.isUsable(500, true)).to.equal(true);
+    const health = new soundness.Soundness();
+    for (let i = 0; i < 8; i++) health.ended('broken', i);
+    expect(health.isUsable(500, true)).to.equal(true);
   });
 
   it('ejects a full target only briefly, and none whose caller left', () => {
-    const made = new soundness.Soundness();
-    made.ended('cancelled', 0);
-    made.ended('full', 0);
-    expect([made.isUsable(100, true), made.isUsable(250, false)]).to.deep.equal([false, true]);
+    const health = new soundness.Soundness();
+    health.ended('cancelled', 0);
+    health.ended('full', 0);
+    expect([health.isUsable(100, true), health.isUsable(250, false)]).to.deep.equal([false, true]);
   });
 
   /*
--- a/packages/domain/src/allocation/allocator.ts
+++ b/packages/domain/src/allocation/allocator.ts
@@ -323,9 +323,9 @@
     return created;
   }
 
-  private applyAverageLoad(on: load.Load): void {
-    const crowding = this.averageLoads.get(on.record.service);
-    if (crowding !== undefined) unseen.applyAssumedLoad(on, crowding);
+  private applyAverageLoad(engineLoad: load.Load): void {
+    const averageLoad = this.averageLoads.get(engineLoad.record.service);
+    if (averageLoad !== undefined) unseen.applyAssumedLoad(engineLoad, averageLoad);
   }
 
   /** Ready engines whose rate limits admit a request; ejected ones only if there are no others. */
--- a/packages/domain/src/allocation/cost.ts
+++ b/packages/domain/src/allocation/cost.ts
@@ -12,13 +12,15 @@
   return (tokens / engine.readTokensPerMs + pairsInMillions * engine.pairMsPerMillion) / parts;
 }
 
-/** Duration of an engine step in which `writers` requests with `contextTokens` in total decode. */
+/** Duration of an engine step in which `decodingCount` requests with `contextTokens` in total decode. */
 export function engineStepMs(
   engine: catalogue.Engine,
-  writers: number,
+  decodingCount: number,
   contextTokens: number,
 ): number {
   const iterationMs =
-    engine.stepMs + writers * engine.writerStepMs + (contextTokens / 1_000) * engine.contextStepMs;
+    engine.stepMs +
+    decodingCount * engine.writerStepMs +
+    (contextTokens / 1_000) * engine.contextStepMs;
   return engine.stepsPerPass * iterationMs;
 }
--- a/packages/domain/src/allocation/load.ts
+++ b/packages/domain/src/allocation/load.ts
@@ -157,8 +157,8 @@
       .reduce((sum, { value }) => sum + value, 0);
   }
 
-  completionTime(wanted: reading.Reading, now: number): number | undefined {
-    return this.prefillQueue.completionTime(wanted, now);
+  completionTime(prefill: reading.Reading, now: number): number | undefined {
+    return this.prefillQueue.completionTime(prefill, now);
   }
 
   /** Adds an assumed decoding request without prefill work. */
--- a/packages/domain/src/allocation/planner.ts
+++ b/packages/domain/src/allocation/planner.ts
@@ -246,20 +246,20 @@
   /** Penalty of delaying queued prefills on these engines by a further part. */
   private delayPenalty(
     { prefillMs, isShared }: Part,
-    on: readonly outlooks.LoadForecast[],
+    forecasts: readonly outlooks.LoadForecast[],
   ): number {
     if (!this.planWeights.countsDelays) return 0;
-    return outlooks.delayPenalty(on.flatMap((each) => each.delays(prefillMs, isShared)));
+    return outlooks.delayPenalty(forecasts.flatMap((each) => each.delays(prefillMs, isShared)));
   }
 
   /**
    * Scores a part on this engine, with a preference for short queues and the caller's data centre.
    */
   private score(prompt: Prompt, candidate: Candidate, part: Part): Scored {
-    const { load: on, forecast } = candidate;
+    const { load: engineLoad, forecast } = candidate;
     const { prefillMs, isShared } = part;
     const { tightRisk, nearMs, waitLoss, failureLoss } = this.planWeights;
-    const weight = hasTighterGaps(prompt, on)
+    const weight = hasTighterGaps(prompt, engineLoad)
       ? tightRisk * lateness.LATE_PENALTY
       : lateness.LATE_PENALTY;
     const isTooLong = prefillMs > forecast.allowanceMs;
@@ -269,7 +269,7 @@
       prompt.waitedMs + firstTokenMs,
       prompt.objectiveMs,
     );
-    const distanceMs = on.record.dataCentre === prompt.dataCentre ? 0 : nearMs;
+    const distanceMs = engineLoad.record.dataCentre === prompt.dataCentre ? 0 : nearMs;
     const queuePenalty =
       (waitLoss * (forecast.pendingMs + firstTokenMs + distanceMs)) / prompt.objectiveMs;
     const failurePenalty = failureLoss * candidate.failureShare;
@@ -317,24 +317,24 @@
 }
 
 /** Decoding requests that tolerate gaps about as long; the request is packed with them. */
-function similarDecodingCount({ pauseMs }: Prompt, on: load.Load): number {
-  const tightest = on.tightestGapMs;
+function similarDecodingCount({ pauseMs }: Prompt, engineLoad: load.Load): number {
+  const tightest = engineLoad.tightestGapMs;
   const isSimilar = tightest <= pauseMs && tightest >= SIMILAR_GAP_FRACTION * pauseMs;
-  return isSimilar ? on.decodingCount : 0;
+  return isSimilar ? engineLoad.decodingCount : 0;
 }
 
 /** Whether an engine's decoding requests tolerate only clearly shorter gaps than this request. */
-function hasTighterGaps(prompt: Prompt, on: load.Load): boolean {
-  return on.tightestGapMs < SIMILAR_GAP_FRACTION * prompt.pauseMs;
+function hasTighterGaps(prompt: Prompt, engineLoad: load.Load): boolean {
+  return engineLoad.tightestGapMs < SIMILAR_GAP_FRACTION * prompt.pauseMs;
 }
 
 /**
  * Preference among helpers of equal penalty: first those that serve equally tolerant callers, then
  * idle ones, last those with tight gaps, the least loaded first.
  */
-function helperRank(prompt: Prompt, { load: on, forecast }: Candidate): number {
-  const isIdle = on.decodingCount === 0 && forecast.pendingMs === 0;
-  return (isIdle ? 1 : 0) + (hasTighterGaps(prompt, on) ? 2 + on.decodingCount : 0);
+function helperRank(prompt: Prompt, { load: engineLoad, forecast }: Candidate): number {
+  const isIdle = engineLoad.decodingCount === 0 && forecast.pendingMs === 0;
+  return (isIdle ? 1 : 0) + (hasTighterGaps(prompt, engineLoad) ? 2 + engineLoad.decodingCount : 0);
 }
 
 function bestHelpers(scored: readonly Scored[], decoder: Scored, count: number): Scored[] {
--- a/packages/domain/src/allocation/readQueue.ts
+++ b/packages/domain/src/allocation/readQueue.ts
@@ -60,14 +60,14 @@
 
   remove(request: string, now: number): void {
     this.advance(now);
-    const isOther = (part: PrefillPart): boolean => part.reading.request !== request;
-    this.waiting = this.waiting.filter(isOther);
-    if (this.step !== undefined) this.step.parts = this.step.parts.filter(isOther);
+    const isOtherRequest = (part: PrefillPart): boolean => part.reading.request !== request;
+    this.waiting = this.waiting.filter(isOtherRequest);
+    if (this.step !== undefined) this.step.parts = this.step.parts.filter(isOtherRequest);
   }
 
   has(request: string): boolean {
-    const isIt = (part: PrefillPart): boolean => part.reading.request === request;
-    return this.waiting.some(isIt) || this.step?.parts.some(isIt) === true;
+    const isSameRequest = (part: PrefillPart): boolean => part.reading.request === request;
+    return this.waiting.some(isSameRequest) || this.step?.parts.some(isSameRequest) === true;
   }
 
   /** Whether nothing is left to prefill. */
--- a/packages/domain/src/allocation/unseen.ts
+++ b/packages/domain/src/allocation/unseen.ts
@@ -47,7 +47,7 @@
 }
 
 /** Adds the assumed request to an engine, or removes it where nothing decodes. */
-export function applyAssumedLoad(on: load.Load, average: Crowding): void {
-  if (average.pauseMs > 0) on.assume(assumedTask(average));
-  else on.forgetAssumed(ASSUMED_REQUEST);
+export function applyAssumedLoad(engineLoad: load.Load, average: Crowding): void {
+  if (average.pauseMs > 0) engineLoad.assume(assumedTask(average));
+  else engineLoad.forgetAssumed(ASSUMED_REQUEST);
 }
--- a/packages/domain/src/placement/__tests__/placement.test.ts
+++ b/packages/domain/src/placement/__tests__/placement.test.ts
@@ -114,11 +114,11 @@
 
   it('keeps to the rate of the weight store and puts first what restores service', () => {
     const issuer = new order.Issuer(1, 0, 0, { loadsPerSecond: 2, repeatMs: 1e9 });
-    const wishes = Array.from({ length: 20 }, (_v, i): order.Difference => {
+    const wanted = Array.from({ length: 20 }, (_v, i): order.Difference => {
       return { kind: 'load', target: `e${i}`, model: loaded('1'), urgency: i === 0 ? 0 : 1 };
     });
     const counts = [0, 1_000, 2_000, 2_100].map((now) => {
-      return issuer.issue(wishes, () => 'checked', now).map((each) => each.target);
+      return issuer.issue(wanted, () => 'checked', now).map((each) => each.target);
     });
     expect(counts).toMatchSnapshot();
   });
--- a/packages/domain/src/placement/order.ts
+++ b/packages/domain/src/placement/order.ts
@@ -22,8 +22,10 @@
   expiresAt: number;
 }
 
-export function isStale(order: Fence, seen: Fence): boolean {
-  return order.term < seen.term || (order.term === seen.term && order.sequence <= seen.sequence);
+export function isStale(order: Fence, latest: Fence): boolean {
+  return (
+    order.term < latest.term || (order.term === latest.term && order.sequence <= latest.sequence)
+  );
 }
 
 /** Longest time an order may be in transit, in milliseconds. */
--- a/packages/domain/src/rateLimits/__tests__/rateLimits.test.ts
+++ b/packages/domain/src/rateLimits/__tests__/rateLimits.test.ts
@@ -11,10 +11,10 @@
 const PLACE: rateLimits.Place = { service: 's', address: '10.0.0.1:80' };
 
 function limited(perSecond: number, share = 1, now = 0): rateLimits.RateLimits {
-  const made = new rateLimits.RateLimits();
-  made.giveOut(share, now);
-  made.set({ ...PLACE, perSecond }, now);
-  return made;
+  const limits = new rateLimits.RateLimits();
+  limits.giveOut(share, now);
+  limits.set({ ...PLACE, perSecond }, now);
+  return limits;
 }
 
 /** Takes a token whenever possible, every 10 ms; returns the times. */
--- a/packages/domain/src/rateLimits/rateLimits.ts
+++ b/packages/domain/src/rateLimits/rateLimits.ts
@@ -141,8 +141,8 @@
     const limited = places.flatMap((place) => this.find(place) ?? []);
     if (limited.length < places.length || limited.length === 0) return 0;
     if (this.share === 0) return Infinity;
-    const missing = limited.map(({ bucket }) => 1 - bucket.levelAt(now));
-    const waits = missing.map((tokens, i) => tokens / this.rateOf(limited[i].perSecond));
+    const missingTokens = limited.map(({ bucket }) => 1 - bucket.levelAt(now));
+    const waits = missingTokens.map((tokens, i) => tokens / this.rateOf(limited[i].perSecond));
     const perSecond = limited.reduce((sum, each) => sum + this.rateOf(each.perSecond), 0);
     return Math.max(0, Math.min(...waits) + ahead / perSecond) * 1_000;
   }
--- a/packages/domain/src/request/repeatBudget.ts
+++ b/packages/domain/src/request/repeatBudget.ts
@@ -99,8 +99,8 @@
   of(service: string): RepeatBudget {
     const known = this.byService.get(service);
     if (known !== undefined) return known;
-    const made = new RepeatBudget(this.rule, this.entryCounts);
-    this.byService.set(service, made);
-    return made;
+    const budget = new RepeatBudget(this.rule, this.entryCounts);
+    this.byService.set(service, budget);
+    return budget;
   }
 }
