--- a/packages/domain/src/allocation/__tests__/reading.test.ts
+++ b/packages/domain/src/allocation/__tests__/prefill.test.ts
@@ -4,25 +4,25 @@
  */
 import * as chai from 'chai';
 import * as load from '../load';
-import * as outlook from '../outlook';
+import * as loadForecast from '../outlook';
 import * as planner from '../planner';
-import * as reading from '../reading';
-import * as readQueue from '../readQueue';
+import * as prefills from '../reading';
+import * as prefillQueue from '../readQueue';
 import * as fixture from './__fixtures__/engine';
 
 const { expect } = chai;
 
-const IDLE: readQueue.DecodeState = { isWriting: false, passMs: () => 45 };
-const BUSY: readQueue.DecodeState = { isWriting: true, passMs: () => 40 };
+const IDLE: prefillQueue.DecodeState = { isWriting: false, passMs: () => 45 };
+const BUSY: prefillQueue.DecodeState = { isWriting: true, passMs: () => 40 };
 
 /** Adds a prompt whose only part is in `queue`. */
 function addPart(
-  queue: readQueue.ReadQueue,
+  queue: prefillQueue.ReadQueue,
   name: string,
   part: { leftMs: number; isPart: boolean },
   now: number,
-): reading.Reading {
-  const prefill = new reading.Reading(name, 1_000, 3_000, now);
+): prefills.Reading {
+  const prefill = new prefills.Reading(name, 1_000, 3_000, now);
   queue.add({ reading: prefill, ...part }, now);
   prefill.addPlace(queue);
   return prefill;
@@ -35,7 +35,7 @@
    * parts of four later prompts preempted its own, each newer one first.
    */
   it('is the newest part, where nothing decodes', () => {
-    const queue = new readQueue.ReadQueue(IDLE);
+    const queue = new prefillQueue.ReadQueue(IDLE);
     const first = addPart(queue, 'a', { leftMs: 610, isPart: true }, 0);
     const second = addPart(queue, 'b', { leftMs: 516, isPart: true }, 280);
     expect([first.endsAt(280), second.endsAt(280)]).to.deep.equal([1_126, 796]);
@@ -45,7 +45,7 @@
   });
 
   it('is a part before a whole prompt, and whole prompts in order of arrival', () => {
-    const queue = new readQueue.ReadQueue(IDLE);
+    const queue = new prefillQueue.ReadQueue(IDLE);
     const whole = addPart(queue, 'whole', { leftMs: 100, isPart: false }, 0);
     const next = addPart(queue, 'next', { leftMs: 100, isPart: false }, 0);
     const part = addPart(queue, 'part', { leftMs: 300, isPart: true }, 50);
@@ -57,7 +57,7 @@
    * arrivals wait for its end, and all prompts of one step have their first token at its end.
    */
   it('is everything queued, where a request decodes', () => {
-    const queue = new readQueue.ReadQueue(BUSY);
+    const queue = new prefillQueue.ReadQueue(BUSY);
     const first = addPart(queue, 'a', { leftMs: 100, isPart: true }, 0);
     expect(first.endsAt(0)).to.equal(20 + 100 + 40);
     const late = addPart(queue, 'late', { leftMs: 50, isPart: true }, 30);
@@ -65,7 +65,7 @@
   });
 
   it('is nothing of a request that has ended', () => {
-    const queue = new readQueue.ReadQueue(IDLE);
+    const queue = new prefillQueue.ReadQueue(IDLE);
     const first = addPart(queue, 'a', { leftMs: 100, isPart: true }, 0);
     addPart(queue, 'b', { leftMs: 500, isPart: true }, 50);
     queue.remove('b', 150);
@@ -98,10 +98,10 @@
     name: string,
     tokens: number,
     now: number,
-  ): reading.Reading {
+  ): prefills.Reading {
     const prompt = { ...PROMPT, tokens };
     const decision = new planner.Planner(ENGINE).decide(prompt, loads, now, false);
-    const prefill = new reading.Reading(name, planner.valueOf(prompt), PROMPT.objectiveMs, now);
+    const prefill = new prefills.Reading(name, planner.valueOf(prompt), PROMPT.objectiveMs, now);
     if (decision.kind !== 'begin') throw new Error(`no plan for ${name}`);
     const { helpers, decoder, partMs, decoderTokens } = decision.plan;
     const task = { request: name, prefillMs: partMs, contextTokens: 0, value: 0 };
@@ -124,8 +124,8 @@
    */
   it('is added only as far as the other prompts tolerate', () => {
     const loads = fleet(12);
-    const prefills = [0, 100, 200].map((now, i) => startPrefill(loads, `r${i}`, 200_000, now));
-    const waits = prefills.map((each, i) => each.endsAt(200) - 100 * i);
+    const started = [0, 100, 200].map((now, i) => startPrefill(loads, `r${i}`, 200_000, now));
+    const waits = started.map((each, i) => each.endsAt(200) - 100 * i);
     expect(Math.max(...waits)).to.be.lessThan(0.75 * PROMPT.objectiveMs);
   });
 
@@ -142,14 +142,14 @@
   });
 
   it('costs the penalty of each delayed prompt once, however many engines delay it', () => {
-    const delayed = new reading.Reading('a', 1_000, 3_000, 0);
+    const delayed = new prefills.Reading('a', 1_000, 3_000, 0);
     const delay = { prefill: delayed, sooner: 1_000 };
-    const twice = outlook.delayPenalty([
+    const twice = loadForecast.delayPenalty([
       { ...delay, later: 2_400 },
       { ...delay, later: 2_100 },
     ]);
     expect(Math.round(twice)).to.equal(375);
-    expect(outlook.delayPenalty([{ ...delay, later: 1_500 }])).to.equal(0);
+    expect(loadForecast.delayPenalty([{ ...delay, later: 1_500 }])).to.equal(0);
   });
 
   /*
--- a/packages/domain/src/allocation/__tests__/soundness.test.ts
+++ b/packages/domain/src/allocation/__tests__/targetHealth.test.ts
@@ -1,12 +1,12 @@
 /** Tests of targets that fail requests while they pass health checks. */
 import * as chai from 'chai';
-import * as soundness from '../soundness';
+import * as targetHealth from '../soundness';
 
 const { expect } = chai;
 
 /** Times at which an idle target gets requests that all fail in the same way. */
-function canaryTimes(outcome: soundness.Ending, forMs: number): number[] {
-  const health = new soundness.Soundness();
+function canaryTimes(outcome: targetHealth.Ending, forMs: number): number[] {
+  const health = new targetHealth.Soundness();
   const times: number[] = [];
   for (let now = 0; now < forMs; now += 50) {
     if (!health.isUsable(now, true)) continue;
@@ -28,7 +28,7 @@
   });
 
   it('sends one canary request at a time to a failed target, and all once it succeeds', () => {
-    const health = new soundness.Soundness();
+    const health = new targetHealth.Soundness();
     health.ended('unreachable', 0);
     expect(health.isUsable(1_499, true)).to.equal(false);
     expect([health.isUsable(1_500, true), health.isUsable(1_500, false)]).to.deep.equal([
@@ -40,7 +40,7 @@
   });
 
   it('requires no canary request after one broken answer, but after two', () => {
-    const health = new soundness.Soundness();
+    const health = new targetHealth.Soundness();
     health.ended('broken', 0);
     expect(health.isUsable(500, false)).to.equal(true);
     health.ended('broken', 600);
@@ -51,13 +51,13 @@
   });
 
   it('counts concurrent failures as one', () => {
-    const health = new soundness.Soundness();
+    const health = new targetHealth.Soundness();
     for (let i = 0; i < 8; i++) health.ended('broken', i);
     expect(health.isUsable(500, true)).to.equal(true);
   });
 
   it('ejects a full target only briefly, and none whose caller left', () => {
-    const health = new soundness.Soundness();
+    const health = new targetHealth.Soundness();
     health.ended('cancelled', 0);
     health.ended('full', 0);
     expect([health.isUsable(100, true), health.isUsable(250, false)]).to.deep.equal([false, true]);
@@ -69,8 +69,8 @@
    * them.
    */
   it('distinguishes a target that fails two in five from a healthy one', () => {
-    const failing = new soundness.Soundness();
-    const healthy = new soundness.Soundness();
+    const failing = new targetHealth.Soundness();
+    const healthy = new targetHealth.Soundness();
     for (let i = 0; i < 10; i++) {
       failing.ended(i % 5 < 2 ? 'full' : 'done', 100 * i);
       healthy.ended(i === 3 ? 'broken' : 'done', 100 * i);
--- a/packages/domain/src/allocation/allocator.ts
+++ b/packages/domain/src/allocation/allocator.ts
@@ -13,9 +13,9 @@
 import * as isolation from './isolation';
 import * as load from './load';
 import * as planner from './planner';
-import * as reading from './reading';
-import type * as soundness from './soundness';
-import * as unseen from './unseen';
+import * as prefills from './reading';
+import type * as targetHealth from './soundness';
+import * as assumedLoad from './unseen';
 import * as weights from './weights';
 
 export interface Request extends planner.Prompt {
@@ -102,7 +102,7 @@
   private engines = new Map<string, catalogue.Engine>();
 
   /** Average load reported by the leader, by service; assumed on each engine. */
-  private readonly averageLoads = new Map<string, unseen.Crowding>();
+  private readonly averageLoads = new Map<string, assumedLoad.Crowding>();
 
   /**
    * `randomSource` is for an allocator that sees only part of all dispatches: it shuffles the
@@ -153,17 +153,17 @@
   }
 
   /** Average load of the engines of each service, for allocators that see only part of it. */
-  averages(): unseen.Crowding[] {
+  averages(): assumedLoad.Crowding[] {
     return [...this.engines.keys()].map((name) => {
       const ready = this.cellsOf(name)
         .all()
         .filter(({ record }) => record.state === 'ready');
-      return unseen.averageLoadOf(name, ready);
+      return assumedLoad.averageLoadOf(name, ready);
     });
   }
 
   /** Assumes the given average load on each engine. */
-  assume(averages: readonly unseen.Crowding[]): void {
+  assume(averages: readonly assumedLoad.Crowding[]): void {
     averages.forEach((each) => this.averageLoads.set(each.service, each));
     this.loads.forEach((each) => this.applyAverageLoad(each));
   }
@@ -266,7 +266,7 @@
   /** Records the end of a dispatch. */
   ended(
     id: string,
-    outcome: soundness.Ending,
+    outcome: targetHealth.Ending,
     now: number,
     observations: DispatchObservations = {},
   ): void {
@@ -325,7 +325,7 @@
 
   private applyAverageLoad(engineLoad: load.Load): void {
     const averageLoad = this.averageLoads.get(engineLoad.record.service);
-    if (averageLoad !== undefined) unseen.applyAssumedLoad(engineLoad, averageLoad);
+    if (averageLoad !== undefined) assumedLoad.applyAssumedLoad(engineLoad, averageLoad);
   }
 
   /** Ready engines whose rate limits admit a request; ejected ones only if there are no others. */
@@ -361,7 +361,7 @@
     const value = planner.valueOf(request);
     const { id, objectiveMs, waitedMs } = request;
     const part = {
-      reading: new reading.Reading(id, value, objectiveMs, now - waitedMs),
+      reading: new prefills.Reading(id, value, objectiveMs, now - waitedMs),
       isPart: parts > 1,
     };
     const task = { request: id, prefillMs: cost.readMs(decoder.engine, request.tokens, parts) };
--- a/packages/domain/src/allocation/load.ts
+++ b/packages/domain/src/allocation/load.ts
@@ -7,9 +7,9 @@
 import type * as rateLimits from '../rateLimits/rateLimits';
 import type * as registry from '../registry/registry';
 import * as cost from './cost';
-import type * as reading from './reading';
-import * as readQueue from './readQueue';
-import * as soundness from './soundness';
+import type * as prefills from './reading';
+import * as prefillQueue from './readQueue';
+import * as targetHealth from './soundness';
 
 /** One request's work on an engine: as the decoder, or as a prefill helper. */
 export interface Task {
@@ -49,7 +49,7 @@
   engineStepMs: number;
 }
 
-export class Load implements reading.PartSchedule, readQueue.DecodeState {
+export class Load implements prefills.PartSchedule, prefillQueue.DecodeState {
   private readonly tasks = new Map<string, Task>();
 
   /** Ids of assumed tasks, which nobody dispatched. */
@@ -66,9 +66,9 @@
    */
   private aggregates: Aggregates;
 
-  readonly prefillQueue = new readQueue.ReadQueue(this);
+  readonly prefillQueue = new prefillQueue.ReadQueue(this);
 
-  readonly health = new soundness.Soundness();
+  readonly health = new targetHealth.Soundness();
 
   /**
    * Measured time over modelled time; above 1 for a slow engine. Learned from the inter-token gaps
@@ -157,7 +157,7 @@
       .reduce((sum, { value }) => sum + value, 0);
   }
 
-  completionTime(prefill: reading.Reading, now: number): number | undefined {
+  completionTime(prefill: prefills.Reading, now: number): number | undefined {
     return this.prefillQueue.completionTime(prefill, now);
   }
 
@@ -175,7 +175,7 @@
   }
 
   /** Adds one request's work; `isPart` where other engines prefill parts of the same prompt. */
-  add(task: Task, part: { reading: reading.Reading; isPart: boolean }, now: number): void {
+  add(task: Task, part: { reading: prefills.Reading; isPart: boolean }, now: number): void {
     const leftMs = this.slowdown * task.prefillMs;
     if (leftMs > 0) {
       this.prefillQueue.add({ ...part, leftMs }, now);
--- a/packages/domain/src/allocation/outlook.ts
+++ b/packages/domain/src/allocation/outlook.ts
@@ -3,11 +3,11 @@
  * for the requests that decode there and for the prompts already in its queue.
  */
 import type * as load from './load';
-import type * as reading from './reading';
+import type * as prefills from './reading';
 
 /** A prompt that one more prefill delays. */
 export interface Delay {
-  prefill: reading.Reading;
+  prefill: prefills.Reading;
   /** When its prefill ends without and with the additional one. */
   sooner: number;
   later: number;
@@ -95,7 +95,7 @@
 
 /** Penalty of delays, in tokens of work; a prefill that several engines delay counts once. */
 export function delayPenalty(delays: readonly Delay[]): number {
-  const latest = new Map<reading.Reading, Delay>();
+  const latest = new Map<prefills.Reading, Delay>();
   delays.forEach((each) => {
     const known = latest.get(each.prefill);
     if (known === undefined || known.later < each.later) latest.set(each.prefill, each);
--- a/packages/domain/src/allocation/planner.ts
+++ b/packages/domain/src/allocation/planner.ts
@@ -12,8 +12,8 @@
 import * as cost from './cost';
 import * as lateness from './lateness';
 import * as load from './load';
-import * as outlooks from './outlook';
-import * as postponement from './postponement';
+import * as loadForecast from './outlook';
+import * as deferral from './postponement';
 import * as weights from './weights';
 
 export interface Prompt {
@@ -99,7 +99,7 @@
 
 interface Candidate {
   load: load.Load;
-  forecast: outlooks.LoadForecast;
+  forecast: loadForecast.LoadForecast;
   /** Whether it may become prefill helper for one more request. */
   mayHelp: boolean;
   /** Share of its recent dispatches that failed. */
@@ -142,7 +142,7 @@
     const candidates = loads.map((each) => {
       return {
         load: each,
-        forecast: new outlooks.LoadForecast(each, now),
+        forecast: new loadForecast.LoadForecast(each, now),
         mayHelp: each.mayHelp(this.planWeights.mostHelped, now),
         failureShare: each.health.failureShare(now),
       };
@@ -162,7 +162,7 @@
     const value = valueOf(prompt);
     const deferralMs = !(mayWait && this.planWeights.mayPostpone)
       ? undefined
-      : postponement.deferralMs({
+      : deferral.deferralMs({
           engine: this.engine,
           prompt,
           value,
@@ -246,10 +246,10 @@
   /** Penalty of delaying queued prefills on these engines by a further part. */
   private delayPenalty(
     { prefillMs, isShared }: Part,
-    forecasts: readonly outlooks.LoadForecast[],
+    forecasts: readonly loadForecast.LoadForecast[],
   ): number {
     if (!this.planWeights.countsDelays) return 0;
-    return outlooks.delayPenalty(forecasts.flatMap((each) => each.delays(prefillMs, isShared)));
+    return loadForecast.delayPenalty(forecasts.flatMap((each) => each.delays(prefillMs, isShared)));
   }
 
   /**
--- a/packages/domain/src/allocation/postponement.ts
+++ b/packages/domain/src/allocation/postponement.ts
@@ -6,7 +6,7 @@
 import type * as catalogue from '../catalogue/catalogue';
 import * as cost from './cost';
 import * as lateness from './lateness';
-import type * as outlooks from './outlook';
+import type * as loadForecast from './outlook';
 import type * as planner from './planner';
 
 /**
@@ -32,7 +32,7 @@
   penalty: number;
   /** Part counts considered. */
   partCounts: readonly number[];
-  forecasts: readonly outlooks.LoadForecast[];
+  forecasts: readonly loadForecast.LoadForecast[];
 }
 
 /** How long to defer, milliseconds; undefined where starting now is as good. */
--- a/packages/domain/src/allocation/readQueue.ts
+++ b/packages/domain/src/allocation/readQueue.ts
@@ -8,11 +8,11 @@
  * had their first token within 1.27 times the predicted time; with parts in order of arrival,
  * within 4 times.
  */
-import type * as reading from './reading';
+import type * as prefills from './reading';
 
 /** The part of a prompt that this engine prefills. */
 export interface PrefillPart {
-  reading: reading.Reading;
+  reading: prefills.Reading;
   /** Whether other engines prefill parts of the same prompt. */
   isPart: boolean;
   /** Remaining work, milliseconds of this engine. */
@@ -29,7 +29,7 @@
 
 /** A queued part and when its prefill ends, if nothing is added. */
 export interface PendingPart {
-  prefill: reading.Reading;
+  prefill: prefills.Reading;
   endsAt: number;
 }
 
@@ -103,7 +103,7 @@
     });
   }
 
-  completionTime(prefill: reading.Reading, now: number): number | undefined {
+  completionTime(prefill: prefills.Reading, now: number): number | undefined {
     this.advance(now);
     if (this.step?.parts.some((part) => part.reading === prefill) === true) {
       return this.step.endsAt;
