--- a/packages/domain/src/allocation/__tests__/prefill.test.ts
+++ b/packages/domain/src/allocation/__tests__/prefill.test.ts
@@ -22,10 +22,10 @@
   part: { leftMs: number; isPart: boolean },
   now: number,
 ): prefills.Reading {
-  const prefill = new prefills.Reading(name, 1_000, 3_000, now);
-  queue.add({ reading: prefill, ...part }, now);
-  prefill.addPlace(queue);
-  return prefill;
+  const started = new prefills.Reading(name, 1_000, 3_000, now);
+  queue.add({ reading: started, ...part }, now);
+  started.addPlace(queue);
+  return started;
 }
 
 describe('what an engine prefills next', () => {
@@ -101,11 +101,14 @@
   ): prefills.Reading {
     const prompt = { ...PROMPT, tokens };
     const decision = new planner.Planner(ENGINE).decide(prompt, loads, now, false);
-    const prefill = new prefills.Reading(name, planner.valueOf(prompt), PROMPT.objectiveMs, now);
+    const started = new prefills.Reading(name, planner.valueOf(prompt), PROMPT.objectiveMs, now);
     if (decision.kind !== 'begin') throw new Error(`no plan for ${name}`);
     const { helpers, decoder, partMs, decoderTokens } = decision.plan;
     const task = { request: name, prefillMs: partMs, contextTokens: 0, value: 0 };
-    const part = { reading: prefill, isPart: helpers.length > 0 };
+    const part: Omit<prefillQueue.PrefillPart, 'leftMs'> = {
+      reading: started,
+      isPart: helpers.length > 0,
+    };
     decoder.add(
       { ...task, role: 'decoder', memoryTokens: decoderTokens, maxGapMs: PROMPT.pauseMs },
       part,
@@ -114,7 +117,7 @@
     helpers.forEach((each) => {
       each.load.add({ ...task, role: 'helper', memoryTokens: 0, maxGapMs: Infinity }, part, now);
     });
-    return prefill;
+    return started;
   }
 
   /*
--- a/packages/domain/src/allocation/allocator.ts
+++ b/packages/domain/src/allocation/allocator.ts
@@ -14,6 +14,7 @@
 import * as load from './load';
 import * as planner from './planner';
 import * as prefills from './reading';
+import type * as prefillQueue from './readQueue';
 import type * as targetHealth from './soundness';
 import * as assumedLoad from './unseen';
 import * as weights from './weights';
@@ -360,7 +361,7 @@
     const parts = helpers.length + 1;
     const value = planner.valueOf(request);
     const { id, objectiveMs, waitedMs } = request;
-    const part = {
+    const part: Omit<prefillQueue.PrefillPart, 'leftMs'> = {
       reading: new prefills.Reading(id, value, objectiveMs, now - waitedMs),
       isPart: parts > 1,
     };
--- a/packages/domain/src/allocation/load.ts
+++ b/packages/domain/src/allocation/load.ts
@@ -175,7 +175,7 @@
   }
 
   /** Adds one request's work; `isPart` where other engines prefill parts of the same prompt. */
-  add(task: Task, part: { reading: prefills.Reading; isPart: boolean }, now: number): void {
+  add(task: Task, part: Omit<prefillQueue.PrefillPart, 'leftMs'>, now: number): void {
     const leftMs = this.slowdown * task.prefillMs;
     if (leftMs > 0) {
       this.prefillQueue.add({ ...part, leftMs }, now);
