--- a/packages/domain/src/routing/dispatcher.ts
+++ b/packages/domain/src/routing/dispatcher.ts
@@ -81,7 +81,7 @@
 
 interface TargetState {
   announced: target.Target;
-  estimate: estimate.Estimate;
+  targetEstimate: estimate.Estimate;
 }
 
 interface Running {
@@ -151,8 +151,8 @@
       known !== undefined && known.announced.incarnation !== announced.incarnation;
     if (hasRestarted) this.prefixes.forget(announced.name);
     const targetEstimate =
-      known === undefined || hasRestarted ? this.newEstimate(announced) : known.estimate;
-    this.targets.set(announced.name, { announced, estimate: targetEstimate });
+      known === undefined || hasRestarted ? this.newEstimate(announced) : known.targetEstimate;
+    this.targets.set(announced.name, { announced, targetEstimate });
   }
 
   private newEstimate({ memoryTokens }: target.Target): estimate.Estimate {
@@ -183,7 +183,7 @@
 
   /** Estimated free memory on a target, in tokens. */
   freeTokens(name: string, now: number): number {
-    return this.targets.get(name)?.estimate.freeTokens(now) ?? 0;
+    return this.targets.get(name)?.targetEstimate.freeTokens(now) ?? 0;
   }
 
   enqueue(request: Request, now: number): Refusal | undefined {
@@ -217,14 +217,14 @@
 
   firstToken(id: string, now: number): void {
     const running = this.running.get(id);
-    if (running !== undefined) this.targets.get(running.target)?.estimate.firstToken(id, now);
+    if (running !== undefined) this.targets.get(running.target)?.targetEstimate.firstToken(id, now);
   }
 
   ended(id: string, now: number): void {
     const running = this.running.get(id);
     if (running === undefined) return;
     this.running.delete(id);
-    this.targets.get(running.target)?.estimate.ended(id, now);
+    this.targets.get(running.target)?.targetEstimate.ended(id, now);
   }
 
   /** The target had no room and ran nothing; the request returns to its old place in the queue. */
@@ -232,16 +232,16 @@
     const running = this.running.get(id);
     if (running === undefined) return;
     this.ended(id, now);
-    this.targets.get(running.target)?.estimate.reported(report);
+    this.targets.get(running.target)?.targetEstimate.reported(report);
     this.queues[running.queued.band].putBack(running.queued, running.start);
   }
 
   reported(name: string, report: estimate.Report): void {
-    this.targets.get(name)?.estimate.reported(report);
+    this.targets.get(name)?.targetEstimate.reported(report);
   }
 
   peersReported(name: string, outstanding: estimate.Outstanding, now: number): void {
-    this.targets.get(name)?.estimate.setPeersOutstanding(outstanding, now);
+    this.targets.get(name)?.targetEstimate.setPeersOutstanding(outstanding, now);
   }
 
   /** Demand measured by the other daemons, so that all size the bands for the total. */
@@ -257,10 +257,7 @@
   /** Own outstanding tokens by target, for the peers. */
   outstanding(): Map<string, estimate.Outstanding> {
     return new Map(
-      [...this.targets].map(([name, { estimate: targetEstimate }]) => [
-        name,
-        targetEstimate.outstanding(),
-      ]),
+      [...this.targets].map(([name, { targetEstimate }]) => [name, targetEstimate.outstanding()]),
     );
   }
 
@@ -301,17 +298,15 @@
       ({ announced }) => !this.openCircuits.has(announced.name),
     );
     const untried = healthy.filter(({ announced }) => !request.excluded.has(announced.name));
-    return (untried.length > 0 ? untried : healthy).map(
-      ({ announced, estimate: targetEstimate }) => ({
-        name: announced.name,
-        estimate: targetEstimate,
-        distanceMs: announced.dataCentre === this.dataCentre ? 0 : this.options.crossDataCentreMs,
-        cachedTokens: this.prefixes.cachedTokens(announced.name, request.prefixKeys),
-        reserved: this.reservedTargets.has(announced.name),
-        preference: this.preferenceOf(announced.name),
-        memoryTokens: announced.memoryTokens,
-      }),
-    );
+    return (untried.length > 0 ? untried : healthy).map(({ announced, targetEstimate }) => ({
+      name: announced.name,
+      estimate: targetEstimate,
+      distanceMs: announced.dataCentre === this.dataCentre ? 0 : this.options.crossDataCentreMs,
+      cachedTokens: this.prefixes.cachedTokens(announced.name, request.prefixKeys),
+      reserved: this.reservedTargets.has(announced.name),
+      preference: this.preferenceOf(announced.name),
+      memoryTokens: announced.memoryTokens,
+    }));
   }
 
   private preferenceOf(name: string): number {
@@ -344,7 +339,7 @@
     const known = this.targets.get(name) as TargetState;
     const cached = this.prefixes.cachedTokens(name, waiting.prefixKeys);
     const uncached = Math.max(0, tokens - cached);
-    known.estimate.dispatched(id, waiting.band, uncached, memoryTokens, now);
+    known.targetEstimate.dispatched(id, waiting.band, uncached, memoryTokens, now);
     this.prefixes.expectCached(name, waiting.prefixKeys);
     const { announced } = known;
     const { band: inBand } = waiting;
@@ -361,7 +356,7 @@
   private countDemand(inBand: band.Band, tokens: number, now: number): void {
     const states = [...this.targets.values()];
     const total = states.reduce(
-      (sum, { estimate: targetEstimate }) => sum + targetEstimate.costs.serviceMs(inBand, tokens),
+      (sum, { targetEstimate }) => sum + targetEstimate.costs.serviceMs(inBand, tokens),
       0,
     );
     this.demand.count(inBand, total / Math.max(1, states.length), now);
