--- a/packages/domain/src/allocation/__tests__/limitedEngines.test.ts
+++ b/packages/domain/src/allocation/__tests__/limitedEngines.test.ts
@@ -1,4 +1,4 @@
-/** Placement where engines name how many requests a second they take. */
+/** Tests of placement on engines that announce a rate limit. */
 import * as chai from 'chai';
 import * as rateLimits from '../../rateLimits/rateLimits';
 import * as allocator from '../allocator';
@@ -8,46 +8,46 @@
 
 const { LONG, SERVICE, request, target } = fixture;
 
-/** More than the memory of an engine. */
+/** Exceeds the memory of one engine. */
 const LARGER = { ...LONG, tokens: 400_000 };
 
 interface Fleet {
   limits: rateLimits.RateLimits;
-  made: allocator.Allocator;
+  placer: allocator.Allocator;
 }
 
 /** The first `limited` of `size` engines take one request a second. */
 function fleet(size: number, limited: number): Fleet {
   const limits = new rateLimits.RateLimits();
   limits.giveOut(1, 0);
-  const made = new allocator.Allocator(undefined, undefined, limits);
-  made.setServices([SERVICE]);
-  for (let i = 0; i < size; i++) made.observe(target(i));
+  const placer = new allocator.Allocator(undefined, undefined, limits);
+  placer.setServices([SERVICE]);
+  for (let i = 0; i < size; i++) placer.observe(target(i));
   for (let i = 0; i < limited; i++) limits.set({ ...target(i), perSecond: 1 }, 0);
-  return { limits, made };
+  return { limits, placer };
 }
 
-describe('engines with a limit', () => {
-  /** Guards against parts of prompts beside the limit: an engine that helps to read gets a message as well. */
-  it('are counted for each prompt that they write or help to read', () => {
-    const { limits, made } = fleet(4, 4);
-    const placed = made.place(request('long', LONG), 1_000);
+describe('engines with a rate limit', () => {
+  /** Guards against parts that bypass the limit: a prefill helper gets a message as well. */
+  it('are charged for each prompt that they decode or help to prefill', () => {
+    const { limits, placer } = fleet(4, 4);
+    const placed = placer.place(request('long', LONG), 1_000);
     const used = [placed?.target, ...(placed?.helpers ?? []).map((helper) => helper.target)];
     expect(used.length).to.be.above(1);
     const left = [0, 1, 2, 3].map((i) => limits.mayTake(target(i), 1_000));
     expect(left).to.deep.equal([0, 1, 2, 3].map((i) => !used.includes(`t${i}`)));
   });
 
-  it('are left to others until their limits let a request pass', () => {
-    const { made } = fleet(2, 1);
-    const targets = ['a', 'b', 'c'].map((id) => made.place(request(id), 0)?.target);
+  it('are avoided until their limits admit a request', () => {
+    const { placer } = fleet(2, 1);
+    const targets = ['a', 'b', 'c'].map((id) => placer.place(request(id), 0)?.target);
     expect(targets).to.deep.equal(['t1', 't1', 't1']);
   });
 
-  /** Guards against reservations on engines in need, each of which takes several messages. */
-  it('keep no memory for others while those without a limit have room', () => {
-    const { made } = fleet(8, 4);
-    const placed = made.place(request('larger', LARGER), 1_000);
+  /** Guards against reservations on rate-limited engines, each of which takes several messages. */
+  it('keep no memory for decoders while engines without a limit have room', () => {
+    const { placer } = fleet(8, 4);
+    const placed = placer.place(request('larger', LARGER), 1_000);
     const kept = placed?.helpers.filter(({ keptTokens }) => keptTokens > 0) ?? [];
     expect(kept.length).to.be.above(0);
     expect(kept.filter(({ target: id }) => ['t0', 't1', 't2', 't3'].includes(id))).to.deep.equal(
@@ -56,15 +56,16 @@
   });
 
   it('keep memory where all are limited, as the prompt could not be served otherwise', () => {
-    const { made } = fleet(4, 4);
-    expect(made.place(request('larger', LARGER), 1_000)).to.not.equal(undefined);
+    const { placer } = fleet(4, 4);
+    expect(placer.place(request('larger', LARGER), 1_000)).to.not.equal(undefined);
   });
 
-  it('tell how long they let nothing pass, with those who wait before', () => {
-    const { made } = fleet(2, 2);
-    expect([made.limitedForMs('engines', 0, 0), made.limitedForMs('engines', 4, 0)]).to.deep.equal([
-      1_000, 3_000,
-    ]);
-    expect(fleet(2, 1).made.limitedForMs('engines', 4, 0)).to.equal(0);
+  it('report how long they admit nothing, with the requests queued ahead', () => {
+    const { placer } = fleet(2, 2);
+    expect([
+      placer.limitedForMs('engines', 0, 0),
+      placer.limitedForMs('engines', 4, 0),
+    ]).to.deep.equal([1_000, 3_000]);
+    expect(fleet(2, 1).placer.limitedForMs('engines', 4, 0)).to.equal(0);
   });
 });
--- a/packages/domain/src/allocation/allocator.ts
+++ b/packages/domain/src/allocation/allocator.ts
@@ -1,7 +1,8 @@
 /**
- * Gives every prompt of a service its engines, with one view of all dispatches. Entries ask for a place,
- * say when an answer ended, and the allocator counts what each engine has. Losing the allocator loses only the
- * counts: entries then choose by their own dispatches until another one has taken over.
+ * Places every prompt of a service on its engines with one view of all dispatches. Entries request
+ * a placement and report when the dispatch ends; the allocator tracks the load of each engine.
+ * Losing the allocator loses only that load: until another takes over, entries place requests by
+ * their own dispatches.
  */
 import type * as catalogue from '../catalogue/catalogue';
 import * as rateLimits from '../rateLimits/rateLimits';
@@ -12,33 +13,37 @@
 import * as isolation from './isolation';
 import * as load from './load';
 import * as planner from './planner';
-import * as reading from './reading';
-import type * as soundness from './soundness';
-import * as unseen from './unseen';
+import * as prefills from './reading';
+import type * as prefillQueue from './readQueue';
+import type * as targetHealth from './soundness';
+import * as assumedLoad from './unseen';
 import * as weights from './weights';
 
 export interface Request extends planner.Prompt {
   id: string;
-  /** The entry that asks; its dispatches end with it. */
+  /** The entry that requests the placement; its dispatches end with it. */
   entry: string;
   service: string;
-  /** Targets that this request was sent to before. */
+  /** Targets that the request was already sent to. */
   excluded: readonly string[];
-  /** How many targets ended while they ran this content; undefined for none. */
+  /**
+   * Number of targets that crashed while running a request with this fingerprint; undefined for
+   * none.
+   */
   endings?: number;
 }
 
-/** A target that helps to read. */
+/** A prefill helper. */
 export interface Helper {
   target: string;
   /** HOST:PORT. */
   address: string;
-  /** Tokens of memory to reserve there for the prompt; 0 where it only reads. */
+  /** Tokens of memory to reserve there for the prompt; 0 where it only prefills. */
   keptTokens: number;
 }
 
 export interface Placement {
-  /** Id of the target that gets the request. */
+  /** Id of the target that decodes the answer. */
   target: string;
   /** HOST:PORT of that target. */
   address: string;
@@ -49,67 +54,72 @@
 export type Choice =
   { kind: 'placed'; placement: Placement } | Exclude<planner.Decision, { kind: 'begin' }>;
 
-/** What an entry saw of a dispatch beside its ending. */
-export interface Seen {
-  /** The target that made it fail, where that isn't the writer. */
+/** What an entry observed of a dispatch beside its outcome. */
+export interface DispatchObservations {
+  /** The target that made it fail, if not the decoder. */
   faulty?: string;
-  /** Usual pause between the events of its answer, milliseconds. */
+  /** Typical inter-token gap of its answer, milliseconds. */
   gapMs?: number;
 }
 
 /**
- * Engines of the caller's data centre that are enough to choose among, and how many of them there must be for each
- * engine that may read the prompt. A plan asks each engine what the prompt would spoil there; with 150 engines, a burst
- * after a loss of all cost a new leader 2 ms a prompt, and it answered nobody for half a second at a time. With
- * 30 of them a short prompt takes 0.08 ms in place of 0.35, and one of 45k tokens 0.5 in place of 1.7.
+ * Fewest engines of the caller's data centre that a plan may be limited to, and how many of them
+ * there must be for each useful prefill part. A plan computes the prompt's cost on every candidate:
+ * with 150 engines, re-placing all requests after a total loss cost a new leader 2 ms per prompt,
+ * and it was unresponsive for half a second at a time. With 30 engines a short prompt takes 0.08 ms
+ * instead of 0.35, and one of 45k tokens 0.5 instead of 1.7.
  */
-const NEAR_ENGINES = 24;
-const NEAR_FOR_EACH_PART = 2;
+const MIN_NEARBY_ENGINES = 24;
+const NEARBY_ENGINES_PER_PART = 2;
 
 /**
- * Part of what a prompt is worth that a plan in its data centre may spoil. With more, the engines there are busier than
- * usual, and the others are asked too.
+ * Largest penalty of a plan within the caller's data centre, as a fraction of the request's value.
+ * Above it the engines there are busier than usual, and engines elsewhere are considered too.
  */
-const NEAR_HARM = 0.05;
+const MAX_NEARBY_PENALTY_FRACTION = 0.05;
 
 interface Dispatch {
   entry: string;
   loads: load.Load[];
-  writer: load.Load;
+  decoder: load.Load;
 }
 
 export class Allocator {
   private readonly loads = new Map<string, load.Load>();
 
-  /** The same by service. */
+  /** The loads by service. */
   private readonly cells = new Map<string, cells.Cells>();
 
-  /** Targets that aren't gone, of all services. */
+  /** Announcements of all targets that aren't gone, of all services. */
   private readonly records = new Map<string, registry.Announcement>();
 
   private readonly planners = new Map<string, planner.Planner>();
 
   private readonly dispatches = new Map<string, Dispatch>();
 
-  /** Requests that run now and may end their engine. */
-  private readonly suspects = new isolation.Isolation();
+  /** Running requests that are suspected of crashing their target. */
+  private readonly suspects = new isolation.SuspectIsolation();
 
   private engines = new Map<string, catalogue.Engine>();
 
-  /** What is assumed to be written where this allocator doesn't see it, by service. */
-  private readonly crowding = new Map<string, unseen.Crowding>();
+  /** Average load reported by the leader, by service; assumed on each engine. */
+  private readonly averageLoads = new Map<string, assumedLoad.Crowding>();
 
   /**
-   * `chance` is for an allocator that sees only a part of all dispatches: it chooses among equal engines by
-   * chance. Without that, all entries that lost their leader chose the same few engines for all prompts.
+   * `randomSource` is for an allocator that sees only part of all dispatches: it shuffles the
+   * candidates, so that ties are broken randomly. Otherwise all entries that lost the leader chose
+   * the same few engines for every prompt.
    */
   constructor(
-    private readonly chance?: random.Random,
-    private readonly weighed: weights.Weights = weights.WEIGHTS,
+    private readonly randomSource?: random.Random,
+    private readonly planWeights: weights.Weights = weights.WEIGHTS,
     private readonly limits = new rateLimits.RateLimits(),
   ) {}
 
-  /** Takes the engines of a new catalogue; loads of an engine that changed begin anew. */
+  /**
+   * Applies the engines of a new catalogue; the load of an engine whose figures changed starts
+   * empty.
+   */
   setServices(services: readonly catalogue.Service[]): void {
     const before = this.engines;
     this.engines = new Map(
@@ -119,110 +129,124 @@
       return JSON.stringify(before.get(name)) !== JSON.stringify(engine);
     });
     changed.forEach(([name, engine]) => {
-      this.planners.set(name, new planner.Planner(engine, this.weighed));
+      this.planners.set(name, new planner.Planner(engine, this.planWeights));
       this.records.forEach((record) => {
-        if (record.service === name) this.replace(this.loadOf(engine, record));
+        if (record.service === name) this.replaceLoad(this.createLoad(engine, record));
       });
     });
   }
 
-  /** Takes what the registry says of a target, which may come before the catalogue that knows its service. */
+  /**
+   * Applies an announcement of a target, which may arrive before the catalogue that defines its
+   * service.
+   */
   observe(record: registry.Announcement): void {
     if (record.state === 'gone') {
       this.records.delete(record.id);
-      this.drop(record.id);
+      this.removeLoad(record.id);
       return;
     }
     this.records.set(record.id, record);
     const known = this.loads.get(record.id);
     const engine = this.engines.get(record.service);
-    if (known !== undefined && isSamePlace(known.record, record)) known.record = record;
-    else if (engine !== undefined) this.replace(this.loadOf(engine, record));
+    if (known !== undefined && hasSameLocation(known.record, record)) known.record = record;
+    else if (engine !== undefined) this.replaceLoad(this.createLoad(engine, record));
   }
 
-  /** What is written on the engines of each service on average, for those who see only a part of it. */
-  averages(): unseen.Crowding[] {
+  /** Average load of the engines of each service, for allocators that see only part of it. */
+  averages(): assumedLoad.Crowding[] {
     return [...this.engines.keys()].map((name) => {
       const ready = this.cellsOf(name)
         .all()
         .filter(({ record }) => record.state === 'ready');
-      return unseen.crowdingOf(name, ready);
+      return assumedLoad.averageLoadOf(name, ready);
     });
   }
 
-  /** Assumes that others write as much on each engine. */
-  assume(averages: readonly unseen.Crowding[]): void {
-    averages.forEach((each) => this.crowding.set(each.service, each));
-    this.loads.forEach((each) => this.assumeOthers(each));
+  /** Assumes the given average load on each engine. */
+  assume(averages: readonly assumedLoad.Crowding[]): void {
+    averages.forEach((each) => this.averageLoads.set(each.service, each));
+    this.loads.forEach((each) => this.applyAverageLoad(each));
   }
 
-  /** A place for the request at once, or undefined where every engine is full. */
+  /** Places the request at once; undefined where every engine is full. */
   place(request: Request, now: number): Placement | undefined {
     const choice = this.choose(request, now, false);
     return choice.kind === 'placed' ? choice.placement : undefined;
   }
 
-  /** A place for the request, or with `mayWait` the time at which to ask again. */
+  /** Places the request or, with `mayWait`, returns the time after which to try again. */
   choose(request: Request, now: number, mayWait: boolean): Choice {
-    const made = this.planners.get(request.service);
-    if (made === undefined) return { kind: 'full' };
-    const scope = this.scopeOf(request);
-    const usable = this.usable(request, scope.all, now);
+    const enginePlanner = this.planners.get(request.service);
+    if (enginePlanner === undefined) return { kind: 'full' };
+    const scope = this.candidateScope(request);
+    const usable = this.eligibleEngines(request, scope.all, now);
     const decision =
-      this.decideNear(made, request, { ...scope, all: usable }, now) ??
-      made.decide(request, usable, now, mayWait);
+      this.decideNearby(enginePlanner, request, { ...scope, all: usable }, now) ??
+      enginePlanner.decide(request, usable, now, mayWait);
     if (decision.kind !== 'begin') return decision;
     const { plan } = decision;
-    this.occupy(request, plan, now);
-    [plan.writer, ...plan.helpers.map((each) => each.load)].forEach(({ record }) => {
+    this.recordDispatch(request, plan, now);
+    [plan.decoder, ...plan.helpers.map((each) => each.load)].forEach(({ record }) => {
       this.limits.take(record, 1, now);
     });
     return { kind: 'placed', placement: placementOf(plan) };
   }
 
-  /** Engines that are asked for a request: all of a small service, else some cells and those that it is bound to. */
-  private scopeOf({ service, dataCentre, writers = [] }: Request): cells.Scope {
+  /**
+   * Candidate engines: all of a small service, otherwise those of some cells and those that the
+   * request is bound to.
+   */
+  private candidateScope({ service, dataCentre, writers = [] }: Request): cells.Scope {
     const scope = this.cellsOf(service).scope(dataCentre);
     const bound = writers.flatMap((id) => this.loads.get(id) ?? []);
     return { ...scope, all: [...new Set([...scope.all, ...bound])] };
   }
 
-  /** A plan among the engines of the first cell or of the caller's data centre, where these are enough and it spoils next to nothing. */
-  private decideNear(
-    made: planner.Planner,
+  /**
+   * A plan limited to the first cell or to the caller's data centre; undefined if that has too few
+   * engines or the penalty is too high.
+   */
+  private decideNearby(
+    enginePlanner: planner.Planner,
     request: Request,
     { first, all }: cells.Scope,
     now: number,
   ): planner.Decision | undefined {
     const ofFirst = new Set(first);
-    const near = all.filter((each) => {
+    const nearby = all.filter((each) => {
       return first === undefined
         ? each.record.dataCentre === request.dataCentre
         : ofFirst.has(each);
     });
-    const wanted = NEAR_FOR_EACH_PART * made.sensibleParts(request);
-    // A cell has engines enough for any prompt.
-    const enough = first === undefined ? Math.max(NEAR_ENGINES, wanted) : NEAR_ENGINES;
-    if (near.length < enough || near.length === all.length) return undefined;
-    const decision = made.decide(request, near, now, false);
+    const minForParts = NEARBY_ENGINES_PER_PART * enginePlanner.maxUsefulParts(request);
+    // A cell has enough engines for any prompt.
+    const enough =
+      first === undefined ? Math.max(MIN_NEARBY_ENGINES, minForParts) : MIN_NEARBY_ENGINES;
+    if (nearby.length < enough || nearby.length === all.length) return undefined;
+    const decision = enginePlanner.decide(request, nearby, now, false);
     const isGood =
-      decision.kind === 'begin' && decision.plan.harm <= NEAR_HARM * planner.valueOf(request);
+      decision.kind === 'begin' &&
+      decision.plan.penalty <= MAX_NEARBY_PENALTY_FRACTION * planner.valueOf(request);
     return isGood ? decision : undefined;
   }
 
   /**
-   * When the least busy engine of a service will have read what it was given, milliseconds from now; infinite
-   * without engines. A request that found no place finds one then, if nobody else takes it.
+   * Milliseconds until the least busy engine of a service has prefilled its queue; infinite without
+   * engines. A request that found no place finds one then, unless another takes it.
    */
   nextPlaceMs(service: string, now: number): number {
     const waits = this.cellsOf(service)
       .all()
       .filter(({ record }) => record.state === 'ready')
-      .map((each) => each.pendingReadMs(now) + each.passMs());
+      .map((each) => each.pendingPrefillMs(now) + each.passMs());
     return Math.min(Infinity, ...waits);
   }
 
-  /** How long the limits of a service's engines let no more pass than `ahead` requests, milliseconds; 0 where one has none. */
+  /**
+   * Milliseconds for which the rate limits of a service's engines admit no more than `ahead`
+   * requests; 0 where an engine has no limit.
+   */
   limitedForMs(service: string, ahead: number, now: number): number {
     if (this.limits.size === 0) return 0;
     const ready = this.cellsOf(service)
@@ -232,25 +256,31 @@
     return this.limits.waitMs(ready, ahead, now);
   }
 
-  /** Counts a dispatch that another allocator made, whose reading is over by now. */
+  /** Restores a dispatch that another allocator made, assuming that its prefill is over. */
   restore(request: Request, target: string, now: number): void {
-    const writer = this.loads.get(target);
-    if (writer === undefined || this.dispatches.has(request.id)) return;
-    const writerTokens = request.tokens + request.answerTokens;
-    this.occupy({ ...request, tokens: 0 }, { writer, writerTokens, helpers: [] }, now);
+    const decoder = this.loads.get(target);
+    if (decoder === undefined || this.dispatches.has(request.id)) return;
+    const decoderTokens = request.tokens + request.answerTokens;
+    this.recordDispatch({ ...request, tokens: 0 }, { decoder, decoderTokens, helpers: [] }, now);
   }
 
-  /** A dispatch ended. */
-  ended(id: string, ending: soundness.Ending, now: number, seen: Seen = {}): void {
+  /** Records the end of a dispatch. */
+  ended(
+    id: string,
+    outcome: targetHealth.Ending,
+    now: number,
+    observations: DispatchObservations = {},
+  ): void {
     const dispatch = this.dispatches.get(id);
     if (dispatch === undefined) return;
     this.dispatches.delete(id);
     this.suspects.end(id);
-    const { faulty, gapMs } = seen;
-    if (gapMs !== undefined) dispatch.writer.observePass(gapMs);
+    const { faulty, gapMs } = observations;
+    if (gapMs !== undefined) dispatch.decoder.observeStep(gapMs);
     dispatch.loads.forEach((each) => each.remove(id, now));
-    const blamed = (faulty === undefined ? undefined : this.loads.get(faulty)) ?? dispatch.writer;
-    blamed.soundness.ended(ending, now);
+    const responsible =
+      (faulty === undefined ? undefined : this.loads.get(faulty)) ?? dispatch.decoder;
+    responsible.health.ended(outcome, now);
   }
 
   /** Ends all dispatches of an entry that is gone. */
@@ -260,9 +290,9 @@
       .forEach(([id]) => this.ended(id, 'cancelled', now));
   }
 
-  /** Most engines that one prompt is weighed on. */
+  /** Most engines that one placement considers. */
   get mostAsked(): number {
-    return Math.max(0, ...[...this.cells.values()].map((each) => each.mostAsked));
+    return Math.max(0, ...[...this.cells.values()].map((each) => each.maxCandidates));
   }
 
   get size(): number {
@@ -275,96 +305,103 @@
     return known;
   }
 
-  private replace(made: load.Load): void {
-    this.drop(made.record.id);
-    this.loads.set(made.record.id, made);
-    this.cellsOf(made.record.service).add(made);
+  private replaceLoad(replacement: load.Load): void {
+    this.removeLoad(replacement.record.id);
+    this.loads.set(replacement.record.id, replacement);
+    this.cellsOf(replacement.record.service).add(replacement);
   }
 
-  private drop(id: string): void {
+  private removeLoad(id: string): void {
     const known = this.loads.get(id);
     if (known === undefined) return;
     this.loads.delete(id);
     this.cellsOf(known.record.service).remove(known);
   }
 
-  private loadOf(engine: catalogue.Engine, record: registry.Announcement): load.Load {
-    const made = new load.Load(engine, record, (place) => this.limits.isLimited(place));
-    this.assumeOthers(made);
-    return made;
+  private createLoad(engine: catalogue.Engine, record: registry.Announcement): load.Load {
+    const created = new load.Load(engine, record, (place) => this.limits.isLimited(place));
+    this.applyAverageLoad(created);
+    return created;
   }
 
-  private assumeOthers(on: load.Load): void {
-    const crowding = this.crowding.get(on.record.service);
-    if (crowding !== undefined) unseen.assume(on, crowding);
+  private applyAverageLoad(engineLoad: load.Load): void {
+    const averageLoad = this.averageLoads.get(engineLoad.record.service);
+    if (averageLoad !== undefined) assumedLoad.applyAssumedLoad(engineLoad, averageLoad);
   }
 
-  /** Engines that take work, and whose limits let a request pass; those that failed lately only where there are no others. */
-  private usable(
+  /** Ready engines whose rate limits admit a request; ejected ones only if there are no others. */
+  private eligibleEngines(
     { excluded, writers, endings }: Request,
-    asked: readonly load.Load[],
+    candidates: readonly load.Load[],
     now: number,
   ): load.Load[] {
-    const ready = asked.filter(({ record }) => {
+    const ready = candidates.filter(({ record }) => {
       const isReady = record.state === 'ready' && !excluded.includes(record.id);
       return isReady && this.limits.mayTake(record, now);
     });
-    const sound = ready.filter((each) => each.soundness.isUsable(now, each.writers === 0));
-    const able = sound.length > 0 ? sound : ready;
-    // Whoever is bound to a target that has the request already can't go elsewhere.
-    const usable = writers === undefined ? this.suspects.suitable(able, endings) : able;
-    return this.chance === undefined ? usable : random.shuffled(this.chance, usable);
+    const healthy = ready.filter((each) => each.health.isUsable(now, each.decodingCount === 0));
+    const available = healthy.length > 0 ? healthy : ready;
+    // A request that is bound to targets which already hold its state can't go elsewhere.
+    const eligible =
+      writers === undefined ? this.suspects.eligibleEngines(available, endings) : available;
+    return this.randomSource === undefined
+      ? eligible
+      : random.shuffled(this.randomSource, eligible);
   }
 
-  private occupy(
+  private recordDispatch(
     request: Request,
-    { writer, writerTokens, helpers }: Pick<planner.Plan, 'writer' | 'writerTokens' | 'helpers'>,
+    {
+      decoder,
+      decoderTokens,
+      helpers,
+    }: Pick<planner.Plan, 'decoder' | 'decoderTokens' | 'helpers'>,
     now: number,
   ): void {
     const parts = helpers.length + 1;
     const value = planner.valueOf(request);
     const { id, objectiveMs, waitedMs } = request;
-    const share = {
-      reading: new reading.Reading(id, value, objectiveMs, now - waitedMs),
+    const part: Omit<prefillQueue.PrefillPart, 'leftMs'> = {
+      reading: new prefills.Reading(id, value, objectiveMs, now - waitedMs),
       isPart: parts > 1,
     };
-    const task = { request: id, readMs: cost.readMs(writer.engine, request.tokens, parts) };
-    writer.add(
+    const task = { request: id, prefillMs: cost.readMs(decoder.engine, request.tokens, parts) };
+    decoder.add(
       {
         ...task,
-        role: 'writer',
+        role: 'decoder',
         contextTokens: request.tokens / parts,
-        memoryTokens: writerTokens,
-        pauseMs: request.pauseMs,
+        memoryTokens: decoderTokens,
+        maxGapMs: request.pauseMs,
         value,
       },
-      share,
+      part,
       now,
     );
     const help = {
       ...task,
       role: 'helper',
       contextTokens: 0,
-      pauseMs: Infinity,
+      maxGapMs: Infinity,
       value: 0,
     } as const;
     helpers.forEach(({ load: each, keptTokens }) => {
-      each.add({ ...help, memoryTokens: keptTokens }, share, now);
+      each.add({ ...help, memoryTokens: keptTokens }, part, now);
     });
-    const loads = [writer, ...helpers.map((each) => each.load)];
-    this.suspects.begin(request, writer);
-    this.dispatches.set(request.id, { entry: request.entry, loads, writer });
+    const loads = [decoder, ...helpers.map((each) => each.load)];
+    this.suspects.begin(request, decoder);
+    this.dispatches.set(request.id, { entry: request.entry, loads, decoder });
   }
 }
 
-function isSamePlace(a: registry.Announcement, b: registry.Announcement): boolean {
+function hasSameLocation(a: registry.Announcement, b: registry.Announcement): boolean {
   return a.service === b.service && a.dataCentre === b.dataCentre;
 }
 
-function placementOf({ writer, helpers, firstTokenMs }: planner.Plan): Placement {
+function placementOf({ decoder, helpers, firstTokenMs }: planner.Plan): Placement {
   return {
-    target: writer.record.id,
-    address: writer.record.address,
+    target: decoder.record.id,
+    address: decoder.record.address,
     helpers: helpers.map(({ load: { record }, keptTokens }) => {
       return { target: record.id, address: record.address, keptTokens };
     }),
--- a/packages/domain/src/allocation/isolation.ts
+++ b/packages/domain/src/allocation/isolation.ts
@@ -1,30 +1,35 @@
 /**
- * Which engines a request may use beside requests that may end theirs. A crash leaves a suspect for each request that the engine
- * had, ten or so; placed together again, they would be blamed for the next end together too, and the innocent among them
- * refused with the culprit. Apart, only the culprit is blamed twice. A suspect that was blamed twice runs where the fewest
- * others do, and nothing is added there while it runs.
+ * Separates suspect requests, those that ran on a target when it crashed, from each other. A crash
+ * leaves about ten suspects; if they were placed together again, the next crash would count against
+ * all of them, and the innocent ones would be refused with the one that causes the crashes. Kept
+ * apart, only that one counts two crashes. A suspect with two crashes runs on a nearly empty
+ * engine, and nothing is added there while it runs.
  */
 import type * as load from './load';
 
-/** Ends from which on nothing is placed beside a suspect. */
-const ALONE_FROM = 2;
+/** Crashes from which on a suspect runs alone. */
+const MIN_CRASHES_TO_RUN_ALONE = 2;
 
-/** Part of the engines, the emptiest, among which such a suspect is placed; enough that a long prompt finds helpers. */
-const EMPTIEST_SHARE = 1 / 3;
+/**
+ * Fraction of the engines, the least loaded, among which such a suspect is placed; enough for a
+ * long prompt to find helpers.
+ */
+const LEAST_LOADED_FRACTION = 1 / 3;
 
 /**
- * Part of the engines that may be kept for such suspects alone. When many engines crash at once, twice in a row, dozens of
- * innocent requests are blamed twice, and their engines would be missing for as long as they write.
+ * Largest fraction of the engines reserved for such suspects. When many engines crash at once,
+ * twice in a row, dozens of innocent requests count two crashes, and their engines would be
+ * unavailable until they finish.
  */
-const MOST_ALONE_SHARE = 0.1;
+const MAX_RESERVED_FRACTION = 0.1;
 
 interface Suspect {
   id: string;
   endings?: number;
 }
 
-export class Isolation {
-  /** Suspects that run, by request. */
+export class SuspectIsolation {
+  /** Running suspects by request id. */
   private readonly running = new Map<string, { endings: number; target: string }>();
 
   begin({ id, endings = 0 }: Suspect, { record }: load.Load): void {
@@ -35,21 +40,24 @@
     this.running.delete(id);
   }
 
-  /** Engines that suit a request of which so many ended; all where none do, as a suspicion may be wrong and must not refuse. */
-  suitable(loads: load.Load[], endings = 0): load.Load[] {
-    if (this.running.size === 0 && endings < ALONE_FROM) return loads;
+  /**
+   * Engines allowed for a request with this number of crashes; all if none is left, as a suspicion
+   * may be wrong and must not cause a refusal.
+   */
+  eligibleEngines(loads: load.Load[], endings = 0): load.Load[] {
+    if (this.running.size === 0 && endings < MIN_CRASHES_TO_RUN_ALONE) return loads;
     const running = [...this.running.values()];
-    const alone = running.filter((suspect) => suspect.endings >= ALONE_FROM);
-    const most = Math.ceil(MOST_ALONE_SHARE * loads.length);
-    const besides = endings > 0 ? running : alone.slice(0, most);
-    const avoided = new Set(besides.map(({ target }) => target));
+    const alone = running.filter((suspect) => suspect.endings >= MIN_CRASHES_TO_RUN_ALONE);
+    const maxReserved = Math.ceil(MAX_RESERVED_FRACTION * loads.length);
+    const avoidedSuspects = endings > 0 ? running : alone.slice(0, maxReserved);
+    const avoided = new Set(avoidedSuspects.map(({ target }) => target));
     const apart = loads.filter(({ record }) => !avoided.has(record.id));
     if (apart.length === 0) return loads;
-    return endings < ALONE_FROM ? apart : emptiest(apart);
+    return endings < MIN_CRASHES_TO_RUN_ALONE ? apart : leastLoaded(apart);
   }
 }
 
-function emptiest(loads: readonly load.Load[]): load.Load[] {
-  const byWriters = [...loads].sort((a, b) => a.writers - b.writers);
-  return byWriters.slice(0, Math.ceil(EMPTIEST_SHARE * loads.length));
+function leastLoaded(loads: readonly load.Load[]): load.Load[] {
+  const byWriters = [...loads].sort((a, b) => a.decodingCount - b.decodingCount);
+  return byWriters.slice(0, Math.ceil(LEAST_LOADED_FRACTION * loads.length));
 }
--- a/packages/domain/src/allocation/readQueue.ts
+++ b/packages/domain/src/allocation/readQueue.ts
@@ -1,136 +1,137 @@
 /**
- * The prompts that one engine still has to read, in the order in which engines read. Parts of prompts that several
- * engines read go before prompts that it reads alone, and a newer part goes before an older one. An engine
- * where nobody writes takes up the newest part at once, in the middle of an older one. Where somebody writes, a
- * pass reads all that waits at its beginning, and what comes meanwhile waits for its end.
+ * The prefill queue of one engine, in the order in which engines prefill. Parts of divided prompts
+ * go before whole prompts, and a newer part before an older one. An engine on which nothing decodes
+ * starts the newest part at once and preempts an older one. On an engine with decoding requests, a
+ * step prefills everything that is queued when it begins, and later arrivals wait for its end.
  *
- * The order was found by replaying all dispatches of a day: with it, 99 in 100 prompts of over 100k tokens had
- * their first token within 1.27 times the predicted time; with parts in order of arrival, within 4 times.
+ * The order matches a replay of a day's dispatches: with it, 99 in 100 prompts of over 100k tokens
+ * had their first token within 1.27 times the predicted time; with parts in order of arrival,
+ * within 4 times.
  */
-import type * as reading from './reading';
+import type * as prefills from './reading';
 
-/** The part of a reading that this engine does. */
-export interface Share {
-  reading: reading.Reading;
-  /** Whether other engines read parts of the same prompt. */
+/** The part of a prompt that this engine prefills. */
+export interface PrefillPart {
+  reading: prefills.Reading;
+  /** Whether other engines prefill parts of the same prompt. */
   isPart: boolean;
-  /** Work that is left, milliseconds of this engine. */
+  /** Remaining work, milliseconds of this engine. */
   leftMs: number;
 }
 
-/** What the length of passes depends on. */
-export interface Writing {
-  /** Whether somebody writes here. */
+/** The engine state that determines the duration of its steps. */
+export interface DecodeState {
+  /** Whether any request decodes here. */
   readonly isWriting: boolean;
-  /** Length of a pass that reads nothing, milliseconds. */
+  /** Duration of an engine step without prefill, milliseconds. */
   passMs(): number;
 }
 
-/** A share that waits, and when it will have been read, if nothing is added. */
-export interface Waiting {
-  reading: reading.Reading;
+/** A queued part and when its prefill ends, if nothing is added. */
+export interface PendingPart {
+  prefill: prefills.Reading;
   endsAt: number;
 }
 
-interface Pass {
+interface EngineStep {
   endsAt: number;
-  shares: Share[];
+  parts: PrefillPart[];
 }
 
 export class ReadQueue {
-  /** The next first. */
-  private waiting: Share[] = [];
+  /** The next part first. */
+  private waiting: PrefillPart[] = [];
 
-  private pass: Pass | undefined;
+  private step: EngineStep | undefined;
 
   private clock = 0;
 
-  constructor(private readonly writing: Writing) {}
+  constructor(private readonly decodeState: DecodeState) {}
 
-  add(share: Share, now: number): void {
+  add(part: PrefillPart, now: number): void {
     this.advance(now);
-    // A pass without reading was under way, in whatever phase.
-    if (this.pass === undefined && this.writing.isWriting && this.waiting.length === 0) {
-      this.pass = { endsAt: now + this.writing.passMs() / 2, shares: [] };
+    // A step without prefill was under way; its phase is unknown, so assume half of it is left.
+    if (this.step === undefined && this.decodeState.isWriting && this.waiting.length === 0) {
+      this.step = { endsAt: now + this.decodeState.passMs() / 2, parts: [] };
     }
-    if (share.isPart) this.waiting.unshift(share);
-    else this.waiting.push(share);
+    if (part.isPart) this.waiting.unshift(part);
+    else this.waiting.push(part);
   }
 
   remove(request: string, now: number): void {
     this.advance(now);
-    const isOther = (share: Share): boolean => share.reading.request !== request;
-    this.waiting = this.waiting.filter(isOther);
-    if (this.pass !== undefined) this.pass.shares = this.pass.shares.filter(isOther);
+    const isOtherRequest = (part: PrefillPart): boolean => part.reading.request !== request;
+    this.waiting = this.waiting.filter(isOtherRequest);
+    if (this.step !== undefined) this.step.parts = this.step.parts.filter(isOtherRequest);
   }
 
   has(request: string): boolean {
-    const isIt = (share: Share): boolean => share.reading.request === request;
-    return this.waiting.some(isIt) || this.pass?.shares.some(isIt) === true;
+    const isSameRequest = (part: PrefillPart): boolean => part.reading.request === request;
+    return this.waiting.some(isSameRequest) || this.step?.parts.some(isSameRequest) === true;
   }
 
-  /** Whether nothing is left to read. */
+  /** Whether nothing is left to prefill. */
   isIdle(now: number): boolean {
     this.advance(now);
-    return this.waiting.length === 0 && this.pass === undefined;
+    return this.waiting.length === 0 && this.step === undefined;
   }
 
-  /** Time until the pass under way ends, milliseconds; of one without reading the mean. */
-  restMs(now: number): number {
+  /** Time until the current engine step ends, milliseconds; the mean for one without prefill. */
+  stepRestMs(now: number): number {
     this.advance(now);
-    if (this.pass !== undefined) return this.pass.endsAt - now;
-    return this.writing.isWriting ? this.writing.passMs() / 2 : 0;
+    if (this.step !== undefined) return this.step.endsAt - now;
+    return this.decodeState.isWriting ? this.decodeState.passMs() / 2 : 0;
   }
 
-  /** Reading that waits for the next pass, milliseconds. */
+  /** Prefill work queued for the next step, milliseconds. */
   waitingMs(now: number): number {
     this.advance(now);
     return this.waiting.reduce((sum, { leftMs }) => sum + leftMs, 0);
   }
 
-  /** Shares that wait and that one more part would hold up. */
-  waitingShares(now: number): Waiting[] {
+  /** Queued parts, which one more part would delay. */
+  waitingShares(now: number): PendingPart[] {
     this.advance(now);
-    let endsAt = now + this.restMs(now);
-    if (this.writing.isWriting) {
-      endsAt += this.waitingMs(now) + this.writing.passMs();
-      return this.waiting.map((share) => ({ reading: share.reading, endsAt }));
+    let endsAt = now + this.stepRestMs(now);
+    if (this.decodeState.isWriting) {
+      endsAt += this.waitingMs(now) + this.decodeState.passMs();
+      return this.waiting.map((part) => ({ prefill: part.reading, endsAt }));
     }
-    return this.waiting.map((share) => {
-      endsAt += share.leftMs;
-      return { reading: share.reading, endsAt };
+    return this.waiting.map((part) => {
+      endsAt += part.leftMs;
+      return { prefill: part.reading, endsAt };
     });
   }
 
-  endOf(wanted: reading.Reading, now: number): number | undefined {
+  completionTime(prefill: prefills.Reading, now: number): number | undefined {
     this.advance(now);
-    if (this.pass?.shares.some((share) => share.reading === wanted) === true) {
-      return this.pass.endsAt;
+    if (this.step?.parts.some((part) => part.reading === prefill) === true) {
+      return this.step.endsAt;
     }
-    return this.waitingShares(now).find((share) => share.reading === wanted)?.endsAt;
+    return this.waitingShares(now).find((part) => part.prefill === prefill)?.endsAt;
   }
 
   private advance(now: number): void {
     while (this.clock < now) {
-      if (this.pass !== undefined) {
-        if (this.pass.endsAt > now) break;
-        this.clock = Math.max(this.clock, this.pass.endsAt);
-        this.pass = undefined;
+      if (this.step !== undefined) {
+        if (this.step.endsAt > now) break;
+        this.clock = Math.max(this.clock, this.step.endsAt);
+        this.step = undefined;
       } else if (this.waiting.length === 0) break;
-      else if (this.writing.isWriting) this.beginPass();
-      else this.readOn(now);
+      else if (this.decodeState.isWriting) this.beginStep();
+      else this.prefillNext(now);
     }
     this.clock = Math.max(this.clock, now);
   }
 
-  private beginPass(): void {
-    const readMs = this.waiting.reduce((sum, { leftMs }) => sum + leftMs, 0);
-    const endsAt = this.clock + readMs + this.writing.passMs();
-    this.pass = { endsAt, shares: this.waiting.splice(0) };
+  private beginStep(): void {
+    const prefillMs = this.waiting.reduce((sum, { leftMs }) => sum + leftMs, 0);
+    const endsAt = this.clock + prefillMs + this.decodeState.passMs();
+    this.step = { endsAt, parts: this.waiting.splice(0) };
   }
 
-  /** Reads the first one that waits until it ends or time does. */
-  private readOn(now: number): void {
+  /** Prefills the first queued part until it is done or `now` is reached. */
+  private prefillNext(now: number): void {
     const [next] = this.waiting;
     const doneMs = Math.min(next.leftMs, now - this.clock);
     next.leftMs -= doneMs;
--- a/packages/domain/src/rateLimits/tokenBucket.ts
+++ b/packages/domain/src/rateLimits/tokenBucket.ts
@@ -1,17 +1,20 @@
 /**
- * A token bucket that starts empty. It may fall into debt, as some messages can't wait: those that end or renew what a
- * request began.
+ * A token bucket that starts empty. It may go into debt, as messages that end or renew what a
+ * request began can't wait.
  */
 
 /** Seconds of the rate that may be used in one burst. */
 const BURST_SECONDS = 0.5;
 
-/** A request costs one token, so fewer would never let one pass. */
-const LEAST_CAPACITY = 1;
+/** A request costs one token; a smaller capacity would never admit one. */
+const MIN_CAPACITY = 1;
 
-/** Seconds of the rate that may be owed at most; what was sent longer ago counts no more. */
-const DEBT_SECONDS = 4;
-const LEAST_DEBT = 4;
+/**
+ * Longest debt in seconds of the rate, and the debt in tokens that is always allowed; older
+ * messages no longer count.
+ */
+const MAX_DEBT_SECONDS = 4;
+const MIN_DEBT_LIMIT = 4;
 
 export class TokenBucket {
   private tokens = 0;
@@ -26,19 +29,19 @@
     return this.levelAt(now) >= 1;
   }
 
-  /** Tokens that are there, negative while some are owed. */
+  /** Available tokens, negative while in debt. */
   levelAt(now: number): number {
     const gained = (Math.max(0, now - this.filledAt) / 1_000) * this.perSecond;
     return Math.min(this.capacity, this.tokens + gained);
   }
 
   take(count: number, now: number): void {
-    const mostDebt = Math.max(LEAST_DEBT, this.perSecond * DEBT_SECONDS);
-    this.tokens = Math.max(-mostDebt, this.levelAt(now) - count);
+    const maxDebt = Math.max(MIN_DEBT_LIMIT, this.perSecond * MAX_DEBT_SECONDS);
+    this.tokens = Math.max(-maxDebt, this.levelAt(now) - count);
     this.filledAt = now;
   }
 
-  /** Another rate from now on; what was gained by the old one is kept. */
+  /** Changes the rate; tokens gained by the old one are kept. */
   setRate(perSecond: number, now: number): void {
     this.tokens = this.levelAt(now);
     this.filledAt = now;
@@ -51,6 +54,6 @@
   }
 
   private get capacity(): number {
-    return Math.max(LEAST_CAPACITY, this.perSecond * BURST_SECONDS);
+    return Math.max(MIN_CAPACITY, this.perSecond * BURST_SECONDS);
   }
 }
--- a/packages/domain/src/request/circuit.ts
+++ b/packages/domain/src/request/circuit.ts
@@ -1,13 +1,14 @@
 /**
- * A circuit breaker per target, by the share of failures among recent outcomes and not by one error.
- * Open, it lets one trial through after a while, and each failed trial doubles the while.
+ * A circuit breaker per target that opens by the failure share of recent outcomes rather than by a
+ * single error. After a while an open circuit becomes half-open and lets one trial through; each
+ * failed trial doubles the time until the next.
  */
 
 export interface Options {
-  /** Outcomes looked at. */
+  /** Number of recent outcomes considered. */
   window: number;
-  /** Fewest outcomes before a share means anything. */
-  minimum: number;
+  /** Fewest outcomes for which the failure share is meaningful. */
+  minOutcomes: number;
   failureShare: number;
   openMs: number;
   maxOpenMs: number;
@@ -15,7 +16,7 @@
 
 export const DEFAULT_OPTIONS: Options = {
   window: 20,
-  minimum: 4,
+  minOutcomes: 4,
   failureShare: 0.5,
   openMs: 1_000,
   maxOpenMs: 30_000,
@@ -28,36 +29,37 @@
 
   private openUntil = 0;
 
-  private openFor: number;
+  private openForMs: number;
 
   state: State = 'closed';
 
   constructor(private readonly options: Options = DEFAULT_OPTIONS) {
-    this.openFor = options.openMs;
+    this.openForMs = options.openMs;
   }
 
   succeeded(): void {
     if (this.state !== 'closed') {
       this.state = 'closed';
       this.outcomes = [];
-      this.openFor = this.options.openMs;
+      this.openForMs = this.options.openMs;
     }
     this.push(true);
   }
 
   failed(now: number): void {
     if (this.state === 'trial') {
-      this.openFor = Math.min(this.options.maxOpenMs, this.openFor * 2);
+      this.openForMs = Math.min(this.options.maxOpenMs, this.openForMs * 2);
       this.open(now);
       return;
     }
     this.push(false);
     const failures = this.outcomes.filter((good) => !good).length;
-    const enough = this.outcomes.length >= this.options.minimum;
-    if (enough && failures / this.outcomes.length >= this.options.failureShare) this.open(now);
+    const hasEnoughOutcomes = this.outcomes.length >= this.options.minOutcomes;
+    if (hasEnoughOutcomes && failures / this.outcomes.length >= this.options.failureShare)
+      this.open(now);
   }
 
-  /** Lets time pass; true when the state changed to a trial. */
+  /** Advances the time; true when the circuit becomes half-open. */
   tick(now: number): boolean {
     if (this.state !== 'open' || now < this.openUntil) return false;
     this.state = 'trial';
@@ -66,12 +68,12 @@
 
   private open(now: number): void {
     this.state = 'open';
-    this.openUntil = now + this.openFor;
+    this.openUntil = now + this.openForMs;
     this.outcomes = [];
   }
 
-  private push(good: boolean): void {
-    this.outcomes.push(good);
+  private push(isSuccess: boolean): void {
+    this.outcomes.push(isSuccess);
     if (this.outcomes.length > this.options.window) this.outcomes.shift();
   }
 }
--- a/packages/domain/src/request/limit.ts
+++ b/packages/domain/src/request/limit.ts
@@ -1,7 +1,7 @@
 /**
- * An organisation's limit on tokens per second, held by all daemons together. Each daemon lets
- * through its part of the limit, in proportion to its part of the demand that the daemons tell each
- * other; the parts add up to the limit, not to eight times it.
+ * An organisation's limit on tokens per second, enforced by all daemons together. Each daemon
+ * admits a share of the limit in proportion to its share of the demand, which the daemons report to
+ * each other; the shares add up to the limit instead of multiplying it by the number of daemons.
  */
 
 /** Seconds of the limit that may be used in one burst. */
@@ -10,15 +10,15 @@
 /** Time over which demand is averaged, in milliseconds. */
 const DEMAND_WINDOW_MS = 2_000;
 
-/** Part of the limit that stays reachable for a daemon that had no demand so far. */
-const FLOOR_SHARE = 0.02;
+/** Share of the limit that a daemon without previous demand keeps. */
+const MIN_SHARE = 0.02;
 
 export type Admission = { kind: 'admitted' } | { kind: 'overLimit'; retryAfterMs: number };
 
 export class SharedLimit {
   private level: number;
 
-  private filledAt: number;
+  private refilledAt: number;
 
   private demand = 0;
 
@@ -33,35 +33,35 @@
   ) {
     this.share = 1 / Math.max(1, daemons);
     this.level = tokensPerSecond * this.share * BURST_SECONDS;
-    this.filledAt = now;
+    this.refilledAt = now;
     this.demandAt = now;
   }
 
   /** Own demand in tokens per second, admitted or not. */
   demandRate(now: number): number {
-    this.fade(now);
+    this.decayDemand(now);
     return (this.demand / DEMAND_WINDOW_MS) * 1_000;
   }
 
-  /** New settings or new word of the peers' demand for this organisation. */
+  /** Applies new settings or a new report of the peers' demand for this organisation. */
   rebalance(tokensPerSecond: number, peerDemand: number, daemons: number, now: number): void {
-    this.fill(now);
+    this.refill(now);
     this.tokensPerSecond = tokensPerSecond;
     const own = this.demandRate(now);
     const total = own + peerDemand;
     const count = Math.max(1, daemons);
-    const floor = Math.min(FLOOR_SHARE, 1 / count);
+    const floor = Math.min(MIN_SHARE, 1 / count);
     const proportional = total > 0 ? own / total : 1 / count;
     this.share = floor + (1 - floor * count) * proportional;
     this.level = Math.min(this.level, this.capacity);
   }
 
   admit(tokens: number, now: number): Admission {
-    this.fill(now);
-    this.fade(now);
+    this.refill(now);
+    this.decayDemand(now);
     this.demand += tokens;
     if (this.tokensPerSecond === 0) return { kind: 'admitted' };
-    // A request larger than the burst passes on a full bucket and leaves a debt.
+    // A request larger than the burst is admitted on a full bucket and leaves a debt.
     const needed = Math.min(tokens, this.capacity);
     if (this.level >= needed) {
       this.level -= tokens;
@@ -75,13 +75,13 @@
     return this.tokensPerSecond * this.share * BURST_SECONDS;
   }
 
-  private fill(now: number): void {
-    const gained = ((now - this.filledAt) / 1_000) * this.tokensPerSecond * this.share;
+  private refill(now: number): void {
+    const gained = ((now - this.refilledAt) / 1_000) * this.tokensPerSecond * this.share;
     this.level = Math.min(this.capacity, this.level + gained);
-    this.filledAt = now;
+    this.refilledAt = now;
   }
 
-  private fade(now: number): void {
+  private decayDemand(now: number): void {
     this.demand *= Math.exp(-(now - this.demandAt) / DEMAND_WINDOW_MS);
     this.demandAt = now;
   }
--- a/packages/domain/src/request/repeatBudget.ts
+++ b/packages/domain/src/request/repeatBudget.ts
@@ -1,71 +1,71 @@
 /**
- * One entry's part of the budget for sending requests to a second target. The budget binds all entries
- * together over a sliding window, so the parts are chosen to add up to less than the whole, also while
- * entries come and go.
+ * One entry's share of the budget for repeats, that is, for sending requests to a second target.
+ * The budget binds all entries together over a sliding window, so the shares add up to less than
+ * the whole, also while entries start and stop.
  */
 
 export interface Rule {
-  /** Repeats for each first sending, of all entries together. */
+  /** Repeats per first attempt, of all entries together. */
   ratio: number;
-  /** Repeats beyond that, of all entries together, in each window. */
+  /** Additional repeats per window, of all entries together. */
   slack: number;
   windowMs: number;
 }
 
 /**
- * Part of the whole that is given out. The rest covers entries that start before others have heard of
- * them, and repeats that one entry counts in the next window and a target in this one.
+ * Fraction of the budget that is allocated. The rest covers entries that start before the others
+ * know of them, and repeats that an entry and a target count in different windows.
  */
-const GIVEN_SHARE = 0.7;
+const ALLOCATED_FRACTION = 0.7;
 
 /**
- * How many entries share the slack. The largest number of the last window counts: those that ended since have spent their
- * parts in it.
+ * Number of entries that share the slack: the largest reported within the last window, as entries
+ * that stopped since have spent their shares in it.
  */
-class Sharers {
-  /** Numbers that were told within the last window, oldest first. */
-  private told: { at: number; entries: number }[] = [];
+class EntryCounts {
+  /** Reported numbers within the last window, oldest first. */
+  private reports: { at: number; entries: number }[] = [];
 
   constructor(private readonly windowMs: number) {}
 
-  tell(entries: number, now: number): void {
-    this.told = this.told.filter(({ at }) => now - at < this.windowMs);
-    this.told.push({ at: now, entries });
+  report(entries: number, now: number): void {
+    this.reports = this.reports.filter(({ at }) => now - at < this.windowMs);
+    this.reports.push({ at: now, entries });
   }
 
-  get most(): number {
-    return Math.max(0, ...this.told.map(({ entries }) => entries));
+  get peak(): number {
+    return Math.max(0, ...this.reports.map(({ entries }) => entries));
   }
 }
 
 export class RepeatBudget {
-  private readonly firsts: number[] = [];
+  private readonly firstAttempts: number[] = [];
 
   private readonly repeats: number[] = [];
 
   constructor(
     private readonly rule: Rule,
-    private readonly sharers = new Sharers(rule.windowMs),
+    private readonly entryCounts = new EntryCounts(rule.windowMs),
   ) {}
 
-  /** So many entries share the budget now. */
-  shareWith(entries: number, now: number): void {
-    this.sharers.tell(entries, now);
+  /** Reports how many entries share the budget now. */
+  setEntryCount(entries: number, now: number): void {
+    this.entryCounts.report(entries, now);
   }
 
   countFirst(now: number): void {
-    this.firsts.push(now);
+    this.firstAttempts.push(now);
   }
 
   /** Takes one repeat out of the budget, if there is one. */
   spend(now: number): boolean {
-    this.expire(this.firsts, now);
+    this.expire(this.firstAttempts, now);
     this.expire(this.repeats, now);
     const { ratio, slack } = this.rule;
-    // Without any number there is no part of the slack: an entry can't tell how small its own is.
-    const entries = this.sharers.most;
+    // Before any report there is no share of the slack, as the entry can't know how small it is.
+    const entries = this.entryCounts.peak;
     const share = entries === 0 ? 0 : slack / entries;
-    const allowed = GIVEN_SHARE * (ratio * this.firsts.length + share);
+    const allowed = ALLOCATED_FRACTION * (ratio * this.firstAttempts.length + share);
     if (this.repeats.length + 1 > allowed) return false;
     this.repeats.push(now);
     return true;
@@ -78,28 +78,29 @@
 }
 
 /**
- * One entry's parts of the budgets of all services. The rule binds each service by itself: in one budget for all, the
- * repeats of a service whose targets fail would use up what a sound one needs for a single failure.
+ * One entry's shares of the budgets of all services. Each service has a budget of its own: in a
+ * common one, the repeats of a failing service would use up what a healthy one needs for a single
+ * failure.
  */
 export class RepeatBudgets {
   private readonly byService = new Map<string, RepeatBudget>();
 
-  private readonly sharers: Sharers;
+  private readonly entryCounts: EntryCounts;
 
   constructor(private readonly rule: Rule) {
-    this.sharers = new Sharers(rule.windowMs);
+    this.entryCounts = new EntryCounts(rule.windowMs);
   }
 
-  /** So many entries share each budget now. */
+  /** Reports how many entries share each budget now. */
   shareWith(entries: number, now: number): void {
-    this.sharers.tell(entries, now);
+    this.entryCounts.report(entries, now);
   }
 
   of(service: string): RepeatBudget {
     const known = this.byService.get(service);
     if (known !== undefined) return known;
-    const made = new RepeatBudget(this.rule, this.sharers);
-    this.byService.set(service, made);
-    return made;
+    const budget = new RepeatBudget(this.rule, this.entryCounts);
+    this.byService.set(service, budget);
+    return budget;
   }
 }
--- a/packages/domain/src/routing/dispatcher.ts
+++ b/packages/domain/src/routing/dispatcher.ts
@@ -1,7 +1,7 @@
 /**
- * The queue of one daemon and its choice of targets. It keeps the beliefs about each target, sizes
- * the bands from demand, and lets a request go when the policy finds a place for it. Several daemons
- * run one each without a central scheduler; what they know of each other are `outstanding` summaries.
+ * The queue of one daemon and its choice of targets. It keeps an estimate of each target, sizes the
+ * bands from demand and releases a request when the policy finds a place for it. Several daemons
+ * run one each without a central scheduler; they exchange `outstanding` summaries.
  */
 import * as hashing from '../shared/hashing';
 import * as document from '../settings/document';
@@ -26,7 +26,7 @@
   answerTokens: number;
   prefixKeys: readonly number[];
   enqueuedAt: number;
-  /** Milliseconds; after it the request is of no use. */
+  /** Milliseconds; after it the request is useless. */
   deadline: number;
   /** Targets on which it was already tried. */
   excluded: ReadonlySet<string>;
@@ -38,23 +38,23 @@
   target: target.Target;
   band: band.Band;
   enginePriority: number;
-  /** The engine should refuse at once rather than queue it for lack of memory. */
+  /** The engine should refuse it at once rather than queue it for lack of memory. */
   needsRoom: boolean;
   predictedMs: number;
 }
 
-/** Why a request can't be queued. All of these are certain to be "not run". */
+/** Why a request can't be queued. Each reason implies that it was not run. */
 export type Refusal = 'queueFull' | 'deadlineInfeasible' | 'noTarget';
 
 export interface Options {
   thresholds: band.Thresholds;
-  plan: band.Plan;
-  /** Prompt tokens that may wait in this daemon. */
+  plan: band.ReservePlan;
+  /** Most prompt tokens that may wait in this daemon. */
   queueTokens: number;
-  /** Requests that may wait in this daemon. */
+  /** Most requests that may wait in this daemon. */
   queueLength: number;
   /** Extra round trip to a target in another data centre, in milliseconds. */
-  remoteMs: number;
+  crossDataCentreMs: number;
 }
 
 export const DEFAULT_OPTIONS: Options = {
@@ -62,45 +62,45 @@
   plan: band.DEFAULT_PLAN,
   queueTokens: 40_000_000,
   queueLength: 4_000,
-  remoteMs: 1.5,
+  crossDataCentreMs: 1.5,
 };
 
-/** Between two looks at the sizes of the bands, in milliseconds. */
+/** Interval at which the bands are resized, in milliseconds. */
 const REPLAN_MS = 1_000;
 
 /**
- * Largest share of an engine's memory for one prompt; the rest of a longer one is held by others. It
- * leaves shorter requests some room on every engine.
+ * Largest fraction of an engine's memory for one prompt; other engines hold the rest of a longer
+ * one. Leaves room for shorter requests on every engine.
  */
 export const PRIMARY_SHARE = 0.8;
 
-interface Waiting extends Request {
+interface QueuedRequest extends Request {
   tokens: number;
   band: band.Band;
 }
 
-interface Known {
+interface TargetState {
   announced: target.Target;
-  belief: estimate.Estimate;
+  targetEstimate: estimate.Estimate;
 }
 
 interface Running {
   target: string;
-  waiting: Waiting;
-  /** Its place in the fair queue, in case the target has no room. */
+  queued: QueuedRequest;
+  /** Its start tag in the fair queue, in case the target refuses it. */
   start: number;
 }
 
 export class Dispatcher {
   readonly prefixes = new prefixIndex.PrefixIndex();
 
-  private readonly targets = new Map<string, Known>();
+  private readonly targets = new Map<string, TargetState>();
 
   private readonly sharedCost = new cost.SharedCost();
 
-  private readonly broken = new Set<string>();
+  private readonly openCircuits = new Set<string>();
 
-  private readonly queues: band.PerBand<fairQueue.FairQueue<Waiting>> = {
+  private readonly queues: band.PerBand<fairQueue.FairQueue<QueuedRequest>> = {
     short: new fairQueue.FairQueue(),
     medium: new fairQueue.FairQueue(),
     long: new fairQueue.FairQueue(),
@@ -114,10 +114,12 @@
 
   private reserveSize: number | undefined;
 
-  private reserve = new Set<string>();
+  private reservedTargets = new Set<string>();
 
-  /** Place of each target on the circle on which daemons take their preferences, from 0 to 1. */
-  private circle = new Map<string, number>();
+  /**
+   * Position of each target on the circle from which daemons derive their preferences, from 0 to 1.
+   */
+  private preferencePositions = new Map<string, number>();
 
   private offset = 0;
 
@@ -126,11 +128,11 @@
   constructor(
     private readonly dataCentre: string,
     private readonly hash: hashing.Hash,
-    private readonly choice: policy.Policy,
+    private readonly placer: policy.Policy,
     private readonly options: Options = DEFAULT_OPTIONS,
   ) {}
 
-  /** Sets the targets in use; leaving and gone ones must already be left out. */
+  /** Sets the targets in use, without draining and gone ones. */
   setTargets(targets: readonly target.Target[]): void {
     const names = new Set(targets.map(({ name }) => name));
     [...this.targets.keys()]
@@ -145,19 +147,21 @@
 
   private setTarget(announced: target.Target): void {
     const known = this.targets.get(announced.name);
-    const restarted = known !== undefined && known.announced.incarnation !== announced.incarnation;
-    if (restarted) this.prefixes.forget(announced.name);
-    const belief = known === undefined || restarted ? this.newBelief(announced) : known.belief;
-    this.targets.set(announced.name, { announced, belief });
+    const hasRestarted =
+      known !== undefined && known.announced.incarnation !== announced.incarnation;
+    if (hasRestarted) this.prefixes.forget(announced.name);
+    const targetEstimate =
+      known === undefined || hasRestarted ? this.newEstimate(announced) : known.targetEstimate;
+    this.targets.set(announced.name, { announced, targetEstimate });
   }
 
-  private newBelief({ memoryTokens }: target.Target): estimate.Estimate {
+  private newEstimate({ memoryTokens }: target.Target): estimate.Estimate {
     return new estimate.Estimate(new cost.Cost(this.sharedCost), memoryTokens);
   }
 
   /**
-   * Where this daemon stands among the `count` live ones. Each prefers other targets, evenly spread:
-   * its own dispatches it knows exactly, those of the others only late.
+   * Sets the index of this daemon among the `count` live ones. Each prefers other targets, evenly
+   * spread: it knows its own dispatches exactly, and those of the others only with a delay.
    */
   setPosition(index: number, count: number): void {
     this.offset = count > 0 ? index / count : 0;
@@ -165,21 +169,21 @@
 
   /** Targets whose circuit is open get nothing until it closes. */
   setBroken(name: string, broken: boolean): void {
-    if (broken) this.broken.add(name);
-    else this.broken.delete(name);
+    if (broken) this.openCircuits.add(name);
+    else this.openCircuits.delete(name);
   }
 
-  /** Largest memory of any one target that serves the model. */
+  /** Largest memory of a single target that serves the model. */
   largestMemory(model: target.Loaded): number {
-    const able = [...this.targets.values()].filter(({ announced }) =>
+    const serving = [...this.targets.values()].filter(({ announced }) =>
       target.serves(announced, model),
     );
-    return Math.max(0, ...able.map(({ announced }) => announced.memoryTokens));
+    return Math.max(0, ...serving.map(({ announced }) => announced.memoryTokens));
   }
 
-  /** Memory believed free on a target, in tokens. */
+  /** Estimated free memory on a target, in tokens. */
   freeTokens(name: string, now: number): number {
-    return this.targets.get(name)?.belief.freeTokens(now) ?? 0;
+    return this.targets.get(name)?.targetEstimate.freeTokens(now) ?? 0;
   }
 
   enqueue(request: Request, now: number): Refusal | undefined {
@@ -191,21 +195,21 @@
     return undefined;
   }
 
-  /** Takes a request out that waits no longer, because its caller went or its deadline came. */
+  /** Removes a waiting request whose caller left or whose deadline passed. */
   withdraw(id: string): boolean {
     return band.BANDS.some((each) => this.queues[each].remove(id) !== undefined);
   }
 
-  /** Requests whose deadline passed while they waited; they were certainly not run. */
+  /** Removes and returns waiting requests whose deadline passed; they were certainly not run. */
   expire(now: number): Request[] {
-    const late = band.BANDS.flatMap((each) => this.queues[each].items()).filter(
+    const expired = band.BANDS.flatMap((each) => this.queues[each].items()).filter(
       ({ deadline }) => deadline <= now,
     );
-    late.forEach(({ id }) => this.withdraw(id));
-    return late;
+    expired.forEach(({ id }) => this.withdraw(id));
+    return expired;
   }
 
-  /** Everything that may go now. */
+  /** Dispatches everything that the policy places now. */
   poll(now: number): Dispatch[] {
     this.replan(now);
     return band.BANDS.flatMap((each) => this.drain(each, now));
@@ -213,34 +217,34 @@
 
   firstToken(id: string, now: number): void {
     const running = this.running.get(id);
-    if (running !== undefined) this.targets.get(running.target)?.belief.firstToken(id, now);
+    if (running !== undefined) this.targets.get(running.target)?.targetEstimate.firstToken(id, now);
   }
 
   ended(id: string, now: number): void {
     const running = this.running.get(id);
     if (running === undefined) return;
     this.running.delete(id);
-    this.targets.get(running.target)?.belief.ended(id, now);
+    this.targets.get(running.target)?.targetEstimate.ended(id, now);
   }
 
-  /** The target had no room after all and ran nothing; the request waits again, in its old place. */
+  /** The target had no room and ran nothing; the request returns to its old place in the queue. */
   refused(id: string, report: estimate.Report, now: number): void {
     const running = this.running.get(id);
     if (running === undefined) return;
     this.ended(id, now);
-    this.targets.get(running.target)?.belief.reported(report);
-    this.queues[running.waiting.band].putBack(running.waiting, running.start);
+    this.targets.get(running.target)?.targetEstimate.reported(report);
+    this.queues[running.queued.band].putBack(running.queued, running.start);
   }
 
   reported(name: string, report: estimate.Report): void {
-    this.targets.get(name)?.belief.reported(report);
+    this.targets.get(name)?.targetEstimate.reported(report);
   }
 
   peersReported(name: string, outstanding: estimate.Outstanding, now: number): void {
-    this.targets.get(name)?.belief.peersReported(outstanding, now);
+    this.targets.get(name)?.targetEstimate.setPeersOutstanding(outstanding, now);
   }
 
-  /** Demand that other daemons see, so that all size the bands for the whole. */
+  /** Demand measured by the other daemons, so that all size the bands for the total. */
   setPeerDemand(demand: band.Demand): void {
     this.peerDemand = demand;
   }
@@ -252,7 +256,9 @@
 
   /** Own outstanding tokens by target, for the peers. */
   outstanding(): Map<string, estimate.Outstanding> {
-    return new Map([...this.targets].map(([name, { belief }]) => [name, belief.outstanding()]));
+    return new Map(
+      [...this.targets].map(([name, { targetEstimate }]) => [name, targetEstimate.outstanding()]),
+    );
   }
 
   /** Running requests on a target. */
@@ -270,38 +276,41 @@
     if (this.queueLength >= this.options.queueLength) return 'queueFull';
     if (this.serving(request).length === 0) return 'noTarget';
     const candidates = this.candidates(request);
-    // All circuits open: it waits for the next trial, as long as its deadline allows.
+    // All circuits are open: it waits for the next trial, as long as its deadline allows.
     if (candidates.length === 0) return undefined;
     const soonest = Math.min(
-      ...candidates.map(({ estimate: belief }) =>
-        belief.costs.serviceMs(inBand, request.promptTokens),
+      ...candidates.map(({ estimate: targetEstimate }) =>
+        targetEstimate.costs.serviceMs(inBand, request.promptTokens),
       ),
     );
-    // Half the belief, since it is a guess: refusing what could have been served is the worse error.
+    // Half the estimate, as it is uncertain: refusing a request that could have been served is the
+    // worse error.
     return now + soonest / 2 > request.deadline ? 'deadlineInfeasible' : undefined;
   }
 
-  private serving({ model }: Request): Known[] {
+  private serving({ model }: Request): TargetState[] {
     return [...this.targets.values()].filter(({ announced }) => target.serves(announced, model));
   }
 
-  /** Sound targets that were not tried yet; when all were, one that failed once is better than none. */
+  /** Targets with a closed circuit that were not tried yet; if all were, those that failed once. */
   private candidates(request: Request): policy.Candidate[] {
-    const sound = this.serving(request).filter(({ announced }) => !this.broken.has(announced.name));
-    const untried = sound.filter(({ announced }) => !request.excluded.has(announced.name));
-    return (untried.length > 0 ? untried : sound).map(({ announced, belief }) => ({
+    const healthy = this.serving(request).filter(
+      ({ announced }) => !this.openCircuits.has(announced.name),
+    );
+    const untried = healthy.filter(({ announced }) => !request.excluded.has(announced.name));
+    return (untried.length > 0 ? untried : healthy).map(({ announced, targetEstimate }) => ({
       name: announced.name,
-      estimate: belief,
-      distanceMs: announced.dataCentre === this.dataCentre ? 0 : this.options.remoteMs,
+      estimate: targetEstimate,
+      distanceMs: announced.dataCentre === this.dataCentre ? 0 : this.options.crossDataCentreMs,
       cachedTokens: this.prefixes.cachedTokens(announced.name, request.prefixKeys),
-      reserved: this.reserve.has(announced.name),
+      reserved: this.reservedTargets.has(announced.name),
       preference: this.preferenceOf(announced.name),
       memoryTokens: announced.memoryTokens,
     }));
   }
 
   private preferenceOf(name: string): number {
-    const place = this.circle.get(name) ?? 0;
+    const place = this.preferencePositions.get(name) ?? 0;
     return (place - this.offset + 1) % 1;
   }
 
@@ -312,26 +321,26 @@
       const dispatch = this.place(next, now);
       if (dispatch === undefined) break;
       const start = queue.remove(next.id)?.start ?? 0;
-      this.running.set(next.id, { target: dispatch.target.name, waiting: next, start });
+      this.running.set(next.id, { target: dispatch.target.name, queued: next, start });
       dispatches.push(dispatch);
     }
     return dispatches;
   }
 
-  private place(waiting: Waiting, now: number): Dispatch | undefined {
+  private place(waiting: QueuedRequest, now: number): Dispatch | undefined {
     const { id, promptTokens: tokens, answerTokens } = waiting;
     const largest = this.largestMemory(waiting.model);
-    // Longer than any one engine: the daemon gathers memory of others before it starts.
+    // For a prompt longer than any engine, the daemon reserves memory of others before it starts.
     const memoryTokens = Math.min(tokens + answerTokens, Math.floor(largest * PRIMARY_SHARE));
     const job = { id, band: waiting.band, tokens, memoryTokens };
-    const placement = this.choice.place(job, this.candidates(waiting), now);
+    const placement = this.placer.place(job, this.candidates(waiting), now);
     if (placement === undefined) return undefined;
     const { target: name, enginePriority, needsRoom, predictedMs } = placement;
-    const known = this.targets.get(name) as Known;
+    const known = this.targets.get(name) as TargetState;
     const cached = this.prefixes.cachedTokens(name, waiting.prefixKeys);
     const uncached = Math.max(0, tokens - cached);
-    known.belief.dispatched(id, waiting.band, uncached, memoryTokens, now);
-    this.prefixes.expect(name, waiting.prefixKeys);
+    known.targetEstimate.dispatched(id, waiting.band, uncached, memoryTokens, now);
+    this.prefixes.expectCached(name, waiting.prefixKeys);
     const { announced } = known;
     const { band: inBand } = waiting;
     return {
@@ -345,12 +354,12 @@
   }
 
   private countDemand(inBand: band.Band, tokens: number, now: number): void {
-    const beliefs = [...this.targets.values()];
-    const total = beliefs.reduce(
-      (sum, { belief }) => sum + belief.costs.serviceMs(inBand, tokens),
+    const states = [...this.targets.values()];
+    const total = states.reduce(
+      (sum, { targetEstimate }) => sum + targetEstimate.costs.serviceMs(inBand, tokens),
       0,
     );
-    this.demand.count(inBand, total / Math.max(1, beliefs.length), now);
+    this.demand.count(inBand, total / Math.max(1, states.length), now);
   }
 
   private replan(now: number): void {
@@ -372,13 +381,13 @@
       this.reserveSize,
       this.options.plan,
     );
-    // All daemons rank the same names alike, so they agree on the reserve without asking, but for the
-    // targets next to its border while their views of demand differ.
+    // All daemons rank the names identically, so they agree on the reserve without communicating,
+    // except for targets near its boundary while their views of demand differ.
     const ranked = hashing.rendezvous(this.hash, 'reserve', names);
     const reserved = ranked.slice(0, this.reserveSize);
     const open = ranked.slice(this.reserveSize);
-    this.reserve = new Set(reserved);
-    this.circle = new Map(
+    this.reservedTargets = new Set(reserved);
+    this.preferencePositions = new Map(
       [reserved, open].flatMap((part) =>
         part.map((name, i): [string, number] => [name, i / part.length]),
       ),
--- a/packages/domain/src/routing/fairQueue.ts
+++ b/packages/domain/src/routing/fairQueue.ts
@@ -1,7 +1,7 @@
 /**
- * The waiting requests of one band: weighted fair queueing by tokens between organisations, after
- * start-time fair queueing (Goyal, Vin, Cheng, 1996), within classes of priority, with ageing so that
- * no class starves. Tokens and requests are bounded; what doesn't fit is refused at once.
+ * The waiting requests of one band: weighted fair queueing by tokens between organisations
+ * (start-time fair queueing; Goyal, Vin, Cheng, 1996) within priority classes, with ageing so that
+ * no class starves. The caller bounds tokens and requests and refuses what exceeds them.
  */
 import * as document from '../settings/document';
 
@@ -14,9 +14,9 @@
   enqueuedAt: number;
 }
 
-const CLASS: Record<document.Priority, number> = { high: 0, normal: 1, low: 2 };
+const PRIORITY_CLASS: Record<document.Priority, number> = { high: 0, normal: 1, low: 2 };
 
-/** Waiting this long raises a request by one class. */
+/** Waiting this long raises a request by one priority class. */
 export const DEFAULT_AGEING_MS = 5_000;
 
 export interface Tagged<T extends Item> {
@@ -28,11 +28,11 @@
 export class FairQueue<T extends Item> {
   private readonly waiting: Tagged<T>[] = [];
 
-  private readonly finish = new Map<string, number>();
+  private readonly virtualFinish = new Map<string, number>();
 
-  private virtual = 0;
+  private virtualTime = 0;
 
-  private sum = 0;
+  private waitingTokens = 0;
 
   constructor(private readonly ageingMs: number = DEFAULT_AGEING_MS) {}
 
@@ -42,35 +42,35 @@
 
   /** Prompt tokens waiting. */
   get tokens(): number {
-    return this.sum;
+    return this.waitingTokens;
   }
 
   push(item: T): void {
-    const start = Math.max(this.virtual, this.finish.get(item.organisation) ?? 0);
-    this.finish.set(item.organisation, start + item.tokens / item.share);
+    const start = Math.max(this.virtualTime, this.virtualFinish.get(item.organisation) ?? 0);
+    this.virtualFinish.set(item.organisation, start + item.tokens / item.share);
     this.waiting.push({ item, start });
-    this.sum += item.tokens;
+    this.waitingTokens += item.tokens;
   }
 
-  /** Puts back a request that a target refused, at the place in line that it had. */
+  /** Puts back a request that a target refused, at its previous place in the queue. */
   putBack(item: T, start: number): void {
     this.waiting.push({ item, start });
-    this.sum += item.tokens;
+    this.waitingTokens += item.tokens;
   }
 
-  /** The request to serve next, left in place. */
+  /** The request to serve next, without removing it. */
   peek(now: number): T | undefined {
     return this.best(now)?.item;
   }
 
-  /** Takes out one request, normally the one that `peek` showed. */
+  /** Removes one request, normally the one that `peek` returned. */
   remove(id: string): Tagged<T> | undefined {
     const position = this.waiting.findIndex(({ item }) => item.id === id);
     if (position === -1) return undefined;
     const [removed] = this.waiting.splice(position, 1) as [Tagged<T>];
-    this.sum -= removed.item.tokens;
-    this.virtual = Math.max(this.virtual, removed.start);
-    if (this.waiting.length === 0) this.finish.clear();
+    this.waitingTokens -= removed.item.tokens;
+    this.virtualTime = Math.max(this.virtualTime, removed.start);
+    if (this.waiting.length === 0) this.virtualFinish.clear();
     return removed;
   }
 
@@ -89,6 +89,6 @@
 
   private rank({ item }: Tagged<T>, now: number): number {
     const raised = Math.floor((now - item.enqueuedAt) / this.ageingMs);
-    return Math.max(0, CLASS[item.priority] - raised);
+    return Math.max(0, PRIORITY_CLASS[item.priority] - raised);
   }
 }
