--- a/packages/check/src/__tests__/check.test.ts
+++ b/packages/check/src/__tests__/check.test.ts
@@ -65,7 +65,7 @@
 function hasTwoCounted(this: { suspects: Map<string, Suspect> }, content: string): boolean {
   const suspect = this.suspects.get(content);
   if (suspect === undefined) return false;
-  return wasQuarantined.call(this, content) || domain.quarantine.suspect.countOf(suspect) >= 2;
+  return wasQuarantined.call(this, content) || domain.quarantine.suspect.crashCountOf(suspect) >= 2;
 }
 
 function doubtfulAfterTwoSeconds({ quarantinedAt }: Suspect, now: number): 'doubtful' | undefined {
--- a/packages/check/src/models/quarantineModel.ts
+++ b/packages/check/src/models/quarantineModel.ts
@@ -94,7 +94,7 @@
   const runInnocents = ({ quarantine }: State): void => {
     innocentContents
       .filter((content) => quarantine.standing(content) !== 'quarantined')
-      .forEach((content) => quarantine.ranWhole(content));
+      .forEach((content) => quarantine.completed(content));
   };
 
   const quarantinedInnocents = (state: State): string[] => {
@@ -163,7 +163,7 @@
 
     apply: (state, event) => {
       if (event.kind === 'wait') advanceTime(state, event.ms);
-      else if (event.kind === 'complete') state.quarantine.ranWhole(event.content);
+      else if (event.kind === 'complete') state.quarantine.completed(event.content);
       else {
         terminateTargets(state, event);
         state.isAmbiguous ||= innocentContents.some((content) =>
@@ -218,11 +218,11 @@
   });
   for (let i = 0; i < targets; i++) {
     const target = { id: `t${state.crashedTargets}`, bornAt: 1 };
-    const lifetime = domain.quarantine.endedLifetimes.lifetimeOf(target);
+    const lifetime = domain.quarantine.crashedLifetimes.lifetimeKey(target);
     state.crashedTargets += 1;
     ran.set(lifetime, contents);
     runs.forEach(({ content, isTrial }) => {
-      quarantine.blame(content, lifetime, { sentAt: now, isTrial }, now);
+      quarantine.reportCrash(content, lifetime, { sentAt: now, isTrial }, now);
       arrivals.set(content, [...(arrivals.get(content) ?? []), now]);
     });
   }
@@ -238,7 +238,7 @@
   culpritContents: readonly string[],
 ): boolean {
   if (quarantine.standing(innocent) !== 'quarantined') return false;
-  const ranBeside = quarantine.endings(innocent).flatMap((lifetime) => ran.get(lifetime) ?? []);
+  const ranBeside = quarantine.crashesOf(innocent).flatMap((lifetime) => ran.get(lifetime) ?? []);
   const culpritsByTarget = [...ran.values()].map((contents) =>
     contents.filter((each) => culpritContents.includes(each)),
   );
--- a/packages/check/src/models/registryModel.ts
+++ b/packages/check/src/models/registryModel.ts
@@ -129,7 +129,7 @@
   else if (event.kind === 'crash') state.running = undefined;
   else if (event.kind === 'depart') depart(state);
   else if (event.kind === 'contradict') {
-    registries[other].follow(leader.presumeEnded(event.id, now), now);
+    registries[other].follow(leader.reportReplaced(event.id, now), now);
   } else if (event.kind === 'replicate') replicate(state, state.leader, other);
   else if (event.kind === 'merge') mergeIntoLeader(state);
   else if (event.kind === 'changeLeader') {
--- a/packages/cli/src/settingsCommands.ts
+++ b/packages/cli/src/settingsCommands.ts
@@ -48,7 +48,7 @@
 export function check(file: string): Result<void, errors.CommandError> {
   const text = readFile(file);
   if (text.err) return text;
-  const parsed = domain.settings.document.read(text.val);
+  const parsed = domain.settings.document.parse(text.val);
   if (parsed.ok) return Ok(undefined);
   return Err({ kind: 'invalid', message: `${file}:\n  ${describeAll(parsed.val)}` });
 }
@@ -222,7 +222,7 @@
 ): CommandOutcome {
   const response = await client.get(`audit?limit=${encodeURIComponent(limit)}`);
   if (response.err) return response;
-  const records = response.val as domain.control.state.Audit[];
+  const records = response.val as domain.control.state.AuditEntry[];
   const entries = only === undefined ? records : records.filter(({ action }) => action === only);
   if (asJson) output.json(entries);
   else {
--- a/packages/daemon/src/__tests__/__fixtures__/crashableTarget.ts
+++ b/packages/daemon/src/__tests__/__fixtures__/crashableTarget.ts
@@ -124,7 +124,7 @@
   /** Terminates and restarts at the same address under a new id; keeps its rate limit, back-off and draining state. */
   async restart(): Promise<void> {
     this.terminate();
-    await clock.pause(RESTART_DELAY_MS);
+    await clock.sleep(RESTART_DELAY_MS);
     await this.start();
   }
 
--- a/packages/daemon/src/__tests__/__fixtures__/smallFleet.ts
+++ b/packages/daemon/src/__tests__/__fixtures__/smallFleet.ts
@@ -88,22 +88,22 @@
 };
 
 const CONTROL: protocols.ControlProtocol = {
-  call: (method, url) => {
+  parseCall: (method, url) => {
     if (url === '/catalogue') return { kind: method === 'PUT' ? 'submit' : 'read' };
     return { kind: method === 'PUT' ? 'announce' : 'depart', id: url.slice(1) };
   },
-  announcement: (_id, body) =>
+  parseAnnouncement: (_id, body) =>
     Ok(JSON.parse(body.toString()) as domain.registry.registry.Announcement),
-  departedLifetime: () => undefined,
-  catalogue: (document) =>
+  parseDepartedLifetime: () => undefined,
+  parseCatalogue: (document) =>
     Ok(JSON.parse(document.toString()) as domain.catalogue.catalogue.Catalogue),
 };
 
 /** Treats every request as a short prompt. */
 const TRAFFIC: protocols.TrafficProtocol = {
   ...entryBench.PROTOCOL,
-  facts: (headers) => ({
-    ...entryBench.PROTOCOL.facts(headers),
+  callerMetadata: (headers) => ({
+    ...entryBench.PROTOCOL.callerMetadata(headers),
     promptTokens: 2_000,
     maxAnswerTokens: 200,
   }),
@@ -133,7 +133,7 @@
   const deadline = clock.steady() + 15_000;
   while (!(await check())) {
     if (clock.steady() > deadline) throw new Error(`timed out waiting for ${what}`);
-    await clock.pause(10);
+    await clock.sleep(10);
   }
 }
 
@@ -188,7 +188,7 @@
     for (let i = 0; i < ENTRIES; i++) await fleet.startEntry(i);
     await fleet.startTargets(service);
     await until('all targets at all entries', () => fleet.entriesKnowAllTargets());
-    await clock.pause(RETRY_BUDGET_SYNC_MS);
+    await clock.sleep(RETRY_BUDGET_SYNC_MS);
     return fleet;
   }
 
@@ -266,7 +266,7 @@
   /** Stops all keepers and entries together and starts them again; the targets keep running. */
   async restartAll(): Promise<void> {
     // The soft state is written to disk some time after each change.
-    await clock.pause(DISK_WRITE_DELAY_MS);
+    await clock.sleep(DISK_WRITE_DELAY_MS);
     await Promise.all([
       ...[...this.entries.keys()].map((i) => this.stopEntry(i)),
       ...[...this.keepers.keys()].map((i) => this.stopKeeper(i)),
@@ -329,7 +329,7 @@
       if (this.entries.has(entryIndex)) {
         replies.push(this.send(entryIndex, { ...options, body: `${i}` }));
       }
-      await clock.pause(intervalMs);
+      await clock.sleep(intervalMs);
     }
     return Promise.all(replies);
   }
--- a/packages/daemon/src/__tests__/backingOffTargets.test.ts
+++ b/packages/daemon/src/__tests__/backingOffTargets.test.ts
@@ -115,7 +115,7 @@
       await fleet.sendLoad(options, BACK_OFF_MS);
       setBackOff([fleet.targets[0]], undefined);
       await fleet.targets[0].restart();
-      await clock.pause(BACK_OFF_MS);
+      await clock.sleep(BACK_OFF_MS);
       const before = fleet.arrivals.length;
       const replies = await fleet.sendLoad(options, BACK_OFF_MS);
       const served = fleet.arrivals.slice(before).map(({ target }) => target);
--- a/packages/daemon/src/__tests__/clock.test.ts
+++ b/packages/daemon/src/__tests__/clock.test.ts
@@ -5,7 +5,7 @@
 const { expect } = chai;
 
 function elapsedAfter(
-  from: clock.Moment,
+  from: clock.ClockReading,
   ranMs: number,
   suspendedMs: number,
   stepMs: number,
--- a/packages/daemon/src/__tests__/crashingRequests.test.ts
+++ b/packages/daemon/src/__tests__/crashingRequests.test.ts
@@ -35,7 +35,7 @@
           body: CRASHING_BODY,
         });
         statuses.push(reply.status);
-        await clock.pause(50);
+        await clock.sleep(50);
       }
       expect(fleet.crashes.length).to.equal(MAX_CRASHES);
       expect(fleet.arrivalsWithBody(CRASHING_BODY).length).to.equal(MAX_CRASHES);
@@ -74,12 +74,12 @@
   it('do not affect requests that run on the same engines', async () => {
     const fleet = await pool.take('engines');
     const innocentReplies = Array.from({ length: 40 }, async (_, i) => {
-      await clock.pause(20 * i);
+      await clock.sleep(20 * i);
       return fleet.send(i % smallFleet.ENTRIES, { service: 'engines', body: `summary ${i}` });
     });
     for (let i = 0; i < 8; i++) {
       await fleet.send(i % smallFleet.ENTRIES, { service: 'engines', body: CRASHING_BODY });
-      await clock.pause(40);
+      await clock.sleep(40);
     }
     const replies = await Promise.all(innocentReplies);
     const served = replies.filter(({ status, isComplete }) => status === 200 && isComplete);
@@ -96,7 +96,7 @@
   it('are stopped immediately when many copies arrive together', async () => {
     const fleet = await pool.take('engines');
     const copies = Array.from({ length: 30 }, async (_, i) => {
-      await clock.pause(15 * i);
+      await clock.sleep(15 * i);
       return fleet.send(i % smallFleet.ENTRIES, { service: 'engines', body: CRASHING_BODY });
     });
     await Promise.all(copies);
--- a/packages/daemon/src/__tests__/failures.test.ts
+++ b/packages/daemon/src/__tests__/failures.test.ts
@@ -28,7 +28,10 @@
   after(() => fleet.stop());
 
   async function leasedOnEngines(): Promise<number> {
-    return [...fleet.engines.values()].reduce((sum, { held }) => sum + held.list().length, 0);
+    return [...fleet.engines.values()].reduce(
+      (sum, { leases: held }) => sum + held.list().length,
+      0,
+    );
   }
 
   /** Waits until no resources are leased, neither on the engines nor in the daemon's records. */
@@ -81,10 +84,10 @@
    */
   it('detects a stalled connection to a running engine and resumes over a new one', async () => {
     const engine = await fleet.startEngine('slow', { stepBaseMs: 20 });
-    await fleet.engines.get('engine-1')?.leave();
-    await fleet.engines.get('engine-2')?.leave();
+    await fleet.engines.get('engine-1')?.drain();
+    await fleet.engines.get('engine-2')?.drain();
     const running = fleet.complete('silent', 40);
-    await until('a running request', () => engine.model.size === 1);
+    await until('a running request', () => engine.model.requestCount === 1);
     await fleet.injectFault('slow', 'silent');
     const reply = await running;
     expect([reply.status, textOf(reply)]).to.deep.equal([200, expectedText('silent', 40)]);
@@ -111,7 +114,7 @@
    */
   it('moves a stream that outlasts the grace period of a planned stop, without loss', async () => {
     const running = fleet.complete('moved', 60);
-    await until('a running request', () => fleet.engines.get('slow')?.model.size === 1);
+    await until('a running request', () => fleet.engines.get('slow')?.model.requestCount === 1);
     await fleet.startEngine('spare');
     const stop = { id: 's1', subject: 'target', name: 'slow', graceSeconds: 0 };
     const announced = await fleet.operator('POST', 'stops', stop);
@@ -125,9 +128,9 @@
       const { content } = await fleet.operator('GET', 'stops');
       return (content as unknown as { progress: string }[])[0]?.progress === 'safeToStop';
     });
-    const before = fleet.engines.get('slow')?.started.size;
+    const before = fleet.engines.get('slow')?.startCounts.size;
     await fleet.complete('after the stop', 3);
-    expect(fleet.engines.get('slow')?.started.size).to.equal(before);
+    expect(fleet.engines.get('slow')?.startCounts.size).to.equal(before);
     await untilNothingLeased();
   });
 
@@ -147,11 +150,11 @@
       })
       .catch(() => undefined);
     const engine = fleet.engines.get('spare');
-    await until('a running request', () => engine?.model.size === 1);
+    await until('a running request', () => engine?.model.requestCount === 1);
     disconnect.abort();
     await running;
     await untilNothingLeased();
-    expect(engine?.model.size).to.equal(0);
+    expect(engine?.model.requestCount).to.equal(0);
   });
 
   /*
@@ -162,7 +165,10 @@
     await fleet.startEngine('second');
     const prompts = Array.from({ length: 12 }, (_v, i) => `dying ${i}`);
     const running = prompts.map((prompt) => fleet.complete(prompt, 200));
-    await until('a running request', () => (fleet.engines.get('spare')?.model.size ?? 0) > 0);
+    await until(
+      'a running request',
+      () => (fleet.engines.get('spare')?.model.requestCount ?? 0) > 0,
+    );
     await fleet.engines.get('spare')?.stop();
     await fleet.startEngine('spare');
     await fleet.engines.get('second')?.stop();
@@ -222,7 +228,10 @@
   }
 
   function runs(id: string): number {
-    return [...fleet.services.values()].reduce((sum, each) => sum + (each.runs.get(id) ?? 0), 0);
+    return [...fleet.services.values()].reduce(
+      (sum, each) => sum + (each.runCounts.get(id) ?? 0),
+      0,
+    );
   }
 
   /*
--- a/packages/daemon/src/__tests__/limitedTargets.test.ts
+++ b/packages/daemon/src/__tests__/limitedTargets.test.ts
@@ -117,7 +117,7 @@
       setLimit(fleet.targets, LIMIT_PER_SECOND);
       const since = clock.steady() + PROPAGATION_MS;
       const load = fleet.sendLoad({ service, kind }, 9_000);
-      await clock.pause(2_000);
+      await clock.sleep(2_000);
       await fleet.stopKeeper(fleet.leader);
       await fleet.targets[0].restart();
       await fleet.stopEntry(0);
--- a/packages/daemon/src/clock.ts
+++ b/packages/daemon/src/clock.ts
@@ -19,15 +19,15 @@
 }
 
 /** Both clocks, read together. */
-export interface Moment {
+export interface ClockReading {
   steady: number;
   timeOfDay: number;
 }
 
 /** Earlier than any reading: its age is infinite. */
-export const NEVER: Moment = { steady: -Infinity, timeOfDay: -Infinity };
+export const NEVER: ClockReading = { steady: -Infinity, timeOfDay: -Infinity };
 
-export function moment(): Moment {
+export function readClocks(): ClockReading {
   return { steady: steady(), timeOfDay: timeOfDay() };
 }
 
@@ -36,11 +36,11 @@
  * Only a suspension during which the time of day is stepped back by as much is missed; a resumed daemon contacts
  * its leader within half a second.
  */
-export function elapsed(from: Moment, to: Moment): number {
+export function elapsed(from: ClockReading, to: ClockReading): number {
   return Math.max(to.steady - from.steady, to.timeOfDay - from.timeOfDay);
 }
 
-export function pause(ms: number): Promise<void> {
+export function sleep(ms: number): Promise<void> {
   return new Promise((resolve) => {
     setTimeout(resolve, ms);
   });
--- a/packages/daemon/src/configuration/codecs.ts
+++ b/packages/daemon/src/configuration/codecs.ts
@@ -22,7 +22,7 @@
   return parts.every((part) => parseAddress(part) !== undefined) ? parts : undefined;
 }
 
-export function format({ host, port }: Address): string {
+export function formatAddress({ host, port }: Address): string {
   return `${host}:${port}`;
 }
 
@@ -90,7 +90,7 @@
   });
   Object.entries(sections).forEach(([section, fields]) => {
     const raw = sectionsInFile.get(section) ?? {};
-    const values = schema.readFields(section, fields, raw, defaults, problems);
+    const values = schema.decodeFields(section, fields, raw, defaults, problems);
     values.forEach((value, key) => valuesByKey.set(`${section}.${key}`, value));
   });
   return valuesByKey;
--- a/packages/daemon/src/configuration/configuration.ts
+++ b/packages/daemon/src/configuration/configuration.ts
@@ -8,7 +8,7 @@
 
 export type Address = codecs.Address;
 
-export const { format } = codecs;
+export const { formatAddress } = codecs;
 
 export interface Tls {
   certificateFile: string;
@@ -40,7 +40,7 @@
   /** SHA-256 of the operator token that may change every settings subtree. */
   operatorTokenHash: string;
   tls: Tls | undefined;
-  staleness: domain.membership.freshness.Rule;
+  staleness: domain.membership.freshness.StalenessRule;
   statsd: Address | undefined;
   logLevel: string;
   limits: {
--- a/packages/daemon/src/control/controlMachine.ts
+++ b/packages/daemon/src/control/controlMachine.ts
@@ -4,7 +4,7 @@
 
 type Delta = domain.control.state.Delta;
 
-export class ControlMachine implements stateMachine.Machine {
+export class ControlMachine implements stateMachine.StateMachine {
   state = new domain.control.state.State();
 
   constructor(
--- a/packages/daemon/src/control/controlPlane.ts
+++ b/packages/daemon/src/control/controlPlane.ts
@@ -159,7 +159,7 @@
     return { term: host.replica.term, since: this.leaderSince };
   }
 
-  founders(): domain.replication.messages.Member[] {
+  replicaMembers(): domain.replication.messages.Member[] {
     return this.host?.replica.members ?? [];
   }
 
@@ -195,20 +195,20 @@
   }
 
   /** Whether this daemon's settings are fresh enough to admit requests. */
-  verdict(): domain.membership.freshness.Verdict {
+  admissionVerdict(): domain.membership.freshness.Admission {
     const registered = [...this.view.daemons.keys()];
     const { name } = this.options.configuration;
-    return this.freshness.verdict(this.options.now(), name, registered);
+    return this.freshness.admission(this.options.now(), name, registered);
   }
 
   /** Records an automatic action in the audit trail. */
-  note(action: string, subject: string, detail: string): void {
+  recordAudit(action: string, subject: string, detail: string): void {
     const command: domain.control.state.Command = { kind: 'note', action, subject, detail, at: 0 };
     void this.client.execute(logServer.SETTINGS_LOG, command);
   }
 
   /** Reports to every replica how many requests still run here on the targets covered by each stop. */
-  reportStops(remainders: domain.stop.stop.Remainder[]): void {
+  reportStopProgress(remainders: domain.stop.stop.RunningCount[]): void {
     const report = { daemon: this.options.configuration.name, remainders };
     this.replicaAddresses().forEach((address) => {
       void this.options.client.call(address, 'stopReport', report);
@@ -217,7 +217,7 @@
 
   private async openReplicas(folder: string): Promise<Result<void, startErrors.StartError>> {
     const { configuration: settings, address, client, observer: observe, random } = this.options;
-    const machines = new Map<string, stateMachine.Machine>([
+    const machines = new Map<string, stateMachine.StateMachine>([
       [logServer.SETTINGS_LOG, this.machine],
     ]);
     for (let shard = 0; shard < settings.ledgerShards; shard++) {
@@ -250,7 +250,7 @@
       observer: observe,
       now: this.options.now,
       spares: () => this.spares(),
-      note: (action, subject, detail) => this.note(action, subject, detail),
+      recordAudit: (action, subject, detail) => this.recordAudit(action, subject, detail),
     });
     return Ok(undefined);
   }
@@ -276,12 +276,12 @@
     server.add('stopReport', (parameters) => {
       const { daemon, remainders } = parameters as {
         daemon: string;
-        remainders: domain.stop.stop.Remainder[];
+        remainders: domain.stop.stop.RunningCount[];
       };
       this.stops.update(daemon, remainders);
       return { taken: true };
     });
-    server.add('query', (parameters) => this.handleQuery(parameters as query.Question));
+    server.add('query', (parameters) => this.handleQuery(parameters as query.Query));
   }
 
   private handleFollow(
@@ -292,7 +292,7 @@
     return followed;
   }
 
-  private handleQuery(question: query.Question): query.QueryResponse {
+  private handleQuery(question: query.Query): query.QueryResponse {
     const { host } = this;
     if (host === undefined) return { kind: 'notLeader', leader: '' };
     const { now } = this.options;
@@ -305,7 +305,7 @@
     const now = this.options.now();
     // On the leader the view is updated by every applied entry, so under its lease the view is current.
     if (this.host?.hasFreshState() === true) return 0;
-    return this.freshness.age(now);
+    return this.freshness.ageMs(now);
   }
 
   private handleViewChange(): void {
@@ -375,7 +375,7 @@
     const { host } = this;
     if (host?.hasFreshState() === true) {
       if (this.leaderSince === 0) this.leaderSince = now;
-      this.freshness.confirm(now);
+      this.freshness.renewLease(now);
       this.recordSelfContact();
     } else this.leaderSince = 0;
     this.replicas?.hosts.forEach((each) => this.repairer?.step(each));
@@ -405,7 +405,7 @@
         const answer = await client.call<{ index: number }>(address, 'freshness', {}, call);
         if (answer.err) return;
         if (answer.val.index > this.view.index) await this.follower.catchUpFrom(address);
-        if (answer.val.index <= this.view.index) this.freshness.exchanged(id, now);
+        if (answer.val.index <= this.view.index) this.freshness.recordExchange(id, now);
       }),
     );
   }
--- a/packages/daemon/src/control/followProtocol.ts
+++ b/packages/daemon/src/control/followProtocol.ts
@@ -34,7 +34,7 @@
 
 export interface PartsResponse {
   index: number;
-  parts: domain.control.view.Part[];
+  parts: domain.control.view.ViewItem[];
 }
 
 /** Longest wait of a follow call in milliseconds; also how often freshness and contacts update when idle. */
--- a/packages/daemon/src/control/follower.ts
+++ b/packages/daemon/src/control/follower.ts
@@ -140,7 +140,7 @@
     // The upstream answered no earlier than `heldMs` after the request, and its view matched the leader's
     // `ageMs` before that.
     if (Number.isFinite(response.ageMs)) {
-      this.options.freshness.confirm(requestedAt + response.heldMs - response.ageMs);
+      this.options.freshness.renewLease(requestedAt + response.heldMs - response.ageMs);
     }
     this.leader = response.leader;
     return response.ageMs < domain.membership.freshness.DEFAULT_LEASE;
@@ -167,7 +167,7 @@
     // The buckets were compared at the digest's index; if the upstream has advanced since, start again.
     if (index !== upstreamDigest.index) return this.pollUpstream(address);
     const receivedKeys = new Set(parts.map(({ key }) => key));
-    const removed = view.keysBeyond(hash, new Set(differing), receivedKeys);
+    const removed = view.keysMissingFrom(hash, new Set(differing), receivedKeys);
     if (view.replace(parts, removed, index)) {
       this.options.observer.log('caughtUp', { index, parts: parts.length });
       this.handleViewChange();
--- a/packages/daemon/src/control/ledgerMachine.ts
+++ b/packages/daemon/src/control/ledgerMachine.ts
@@ -2,7 +2,7 @@
 import * as domain from '@celerydrift/domain';
 import type * as stateMachine from '../replicas/machine';
 
-export class LedgerMachine implements stateMachine.Machine {
+export class LedgerMachine implements stateMachine.StateMachine {
   ledger = new domain.ledger.ledger.Ledger();
 
   apply(command: unknown): unknown {
--- a/packages/daemon/src/control/query.ts
+++ b/packages/daemon/src/control/query.ts
@@ -8,7 +8,7 @@
 import type * as errors from './errors';
 import type * as stopProgress from './stopProgress';
 
-export type Question =
+export type Query =
   | { kind: 'subtree'; name: string }
   | { kind: 'subtrees' }
   | { kind: 'audit'; limit: number }
@@ -37,14 +37,14 @@
     private readonly now: () => number,
   ) {}
 
-  answer(question: Question): QueryResponse {
+  answer(question: Query): QueryResponse {
     if (!this.host.hasFreshState()) {
       return { kind: 'notLeader', leader: this.host.leaderAddress };
     }
     return { kind: 'answer', content: this.resultOf(question) };
   }
 
-  private resultOf(question: Question): unknown {
+  private resultOf(question: Query): unknown {
     const { state } = this.machine;
     if (question.kind === 'subtree') return state.tree.get(question.name) ?? null;
     if (question.kind === 'subtrees') return state.tree.list();
@@ -75,7 +75,7 @@
     private readonly replicas: () => string[],
   ) {}
 
-  async ask(question: Question): Promise<Result<unknown, errors.ControlError>> {
+  async send(question: Query): Promise<Result<unknown, errors.ControlError>> {
     let leader = '';
     for (let round = 0; round < MAX_ROUNDS; round++) {
       const replicas = this.replicas();
--- a/packages/daemon/src/control/stopProgress.ts
+++ b/packages/daemon/src/control/stopProgress.ts
@@ -5,7 +5,7 @@
 import * as domain from '@celerydrift/domain';
 
 type Stop = domain.stop.stop.Stop;
-type Remainder = domain.stop.stop.Remainder;
+type Remainder = domain.stop.stop.RunningCount;
 
 export interface StopReport extends Stop {
   progress: domain.stop.stop.Progress;
--- a/packages/daemon/src/control/upstream.ts
+++ b/packages/daemon/src/control/upstream.ts
@@ -43,7 +43,7 @@
 
   parts({ buckets }: followProtocol.PartsRequest): followProtocol.PartsResponse {
     const { view, hash } = this.options;
-    return { index: view.index, parts: view.partsIn(hash, new Set(buckets)) };
+    return { index: view.index, parts: view.itemsIn(hash, new Set(buckets)) };
   }
 
   private async waitForChange(ms: number): Promise<void> {
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -13,8 +13,8 @@
 import * as operatorsApi from './http/operatorsApi';
 import * as targetsApi from './http/targetsApi';
 import * as members from './membership/members';
-import type * as news from './membership/news';
-import * as workTeller from './membership/workTeller';
+import type * as gossipRecords from './membership/news';
+import * as workloadAnnouncer from './membership/workTeller';
 import * as observer from './observability/observer';
 import * as orderLoop from './orders/orderLoop';
 import type * as founding from './replicas/founding';
@@ -70,7 +70,7 @@
 
   readonly admission: admission.Admission;
 
-  readonly holdings: holdingsLoop.HoldingsLoop;
+  readonly holdings: holdingsLoop.LeaseLoop;
 
   readonly running = new Set<execution.Execution>();
 
@@ -81,7 +81,7 @@
 
   private readonly orders: orderLoop.OrderLoop;
 
-  private readonly stopWatch: stopWatch.StopWatch;
+  private readonly stopWatch: stopWatch.PlannedStopTracker;
 
   private readonly listeners: listener.Listener[];
 
@@ -102,9 +102,9 @@
 
   private wasReady = false;
 
-  private readonly workloadReporter: workTeller.WorkTeller;
+  private readonly workloadReporter: workloadAnnouncer.WorkloadAnnouncer;
 
-  private readonly cells: cellWatch.CellWatch;
+  private readonly cells: cellWatch.CellTracker;
 
   private readonly allocator: allocator.Allocator;
 
@@ -121,7 +121,7 @@
     onDiskFailure: (error: unknown) => void,
   ) {
     const { name, dataCentre, peerSecret, logLevel, statsd, timeouts } = settings;
-    const address = configuration.format(settings.peers);
+    const address = configuration.formatAddress(settings.peers);
     const { now } = this;
     this.random = domain.shared.random.independent(this.incarnation ^ hash(name));
     const { random } = this;
@@ -138,7 +138,7 @@
       random,
       hash,
       now,
-      take: (record) => this.applyRecord(record),
+      onRecord: (record) => this.applyRecord(record),
       onDaemons: () => this.onDaemonsChanged(),
     });
     this.control = new controlPlane.ControlPlane({
@@ -177,29 +177,29 @@
     this.admission = new admission.Admission({
       hash,
       now,
-      daemons: () => this.liveDaemons().all.length,
+      liveDaemonCount: () => this.liveDaemons().all.length,
       peerDemand: (organisation) => this.router.peerDemand(organisation),
     });
-    this.holdings = new holdingsLoop.HoldingsLoop({
+    this.holdings = new holdingsLoop.LeaseLoop({
       adapter: this.adapter,
       observer: this.observer,
       now,
       target: (target) => this.targets.get(target),
       keptEngines: () => this.keptEngines(),
-      standing: (daemon) => this.ownerStanding(daemon),
-      note: (action, subject, detail) => this.control.note(action, subject, detail),
+      ownerStatus: (daemon) => this.ownerStanding(daemon),
+      audit: (action, subject, detail) => this.control.recordAudit(action, subject, detail),
     });
     this.orders = new orderLoop.OrderLoop({
       adapter: this.adapter,
       observer: this.observer,
       now,
       leadership: () => this.control.leadership(),
-      wanted: () => this.admission.directory.wantedModels(),
+      wanted: () => this.admission.directory.servedModels(),
       targets: () => this.targets.list(),
       ours: () => this.control.ordered,
       record: (key, loaded) => this.recordOrder(key, loaded),
     });
-    this.stopWatch = new stopWatch.StopWatch({
+    this.stopWatch = new stopWatch.PlannedStopTracker({
       host: settings.peers.host,
       dataCentre,
       stops: () => [...this.control.view.stops.values()],
@@ -207,7 +207,7 @@
       running: this.running,
       now,
     });
-    this.cells = new cellWatch.CellWatch({
+    this.cells = new cellWatch.CellTracker({
       self: { id: name, dataCentre },
       hash,
       members: this.members,
@@ -215,7 +215,7 @@
       router: this.router,
       stops: this.stopWatch,
     });
-    this.workloadReporter = new workTeller.WorkTeller({
+    this.workloadReporter = new workloadAnnouncer.WorkloadAnnouncer({
       self: name,
       incarnation: this.incarnation,
       router: this.router,
@@ -249,13 +249,13 @@
     this.isStopping = true;
     this.observer.log('stopping');
     await this.members.leave();
-    await clock.pause(BALANCER_NOTICE_MS);
+    await clock.sleep(BALANCER_NOTICE_MS);
     const deadline = this.now() + this.settings.timeouts.stopSeconds * 1_000;
     while ((this.callers.active > 0 || this.holdings.holdings.size > 0) && this.now() < deadline) {
-      await clock.pause(20);
+      await clock.sleep(20);
     }
     const closed = Promise.all(this.listeners.map((each) => each.close()));
-    await Promise.race([closed, clock.pause(BALANCER_NOTICE_MS)]);
+    await Promise.race([closed, clock.sleep(BALANCER_NOTICE_MS)]);
     await this.halt();
     this.observer.log('stopped');
   }
@@ -284,7 +284,8 @@
     if (this.isStopping) return 'this daemon is stopping';
     if (this.control.view.index === 0) return 'the settings in force are not known yet';
     if (this.stopWatch.ownStop() !== undefined) return 'a planned stop of this VM is announced';
-    if (this.control.verdict() === 'refuse') return 'the settings held here may be out of date';
+    if (this.control.admissionVerdict() === 'refuse')
+      return 'the settings held here may be out of date';
     return undefined;
   }
 
@@ -301,7 +302,7 @@
       ready: this.unready() === undefined,
       unready: this.unready(),
       settingsIndex: this.control.view.index,
-      freshnessMs: Math.min(this.control.freshness.age(this.now()), 1e9),
+      freshnessMs: Math.min(this.control.freshness.ageMs(this.now()), 1e9),
       replica: this.control.replicaId,
       replicaState: replica?.state,
       term: replica?.term,
@@ -323,7 +324,7 @@
     try {
       this.ports.peers = await this.server.listen(peers);
     } catch (error) {
-      const detail = `cannot listen for peers on ${configuration.format(peers)}: ${String(error)}`;
+      const detail = `cannot listen for peers on ${configuration.formatAddress(peers)}: ${String(error)}`;
       return Err({ kind: 'addressInUse', detail });
     }
     const opened = await this.control.open(this.server);
@@ -343,19 +344,19 @@
       try {
         this.ports[name] = await this.listeners[i].listen(address);
       } catch (error) {
-        const detail = `cannot listen for ${name} on ${configuration.format(address)}: ${String(error)}`;
+        const detail = `cannot listen for ${name} on ${configuration.formatAddress(address)}: ${String(error)}`;
         return Err({ kind: 'addressInUse', detail });
       }
     }
     this.timers = [
-      setInterval(() => this.workloadReporter.tell(), WORKLOAD_REPORT_INTERVAL_MS),
+      setInterval(() => this.workloadReporter.announce(), WORKLOAD_REPORT_INTERVAL_MS),
       setInterval(() => this.checkReadinessAndStops(), READINESS_CHECK_INTERVAL_MS),
     ];
     this.observer.log('started', { ports: this.ports, dataCentre: this.settings.dataCentre });
     return Ok(undefined);
   }
 
-  private owner(): domain.memory.holding.Owner {
+  private owner(): domain.memory.leasedResources.Owner {
     return { daemon: this.settings.name, incarnation: this.incarnation };
   }
 
@@ -381,24 +382,25 @@
       observer: observe,
       budget: retryBudget,
       random,
-      targets: (service) => this.cells.open().filter((target) => target.service === service),
+      targets: (service) =>
+        this.cells.availableTargets().filter((target) => target.service === service),
       now,
     });
   }
 
-  private createExecutionDependencies(): execution.Parts {
+  private createExecutionDependencies(): execution.Dependencies {
     const { adapter, holdings, observer: observe, router: route, retryBudget, random, now } = this;
-    const owner = (): domain.memory.holding.Owner => this.owner();
+    const owner = (): domain.memory.leasedResources.Owner => this.owner();
     return {
       router: route,
-      allocations: new allocations.Allocations({
+      allocations: new allocations.AllocationClient({
         self: this.settings.name,
         router: route,
         client: this.peers,
         observer: observe,
         now,
         allocator: () => this.cells.allocatorAddress(),
-        target: (wanted) => this.cells.openTarget(wanted),
+        target: (wanted) => this.cells.availableTarget(wanted),
       }),
       adapter,
       gatherer: new gatherer.Gatherer({
@@ -406,14 +408,14 @@
         holdings,
         random,
         owner,
-        engines: () => this.cells.openEngines(),
+        engines: () => this.cells.availableEngines(),
         freeTokens: (target) => route.freeTokens(target),
         now,
       }),
       holdings,
       observer: observe,
       budget: retryBudget,
-      contents: new contentMemory.ContentMemory(now),
+      quarantine: new contentMemory.PromptQuarantine(now),
       random,
       owner,
       silenceMs: this.settings.timeouts.silenceMs,
@@ -452,10 +454,10 @@
     return {
       daemon: name,
       replica: this.control.replicaId,
-      address: configuration.format(peers),
+      address: configuration.formatAddress(peers),
       dataCentre,
       founded: this.control.isFounded,
-      members: this.control.founders(),
+      members: this.control.replicaMembers(),
     };
   }
 
@@ -471,7 +473,7 @@
     const subtrees = [...view.subtrees.values()];
     const { directory: formerDirectory } = this.admission;
     this.admission.directory = new domain.settings.directory.Directory(subtrees, formerDirectory);
-    this.members.learn(view.daemons.values());
+    this.members.addRegistered(view.daemons.values());
     this.cells.refresh();
     this.observer.log('settingInForce', { index: view.index });
   }
@@ -488,11 +490,11 @@
   private onTargetChanged(target: Target, before: Target | undefined): void {
     if (before !== undefined && before.incarnation < target.incarnation) {
       this.holdings.holdings.targetRestarted(target.name, target.incarnation);
-      this.targetsClient.forget(before.address);
+      this.targetsClient.closePool(before.address);
     }
     if (target.status === 'gone') {
       this.holdings.holdings.targetGone(target.name);
-      this.targetsClient.forget(target.address);
+      this.targetsClient.closePool(target.address);
     }
     const isUnchanged =
       before?.status === target.status &&
@@ -521,7 +523,7 @@
   }
 
   /** Whether the owner of a leased resource is live, dead or unknown, as the failure detector sees it. */
-  private ownerStanding(daemon: string): domain.memory.holding.Standing {
+  private ownerStanding(daemon: string): domain.memory.leasedResources.OwnerStatus {
     const known = this.members.detector.get(daemon);
     if (known === undefined) return { kind: 'unknown' };
     if (known.status === 'dead') return { kind: 'dead' };
@@ -536,9 +538,9 @@
   }
 
   /** Merges a record received by gossip; returns whether it was new, so that gossip passes it on. */
-  private applyRecord(record: news.News): boolean {
+  private applyRecord(record: gossipRecords.GossipRecord): boolean {
     if (record.kind === 'target') return this.targets.merge(record.target);
-    if (record.kind === 'work') return this.workloadReporter.take(record.work);
+    if (record.kind === 'work') return this.workloadReporter.receive(record.work);
     return false;
   }
 
@@ -550,7 +552,7 @@
       this.observer.log(this.wasReady ? 'ready' : 'unready', { reason: unready });
     }
     if (this.control.view.stops.size === 0) return;
-    this.stopWatch.moveOverdue();
-    this.control.reportStops(this.stopWatch.remainders());
+    this.stopWatch.moveAfterGrace();
+    this.control.reportStopProgress(this.stopWatch.remainders());
   }
 }
--- a/packages/daemon/src/edges/protocols.ts
+++ b/packages/daemon/src/edges/protocols.ts
@@ -7,7 +7,7 @@
 import type { Result } from 'ts-results';
 
 /** Properties of a request that its caller states in headers. */
-export interface CallerFacts {
+export interface CallerMetadata {
   requestId: string;
   /** How long the caller waits for the answer, in milliseconds; undefined if not stated. */
   patienceMs: number | undefined;
@@ -23,7 +23,7 @@
 }
 
 /** A target that prefills a part of a prompt, and the reservation of memory for it there. */
-export interface Helper {
+export interface PrefillHelper {
   address: string;
   reservation: string | undefined;
 }
@@ -37,27 +37,27 @@
 }
 
 /** What an entry adds to a request that it forwards to a target. */
-export interface Dispatch {
+export interface ForwardingMetadata {
   /** Id of the target lifetime that must serve the request; another lifetime at the address refuses it. */
   target: string;
   organisation: string | undefined;
   /** Time left for the target, in milliseconds. */
   timeLeftMs: number;
   /** Targets that prefill parts of the prompt. */
-  helpers: readonly Helper[];
+  helpers: readonly PrefillHelper[];
   /** Id of the last event sent to the caller; undefined to stream from the beginning. */
   resumeAfter: string | undefined;
 }
 
 /** Request rate that a target's response allows, in requests per second of the whole fleet. */
-export type NamedLimit =
+export type AdvertisedLimit =
   { kind: 'named'; perSecond: number } | { kind: 'none' } | { kind: 'unreadable' };
 
 /** Back-off towards this VM that a target asks for when it rejects a message. */
 export type BackOff = { kind: 'none' } | { kind: 'asked'; forMs: number } | { kind: 'unreadable' };
 
 /** What the status and headers of a target's response prove. */
-export interface AnswerFacts {
+export interface ResponseMetadata {
   requestId: string | undefined;
   /** Whether the target signed the response. An unsigned success may come from anything else at the address. */
   isSigned: boolean;
@@ -69,7 +69,7 @@
   faulty: string | undefined;
   /** Whether the body has an encoding that wasn't requested, so that it doesn't come from the target. */
   isEncoded: boolean;
-  limit: NamedLimit;
+  limit: AdvertisedLimit;
   backOff: BackOff;
   /** Whether the target reports that it drains and accepts no new requests. */
   isLeaving: boolean;
@@ -77,15 +77,15 @@
 
 /** Protocol of callers' requests and of calls to targets. */
 export interface TrafficProtocol {
-  facts(headers: http.IncomingHttpHeaders): CallerFacts;
+  callerMetadata(headers: http.IncomingHttpHeaders): CallerMetadata;
   /** Headers of a request to a target: the caller's, with those that the entry adds or replaces. */
-  requestHeaders(raw: readonly string[], dispatch: Dispatch): string[];
-  answerFacts(status: number, headers: Readonly<Record<string, unknown>>): AnswerFacts;
+  requestHeaders(raw: readonly string[], dispatch: ForwardingMetadata): string[];
+  responseMetadata(status: number, headers: Readonly<Record<string, unknown>>): ResponseMetadata;
   /** Reserves memory on a target for `holdMs` from the call's arrival; repeating the call renews it. */
   reserve(target: string, reservation: string, tokens: number, holdMs: number): TargetCall;
   release(target: string, reservation: string): TargetCall;
   /** Requests a target's state; a live target answers at once, however busy. */
-  report(target: string): TargetCall;
+  stateCall(target: string): TargetCall;
 }
 
 /** A call of a target or an operator that the keepers' listener recognises. */
@@ -96,16 +96,19 @@
   | { kind: 'read' };
 
 /** Why a document or an announcement can't be parsed. */
-export interface Unreadable {
+export interface ParseError {
   kind: 'unreadable';
   detail: string;
 }
 
 /** Protocol of targets' announcements and of operators' calls. */
 export interface ControlProtocol {
-  call(method: string, path: string): ControlCall | undefined;
-  announcement(id: string, body: Buffer): Result<domain.registry.registry.Announcement, Unreadable>;
+  parseCall(method: string, path: string): ControlCall | undefined;
+  parseAnnouncement(
+    id: string,
+    body: Buffer,
+  ): Result<domain.registry.registry.Announcement, ParseError>;
   /** Start time of the departing lifetime, in Unix milliseconds; undefined if not stated. */
-  departedLifetime(body: Buffer): number | undefined;
-  catalogue(document: Buffer): Result<domain.catalogue.catalogue.Catalogue, Unreadable>;
+  parseDepartedLifetime(body: Buffer): number | undefined;
+  parseCatalogue(document: Buffer): Result<domain.catalogue.catalogue.Catalogue, ParseError>;
 }
--- a/packages/daemon/src/entry/__tests__/__fixtures__/bench.ts
+++ b/packages/daemon/src/entry/__tests__/__fixtures__/bench.ts
@@ -20,7 +20,7 @@
 
 /** A minimal protocol with plain headers: `id`, `signed`, `not-run`, `resume-after`. */
 export const PROTOCOL: protocols.TrafficProtocol = {
-  facts: (headers) => ({
+  callerMetadata: (headers) => ({
     requestId: String(headers.id ?? ''),
     patienceMs: headers.patience === undefined ? undefined : Number(headers.patience),
     key: headers.key as string | undefined,
@@ -37,7 +37,7 @@
     const resume = resumeAfter === undefined ? [] : ['resume-after', resumeAfter];
     return [...kept, 'target', target, ...resume];
   },
-  answerFacts: (status, headers) => ({
+  responseMetadata: (status, headers) => ({
     requestId: headers.id as string | undefined,
     isSigned: headers.signed !== undefined,
     isNotRun: headers['not-run'] !== undefined,
@@ -56,7 +56,7 @@
   }),
   reserve: () => ({ method: 'POST', path: '/', headers: [], body: '' }),
   release: () => ({ method: 'POST', path: '/', headers: [], body: '' }),
-  report: () => ({ method: 'GET', path: REPORT_PATH, headers: [], body: '' }),
+  stateCall: () => ({ method: 'GET', path: REPORT_PATH, headers: [], body: '' }),
 };
 
 /** A gate that admits every message. */
@@ -155,7 +155,7 @@
   private constructor(private readonly addresses: string[]) {
     const rule = { ratio: 1, slack: 100, windowMs: 10_000 };
     const budgets = new domain.request.repeatBudget.RepeatBudgets(rule);
-    budgets.shareWith(1, clock.steady());
+    budgets.setEntryCount(1, clock.steady());
     const observe = new observer.Observer('test', 'fatal', undefined);
     const limits = {
       answered: () => undefined,
@@ -165,7 +165,7 @@
     const { registry } = this;
     const client = new peerClient.PeerClient('secret', undefined, observe);
     this.signals = new targetSignals.TargetSignals({
-      holding: { registry, directory: undefined, takeLeaving: () => [] },
+      fleetState: { registry, directory: undefined, applyDraining: () => [] },
       limits,
       link: { leader: '' },
       client,
@@ -182,7 +182,7 @@
     });
     this.crashes = new quarantineClient.QuarantineClient({
       name: 'e0',
-      holding: {
+      fleetState: {
         quarantine: new domain.quarantine.quarantine.Quarantine(),
         registry,
       },
@@ -297,7 +297,7 @@
     const again = request.writers?.[0];
     const excluded = new Set([...request.excluded, ...this.signals.unavailable('app')]);
     const index = again === undefined ? excluded.size : Number(again.slice(1));
-    await clock.pause(this.placementDelayMs);
+    await clock.sleep(this.placementDelayMs);
     const address = this.addresses[index];
     if (address === undefined) return { kind: 'noPlace', retryAfterMs: 250 };
     const placement = { target: `t${index}`, address, helpers: [], firstTokenMs: 0 };
--- a/packages/daemon/src/entry/__tests__/exchange.test.ts
+++ b/packages/daemon/src/entry/__tests__/exchange.test.ts
@@ -121,7 +121,7 @@
     setup = await harness.TestHarness.start((_request, socket) => socket.write(refuse), RESPOND);
     setup.placementDelayMs = 60;
     const first = setup.send('/unsafe/1');
-    await clock.pause(40);
+    await clock.sleep(40);
     const second = setup.send('/unsafe/1');
     expect([(await first).status, (await second).body]).to.deep.equal([503, 'whole']);
     expect(setup.outcomes).to.deep.equal(['full', 'cancelled', 'done']);
--- a/packages/daemon/src/entry/__tests__/quarantineClient.test.ts
+++ b/packages/daemon/src/entry/__tests__/quarantineClient.test.ts
@@ -24,11 +24,11 @@
     const nothing = new domain.quarantine.quarantine.Quarantine().report(CONTENT, 0);
     const client = new quarantineClient.QuarantineClient({
       name: 'e0',
-      holding: { quarantine, registry: new domain.registry.registry.Registry() },
+      fleetState: { quarantine, registry: new domain.registry.registry.Registry() },
       link: { leader: '10.0.0.1:1' },
       client: {
         call: async <T>() => {
-          await clock.pause(1);
+          await clock.sleep(1);
           return Ok({ kind: 'taken', reports: [nothing] } as T);
         },
       },
@@ -40,7 +40,7 @@
       const sent = { target, address: '10.0.0.2:1', sentAt: clock.steady(), isTrial: true };
       await client.checkForCrash(request('r1'), sent);
     }
-    await clock.pause(10);
+    await clock.sleep(10);
     expect([quarantine.size, (await client.permit(request('r2'))).kind]).to.deep.equal([
       0,
       'granted',
@@ -55,13 +55,13 @@
   it('is reported to the leader as soon as there is one', async () => {
     const quarantine = new domain.quarantine.quarantine.Quarantine();
     ['a', 'b'].forEach((lifetime) => {
-      quarantine.blame(CONTENT, lifetime, { sentAt: 0, isTrial: true }, 1);
+      quarantine.reportCrash(CONTENT, lifetime, { sentAt: 0, isTrial: true }, 1);
     });
     const link = { leader: '10.0.0.1:1' };
     const reports: unknown[] = [];
     const client = new quarantineClient.QuarantineClient({
       name: 'e0',
-      holding: { quarantine, registry: new domain.registry.registry.Registry() },
+      fleetState: { quarantine, registry: new domain.registry.registry.Registry() },
       link,
       client: {
         call: async <T>(_address: string, method: string, content: object) => {
@@ -78,10 +78,10 @@
     if (permit.kind !== 'granted') throw new Error(permit.kind);
     link.leader = '';
     permit.end(true);
-    await clock.pause(150);
+    await clock.sleep(150);
     expect(reports).to.deep.equal([]);
     link.leader = '10.0.0.2:1';
-    await clock.pause(150);
+    await clock.sleep(150);
     client.close();
     expect(reports).to.deep.equal([{ content: CONTENT, id: 'r1', ranWhole: true }]);
   });
@@ -94,10 +94,10 @@
    */
   it('makes a canary run', async () => {
     const quarantine = new domain.quarantine.quarantine.Quarantine();
-    quarantine.blame(CONTENT, 'a', { sentAt: 0, isTrial: false }, 1);
+    quarantine.reportCrash(CONTENT, 'a', { sentAt: 0, isTrial: false }, 1);
     const client = new quarantineClient.QuarantineClient({
       name: 'e0',
-      holding: { quarantine, registry: new domain.registry.registry.Registry() },
+      fleetState: { quarantine, registry: new domain.registry.registry.Registry() },
       link: { leader: '10.0.0.1:1' },
       client: {
         call: async <T>() => Ok({ kind: 'granted', endings: 0, target: undefined } as T),
--- a/packages/daemon/src/entry/__tests__/rateLimitClient.test.ts
+++ b/packages/daemon/src/entry/__tests__/rateLimitClient.test.ts
@@ -38,7 +38,7 @@
 
   readonly limits = new domain.rateLimits.rateLimits.RateLimits();
 
-  readonly reports: messages.Limited[] = [];
+  readonly reports: messages.LimitReport[] = [];
 
   /** The leader's answer to a call for a grant. */
   grant: messages.GrantAnswer = { kind: 'wait', waitMs: 1_000 };
@@ -55,11 +55,11 @@
     const call = async (address: string, method: string, content: object): Promise<unknown> => {
       if (!this.isLeaderReachable) return Err({ kind: 'timeout', address, method, detail: 'lost' });
       if (method === 'grant') return Ok(this.grant);
-      this.reports.push(JSON.parse(JSON.stringify(content)) as messages.Limited);
+      this.reports.push(JSON.parse(JSON.stringify(content)) as messages.LimitReport);
       return Ok({ kind: 'taken' });
     };
     this.client = new rateLimitClient.RateLimitClient({
-      holding: this,
+      fleetState: this,
       link: this.link,
       client: { call: call as peerClient.PeerClient['call'] },
       observer: new observer.Observer('test', 'fatal', undefined),
@@ -91,32 +91,32 @@
     setup.now = 100;
     setup.answer(2);
     setup.answer(undefined, 100);
-    expect(setup.limits.at(PLACE)).to.equal(2);
+    expect(setup.limits.limitAt(PLACE)).to.equal(2);
     setup.answer(undefined, 101);
-    expect(setup.limits.at(PLACE)).to.equal(undefined);
+    expect(setup.limits.limitAt(PLACE)).to.equal(undefined);
   });
 
   it('keeps the limit if a new one is unreadable', () => {
     setup.answer(2);
     const answered = { ...PLACE, requestId: 'r', target: 't', status: 200, sentAt: 50 };
     setup.client.answered(answered, { kind: 'unreadable' });
-    expect(setup.limits.at(PLACE)).to.equal(2);
+    expect(setup.limits.limitAt(PLACE)).to.equal(2);
   });
 
   /** Guards against a limit that only one entry knows because it was reported while there was no leader. */
   it('reports the latest value to the next leader', async () => {
     setup.isLeaderReachable = false;
     setup.answer(2);
-    await clock.pause(10);
+    await clock.sleep(10);
     setup.answer(3);
     setup.isLeaderReachable = true;
-    await clock.pause(RETRY_WAIT_MS);
+    await clock.sleep(RETRY_WAIT_MS);
     expect(setup.reports).to.deep.equal([{ limits: [{ ...PLACE, perSecond: 3 }], spent: [] }]);
   });
 
   it('grants its share while there is no leader, and reports what it granted', async () => {
     setup.answer(2);
-    await clock.pause(10);
+    await clock.sleep(10);
     setup.link.leader = '';
     setup.client.leaderLost();
     expect((await setup.client.grant([PLACE])).kind).to.equal('wait');
@@ -125,7 +125,7 @@
     expect((await setup.client.grant([PLACE])).kind).to.equal('granted');
     expect((await setup.client.grant([PLACE])).kind).to.equal('wait');
     setup.link.leader = '10.0.0.2:1';
-    await clock.pause(RETRY_WAIT_MS);
+    await clock.sleep(RETRY_WAIT_MS);
     expect(setup.reports.at(-1)?.spent).to.deep.equal([{ ...PLACE, count: 1 }]);
   });
 
@@ -148,11 +148,11 @@
   /** Guards against messages that bypass the limit: a reservation and its release count as well. */
   it('counts messages that reserve and release memory', async () => {
     setup.answer(2);
-    await clock.pause(10);
+    await clock.sleep(10);
     const call = async (): Promise<targetClient.CallResult> => ({
       kind: 'answered',
       status: 200,
-      facts: harness.PROTOCOL.answerFacts(200, {}),
+      facts: harness.PROTOCOL.responseMetadata(200, {}),
     });
     const memory = new reservations.Reservations('r', {
       protocol: harness.PROTOCOL,
@@ -164,7 +164,7 @@
     });
     await memory.reserveAll([{ target: 't', address: PLACE.address, keptTokens: 1_000 }]);
     memory.release();
-    await clock.pause(10);
+    await clock.sleep(10);
     const spent = setup.reports.flatMap((each) => each.spent);
     expect(spent.reduce((sum, { count }) => sum + count, 0)).to.equal(2);
   });
--- a/packages/daemon/src/entry/__tests__/targetSelector.test.ts
+++ b/packages/daemon/src/entry/__tests__/targetSelector.test.ts
@@ -2,7 +2,7 @@
 import * as chai from 'chai';
 import * as domain from '@celerydrift/domain';
 import * as clock from '../../clock';
-import type * as holding from '../../fleet/holding';
+import type * as fleetState from '../../fleet/holding';
 import * as leaderLink from '../../fleet/leaderLink';
 import * as messages from '../../fleet/messages';
 import * as observer from '../../observability/observer';
@@ -64,7 +64,7 @@
 }
 
 function pause(ms: number): Promise<void> {
-  return clock.pause(ms);
+  return clock.sleep(ms);
 }
 
 describe('target selector', () => {
@@ -73,7 +73,7 @@
   let client: peerClient.PeerClient;
   let link: leaderLink.LeaderLink;
   let selector: targetSelector.TargetSelector;
-  let reported: messages.EndedDispatch[];
+  let reported: messages.FinishedDispatch[];
 
   /** Number of liveness probes that the leader received. */
   let probes: number;
@@ -102,10 +102,10 @@
       return after(delays.other, {});
     });
     server.add('ended', (content) => {
-      reported.push(...(content as messages.Ended).dispatches);
+      reported.push(...(content as messages.FinishedDispatches).dispatches);
       return {};
     });
-    const confirmed: messages.Confirmed = {
+    const confirmed: messages.Confirmation = {
       kind: 'confirmed',
       keepers: [],
       entries: 1,
@@ -113,7 +113,7 @@
       crowding: [],
       news: {
         edition: undefined,
-        mark: messages.NO_MARK,
+        mark: messages.NO_VERSION,
         since: undefined,
         records: [],
         suspects: [],
@@ -127,9 +127,9 @@
       directory: { service: () => SERVICE },
       registry: new domain.registry.registry.Registry(),
       limits: new domain.rateLimits.rateLimits.RateLimits(),
-      suspectsToTell: () => [],
-      takeNews: () => true,
-    } as unknown as holding.Holding;
+      reportableSuspects: () => [],
+      applyUpdate: () => true,
+    } as unknown as fleetState.FleetState;
     link = new leaderLink.LeaderLink({
       name: 'entry',
       role: 'entry',
@@ -138,16 +138,16 @@
       replica: () => undefined,
       seeds: [address],
       client,
-      holding: state,
+      fleetState: state,
       observer: observe,
-      moment: clock.moment,
+      moment: clock.readClocks,
       dispatches: () => [],
       onConfirmed: () => undefined,
     });
     selector = new targetSelector.TargetSelector({
       name: 'entry',
       dataCentre: 'east',
-      holding: state,
+      fleetState: state,
       link,
       client,
       limits: {
@@ -221,7 +221,7 @@
   /** Loses the leader, and takes all memory of the only engine. */
   async function loseLeaderAndFillEngine(): Promise<targetSelector.Choice> {
     delays.other = Infinity;
-    link.doubt(link.leader);
+    link.reportFailure(link.leader);
     return selector.choose({ ...longPrompt(0), id: 'r0/0.0' });
   }
 
--- a/packages/daemon/src/entry/__tests__/targetSignals.test.ts
+++ b/packages/daemon/src/entry/__tests__/targetSignals.test.ts
@@ -35,7 +35,7 @@
 const ORDER: targetClient.TargetMessage = { ...REQUEST, purpose: 'order', requestId: undefined };
 
 /** A target's refusal of the request above, with a back-off of a second. */
-const REFUSAL: protocols.AnswerFacts = {
+const REFUSAL: protocols.ResponseMetadata = {
   requestId: 'r1',
   isSigned: false,
   isNotRun: true,
@@ -62,8 +62,8 @@
 class Harness {
   readonly registry = new domain.registry.registry.Registry();
 
-  readonly takeLeaving = ({ id, bornAt }: { id: string; bornAt: number }): Announcement[] => {
-    return this.registry.leave(id, bornAt);
+  readonly applyDraining = ({ id, bornAt }: { id: string; bornAt: number }): Announcement[] => {
+    return this.registry.reportDraining(id, bornAt);
   };
 
   maxConnections = Infinity;
@@ -84,7 +84,7 @@
   constructor() {
     this.registry.announce(RECORD, 0);
     this.signals = new targetSignals.TargetSignals({
-      holding: this,
+      fleetState: this,
       link: { leader: '' },
       client: { call: () => Promise.reject(new Error('no leader')) },
       limits: {
@@ -98,7 +98,7 @@
   }
 
   /** Sends a message that gets such a response; returns whether it was sent. */
-  exchange(facts: Partial<protocols.AnswerFacts>, message = REQUEST, status = 503): boolean {
+  exchange(facts: Partial<protocols.ResponseMetadata>, message = REQUEST, status = 503): boolean {
     const delivery = this.signals.admit(message);
     delivery?.answered({ status, raw: [], facts: { ...REFUSAL, ...facts } });
     delivery?.ended();
@@ -124,7 +124,7 @@
    * lifetime.
    */
   it('count only in a response to the message itself, from the addressed lifetime', () => {
-    const answers: [string, Partial<protocols.AnswerFacts>, targetClient.TargetMessage][] = [
+    const answers: [string, Partial<protocols.ResponseMetadata>, targetClient.TargetMessage][] = [
       ['its own refusal', {}, REQUEST],
       ['its own signed failure', { isSigned: true, isNotRun: false }, REQUEST],
       ['its refusal of an order', { requestId: undefined, isNotRun: false }, ORDER],
--- a/packages/daemon/src/entry/callerResponse.ts
+++ b/packages/daemon/src/entry/callerResponse.ts
@@ -65,7 +65,7 @@
   constructor(
     private readonly response: http.ServerResponse,
     private readonly route: Route,
-    private readonly caller: protocols.CallerFacts,
+    private readonly caller: protocols.CallerMetadata,
   ) {}
 
   /** Whether the caller has received bytes that no other target can continue from. */
--- a/packages/daemon/src/entry/entry.ts
+++ b/packages/daemon/src/entry/entry.ts
@@ -57,7 +57,7 @@
 
   private readonly server: peerServer.PeerServer;
 
-  private readonly holding: holding.Holding;
+  private readonly fleetState: holding.FleetState;
 
   private readonly link: leaderLink.LeaderLink;
 
@@ -93,7 +93,7 @@
     this.client = peers.clientOf(settings, observe);
     this.server = new peerServer.PeerServer(settings.secret, undefined, observe);
     this.budgets = new domain.request.repeatBudget.RepeatBudgets(settings.repeats);
-    this.holding = new holding.Holding({
+    this.fleetState = new holding.FleetState({
       protocol: control,
       observer: observe,
       now: clock.steady,
@@ -103,33 +103,33 @@
     this.link = new leaderLink.LeaderLink({
       name: settings.name,
       role: 'entry',
-      address: codecs.format(settings.advertised),
+      address: codecs.formatAddress(settings.advertised),
       dataCentre: settings.dataCentre,
       replica: () => undefined,
       seeds: settings.seeds,
       client: this.client,
-      holding: this.holding,
+      fleetState: this.fleetState,
       observer: observe,
-      moment: clock.moment,
+      moment: clock.readClocks,
       dispatches: () => this.selector.dispatches,
       onConfirmed: ({ entries, crowding }) => {
-        this.selector.fallback.assume(crowding);
+        this.selector.fallback.assumeAverageLoads(crowding);
         this.limits.leaderFound(entries);
         this.signals.leaderFound(this.link.leader, entries);
         this.link.onLost(this.onLeaderLost);
-        if (entries > 0) this.budgets.shareWith(entries, clock.steady());
+        if (entries > 0) this.budgets.setEntryCount(entries, clock.steady());
         this.ingress.wake();
       },
     });
     this.limits = new rateLimitClient.RateLimitClient({
-      holding: this.holding,
+      fleetState: this.fleetState,
       link: this.link,
       client: this.client,
       observer: observe,
       now: clock.steady,
     });
     this.signals = new targetSignals.TargetSignals({
-      holding: this.holding,
+      fleetState: this.fleetState,
       limits: this.limits,
       link: this.link,
       client: this.client,
@@ -144,7 +144,7 @@
     this.selector = new targetSelector.TargetSelector({
       name: settings.name,
       dataCentre: settings.dataCentre,
-      holding: this.holding,
+      fleetState: this.fleetState,
       link: this.link,
       client: this.client,
       limits: this.limits,
@@ -162,7 +162,7 @@
     });
     this.quarantine = new quarantineClient.QuarantineClient({
       name: settings.name,
-      holding: this.holding,
+      fleetState: this.fleetState,
       link: this.link,
       client: this.client,
       liveness: this.liveness,
@@ -179,8 +179,8 @@
   async start(): Promise<void> {
     const { settings } = this.dependencies;
     this.server.add('learn', (news) => {
-      this.holding.takeNews(news as messages.News);
-      return { mark: this.holding.mark } satisfies messages.Learned;
+      this.fleetState.applyUpdate(news as messages.FleetUpdate);
+      return { mark: this.fleetState.mark } satisfies messages.UpdateAck;
     });
     await this.server.listen(settings.peers);
     await this.ingress.listen(settings.callers as codecs.Address, this.dependencies.earlyListener);
@@ -197,11 +197,11 @@
     const begun = clock.steady();
     this.isDraining = true;
     this.ingress.drain();
-    await clock.pause(LINGER_MS);
+    await clock.sleep(LINGER_MS);
     this.ingress.refuseNew();
     const until = begun + this.dependencies.settings.stopMs - STOP_MARGIN_MS;
     while (this.ingress.activeRequests > 0 && clock.steady() < until)
-      await clock.pause(STOP_POLL_MS);
+      await clock.sleep(STOP_POLL_MS);
     this.link.stop();
     this.quarantine.close();
     this.limits.close();
@@ -215,26 +215,28 @@
   gauges(): Record<string, number> {
     return {
       ready: this.isReady ? 1 : 0,
-      catalogueVersion: this.holding.version,
-      confirmedMsAgo: Math.min(this.link.age, Number.MAX_SAFE_INTEGER),
-      targets: this.holding.registry.records().length,
-      limits: this.holding.limits.size,
+      catalogueVersion: this.fleetState.version,
+      confirmedMsAgo: Math.min(this.link.confirmationAgeMs, Number.MAX_SAFE_INTEGER),
+      targets: this.fleetState.registry.records().length,
+      limits: this.fleetState.limits.size,
       backingOff: this.signals.backingOff,
-      suspects: this.holding.quarantine.size,
-      quarantined: this.holding.quarantine.quarantined,
+      suspects: this.fleetState.quarantine.size,
+      quarantined: this.fleetState.quarantine.quarantined,
       activeRequests: this.ingress.activeRequests,
     };
   }
 
   /** Whether the balancer should send callers here. */
   get isReady(): boolean {
-    return !this.isDraining && this.holding.directory !== undefined && this.isFresh();
+    return !this.isDraining && this.fleetState.directory !== undefined && this.isFresh();
   }
 
   private isFresh(): boolean {
-    const isFresh = this.link.age < this.dependencies.settings.revokeMs * LEASE_SHARE;
+    const isFresh = this.link.confirmationAgeMs < this.dependencies.settings.revokeMs * LEASE_SHARE;
     if (this.wasFresh && !isFresh) {
-      this.dependencies.observer.log('leaseEnded', { confirmedMsAgo: Math.round(this.link.age) });
+      this.dependencies.observer.log('leaseEnded', {
+        confirmedMsAgo: Math.round(this.link.confirmationAgeMs),
+      });
     }
     this.wasFresh = isFresh;
     return isFresh;
@@ -260,7 +262,7 @@
       protocol: traffic,
       observer: observe,
       now: clock.steady,
-      directory: () => this.holding.directory,
+      directory: () => this.fleetState.directory,
       isFresh: () => this.isFresh(),
       serve: (admitted) => new exchange.Exchange(admitted, services).run(),
     });
@@ -269,7 +271,7 @@
   private applyCatalogue(directory: domain.catalogue.directory.Directory): void {
     this.ingress.applyLimits(directory.catalogue.limits);
     this.selector.fallback.setServices(directory.catalogue.services);
-    this.holding.registry.records().forEach((record) => this.selector.fallback.observe(record));
+    this.fleetState.registry.records().forEach((record) => this.selector.fallback.observe(record));
   }
 
   private applyRecord(record: domain.registry.registry.Announcement): void {
--- a/packages/daemon/src/entry/exchange.ts
+++ b/packages/daemon/src/entry/exchange.ts
@@ -44,7 +44,7 @@
 export interface AdmittedRequest {
   request: http.IncomingMessage;
   response: http.ServerResponse;
-  facts: protocols.CallerFacts;
+  facts: protocols.CallerMetadata;
   route: Route;
   organisation: string | undefined;
   body: Buffer;
@@ -174,7 +174,7 @@
     const service = domain.catalogue.directory.pickService(route, this.dependencies.random);
     this.service = service;
     this.budget = this.dependencies.budgets.of(service);
-    this.budget.countFirst(this.dependencies.now());
+    this.budget.countFirstAttempt(this.dependencies.now());
     let shouldContinue = true;
     while (shouldContinue) shouldContinue = await this.attemptWithPermit(service);
   }
@@ -202,7 +202,7 @@
    * continue.
    */
   private async awaitCanary(): Promise<boolean> {
-    await clock.pause(CANARY_POLL_MS);
+    await clock.sleep(CANARY_POLL_MS);
     return !this.isOver;
   }
 
@@ -238,7 +238,7 @@
     if (outcome.kind === 'withheld') return true;
     if (outcome.kind === 'noMemory' && this.reservationRetries < MAX_RESERVATION_RETRIES) {
       this.reservationRetries += 1;
-      await clock.pause(RESERVATION_RETRY_MS);
+      await clock.sleep(RESERVATION_RETRY_MS);
       return true;
     }
     if (!this.mayRetry(service, outcome)) {
@@ -249,7 +249,7 @@
       this.fail('detail' in outcome ? outcome.detail : outcome.kind, retryAfterMs);
       return false;
     }
-    if (this.attempts.isAtTargetLimit) await clock.pause(SAME_TARGET_RETRY_MS);
+    if (this.attempts.isAtTargetLimit) await clock.sleep(SAME_TARGET_RETRY_MS);
     return true;
   }
 
--- a/packages/daemon/src/entry/ingress.ts
+++ b/packages/daemon/src/entry/ingress.ts
@@ -153,7 +153,9 @@
   /** Reads the body before the wait, because callers leave an entry that doesn't read their request. */
   private async readAndWait(request: http.IncomingMessage): Promise<Body> {
     const body = await readBody(request, MAX_EARLY_BODY_BYTES);
-    await this.settingsWait.wait(this.dependencies.protocol.facts(request.headers).patienceMs);
+    await this.settingsWait.wait(
+      this.dependencies.protocol.callerMetadata(request.headers).patienceMs,
+    );
     return body;
   }
 
@@ -162,7 +164,7 @@
     { request, response, arrivedAt }: Arrival,
     earlyBody: Body | undefined,
   ): Promise<void> {
-    const facts = this.dependencies.protocol.facts(request.headers);
+    const facts = this.dependencies.protocol.callerMetadata(request.headers);
     const path = request.url ?? '/';
     const route = directory.route(request.headers.host ?? '', path);
     const organisation = facts.key === undefined ? undefined : directory.organisation(facts.key);
@@ -220,7 +222,7 @@
     response: http.ServerResponse,
     { status, reason }: Refusal,
   ): void {
-    const { requestId } = this.dependencies.protocol.facts(request.headers);
+    const { requestId } = this.dependencies.protocol.callerMetadata(request.headers);
     const version = this.dependencies.directory()?.version ?? 0;
     this.dependencies.observer.log('requestEnded', {
       request: requestId,
--- a/packages/daemon/src/entry/leaderOutbox.ts
+++ b/packages/daemon/src/entry/leaderOutbox.ts
@@ -26,7 +26,7 @@
     if (this.isRetrying) return;
     this.isRetrying = true;
     while (this.unreported.length > 0 && !this.isClosed) {
-      await clock.pause(RETRY_INTERVAL_MS);
+      await clock.sleep(RETRY_INTERVAL_MS);
       const pending = this.unreported;
       const isTaken = await this.deliver(pending);
       if (isTaken) this.unreported = this.unreported.filter((each) => !pending.includes(each));
--- a/packages/daemon/src/entry/livenessProbes.ts
+++ b/packages/daemon/src/entry/livenessProbes.ts
@@ -47,7 +47,7 @@
     const { protocol, gate, source } = this.dependencies;
     const client = new targetClient.TargetClient({ protocol, gate, source });
     const recipient = { target, address, purpose: 'check' } as const;
-    const result = await client.call(recipient, protocol.report(target), PROBE_TIMEOUT_MS);
+    const result = await client.call(recipient, protocol.stateCall(target), PROBE_TIMEOUT_MS);
     client.close();
     if (result.kind === 'withheld') {
       this.dependencies.observer.count('lifeChecks.withheld');
--- a/packages/daemon/src/entry/outcome.ts
+++ b/packages/daemon/src/entry/outcome.ts
@@ -1,7 +1,7 @@
 /** Outcome of one attempt of a request, beyond how its connection ended. */
 import type * as domain from '@celerydrift/domain';
 
-type DispatchOutcome = domain.allocation.soundness.Ending;
+type DispatchOutcome = domain.allocation.targetHealth.DispatchOutcome;
 
 export type Outcome =
   /** The caller has the final response. */
--- a/packages/daemon/src/entry/quarantineClient.ts
+++ b/packages/daemon/src/entry/quarantineClient.ts
@@ -55,7 +55,7 @@
 export interface Dependencies extends leaderCall.Dependencies {
   /** Name of this entry. */
   name: string;
-  holding: Pick<holding.Holding, 'quarantine' | 'registry'>;
+  fleetState: Pick<holding.FleetState, 'quarantine' | 'registry'>;
   liveness: Pick<livenessProbes.LivenessProbes, 'isAlive'>;
   observer: observer.Observer;
   now: () => number;
@@ -75,14 +75,14 @@
 const MAX_UNREPORTED_CANARIES = 100;
 
 /** A crash to be reported to the leader; `at` and `sentAt` are on this entry's clock. */
-type ObservedCrash = Omit<messages.EndedTarget, 'agoMs' | 'sentAgoMs'> & {
+type ObservedCrash = Omit<messages.TargetCrash, 'agoMs' | 'sentAgoMs'> & {
   at: number;
   sentAt: number;
 };
 
 export class QuarantineClient {
   /** Canary runs of this entry. The leader knows those of all entries, but may be unreachable. */
-  private readonly canaryRuns = new domain.quarantine.trials.Trials();
+  private readonly canaryRuns = new domain.quarantine.canaryRuns.CanaryRuns();
 
   /** Reports of crashes. A lost one would cost another target, as the request would run once more. */
   private readonly crashReports = new leaderOutbox.LeaderOutbox<ObservedCrash>(
@@ -91,7 +91,7 @@
   );
 
   /** Reports of finished canary runs. While the leader counts one as running, all copies of its request wait. */
-  private readonly canaryReports = new leaderOutbox.LeaderOutbox<messages.TrialEnded>(
+  private readonly canaryReports = new leaderOutbox.LeaderOutbox<messages.CanaryEnded>(
     (runs) => this.reportCanaries(runs),
     MAX_UNREPORTED_CANARIES,
   );
@@ -116,7 +116,7 @@
       // The leader may not have received this entry's crash reports yet.
       const endings = Math.max(
         answer?.endings ?? 0,
-        this.dependencies.holding.quarantine.count(content),
+        this.dependencies.fleetState.quarantine.crashCount(content),
       );
       return { kind: 'granted', endings, target: answer?.target, end };
     }
@@ -133,7 +133,7 @@
    * wait.
    */
   async checkForCrash(request: RequestInfo, sent: SentRequest): Promise<void> {
-    await Promise.race([this.reportIfCrashed(request, sent), clock.pause(CRASH_CHECK_WAIT_MS)]);
+    await Promise.race([this.reportIfCrashed(request, sent), clock.sleep(CRASH_CHECK_WAIT_MS)]);
   }
 
   /** Drops reports that no leader has accepted yet. */
@@ -142,19 +142,22 @@
     this.canaryReports.close();
   }
 
-  private statusOf({ bodyBytes, fingerprint }: RequestInfo): domain.quarantine.quarantine.Standing {
-    const { quarantine } = this.dependencies.holding;
-    return quarantine.mayKnow(bodyBytes) ? quarantine.standing(fingerprint()) : 'free';
+  private statusOf({
+    bodyBytes,
+    fingerprint,
+  }: RequestInfo): domain.quarantine.quarantine.QuarantineStatus {
+    const { quarantine } = this.dependencies.fleetState;
+    return quarantine.mayHaveSuspect(bodyBytes) ? quarantine.standing(fingerprint()) : 'free';
   }
 
   private refuse(request: RequestInfo): Permit {
-    const { observer: observe, holding: state } = this.dependencies;
+    const { observer: observe, fleetState: state } = this.dependencies;
     const content = request.fingerprint();
     observe.count('quarantine.refused');
     observe.log('requestHeldBack', {
       request: request.requestId,
       content,
-      lifetimes: state.quarantine.endings(content),
+      lifetimes: state.quarantine.crashesOf(content),
     });
     return { kind: 'quarantined' };
   }
@@ -173,22 +176,22 @@
     };
   }
 
-  private endCanary(run: messages.TrialEnded): void {
+  private endCanary(run: messages.CanaryEnded): void {
     this.canaryRuns.end(run.content, run.id);
     void this.canaryReports.send(run);
   }
 
-  private async reportCanaries(runs: readonly messages.TrialEnded[]): Promise<boolean> {
+  private async reportCanaries(runs: readonly messages.CanaryEnded[]): Promise<boolean> {
     const answers = await Promise.all(
       runs.map((run) => {
-        return leaderCall.call<messages.TakenAnswer>(this.dependencies, 'trialEnded', run);
+        return leaderCall.call<messages.AppliedAnswer>(this.dependencies, 'trialEnded', run);
       }),
     );
     return answers.every((answer) => answer !== undefined);
   }
 
   private requestPermit(
-    message: messages.PermitQuestion,
+    message: messages.PermitRequest,
   ): Promise<Exclude<messages.PermitAnswer, messages.Redirect> | undefined> {
     return leaderCall.call<messages.PermitAnswer>(this.dependencies, 'permit', message);
   }
@@ -197,7 +200,7 @@
     request: RequestInfo,
     { target, address, sentAt, isTrial }: SentRequest,
   ): Promise<void> {
-    const { liveness: probes, observer: observe, holding: state, now } = this.dependencies;
+    const { liveness: probes, observer: observe, fleetState: state, now } = this.dependencies;
     if (await probes.isAlive(target, address)) return;
     const record = state.registry.get(target);
     if (record !== undefined && hasStoppedItself(record)) return;
@@ -206,8 +209,8 @@
     observe.log('targetEndedUnder', { request: request.requestId, content, target });
     const { bornAt } = record ?? { bornAt: 0 };
     const lifetime = { id: target, bornAt };
-    const key = domain.quarantine.endedLifetimes.lifetimeOf(lifetime);
-    state.quarantine.blame(content, key, { sentAt, isTrial }, now());
+    const key = domain.quarantine.crashedLifetimes.lifetimeKey(lifetime);
+    state.quarantine.reportCrash(content, key, { sentAt, isTrial }, now());
     void this.crashReports.send({ content, lifetime, isTrial, sentAt, at: now() });
   }
 
@@ -216,15 +219,19 @@
    * before the `permit` call of the request that is to run again.
    */
   private async reportCrashes(crashes: readonly ObservedCrash[]): Promise<boolean> {
-    const { holding: state, now } = this.dependencies;
+    const { fleetState: state, now } = this.dependencies;
     const ended = crashes.map(({ at, sentAt, ...each }) => {
       return { ...each, agoMs: now() - at, sentAgoMs: now() - sentAt };
     });
-    const blame: messages.Blame = { ended };
-    const answer = await leaderCall.call<messages.BlameAnswer>(this.dependencies, 'blame', blame);
+    const blame: messages.CrashReport = { ended };
+    const answer = await leaderCall.call<messages.CrashReportAnswer>(
+      this.dependencies,
+      'blame',
+      blame,
+    );
     if (answer === undefined) return false;
     // A leader that rejects a crash report changes nothing and sends no update, so its answer replaces the local state.
-    answer.reports.forEach((report) => state.quarantine.take(report, now()));
+    answer.reports.forEach((report) => state.quarantine.applyReport(report, now()));
     return true;
   }
 }
--- a/packages/daemon/src/entry/rateLimitClient.ts
+++ b/packages/daemon/src/entry/rateLimitClient.ts
@@ -15,7 +15,7 @@
 
 const { keyOf } = domain.rateLimits.rateLimits;
 
-type Place = domain.rateLimits.rateLimits.Place;
+type Place = domain.rateLimits.rateLimits.Endpoint;
 
 /** A request that a target responded to. */
 export interface AnsweredRequest extends Place {
@@ -29,7 +29,7 @@
 export type Grant = Exclude<messages.GrantAnswer, messages.Redirect>;
 
 export interface Dependencies extends leaderCall.Dependencies {
-  holding: Pick<holding.Holding, 'limits' | 'registry'>;
+  fleetState: Pick<holding.FleetState, 'limits' | 'registry'>;
   observer: observer.Observer;
   now: () => number;
 }
@@ -59,23 +59,23 @@
   /** Called when a leader confirms this entry; the leader grants messages from then on. */
   leaderFound(entries: number): void {
     if (entries > 0) this.entries = entries;
-    this.dependencies.holding.limits.giveOut(0, this.dependencies.now());
+    this.dependencies.fleetState.limits.setShare(0, this.dependencies.now());
   }
 
   leaderLost(): void {
     const share = this.entries === 0 ? 0 : 1 / this.entries;
-    this.dependencies.holding.limits.giveOut(share, this.dependencies.now());
+    this.dependencies.fleetState.limits.setShare(share, this.dependencies.now());
   }
 
   /** Applies the limit named in a response to a caller's request. */
-  answered(answer: AnsweredRequest, limit: protocols.NamedLimit): void {
-    const { observer: observe, holding: state } = this.dependencies;
+  answered(answer: AnsweredRequest, limit: protocols.AdvertisedLimit): void {
+    const { observer: observe, fleetState: state } = this.dependencies;
     if (limit.kind !== 'none') observe.count(`limits.${limit.kind}`);
     if (limit.kind === 'unreadable') return;
     const since = state.limits.knownSince(answer);
     // A response to a request that was sent before the limit became known may be older than the limit.
     if (limit.kind === 'none' && (since === undefined || answer.sentAt <= since)) return;
-    const before = state.limits.at(answer);
+    const before = state.limits.limitAt(answer);
     const perSecond = limit.kind === 'none' ? undefined : limit.perSecond;
     const { service, address } = answer;
     if (!state.limits.set({ service, address, perSecond }, this.dependencies.now())) return;
@@ -88,14 +88,14 @@
 
   /** Counts a message that was sent to a target without a grant. */
   spent(target: string): void {
-    const record = this.dependencies.holding.registry.get(target);
+    const record = this.dependencies.fleetState.registry.get(target);
     if (record !== undefined) this.recordSpent(record);
   }
 
   /** Whether a liveness probe may be sent to a target. */
   async mayProbe(target: string): Promise<boolean> {
-    const record = this.dependencies.holding.registry.get(target);
-    if (record === undefined || !this.dependencies.holding.limits.isLimited(record)) return true;
+    const record = this.dependencies.fleetState.registry.get(target);
+    if (record === undefined || !this.dependencies.fleetState.limits.isLimited(record)) return true;
     const answer = await this.requestGrant({ places: [placeOf(record)], purpose: 'check' });
     return answer?.kind === 'granted';
   }
@@ -108,7 +108,7 @@
 
   /** Grants one request to a target whose limit may be over, which only a response of the target can show. */
   async grantProbe(places: readonly Place[]): Promise<Place | undefined> {
-    const { now, holding: state } = this.dependencies;
+    const { now, fleetState: state } = this.dependencies;
     const intervalMs = PROBE_INTERVAL_MS * Math.max(1, this.entries / PROBING_ENTRIES);
     const due = places.find((place) => {
       const since = state.limits.knownSince(place) ?? now();
@@ -126,23 +126,23 @@
   }
 
   /** The leader's decision; undefined if there is no leader or it doesn't answer. */
-  private requestGrant(message: messages.GrantQuestion): Promise<Grant | undefined> {
+  private requestGrant(message: messages.GrantRequest): Promise<Grant | undefined> {
     return leaderCall.call<messages.GrantAnswer>(this.dependencies, 'grant', message);
   }
 
   private grantLocally(places: readonly Place[]): Grant {
-    const { holding: state, now } = this.dependencies;
-    const place = places.find((each) => state.limits.mayTake(each, now()));
+    const { fleetState: state, now } = this.dependencies;
+    const place = places.find((each) => state.limits.maySend(each, now()));
     if (place === undefined) {
       return { kind: 'wait', waitMs: state.limits.waitMs(places, 0, now()) };
     }
-    state.limits.take(place, 1, now());
+    state.limits.countSent(place, 1, now());
     this.recordSpent(place);
     return { kind: 'granted', place };
   }
 
   private recordSpent(place: Place): void {
-    if (!this.dependencies.holding.limits.isLimited(place)) return;
+    if (!this.dependencies.fleetState.limits.isLimited(place)) return;
     this.unreported.addSpent(place, 1);
     void this.reportToLeader();
   }
@@ -155,14 +155,14 @@
       const report = this.unreported.takeAll();
       if (!(await this.isAccepted(report))) {
         this.unreported.restore(report);
-        await clock.pause(leaderOutbox.RETRY_INTERVAL_MS);
+        await clock.sleep(leaderOutbox.RETRY_INTERVAL_MS);
       }
     }
     this.isReporting = false;
   }
 
-  private async isAccepted(report: messages.Limited): Promise<boolean> {
-    const answer = await leaderCall.call<messages.TakenAnswer>(
+  private async isAccepted(report: messages.LimitReport): Promise<boolean> {
+    const answer = await leaderCall.call<messages.AppliedAnswer>(
       this.dependencies,
       'limited',
       report,
--- a/packages/daemon/src/entry/reservations.ts
+++ b/packages/daemon/src/entry/reservations.ts
@@ -84,7 +84,7 @@
   }
 
   /** The helpers with their reservations, as the request lists them. */
-  named(helpers: readonly Helper[]): protocols.Helper[] {
+  named(helpers: readonly Helper[]): protocols.PrefillHelper[] {
     return helpers.map(({ target, address }) => {
       const reservation = this.reservations.find(({ helper }) => helper.target === target);
       return { address, reservation: reservation?.id };
@@ -133,7 +133,7 @@
       const result = await this.dependencies.targets.call(recipient, call, ORDER_TIMEOUT_MS);
       if (result.kind === 'answered') return;
       this.dependencies.observer.log('releaseRetried', { request: this.request, target });
-      await clock.pause(RELEASE_RETRY_MS);
+      await clock.sleep(RELEASE_RETRY_MS);
     }
   }
 }
--- a/packages/daemon/src/entry/targetClient.ts
+++ b/packages/daemon/src/entry/targetClient.ts
@@ -13,7 +13,7 @@
   status: number;
   /** Header names and values, alternating, as received. */
   raw: string[];
-  facts: protocols.AnswerFacts;
+  facts: protocols.ResponseMetadata;
 }
 
 export interface ResponseHandler {
@@ -67,7 +67,7 @@
 }
 
 export interface Dependencies {
-  protocol: Pick<protocols.TrafficProtocol, 'answerFacts'>;
+  protocol: Pick<protocols.TrafficProtocol, 'responseMetadata'>;
   gate: AdmissionGate;
   /** IP address that connections come from; undefined where the operating system chooses. */
   source?: string;
@@ -75,7 +75,7 @@
 
 /** Result of a call that this daemon originates; `silent` if no complete response arrived in time. */
 export type CallResult =
-  | { kind: 'answered'; status: number; facts: protocols.AnswerFacts }
+  | { kind: 'answered'; status: number; facts: protocols.ResponseMetadata }
   | { kind: 'silent' }
   | { kind: 'withheld' };
 
@@ -230,7 +230,7 @@
     const raw = ((controller.rawHeaders ?? []) as (Buffer | string)[]).map((part) =>
       part.toString('latin1'),
     );
-    const head = { status, raw, facts: this.protocol.answerFacts(status, headers) };
+    const head = { status, raw, facts: this.protocol.responseMetadata(status, headers) };
     this.callbacks?.answered(head);
     this.handler.onHead(head);
   }
--- a/packages/daemon/src/entry/targetSelector.ts
+++ b/packages/daemon/src/entry/targetSelector.ts
@@ -16,7 +16,7 @@
 import type * as targetSignals from './targetSignals';
 
 type Announcement = domain.registry.registry.Announcement;
-type DispatchOutcome = domain.allocation.soundness.Ending;
+type DispatchOutcome = domain.allocation.targetHealth.DispatchOutcome;
 type Placement = domain.allocation.allocator.Placement;
 type PlaceResult = Result<messages.PlaceAnswer, errors.CallError>;
 
@@ -79,7 +79,7 @@
 export interface Options {
   name: string;
   dataCentre: string;
-  holding: holding.Holding;
+  fleetState: holding.FleetState;
   link: leaderLink.LeaderLink;
   client: peerClient.PeerClient;
   limits: Pick<rateLimitClient.RateLimitClient, 'grant' | 'grantProbe' | 'spent'>;
@@ -142,24 +142,24 @@
 
   private readonly activeCalls = new Map<string, number>();
 
-  private readonly targetHealth = new Map<string, domain.allocation.soundness.Soundness>();
+  private readonly targetHealth = new Map<string, domain.allocation.targetHealth.TargetHealth>();
 
   /** Running dispatches on engines, by request id. */
-  private readonly running = new Map<string, messages.Dispatched>();
+  private readonly running = new Map<string, messages.RunningDispatch>();
 
-  private finishedDispatches: messages.Ended['dispatches'] = [];
+  private finishedDispatches: messages.FinishedDispatches['dispatches'] = [];
 
   constructor(private readonly options: Options) {
-    const { random, holding: state } = options;
+    const { random, fleetState: state } = options;
     this.fallback = new domain.allocation.allocator.Allocator(random, undefined, state.limits);
   }
 
-  get dispatches(): messages.Dispatched[] {
+  get dispatches(): messages.RunningDispatch[] {
     return [...this.running.values()];
   }
 
   async choose(request: PlacementRequest): Promise<Choice> {
-    const service = this.options.holding.directory?.service(request.service);
+    const service = this.options.fleetState.directory?.service(request.service);
     const until = this.options.now() + request.patienceMs;
     const backOffUntil = Math.min(until, this.options.now() + maxUnavailableWaitMs(request));
     if (service?.engine === undefined) return this.choosePlain(request, { until, backOffUntil });
@@ -173,7 +173,7 @@
       if (choice !== undefined) return choice;
       const leftMs = until - this.options.now();
       if (leftMs <= 0) return { kind: 'noPlace', retryAfterMs: this.nextPlaceMs(request) };
-      await clock.pause(Math.min(leftMs, PLACEMENT_RETRY_MS));
+      await clock.sleep(Math.min(leftMs, PLACEMENT_RETRY_MS));
     }
   }
 
@@ -202,7 +202,7 @@
         const retryAfterMs = Math.round(Math.max(RETRY_AFTER_MS.min, waitMs) * jitter);
         return { kind: 'noPlace', retryAfterMs, reason: 'unavailable' };
       }
-      await clock.pause(Math.max(MIN_WAIT_MS, waitMs));
+      await clock.sleep(Math.max(MIN_WAIT_MS, waitMs));
     }
   }
 
@@ -212,7 +212,7 @@
     unavailable: readonly string[],
   ): number {
     if (unavailable.length === 0) return 0;
-    const candidates = this.options.holding.registry.ready(service).filter(({ id }) => {
+    const candidates = this.options.fleetState.registry.ready(service).filter(({ id }) => {
       return !excluded.includes(id) && writers?.includes(id) !== false;
     });
     if (candidates.length === 0 || candidates.some(({ id }) => !unavailable.includes(id))) return 0;
@@ -226,7 +226,7 @@
   ): Promise<Choice | undefined> {
     const { link, now } = this.options;
     const { leader } = link;
-    if (leader === '' || link.age >= MAX_LEADER_AGE_MS) return undefined;
+    if (leader === '' || link.confirmationAgeMs >= MAX_LEADER_AGE_MS) return undefined;
     return this.requestPlacement(leader, { ...request, patienceMs: Math.max(0, until - now()) });
   }
 
@@ -235,7 +235,7 @@
     request: PlacementRequest,
   ): Promise<Choice | undefined> {
     const { name, dataCentre, client, link } = this.options;
-    const message: messages.Place = { ...request, entry: name, dataCentre };
+    const message: messages.PlaceRequest = { ...request, entry: name, dataCentre };
     const pending = client.call<messages.PlaceAnswer>(leader, 'place', message, {
       timeoutMs: request.patienceMs + LATE_ANSWER_WINDOW_MS,
       toleratesDelay: true,
@@ -246,7 +246,7 @@
       return undefined;
     }
     if (answer.err || answer.val.kind === 'redirect') {
-      link.doubt(leader);
+      link.reportFailure(leader);
       return undefined;
     }
     if (answer.val.kind === 'noPlace') return answer.val;
@@ -275,8 +275,8 @@
     });
     // Repeated, because a leader that responded a moment ago isn't probed at once.
     const check = (): void => {
-      void link.verify();
-      if (hasShortObjective && link.silentMs > LEADER_OVERDUE_MS) giveUp();
+      void link.probe();
+      if (hasShortObjective && link.unansweredMs > LEADER_OVERDUE_MS) giveUp();
     };
     const checks = setInterval(
       check,
@@ -309,7 +309,7 @@
       target: placement.target,
     });
     const release: Release = (outcome, observed) => {
-      this.fallback.ended(request.id, outcome, now(), observed);
+      this.fallback.endDispatch(request.id, outcome, now(), observed);
       this.report(request.id, placement.target, outcome, observed);
     };
     return { kind: 'placed', placement, release };
@@ -319,7 +319,7 @@
     const now = this.options.now();
     const waitMs = this.fallback.limitedForMs(service, 0, now);
     return Math.max(
-      clampRetryAfterMs(this.fallback.nextPlaceMs(service, now)),
+      clampRetryAfterMs(this.fallback.nextAvailableMs(service, now)),
       limitRetryAfterMs({ waitMs }),
     );
   }
@@ -362,7 +362,7 @@
       if (now() + waitMs > until) {
         return { kind: 'noPlace', retryAfterMs: limitRetryAfterMs(grant), reason: 'limited' };
       }
-      await clock.pause(Math.max(MIN_WAIT_MS, waitMs));
+      await clock.sleep(Math.max(MIN_WAIT_MS, waitMs));
     }
   }
 
@@ -371,7 +371,7 @@
     open: Announcement[];
     limited: Announcement[];
   } {
-    const { holding: state } = this.options;
+    const { fleetState: state } = this.options;
     const ready = state.registry.ready(service).filter(({ id }) => {
       return !excluded.includes(id) && writers?.includes(id) !== false;
     });
@@ -417,8 +417,9 @@
     const left = (this.activeCalls.get(target) ?? 1) - 1;
     if (left > 0) this.activeCalls.set(target, left);
     else this.activeCalls.delete(target);
-    const health = this.targetHealth.get(target) ?? new domain.allocation.soundness.Soundness();
-    health.ended(outcome, this.options.now());
+    const health =
+      this.targetHealth.get(target) ?? new domain.allocation.targetHealth.TargetHealth();
+    health.recordOutcome(outcome, this.options.now());
     this.targetHealth.set(target, health);
     // The leader is informed as well: it may be the only one that can presume the lifetime ended, for all entries.
     if (outcome === 'replaced') this.report('', target, outcome);
@@ -445,7 +446,9 @@
     const dispatches = this.finishedDispatches.splice(0);
     const { leader } = this.options.link;
     if (leader === '') return;
-    this.options.client.notify(leader, 'ended', { dispatches } satisfies messages.Ended);
+    this.options.client.notify(leader, 'ended', {
+      dispatches,
+    } satisfies messages.FinishedDispatches);
   }
 }
 
--- a/packages/daemon/src/entry/targetSignals.ts
+++ b/packages/daemon/src/entry/targetSignals.ts
@@ -17,10 +17,10 @@
 import type * as rateLimitClient from './rateLimitClient';
 import type * as targetClient from './targetClient';
 
-type Lifetime = domain.quarantine.endedLifetimes.Lifetime;
+type Lifetime = domain.quarantine.crashedLifetimes.Lifetime;
 
 export interface Dependencies extends leaderCall.Dependencies {
-  holding: Pick<holding.Holding, 'registry' | 'directory' | 'takeLeaving'>;
+  fleetState: Pick<holding.FleetState, 'registry' | 'directory' | 'applyDraining'>;
   limits: Pick<rateLimitClient.RateLimitClient, 'answered'>;
   observer: observer.Observer;
   now: () => number;
@@ -29,7 +29,7 @@
 /** A message that was sent; `at` is its time on the steady clock, milliseconds. */
 interface SentMessage {
   message: targetClient.TargetMessage;
-  passage: domain.backOff.backOffs.Passage;
+  passage: domain.backOff.backOffs.InFlightMessage;
   at: number;
 }
 
@@ -94,7 +94,7 @@
 
   /** Targets of a service that are unavailable to requests of this entry. */
   unavailable(service: string): string[] {
-    const { registry } = this.dependencies.holding;
+    const { registry } = this.dependencies.fleetState;
     const ids = new Set([
       ...this.backOffs.targets,
       ...this.draining.keys(),
@@ -147,8 +147,8 @@
     // Upkeep of what already runs there, and its memory, continues.
     const isNew = purpose === 'request' || purpose === 'order';
     if (isNew && (this.isDraining(target) || !this.hasFreeConnection(target))) return false;
-    if (purpose === 'upkeep') return this.backOffs.takesUpkeep(target, now);
-    return this.backOffs.takesRequest(target, now);
+    if (purpose === 'upkeep') return this.backOffs.mayReceiveUpkeep(target, now);
+    return this.backOffs.mayReceiveRequest(target, now);
   }
 
   private answered(sentMessage: SentMessage, head: targetClient.ResponseHead): void {
@@ -165,7 +165,7 @@
     const { bornAt } = lifetime;
     this.draining.set(target, bornAt);
     this.dependencies.observer.log('targetLeaving', { target, bornAt, request });
-    this.dependencies.holding.takeLeaving(lifetime);
+    this.dependencies.fleetState.applyDraining(lifetime);
     void this.drainReports.send(lifetime);
   }
 
@@ -189,7 +189,7 @@
       return;
     }
     const { forMs } = backOff;
-    const keptMs = Math.round(this.backOffs.ask(target, forMs, now()));
+    const keptMs = Math.round(this.backOffs.start(target, forMs, now()));
     observe.log('backOffAsked', { request, target, purpose, status, forMs, keptMs });
   }
 
@@ -202,7 +202,7 @@
     // Only a success of the target itself shows that the limit is over; failures may come from a proxy.
     const isSuccess = isSigned && !isEncoded && !isNotRun && status < callerResponse.FAILURE_STATUS;
     if (limit.kind === 'none' && !isSuccess) return;
-    const service = this.dependencies.holding.registry.get(target)?.service;
+    const service = this.dependencies.fleetState.registry.get(target)?.service;
     if (service === undefined) return;
     const answeredRequest = { requestId, target, service, address, status, sentAt: at };
     this.dependencies.limits.answered(answeredRequest, limit);
@@ -219,7 +219,7 @@
    * one.
    */
   private hasFreeConnection(target: string): boolean {
-    const { registry, directory } = this.dependencies.holding;
+    const { registry, directory } = this.dependencies.fleetState;
     const service = directory?.service(registry.get(target)?.service ?? '');
     if (service === undefined) return true;
     const share = Math.floor(service.maxConnections / Math.max(1, this.entries));
@@ -231,8 +231,8 @@
   }
 
   private async reportDraining(lifetimes: readonly Lifetime[]): Promise<boolean> {
-    const content: messages.Leaving = { lifetimes: [...lifetimes] };
-    const accepted = await leaderCall.call<messages.TakenAnswer>(
+    const content: messages.DrainingReport = { lifetimes: [...lifetimes] };
+    const accepted = await leaderCall.call<messages.AppliedAnswer>(
       this.dependencies,
       'leaving',
       content,
@@ -241,14 +241,14 @@
   }
 
   private lifetimeOf(id: string): Lifetime {
-    return { id, bornAt: this.dependencies.holding.registry.get(id)?.bornAt ?? 0 };
+    return { id, bornAt: this.dependencies.fleetState.registry.get(id)?.bornAt ?? 0 };
   }
 }
 
 /** Whether a response belongs to the message and comes from the addressed lifetime. */
 function isFromTarget(
   { requestId = '' }: targetClient.TargetMessage,
-  { requestId: answeredId = '', isWrongLifetime, isSigned, isNotRun }: protocols.AnswerFacts,
+  { requestId: answeredId = '', isWrongLifetime, isSigned, isNotRun }: protocols.ResponseMetadata,
 ): boolean {
   if (isWrongLifetime || answeredId !== requestId) return false;
   return requestId === '' || isSigned || isNotRun;
--- a/packages/daemon/src/entry/unreportedLimits.ts
+++ b/packages/daemon/src/entry/unreportedLimits.ts
@@ -7,13 +7,13 @@
 
 const { keyOf } = domain.rateLimits.rateLimits;
 
-type Place = domain.rateLimits.rateLimits.Place;
+type Place = domain.rateLimits.rateLimits.Endpoint;
 type RateLimit = domain.rateLimits.rateLimits.RateLimit;
 
 export class UnreportedLimits {
   private limits = new Map<string, RateLimit>();
 
-  private spent = new Map<string, messages.Spent>();
+  private spent = new Map<string, messages.UngrantedMessages>();
 
   get isEmpty(): boolean {
     return this.limits.size + this.spent.size === 0;
@@ -30,7 +30,7 @@
   }
 
   /** Removes and returns everything, to be reported. */
-  takeAll(): messages.Limited {
+  takeAll(): messages.LimitReport {
     const taken = { limits: [...this.limits.values()], spent: [...this.spent.values()] };
     this.limits.clear();
     this.spent.clear();
@@ -38,7 +38,7 @@
   }
 
   /** Puts back a report that no leader accepted; limits set meanwhile are newer and stay. */
-  restore({ limits, spent }: messages.Limited): void {
+  restore({ limits, spent }: messages.LimitReport): void {
     limits
       .filter((limit) => !this.limits.has(keyOf(limit)))
       .forEach((limit) => this.limits.set(keyOf(limit), limit));
--- a/packages/daemon/src/fleet/__tests__/leaderLink.test.ts
+++ b/packages/daemon/src/fleet/__tests__/leaderLink.test.ts
@@ -4,7 +4,7 @@
 import * as clock from '../../clock';
 import * as observer from '../../observability/observer';
 import type * as peerClient from '../../rpc/peerClient';
-import type * as holding from '../holding';
+import type * as fleetState from '../holding';
 import * as leaderLink from '../leaderLink';
 import * as messages from '../messages';
 
@@ -25,11 +25,11 @@
     const inFlight = new Map<string, number>();
     let maxInFlight = 0;
     const client = {
-      dropStuck: () => undefined,
+      dropOverdueConnection: () => undefined,
       call: async (address: string) => {
         inFlight.set(address, (inFlight.get(address) ?? 0) + 1);
         maxInFlight = Math.max(maxInFlight, ...inFlight.values());
-        await clock.pause(TIMEOUT_MS);
+        await clock.sleep(TIMEOUT_MS);
         inFlight.set(address, (inFlight.get(address) ?? 1) - 1);
         const detail = `${TIMEOUT_MS} ms`;
         return address === KEEPERS[4]
@@ -39,17 +39,17 @@
               entries: 1,
               lacksTargets: false,
               crowding: [],
-              news: { edition: undefined, mark: messages.NO_MARK, since: messages.NO_MARK },
+              news: { edition: undefined, mark: messages.NO_VERSION, since: messages.NO_VERSION },
             })
           : Err({ kind: 'timeout', address, method: 'follow', detail });
       },
     };
     const state = {
       version: 0,
-      mark: messages.NO_MARK,
-      suspectsToTell: () => [],
+      mark: messages.NO_VERSION,
+      reportableSuspects: () => [],
       limits: { all: () => [] },
-      takeNews: () => true,
+      applyUpdate: () => true,
     };
     const link = new leaderLink.LeaderLink({
       name: 'entry',
@@ -59,14 +59,14 @@
       replica: () => undefined,
       seeds: KEEPERS,
       client: client as unknown as peerClient.PeerClient,
-      holding: state as unknown as holding.Holding,
+      fleetState: state as unknown as fleetState.FleetState,
       observer: new observer.Observer('test', 'fatal', undefined),
-      moment: clock.moment,
+      moment: clock.readClocks,
       dispatches: () => [],
       onConfirmed: () => undefined,
     });
     link.start();
-    await clock.pause(2 * TIMEOUT_MS);
+    await clock.sleep(2 * TIMEOUT_MS);
     link.stop();
     expect([maxInFlight, link.leader]).to.deep.equal([1, KEEPERS[4]]);
   });
--- a/packages/daemon/src/fleet/holding.ts
+++ b/packages/daemon/src/fleet/holding.ts
@@ -7,7 +7,7 @@
 import type * as observer from '../observability/observer';
 import * as messages from './messages';
 import * as packedCatalogue from './packedCatalogue';
-import * as registryCopies from './registryCopies';
+import * as registrySnapshots from './registryCopies';
 
 type Announcement = domain.registry.registry.Announcement;
 type RateLimit = domain.rateLimits.rateLimits.RateLimit;
@@ -37,7 +37,7 @@
 /** Applies records to the registry; returns the changed ones. */
 type ApplyRecords = (records: readonly Announcement[]) => Announcement[];
 
-export class Holding {
+export class FleetState {
   readonly registry = new domain.registry.registry.Registry();
 
   /** Requests that crashed targets. */
@@ -47,7 +47,7 @@
   readonly limits = new domain.rateLimits.rateLimits.RateLimits();
 
   /** Version of the registry that is in force here. */
-  mark: messages.RegistryVersion = messages.NO_MARK;
+  mark: messages.RegistryVersion = messages.NO_VERSION;
 
   private current: Directory | undefined;
 
@@ -61,9 +61,9 @@
     return this.current?.version ?? 0;
   }
 
-  applyCatalogue(edition: domain.catalogue.versions.Edition): void {
+  applyCatalogue(edition: domain.catalogue.newestCatalogue.PackedCatalogue): void {
     if (edition.version <= this.version) return;
-    const decoded = this.options.protocol.catalogue(packedCatalogue.unpack(edition));
+    const decoded = this.options.protocol.parseCatalogue(packedCatalogue.unpack(edition));
     if (decoded.err) {
       // Only a document that a keeper could decode is accepted, so this process runs an older program.
       this.options.observer.log('catalogueRefused', {
@@ -79,14 +79,14 @@
 
   /** Loads records that were stored on this process's disk. */
   loadRecords(records: readonly Announcement[]): Announcement[] {
-    const loaded = this.registry.remember(records, this.options.now());
+    const loaded = this.registry.loadFromDisk(records, this.options.now());
     loaded.forEach((record) => this.options.onRecord(record));
     return loaded;
   }
 
   /** Gives up targets loaded from disk that haven't announced themselves in time since `since`. */
   expireUnconfirmed(since: number): Announcement[] {
-    return this.notifyChanged(this.registry.endRemembered(this.options.now(), since));
+    return this.notifyChanged(this.registry.expireLoaded(this.options.now(), since));
   }
 
   /** Merges records of another registry; returns the changed ones. */
@@ -94,10 +94,10 @@
     return this.notifyChanged(this.registry.merge(records, this.options.now()));
   }
 
-  private applySnapshot({ records, suspects, limits }: registryCopies.RegistrySnapshot): void {
+  private applySnapshot({ records, suspects, limits }: registrySnapshots.RegistrySnapshot): void {
     this.applyManyRecords(records, (each) => this.registry.follow(each, this.options.now()));
     if (this.limits.setAll(limits, this.options.now())) this.options.onLimits?.();
-    this.quarantine.takeAll(suspects, this.options.now());
+    this.quarantine.replaceAll(suspects, this.options.now());
     this.options.onSuspects?.();
   }
 
@@ -118,7 +118,7 @@
   }
 
   /** Reports of suspects that a new leader should know. */
-  suspectsToTell(): domain.quarantine.suspect.Report[] {
+  reportableSuspects(): domain.quarantine.suspect.SuspectReport[] {
     const reports = this.quarantine.reports(this.options.now());
     return reports.filter(({ endings }) => endings.length >= MIN_REPORTED_CRASHES);
   }
@@ -129,8 +129,8 @@
   }
 
   /** Applies a lifetime's notice, in an answer, that it drains. */
-  takeLeaving({ id, bornAt }: domain.quarantine.endedLifetimes.Lifetime): Announcement[] {
-    return this.notifyChanged(this.registry.leave(id, bornAt));
+  applyDraining({ id, bornAt }: domain.quarantine.crashedLifetimes.Lifetime): Announcement[] {
+    return this.notifyChanged(this.registry.reportDraining(id, bornAt));
   }
 
   /**
@@ -164,14 +164,14 @@
    * Applies an update; returns false if it builds on a version that this process doesn't have, so that it needs a
    * snapshot.
    */
-  takeNews(update: messages.News): boolean {
+  applyUpdate(update: messages.FleetUpdate): boolean {
     const { edition, mark, since, packedRegistry } = update;
     if (edition !== undefined) this.applyCatalogue(edition);
-    if (packedRegistry !== undefined) this.applySnapshot(registryCopies.unpack(packedRegistry));
+    if (packedRegistry !== undefined) this.applySnapshot(registrySnapshots.unpack(packedRegistry));
     const isConsecutive = since === undefined || messages.includes(this.mark, since);
     // An update of a former leader, or a delayed one, doesn't reflect later changes; its records are merged.
     this.applyRecords(
-      registryCopies.unpackRecords(update),
+      registrySnapshots.unpackRecords(update),
       isConsecutive && !isNewer(this.mark, mark),
     );
     // A delayed push arrives after the answer to a later poll, so its suspects and limits are outdated.
@@ -184,8 +184,8 @@
     return true;
   }
 
-  private applySuspects(suspects: messages.News['suspects']): void {
-    suspects.forEach((report) => this.quarantine.take(report, this.options.now()));
+  private applySuspects(suspects: messages.FleetUpdate['suspects']): void {
+    suspects.forEach((report) => this.quarantine.applyReport(report, this.options.now()));
     if (suspects.length > 0) this.options.onSuspects?.();
   }
 
--- a/packages/daemon/src/fleet/leaderLink.ts
+++ b/packages/daemon/src/fleet/leaderLink.ts
@@ -6,9 +6,9 @@
 import * as clock from '../clock';
 import type * as observer from '../observability/observer';
 import type * as peerClient from '../rpc/peerClient';
-import type * as holding from './holding';
+import type * as fleetState from './holding';
 import * as messages from './messages';
-import * as registryCopies from './registryCopies';
+import * as registrySnapshots from './registryCopies';
 
 export interface Options {
   name: string;
@@ -18,12 +18,12 @@
   replica: () => string | undefined;
   seeds: readonly string[];
   client: peerClient.PeerClient;
-  holding: holding.Holding;
+  fleetState: fleetState.FleetState;
   observer: observer.Observer;
-  moment: () => clock.Moment;
+  moment: () => clock.ClockReading;
   /** Returns the dispatches running here, for a new leader's allocator. */
-  dispatches: () => messages.Dispatched[];
-  onConfirmed: (answer: messages.Confirmed) => void;
+  dispatches: () => messages.RunningDispatch[];
+  onConfirmed: (answer: messages.Confirmation) => void;
 }
 
 type PollOutcome = 'confirmed' | 'failed';
@@ -98,7 +98,7 @@
   private probedAt = clock.NEVER;
 
   /** Time at which the pending probe was sent. */
-  private probingSince: clock.Moment | undefined;
+  private probingSince: clock.ClockReading | undefined;
 
   /** Callbacks for the loss of the current leader. */
   private readonly lossListeners = new Set<() => void>();
@@ -132,18 +132,18 @@
   }
 
   /** Milliseconds since the last confirmed poll was sent; infinite if none was confirmed. */
-  get age(): number {
+  get confirmationAgeMs(): number {
     return clock.elapsed(this.confirmedAt, this.options.moment());
   }
 
   /** How long the pending probe has been unanswered, in milliseconds; 0 if none is pending. */
-  get silentMs(): number {
+  get unansweredMs(): number {
     const { probingSince } = this;
     return probingSince === undefined ? 0 : clock.elapsed(probingSince, this.options.moment());
   }
 
   /** Reports that the leader didn't answer another call; the next poll goes to another keeper. */
-  doubt(address: string): void {
+  reportFailure(address: string): void {
     if (address === this.leader) this.loseLeader('a call to it failed');
   }
 
@@ -157,7 +157,7 @@
    * Probes the leader, because a call has waited for it longer than usual. A frozen or unreachable leader would keep
    * all requests waiting until the next `follow` times out; a busy one answers a probe immediately.
    */
-  async verify(): Promise<void> {
+  async probe(): Promise<void> {
     const { leader, probingSince } = this;
     const sinceProbeMs = clock.elapsed(this.probedAt, this.options.moment());
     if (probingSince !== undefined || leader === '' || sinceProbeMs < PROBE_VALID_MS) return;
@@ -185,7 +185,7 @@
   private async pollNext(): Promise<void> {
     if (this.leader === '') {
       // A poll of a keeper that was without power when its connection was opened would wait until the poll's timeout.
-      this.polling.forEach((address) => this.options.client.dropStuck(address));
+      this.polling.forEach((address) => this.options.client.dropOverdueConnection(address));
       // A keeper that is down or cut off doesn't answer, and one that has just started knows no leader.
       for (let i = 0; i < PARALLEL_SEARCHES; i++) void this.search();
       this.schedule(POLL_INTERVAL_MS.failed);
@@ -234,7 +234,7 @@
   }
 
   private followRequest(address: string): messages.FollowRequest {
-    const { name, role, dataCentre, replica, holding: state } = this.options;
+    const { name, role, dataCentre, replica, fleetState: state } = this.options;
     const isNew = this.introducedTo !== address;
     // Hundreds of entries know no more than the few keepers; a new leader would decode the same records for half a
     // second.
@@ -245,9 +245,9 @@
       address: this.options.address,
       version: state.version,
       mark: state.mark,
-      ...registryCopies.packRecords(sendsRecords ? state.registry.records() : []),
+      ...registrySnapshots.packRecords(sendsRecords ? state.registry.records() : []),
       dispatches: isNew ? this.options.dispatches() : [],
-      suspects: isNew ? state.suspectsToTell() : [],
+      suspects: isNew ? state.reportableSuspects() : [],
       limits: isNew ? state.limits.all() : [],
       replica: replica(),
       dataCentre,
@@ -262,7 +262,11 @@
     if (!this.polling.has(leader)) void this.poll(leader);
   }
 
-  private confirm(address: string, polledAt: clock.Moment, answer: messages.Confirmed): void {
+  private confirm(
+    address: string,
+    polledAt: clock.ClockReading,
+    answer: messages.Confirmation,
+  ): void {
     if (this.introducedTo !== address) {
       this.options.observer.log('leaderFound', { leader: address });
       this.introducedTo = address;
@@ -272,14 +276,14 @@
     if (isFound) this.schedule(POLL_INTERVAL_MS.confirmed);
     this.isSendingRecords = answer.lacksTargets;
     answer.keepers.forEach((keeper) => this.knownKeepers.add(keeper));
-    this.options.holding.takeNews(answer.news);
+    this.options.fleetState.applyUpdate(answer.news);
     this.confirmedAt = polledAt;
     this.options.onConfirmed(answer);
   }
 
   private loseLeader(reason: string): void {
     if (this.leader !== '') {
-      const { leader, age } = this;
+      const { leader, confirmationAgeMs: age } = this;
       this.options.observer.log('leaderLost', { leader, reason, confirmedMsAgo: Math.round(age) });
     }
     this.leader = '';
--- a/packages/daemon/src/fleet/messages.ts
+++ b/packages/daemon/src/fleet/messages.ts
@@ -1,11 +1,11 @@
 /** Messages that entries and keepers exchange with the leader of the keepers. */
 import type * as domain from '@celerydrift/domain';
-import type * as registryCopies from './registryCopies';
+import type * as registrySnapshots from './registryCopies';
 
 type Announcement = domain.registry.registry.Announcement;
-type SuspectReport = domain.quarantine.suspect.Report;
+type SuspectReport = domain.quarantine.suspect.SuspectReport;
 type RateLimit = domain.rateLimits.rateLimits.RateLimit;
-type LimitedPlace = domain.rateLimits.rateLimits.Place;
+type LimitedPlace = domain.rateLimits.rateLimits.Endpoint;
 
 /** A version of the registry at one leader; versions of different leaderships aren't comparable. */
 export interface RegistryVersion {
@@ -19,7 +19,7 @@
  * a keeper's registry, sent to a leader that it polls for the first time; an entry sends its own only if the leader
  * asked for them.
  */
-export interface FollowRequest extends registryCopies.RecordBatch {
+export interface FollowRequest extends registrySnapshots.RecordBatch {
   name: string;
   role: 'entry' | 'keeper';
   /** Peer address of the follower, to which updates are pushed. */
@@ -28,7 +28,7 @@
   version: number;
   mark: RegistryVersion;
   /** Running dispatches of an entry, sent to a leader that it polls for the first time. */
-  dispatches: Dispatched[];
+  dispatches: RunningDispatch[];
   /** Reports of suspect requests, sent to a leader that the follower polls for the first time. */
   suspects: SuspectReport[];
   /** Rate limits of targets known to the follower, sent to a leader that it polls for the first time. */
@@ -39,12 +39,12 @@
 }
 
 /** A request and the target that decodes its answer. */
-export interface Dispatched {
+export interface RunningDispatch {
   request: domain.allocation.allocator.Request;
   target: string;
 }
 
-export interface Confirmed {
+export interface Confirmation {
   kind: 'confirmed';
   /** Peer addresses of all voters. */
   keepers: string[];
@@ -53,8 +53,8 @@
   /** Whether the leader knows no targets, so that the follower should send its registry records. */
   lacksTargets: boolean;
   /** Average load per service, for an entry that loses the leader and then sees only its own dispatches. */
-  crowding: domain.allocation.unseen.Crowding[];
-  news: News;
+  crowding: domain.allocation.assumedLoad.AverageLoad[];
+  news: FleetUpdate;
 }
 
 /** The keeper that was asked doesn't lead; `leader` is empty if it knows none. */
@@ -63,12 +63,12 @@
   leader: string;
 }
 
-export type FollowAnswer = Confirmed | Redirect;
+export type FollowAnswer = Confirmation | Redirect;
 
 /** Update with the changes that a follower lacks; the records follow those of `packedRegistry`. */
-export interface News extends registryCopies.RecordBatch {
+export interface FleetUpdate extends registrySnapshots.RecordBatch {
   /** A newer catalogue. */
-  edition: domain.catalogue.versions.Edition | undefined;
+  edition: domain.catalogue.newestCatalogue.PackedCatalogue | undefined;
   /** The registry version after the records. */
   mark: RegistryVersion;
   /**
@@ -84,14 +84,14 @@
 }
 
 /** Acknowledges an update with the registry version that the follower now has. */
-export interface Learned {
+export interface UpdateAck {
   mark: RegistryVersion;
 }
 
 /** A target lifetime that crashed while it ran a request. */
-export interface EndedTarget {
+export interface TargetCrash {
   content: string;
-  lifetime: domain.quarantine.endedLifetimes.Lifetime;
+  lifetime: domain.quarantine.crashedLifetimes.Lifetime;
   /** Whether that run was a canary run, allowed while the request was already suspect. */
   isTrial: boolean;
   /**
@@ -103,15 +103,15 @@
 }
 
 /** `blame`: crashes of targets that ran an entry's requests. */
-export interface Blame {
-  ended: EndedTarget[];
+export interface CrashReport {
+  ended: TargetCrash[];
 }
 
 /** The leader's current reports of the named requests, which replace what the entry recorded by itself. */
-export type BlameAnswer = { kind: 'taken'; reports: SuspectReport[] } | Redirect;
+export type CrashReportAnswer = { kind: 'taken'; reports: SuspectReport[] } | Redirect;
 
 /** `permit`: asks whether a suspect request may run now. */
-export interface PermitQuestion {
+export interface PermitRequest {
   content: string;
   /** Id of the request, and the entry that holds it. */
   id: string;
@@ -133,17 +133,17 @@
   | Redirect;
 
 /** `trialEnded`: a canary run has ended. */
-export interface TrialEnded {
+export interface CanaryEnded {
   content: string;
   id: string;
   ranWhole: boolean;
 }
 
 /** The leader has applied the message. */
-export type TakenAnswer = { kind: 'taken' } | Redirect;
+export type AppliedAnswer = { kind: 'taken' } | Redirect;
 
 /** `place`: a request that needs an engine. */
-export type Place = Omit<domain.allocation.allocator.Request, 'entry'> & {
+export type PlaceRequest = Omit<domain.allocation.allocator.Request, 'entry'> & {
   entry: string;
   /** How long the entry waits for a placement, in milliseconds. */
   patienceMs: number;
@@ -154,9 +154,9 @@
   | { kind: 'noPlace'; retryAfterMs: number }
   | Redirect;
 
-export interface EndedDispatch {
+export interface FinishedDispatch {
   id: string;
-  ending: domain.allocation.soundness.Ending;
+  ending: domain.allocation.targetHealth.DispatchOutcome;
   /** Id of the target that caused the failure, if it isn't the one that got the request. */
   faulty?: string;
   /** Usual inter-token gap of the answer, in milliseconds. */
@@ -166,26 +166,26 @@
 }
 
 /** `ended`: finished dispatches of an entry, collected for a short time and sent together. */
-export interface Ended {
-  dispatches: EndedDispatch[];
+export interface FinishedDispatches {
+  dispatches: FinishedDispatch[];
 }
 
 /**
  * Number of messages sent to a limited target without a grant: those that couldn't wait, or were sent without a
  * leader.
  */
-export interface Spent extends LimitedPlace {
+export interface UngrantedMessages extends LimitedPlace {
   count: number;
 }
 
 /** `limited`: rate limits that an entry's targets reported or no longer report, and the messages that it sent them. */
-export interface Limited {
+export interface LimitReport {
   limits: RateLimit[];
-  spent: Spent[];
+  spent: UngrantedMessages[];
 }
 
 /** `grant`: asks whether one of several limited targets may be sent a message now. */
-export interface GrantQuestion {
+export interface GrantRequest {
   places: readonly LimitedPlace[];
   /** A liveness probe may be requested while a request has to wait. */
   purpose: 'request' | 'check';
@@ -209,13 +209,13 @@
 }
 
 /** `leaving`: lifetimes that announced in answers to an entry that they drain. */
-export interface Leaving {
-  lifetimes: domain.quarantine.endedLifetimes.Lifetime[];
+export interface DrainingReport {
+  lifetimes: domain.quarantine.crashedLifetimes.Lifetime[];
 }
 
 /** `submit`: a catalogue forwarded by the keeper that received it from an operator. */
 export interface SubmitRequest {
-  edition: domain.catalogue.versions.Edition;
+  edition: domain.catalogue.newestCatalogue.PackedCatalogue;
 }
 
 export type SubmitAnswer =
@@ -223,10 +223,10 @@
 
 /** `newest`: the newest catalogue at the time of the call. */
 export type NewestAnswer =
-  | { kind: 'newest'; edition: domain.catalogue.versions.Edition | undefined }
+  | { kind: 'newest'; edition: domain.catalogue.newestCatalogue.PackedCatalogue | undefined }
   | { kind: 'unavailable'; detail: string };
 
-export const NO_MARK: RegistryVersion = { epoch: '', change: 0 };
+export const NO_VERSION: RegistryVersion = { epoch: '', change: 0 };
 
 /** Whether a version contains all changes of another one of the same leadership. */
 export function includes(a: RegistryVersion, b: RegistryVersion): boolean {
--- a/packages/daemon/src/fleet/packedCatalogue.ts
+++ b/packages/daemon/src/fleet/packedCatalogue.ts
@@ -2,7 +2,7 @@
 import * as zlib from 'node:zlib';
 import type * as domain from '@celerydrift/domain';
 
-type Edition = domain.catalogue.versions.Edition;
+type Edition = domain.catalogue.newestCatalogue.PackedCatalogue;
 
 export function pack(version: number, document: Buffer): Edition {
   return { version, packed: zlib.deflateRawSync(document) };
--- a/packages/daemon/src/fleet/registryCopies.ts
+++ b/packages/daemon/src/fleet/registryCopies.ts
@@ -13,7 +13,7 @@
 export interface RegistrySnapshot {
   records: readonly Announcement[];
   /** Reports of suspect requests. */
-  suspects: readonly domain.quarantine.suspect.Report[];
+  suspects: readonly domain.quarantine.suspect.SuspectReport[];
   limits: readonly domain.rateLimits.rateLimits.RateLimit[];
 }
 
--- a/packages/daemon/src/http/callersApi.ts
+++ b/packages/daemon/src/http/callersApi.ts
@@ -15,7 +15,7 @@
 export interface Options {
   admission: admission.Admission;
   services: serviceProxy.ServiceProxy;
-  execution: execution.Parts;
+  execution: execution.Dependencies;
   observer: observer.Observer;
   /** Why this daemon is not ready to admit requests; undefined if it is. */
   unready: () => string | undefined;
--- a/packages/daemon/src/http/operatorsApi.ts
+++ b/packages/daemon/src/http/operatorsApi.ts
@@ -195,8 +195,8 @@
     else reply.json(call.response, 200, { index: executed.val.index });
   }
 
-  private async answerQuery(call: listener.Call, question: query.Question): Promise<void> {
-    const answer = await this.options.query.ask(question);
+  private async answerQuery(call: listener.Call, question: query.Query): Promise<void> {
+    const answer = await this.options.query.send(question);
     if (answer.err) this.unavailable(call, answer.val);
     else if (answer.val === null) {
       reply.error(call.response, errors.notRun('notFound', 'nothing exists under this name'));
--- a/packages/daemon/src/keeper/__tests__/__fixtures__/leaderFixture.ts
+++ b/packages/daemon/src/keeper/__tests__/__fixtures__/leaderFixture.ts
@@ -3,7 +3,7 @@
 import * as random from '@celerydrift/domain/dist/shared/random';
 import { Ok } from 'ts-results';
 import * as clock from '../../../clock';
-import * as holding from '../../../fleet/holding';
+import * as fleetState from '../../../fleet/holding';
 import * as messages from '../../../fleet/messages';
 import * as observer from '../../../observability/observer';
 import type * as logHost from '../../../replicas/logHost';
@@ -14,12 +14,12 @@
 
 export interface Push {
   address: string;
-  update: messages.News;
+  update: messages.FleetUpdate;
 }
 
 export interface LeaderFixture {
   leader: leadership.Leadership;
-  fleet: holding.Holding;
+  fleet: fleetState.FleetState;
   pushes: Push[];
   /** For each confirmation by the quorum, whether it was requested immediately rather than with the next heartbeat. */
   confirmations: boolean[];
@@ -44,10 +44,10 @@
 }: Setup): Promise<LeaderFixture> {
   const pushes: Push[] = [];
   const client = {
-    call: async (address: string, _method: string, update: messages.News) => {
+    call: async (address: string, _method: string, update: messages.FleetUpdate) => {
       pushes.push({ address, update });
-      await clock.pause(answerMs);
-      return Ok(reportsNoState ? { mark: messages.NO_MARK } : {});
+      await clock.sleep(answerMs);
+      return Ok(reportsNoState ? { mark: messages.NO_VERSION } : {});
     },
   };
   const confirmations: boolean[] = [];
@@ -55,9 +55,9 @@
     confirmations.push(isUrgent);
     return true;
   };
-  const host = { isLeader: true, confirm, replica: { members: [] } };
-  const fleet = new holding.Holding({
-    protocol: {} as holding.Options['protocol'],
+  const host = { isLeader: true, confirmLeadership: confirm, replica: { members: [] } };
+  const fleet = new fleetState.FleetState({
+    protocol: {} as fleetState.Options['protocol'],
     observer: observe,
     now: clock.steady,
     onCatalogue: () => undefined,
@@ -92,7 +92,7 @@
     role: 'entry',
     address: addressOf(i),
     version: 1,
-    mark: messages.NO_MARK,
+    mark: messages.NO_VERSION,
     records: [],
     dispatches: [],
     suspects: [],
--- a/packages/daemon/src/keeper/__tests__/announcementRelay.test.ts
+++ b/packages/daemon/src/keeper/__tests__/announcementRelay.test.ts
@@ -21,7 +21,7 @@
     const forwarded: Announcement[][] = [];
     const relay = new announcementRelay.AnnouncementRelay(async (records) => {
       forwarded.push(records);
-      await clock.pause(5);
+      await clock.sleep(5);
       return records.every(({ id }) => id !== 't0');
     });
     const relayed = Array.from({ length: TARGETS }, (_each, i) => {
--- a/packages/daemon/src/keeper/__tests__/keeper.test.ts
+++ b/packages/daemon/src/keeper/__tests__/keeper.test.ts
@@ -10,7 +10,7 @@
 import * as clock from '../../clock';
 import * as roleSettings from '../../configuration/roleSettings';
 import type * as protocols from '../../edges/protocols';
-import * as holding from '../../fleet/holding';
+import * as fleetState from '../../fleet/holding';
 import * as leaderLink from '../../fleet/leaderLink';
 import * as messages from '../../fleet/messages';
 import * as observer from '../../observability/observer';
@@ -30,17 +30,17 @@
 
 /** Documents are `{version, valid}`; announcements are the internal records as JSON. */
 const PROTOCOL: protocols.ControlProtocol = {
-  call: (method, url) => {
+  parseCall: (method, url) => {
     if (url === '/catalogue') return { kind: method === 'PUT' ? 'submit' : 'read' };
     const id = url.slice(1);
     return { kind: method === 'PUT' ? 'announce' : 'depart', id };
   },
-  announcement: (id, body) => {
+  parseAnnouncement: (id, body) => {
     const record = JSON.parse(body.toString()) as domain.registry.registry.Announcement;
     return Ok({ ...record, id });
   },
-  departedLifetime: () => undefined,
-  catalogue: (document) => {
+  parseDepartedLifetime: () => undefined,
+  parseCatalogue: (document) => {
     const { version, valid } = JSON.parse(document.toString()) as {
       version: number;
       valid: boolean;
@@ -174,11 +174,11 @@
   }
 
   /** Follows the leader as an entry does. */
-  async follow(): Promise<{ state: holding.Holding; link: leaderLink.LeaderLink }> {
+  async follow(): Promise<{ state: fleetState.FleetState; link: leaderLink.LeaderLink }> {
     const address = `127.0.0.1:${this.followerPort}`;
     const client = new peerClient.PeerClient(SECRET, undefined, this.observer);
     const server = new peerServer.PeerServer(SECRET, undefined, this.observer);
-    const state = new holding.Holding({
+    const state = new fleetState.FleetState({
       protocol: PROTOCOL,
       observer: this.observer,
       now: clock.steady,
@@ -186,7 +186,7 @@
       onRecord: () => undefined,
     });
     server.add('learn', (update) => {
-      state.takeNews(update as messages.News);
+      state.applyUpdate(update as messages.FleetUpdate);
       return {};
     });
     await server.listen({ host: '127.0.0.1', port: this.followerPort });
@@ -198,9 +198,9 @@
       replica: () => undefined,
       seeds: this.configurations[0].settings.seeds,
       client,
-      holding: state,
+      fleetState: state,
       observer: this.observer,
-      moment: clock.moment,
+      moment: clock.readClocks,
       dispatches: () => [],
       onConfirmed: () => undefined,
     });
@@ -255,7 +255,7 @@
     expect(await fleet.version().catch(() => 0)).to.be.oneOf([0, 3]);
     await fleet.submit(4);
     await until('the follower to have it', () => state.version === 4);
-    await until('a confirmation', () => link.age < 700);
+    await until('a confirmation', () => link.confirmationAgeMs < 700);
     expect(await fleet.version()).to.equal(4);
   });
 
@@ -285,7 +285,7 @@
    */
   it('acknowledge a draining target once followers know', async () => {
     const { state, link } = await fleet.follow();
-    await until('a confirmation', () => link.age < 700);
+    await until('a confirmation', () => link.confirmationAgeMs < 700);
     const other = (fleet.leader + 1) % 3;
     await until('the announcement', async () => {
       return (await fleet.call(other, 'PUT', '/i1', target('ready', 1)))[0] === 200;
@@ -303,7 +303,7 @@
    */
   it('accept a target at the address of one that crashed', async () => {
     const { state, link } = await fleet.follow();
-    await until('a confirmation', () => link.age < 700);
+    await until('a confirmation', () => link.confirmationAgeMs < 700);
     await until('the first target', async () => {
       return (await fleet.call(fleet.leader, 'PUT', '/i1', target('ready', 1)))[0] === 200;
     });
@@ -318,7 +318,7 @@
    */
   it('ignore unusable announcements by other programs', async () => {
     const { state, link } = await fleet.follow();
-    await until('a confirmation', () => link.age < 700);
+    await until('a confirmation', () => link.confirmationAgeMs < 700);
     await fleet.submit(1);
     await until('the catalogue', () => state.version === 1);
     await until('the target', async () => {
--- a/packages/daemon/src/keeper/__tests__/largeFleet.test.ts
+++ b/packages/daemon/src/keeper/__tests__/largeFleet.test.ts
@@ -6,9 +6,9 @@
 import * as chai from 'chai';
 import type * as domain from '@celerydrift/domain';
 import * as clock from '../../clock';
-import * as holding from '../../fleet/holding';
+import * as fleetState from '../../fleet/holding';
 import * as messages from '../../fleet/messages';
-import * as registryCopies from '../../fleet/registryCopies';
+import * as registrySnapshots from '../../fleet/registryCopies';
 import type * as observer from '../../observability/observer';
 import * as framing from '../../rpc/framing';
 import * as fixture from './__fixtures__/leaderFixture';
@@ -36,9 +36,9 @@
 }
 
 /** The replicated state of a follower. */
-function makeFollower(): holding.Holding {
-  return new holding.Holding({
-    protocol: {} as holding.Options['protocol'],
+function makeFollower(): fleetState.FleetState {
+  return new fleetState.FleetState({
+    protocol: {} as fleetState.Options['protocol'],
     observer: { log: () => undefined } as unknown as observer.Observer,
     now: clock.steady,
     onCatalogue: () => undefined,
@@ -58,12 +58,12 @@
       announced.push(leader.announce(announcement(group * perGroup + i)));
     }
     await between();
-    await clock.pause(ANNOUNCING_MS / GROUPS);
+    await clock.sleep(ANNOUNCING_MS / GROUPS);
   }
   await Promise.all(announced);
 }
 
-function bytesOf(update: messages.News): number {
+function bytesOf(update: messages.FleetUpdate): number {
   return framing.encode(update).length;
 }
 
@@ -80,7 +80,7 @@
     expect(sent).to.be.below(2 * LINK_BYTES_PER_S);
     const one = makeFollower();
     const first = setup.pushes.filter(({ address }) => address === fixture.addressOf(0));
-    first.forEach(({ update }) => one.takeNews(update));
+    first.forEach(({ update }) => one.applyUpdate(update));
     expect(one.registry.ready('s').length).to.equal(TARGETS);
   });
 
@@ -92,7 +92,7 @@
     const setup = await fixture.leaderWithFollowers({ followers: 1, answerMs: 1 });
     const one = makeFollower();
     const begin = await setup.leader.follow(fixture.followRequest(0));
-    if (begin !== undefined) one.takeNews(begin.news);
+    if (begin !== undefined) one.applyUpdate(begin.news);
     const announced = Array.from({ length: TARGETS }, (_each, i) => {
       return setup.leader.announce(announcement(i));
     });
@@ -100,7 +100,7 @@
     await Promise.all(announced);
     expect(answer?.news.packedRegistry).to.equal(undefined);
     const last = await setup.leader.follow({ ...fixture.followRequest(0), mark: one.mark });
-    if (last !== undefined) one.takeNews(last.news);
+    if (last !== undefined) one.applyUpdate(last.news);
     expect(one.registry.ready('s').length).to.equal(TARGETS);
   });
 
@@ -117,7 +117,7 @@
     const entries = Array.from({ length: FOLLOWERS }, () => makeFollower());
     let firstBytes = 0;
     let rounds = 0;
-    const lacking = (): holding.Holding[] => {
+    const lacking = (): fleetState.FleetState[] => {
       return entries.filter(({ registry }) => registry.ready('s').length < TARGETS);
     };
     while (lacking().length > 0 && rounds < 100) {
@@ -130,7 +130,7 @@
         expect(answer?.kind).to.equal('confirmed');
         if (answer === undefined) return;
         sent += bytesOf(answer.news);
-        entries[i].takeNews(answer.news);
+        entries[i].applyUpdate(answer.news);
       }
       if (rounds === 0) firstBytes = sent;
       rounds += 1;
@@ -173,11 +173,11 @@
     for (let i = 0; i < TARGETS; i++)
       await setup.leader.announce({ ...announcement(i), sequence: 2 });
     const known = await setup.leader.follow(fixture.followRequest(0));
-    const mark = known?.news.mark ?? messages.NO_MARK;
+    const mark = known?.news.mark ?? messages.NO_VERSION;
     await setup.leader.follow({ ...fixture.followRequest(0), mark });
     await setup.leader.announce({ ...announcement(7), state: 'draining', sequence: 3 });
     expect(
-      setup.pushes.map(({ update }) => registryCopies.unpackRecords(update).length),
+      setup.pushes.map(({ update }) => registrySnapshots.unpackRecords(update).length),
     ).to.deep.equal([1]);
   });
 
@@ -196,7 +196,7 @@
       setup.leader.announce({ ...announcement(i), state: 'draining' }),
     );
     await Promise.all(announced);
-    const records = setup.pushes.flatMap(({ update }) => registryCopies.unpackRecords(update));
+    const records = setup.pushes.flatMap(({ update }) => registrySnapshots.unpackRecords(update));
     expect(records.map(({ id }) => id)).to.deep.equal([announcement(1).id, announcement(2).id]);
   });
 });
--- a/packages/daemon/src/keeper/__tests__/leaderLoad.test.ts
+++ b/packages/daemon/src/keeper/__tests__/leaderLoad.test.ts
@@ -4,9 +4,9 @@
  */
 import * as chai from 'chai';
 import * as clock from '../../clock';
-import * as holding from '../../fleet/holding';
+import * as fleetState from '../../fleet/holding';
 import * as messages from '../../fleet/messages';
-import * as registryCopies from '../../fleet/registryCopies';
+import * as registrySnapshots from '../../fleet/registryCopies';
 import type * as observer from '../../observability/observer';
 import * as batchQueue from '../batchQueue';
 import * as fixture from './__fixtures__/leaderFixture';
@@ -38,7 +38,7 @@
     const announced: Promise<void>[] = [];
     for (let i = 0; i < TARGETS; i++) {
       announced.push(leader.announce(announcement(i)));
-      await clock.pause(ANNOUNCEMENT_INTERVAL_MS);
+      await clock.sleep(ANNOUNCEMENT_INTERVAL_MS);
     }
     await Promise.all(announced);
     // One push to each follower every 150 ms and one more for the rest; on a busy machine the announcements take
@@ -100,9 +100,9 @@
     const before = await leader.follow(followRequest(0));
     for (let i = 0; i < TARGETS; i++) await leader.announce({ ...announcement(i), sequence: 2 });
     expect(pushes.length).to.equal(0);
-    const mark = before?.news.mark ?? messages.NO_MARK;
+    const mark = before?.news.mark ?? messages.NO_VERSION;
     const after = await leader.follow({ ...followRequest(0), mark });
-    const announced = after === undefined ? [] : registryCopies.unpackRecords(after.news);
+    const announced = after === undefined ? [] : registrySnapshots.unpackRecords(after.news);
     expect(announced.length).to.equal(TARGETS);
     expect(announced.some(({ isRemembered }) => isRemembered === true)).to.equal(false);
     await leader.announce({ ...announcement(1), state: 'draining', sequence: 3 });
@@ -148,14 +148,14 @@
     await Promise.all(announced);
     const answer = await leader.follow(followRequest(1));
     const lines: string[] = [];
-    const fleet = new holding.Holding({
-      protocol: {} as holding.Options['protocol'],
+    const fleet = new fleetState.FleetState({
+      protocol: {} as fleetState.Options['protocol'],
       observer: { log: (event: string) => lines.push(event) } as unknown as observer.Observer,
       now: clock.steady,
       onCatalogue: () => undefined,
       onRecord: () => undefined,
     });
-    expect(answer === undefined ? false : fleet.takeNews(answer.news)).to.equal(true);
+    expect(answer === undefined ? false : fleet.applyUpdate(answer.news)).to.equal(true);
     expect(fleet.registry.ready('s').length).to.equal(TARGETS);
     expect(lines).to.deep.equal(['registryTaken']);
     expect(answer?.news.packedRegistry?.length).to.be.lessThan(TARGETS * 40);
--- a/packages/daemon/src/keeper/__tests__/placing.test.ts
+++ b/packages/daemon/src/keeper/__tests__/placing.test.ts
@@ -2,7 +2,7 @@
 import * as chai from 'chai';
 import * as domain from '@celerydrift/domain';
 import * as random from '@celerydrift/domain/dist/shared/random';
-import * as placing from '../placing';
+import * as placer from '../placing';
 
 const { expect } = chai;
 
@@ -30,7 +30,7 @@
 class FullAllocator extends domain.allocation.allocator.Allocator {
   attempts = 0;
 
-  override choose(): domain.allocation.allocator.Choice {
+  override choose(): domain.allocation.allocator.PlacementResult {
     this.attempts += 1;
     return { kind: 'full' };
   }
@@ -63,7 +63,7 @@
     const allocator = fullFleet();
     const timers: { at: number; action: () => void }[] = [];
     let now = 0;
-    const tested = new placing.Placing({
+    const tested = new placer.Placer({
       allocator,
       clock: { now: () => now, after: (ms, action) => timers.push({ at: now + ms, action }) },
       random: random.seeded(1),
@@ -85,7 +85,7 @@
         excluded: [],
         patienceMs: 2_000,
       };
-      tested.ask(request, () => undefined);
+      tested.placeWithCallback(request, () => undefined);
     }
     allocator.attempts = 0;
     while (timers.length > 0 && now < 1_000) {
@@ -103,7 +103,7 @@
   it('delays no prompt because of one that only a limited target may take', () => {
     let now = 0;
     const limits = new domain.rateLimits.rateLimits.RateLimits();
-    limits.giveOut(1, now);
+    limits.setShare(1, now);
     const allocator = new domain.allocation.allocator.Allocator(undefined, undefined, limits);
     allocator.setServices([{ name: 's', healthPath: '/', maxConnections: 200, engine: ENGINE }]);
     ['bound', 'free'].forEach((id) => {
@@ -112,7 +112,7 @@
     });
     limits.set({ service: 's', address: '10.0.0.5:80', perSecond: 1 }, now);
     const timers: { at: number; action: () => void }[] = [];
-    const tested = new placing.Placing({
+    const tested = new placer.Placer({
       allocator,
       clock: { now: () => now, after: (ms, action) => timers.push({ at: now + ms, action }) },
       random: random.seeded(1),
@@ -133,7 +133,9 @@
     };
     const placed: [string, number][] = [];
     const ask = (id: string, writers?: string[]): void => {
-      tested.ask({ ...prompt, id, writers }, ({ kind }) => placed.push([`${id} ${kind}`, now]));
+      tested.placeWithCallback({ ...prompt, id, writers }, ({ kind }) =>
+        placed.push([`${id} ${kind}`, now]),
+      );
     };
     ask('returning', ['bound']);
     ask('new');
--- a/packages/daemon/src/keeper/__tests__/suspectTracker.test.ts
+++ b/packages/daemon/src/keeper/__tests__/suspectTracker.test.ts
@@ -16,7 +16,7 @@
    */
   it('ignores crash reports of targets that announced themselves since', () => {
     const quarantine = new domain.quarantine.quarantine.Quarantine();
-    const published: domain.quarantine.suspect.Report[] = [];
+    const published: domain.quarantine.suspect.SuspectReport[] = [];
     const tracker = new suspectTracker.SuspectTracker({
       quarantine,
       registry: { spokeAt: ({ id }) => (id === 'silent' ? 0 : 9_500), ready: () => [] },
--- a/packages/daemon/src/keeper/catalogueMachine.ts
+++ b/packages/daemon/src/keeper/catalogueMachine.ts
@@ -1,18 +1,18 @@
 /** The replicated catalogue as a state machine of the log. */
 import * as domain from '@celerydrift/domain';
-import type * as machine from '../replicas/machine';
+import type * as stateMachine from '../replicas/machine';
 
-type Edition = domain.catalogue.versions.Edition;
+type Edition = domain.catalogue.newestCatalogue.PackedCatalogue;
 
-export class CatalogueMachine implements machine.Machine {
-  readonly versions = new domain.catalogue.versions.Versions();
+export class CatalogueMachine implements stateMachine.StateMachine {
+  readonly versions = new domain.catalogue.newestCatalogue.NewestCatalogue();
 
   private isNotificationQueued = false;
 
   /** `onChange` receives the newest catalogue version once all versions committed together are applied. */
   constructor(private readonly onChange: (edition: Edition) => void) {}
 
-  apply(command: unknown): domain.catalogue.versions.Acceptance {
+  apply(command: unknown): domain.catalogue.newestCatalogue.ApplyResult {
     const acceptance = this.versions.apply(command as Edition);
     if (acceptance.changed) this.queueNotification();
     return acceptance;
--- a/packages/daemon/src/keeper/controlServer.ts
+++ b/packages/daemon/src/keeper/controlServer.ts
@@ -19,7 +19,9 @@
   /** Forwards an announcement; resolves with true once the leader has it. */
   announce: (record: Announcement) => Promise<boolean>;
   depart: (departed: messages.Departure) => Promise<boolean>;
-  submit: (edition: domain.catalogue.versions.Edition) => Promise<messages.SubmitAnswer>;
+  submit: (
+    edition: domain.catalogue.newestCatalogue.PackedCatalogue,
+  ) => Promise<messages.SubmitAnswer>;
   newest: () => Promise<messages.NewestAnswer>;
 }
 
@@ -67,7 +69,7 @@
 
   private async reply(request: http.IncomingMessage, body: Buffer): Promise<Reply> {
     const path = (request.url ?? '').split('?')[0];
-    const call = this.dependencies.protocol.call(request.method ?? '', path);
+    const call = this.dependencies.protocol.parseCall(request.method ?? '', path);
     if (call === undefined) return { status: 404, body: '' };
     if (call.kind === 'announce') return this.announce(call.id, body);
     if (call.kind === 'depart') return this.depart(call.id, body);
@@ -75,7 +77,7 @@
   }
 
   private async announce(id: string, body: Buffer): Promise<Reply> {
-    const decoded = this.dependencies.protocol.announcement(id, body);
+    const decoded = this.dependencies.protocol.parseAnnouncement(id, body);
     const problem = decoded.err
       ? decoded.val.detail
       : domain.registry.validity.problemOf(decoded.val);
@@ -89,14 +91,14 @@
   }
 
   private async depart(id: string, body: Buffer): Promise<Reply> {
-    const bornAt = this.dependencies.protocol.departedLifetime(body);
+    const bornAt = this.dependencies.protocol.parseDepartedLifetime(body);
     return (await this.dependencies.depart({ id, bornAt }))
       ? { status: 200, body: '{}' }
       : UNAVAILABLE;
   }
 
   private async submit(body: Buffer): Promise<Reply> {
-    const decoded = this.dependencies.protocol.catalogue(body);
+    const decoded = this.dependencies.protocol.parseCatalogue(body);
     if (decoded.err) return this.refuse(0, decoded.val.detail);
     const { version } = decoded.val;
     const [problem] = domain.catalogue.catalogue.problemsOf(decoded.val);
--- a/packages/daemon/src/keeper/followers.ts
+++ b/packages/daemon/src/keeper/followers.ts
@@ -38,7 +38,7 @@
 interface InFlightPush {
   hasQueued: boolean;
   /** The newest catalogue that is queued. */
-  edition: domain.catalogue.versions.Edition | undefined;
+  edition: domain.catalogue.newestCatalogue.PackedCatalogue | undefined;
   /** Resolves when everything queued now has arrived or was given up. */
   next: Promise<void>;
 }
@@ -46,7 +46,7 @@
 /** What a follower at a version lacks now; undefined if only a snapshot would do, which isn't pushed. */
 export type UpdateSince = (
   mark: messages.RegistryVersion,
-) => Omit<messages.News, 'edition'> | undefined;
+) => Omit<messages.FleetUpdate, 'edition'> | undefined;
 
 export class Followers {
   private readonly byName = new Map<string, Follower>();
@@ -96,7 +96,7 @@
    * Pushes to each reachable follower what it lacks, or `update` if that isn't known; resolves when they have it or
    * after a time limit.
    */
-  async push(update: messages.News): Promise<void> {
+  async push(update: messages.FleetUpdate): Promise<void> {
     const reachable = this.all().filter(({ polledAt }) => this.now() - polledAt < RECENT_POLL_MS);
     await Promise.all(reachable.map((follower) => this.pushTo(follower, update)));
   }
@@ -105,7 +105,7 @@
    * At most one push at a time goes to each follower; the changes that collect until it is acknowledged go together.
    * A leader that can't keep up thus sends fewer and larger pushes and doesn't fall further behind with each.
    */
-  private async pushTo(follower: Follower, update: messages.News): Promise<void> {
+  private async pushTo(follower: Follower, update: messages.FleetUpdate): Promise<void> {
     const push = this.inFlight.get(follower.address);
     if (push === undefined) {
       const missing = this.updateSince(follower.mark);
@@ -113,15 +113,15 @@
         follower,
         missing === undefined ? update : updateOf(update.edition, missing),
       );
-      await Promise.race([sent, clock.pause(MAX_ACK_WAIT_MS)]);
+      await Promise.race([sent, clock.sleep(MAX_ACK_WAIT_MS)]);
       return;
     }
     push.hasQueued = true;
     push.edition = update.edition ?? push.edition;
-    await Promise.race([push.next, clock.pause(MAX_ACK_WAIT_MS)]);
+    await Promise.race([push.next, clock.sleep(MAX_ACK_WAIT_MS)]);
   }
 
-  private async send(follower: Follower, update: messages.News): Promise<void> {
+  private async send(follower: Follower, update: messages.FleetUpdate): Promise<void> {
     const { address } = follower;
     let finish = (): void => undefined;
     const next = new Promise<void>((resolve) => {
@@ -129,7 +129,7 @@
     });
     const push: InFlightPush = { hasQueued: false, edition: undefined, next };
     this.inFlight.set(address, push);
-    const answer = await this.client.call<Partial<messages.Learned>>(address, 'learn', update, {
+    const answer = await this.client.call<Partial<messages.UpdateAck>>(address, 'learn', update, {
       timeoutMs: PUSH_TIMEOUT_MS,
     });
     this.inFlight.delete(address);
@@ -154,12 +154,12 @@
 
 /** Makes a push of a catalogue and known changes; a catalogue alone builds on no registry version. */
 function updateOf(
-  edition: domain.catalogue.versions.Edition | undefined,
-  missing: Omit<messages.News, 'edition'> | undefined,
-): messages.News {
+  edition: domain.catalogue.newestCatalogue.PackedCatalogue | undefined,
+  missing: Omit<messages.FleetUpdate, 'edition'> | undefined,
+): messages.FleetUpdate {
   const empty = {
-    mark: messages.NO_MARK,
-    since: messages.NO_MARK,
+    mark: messages.NO_VERSION,
+    since: messages.NO_VERSION,
     records: [],
     suspects: [],
     limits: [],
--- a/packages/daemon/src/keeper/keeper.ts
+++ b/packages/daemon/src/keeper/keeper.ts
@@ -7,7 +7,7 @@
 import * as codecs from '../configuration/codecs';
 import type * as roleSettings from '../configuration/roleSettings';
 import type * as protocols from '../edges/protocols';
-import * as holding from '../fleet/holding';
+import * as fleetState from '../fleet/holding';
 import * as leaderLink from '../fleet/leaderLink';
 import * as messages from '../fleet/messages';
 import * as peers from '../fleet/peers';
@@ -25,7 +25,7 @@
 import * as leadership from './leadership';
 import * as softStateStore from './softStateStore';
 
-type Edition = domain.catalogue.versions.Edition;
+type Edition = domain.catalogue.newestCatalogue.PackedCatalogue;
 
 export interface Dependencies {
   settings: roleSettings.Settings;
@@ -70,7 +70,7 @@
 
   private readonly control: controlServer.ControlServer;
 
-  private readonly fleetState: holding.Holding;
+  private readonly fleetState: fleetState.FleetState;
 
   private readonly link: leaderLink.LeaderLink;
 
@@ -99,7 +99,7 @@
     this.client = peers.clientOf(settings, observe);
     this.server = new peerServer.PeerServer(settings.secret, undefined, observe);
     this.machine = new catalogueMachine.CatalogueMachine((edition) => this.applyEdition(edition));
-    this.fleetState = new holding.Holding({
+    this.fleetState = new fleetState.FleetState({
       protocol,
       observer: observe,
       now: clock.steady,
@@ -132,14 +132,14 @@
     const { settings, observer: observe, random, onDiskFailure } = this.dependencies;
     const opened = await replicaSet.ReplicaSet.open({
       folder: settings.dataFolder,
-      address: codecs.format(settings.advertised),
+      address: codecs.formatAddress(settings.advertised),
       dataCentre: settings.dataCentre,
       machines: new Map([[LOG, this.machine]]),
       timing: TIMING,
       random,
       client: this.client,
       observer: observe,
-      snapshotEvery: SNAPSHOT_EVERY,
+      snapshotIntervalEntries: SNAPSHOT_EVERY,
       onDiskFailure,
     });
     if (opened.err) return false;
@@ -195,14 +195,14 @@
     return new leaderLink.LeaderLink({
       name: settings.name,
       role: 'keeper',
-      address: codecs.format(settings.advertised),
+      address: codecs.formatAddress(settings.advertised),
       dataCentre: settings.dataCentre,
       replica: () => this.replicas.id,
       seeds: settings.seeds,
       client: this.client,
-      holding: this.fleetState,
+      fleetState: this.fleetState,
       observer: observe,
-      moment: clock.moment,
+      moment: clock.readClocks,
       dispatches: () => [],
       onConfirmed: () => undefined,
     });
@@ -237,23 +237,23 @@
     server.add('identify', () => this.identity());
     server.add('follow', (request) => this.follow(request as messages.FollowRequest));
     server.add('learn', (update) => {
-      this.fleetState.takeNews(update as messages.News);
-      return { mark: this.fleetState.mark } satisfies messages.Learned;
+      this.fleetState.applyUpdate(update as messages.FleetUpdate);
+      return { mark: this.fleetState.mark } satisfies messages.UpdateAck;
     });
     server.add('announced', (content) => calls.announceHere(content as messages.AnnouncementBatch));
     server.add('departed', (content) => calls.departHere(content as messages.Departure));
-    server.add('leaving', (content): messages.TakenAnswer => {
+    server.add('leaving', (content): messages.AppliedAnswer => {
       return this.host.isLeader
-        ? this.leadership.leaving(content as messages.Leaving)
+        ? this.leadership.leaving(content as messages.DrainingReport)
         : this.redirect();
     });
     server.add('submit', (content) =>
       calls.submitHere((content as messages.SubmitRequest).edition),
     );
     server.add('newest', () => calls.newestHere());
-    server.add('place', (request) => this.place(request as messages.Place));
+    server.add('place', (request) => this.place(request as messages.PlaceRequest));
     server.add('ended', (content) => {
-      this.leadership.ended(content as messages.Ended);
+      this.leadership.ended(content as messages.FinishedDispatches);
       return {};
     });
   }
@@ -262,25 +262,25 @@
   private serveLeaderMethods(): void {
     const { server } = this;
     const { suspects } = this.leadership;
-    server.add('blame', (content): messages.BlameAnswer => {
+    server.add('blame', (content): messages.CrashReportAnswer => {
       if (!this.host.isLeader) return this.redirect();
-      return { kind: 'taken', reports: suspects.blame(content as messages.Blame) };
+      return { kind: 'taken', reports: suspects.blame(content as messages.CrashReport) };
     });
     server.add('permit', (request): messages.PermitAnswer => {
       return this.host.isLeader
-        ? suspects.permit(request as messages.PermitQuestion)
+        ? suspects.permit(request as messages.PermitRequest)
         : this.redirect();
     });
     const { limits } = this.leadership;
-    server.add('limited', (content): messages.TakenAnswer => {
-      return this.host.isLeader ? limits.report(content as messages.Limited) : this.redirect();
+    server.add('limited', (content): messages.AppliedAnswer => {
+      return this.host.isLeader ? limits.report(content as messages.LimitReport) : this.redirect();
     });
     server.add('grant', (request): messages.GrantAnswer => {
-      return this.host.isLeader ? limits.grant(request as messages.GrantQuestion) : this.redirect();
+      return this.host.isLeader ? limits.grant(request as messages.GrantRequest) : this.redirect();
     });
-    server.add('trialEnded', (content): messages.TakenAnswer => {
+    server.add('trialEnded', (content): messages.AppliedAnswer => {
       if (!this.host.isLeader) return this.redirect();
-      suspects.trialEnded(content as messages.TrialEnded);
+      suspects.trialEnded(content as messages.CanaryEnded);
       return { kind: 'taken' };
     });
   }
@@ -292,7 +292,7 @@
       observer: this.dependencies.observer,
       now: clock.steady,
       spares: () => this.leadership.followers.spares(),
-      note: () => undefined,
+      recordAudit: () => undefined,
     });
     const duties = (): void => {
       this.leadership.tick();
@@ -304,7 +304,7 @@
 
   private async found(): Promise<void> {
     const { settings } = this.dependencies;
-    const address = codecs.format(settings.advertised);
+    const address = codecs.formatAddress(settings.advertised);
     const isFounder = settings.mayFound && settings.seeds.includes(address);
     if (!isFounder || this.isFounding || this.replicas.isFounded) return;
     this.isFounding = true;
@@ -323,7 +323,7 @@
     return {
       daemon: settings.name,
       replica: this.replicas.id,
-      address: codecs.format(settings.advertised),
+      address: codecs.formatAddress(settings.advertised),
       dataCentre: settings.dataCentre,
       founded: this.replicas.isFounded,
       members: this.host.replica.members,
@@ -331,7 +331,7 @@
   }
 
   private get leader(): string {
-    if (this.host.isLeader) return codecs.format(this.dependencies.settings.advertised);
+    if (this.host.isLeader) return codecs.formatAddress(this.dependencies.settings.advertised);
     return this.host.leaderAddress || this.link.leader;
   }
 
@@ -344,7 +344,7 @@
     return (await this.leadership.follow(request)) ?? this.redirect();
   }
 
-  private async place(request: messages.Place): Promise<messages.PlaceAnswer> {
+  private async place(request: messages.PlaceRequest): Promise<messages.PlaceAnswer> {
     return this.host.isLeader ? this.leadership.place(request) : this.redirect();
   }
 }
--- a/packages/daemon/src/keeper/leaderCalls.ts
+++ b/packages/daemon/src/keeper/leaderCalls.ts
@@ -12,7 +12,7 @@
 import type * as leadership from './leadership';
 
 type Announcement = domain.registry.registry.Announcement;
-type Edition = domain.catalogue.versions.Edition;
+type Edition = domain.catalogue.newestCatalogue.PackedCatalogue;
 
 export interface Dependencies {
   host: logHost.LogHost;
@@ -77,7 +77,7 @@
   async submitHere(edition: Edition): Promise<messages.SubmitAnswer> {
     const applied = await this.dependencies.host.propose(edition);
     if (applied.err) return unavailable(applied.val.kind);
-    const { version, changed } = applied.val.answer as domain.catalogue.versions.Acceptance;
+    const { version, changed } = applied.val.answer as domain.catalogue.newestCatalogue.ApplyResult;
     if (changed) await this.dependencies.leadership.publishEdition(edition);
     return { kind: 'accepted', version };
   }
@@ -90,7 +90,7 @@
   }
 
   async newestHere(): Promise<messages.NewestAnswer> {
-    const confirmed = await this.dependencies.host.confirm(true);
+    const confirmed = await this.dependencies.host.confirmLeadership(true);
     if (!confirmed) return unavailable('not confirmed by a quorum');
     return { kind: 'newest', edition: this.dependencies.machine.versions.newest };
   }
@@ -106,7 +106,7 @@
     if (leader === '') return settle.unavailable('no leader known');
     const answer = await client.call<T>(leader, method, content, { timeoutMs });
     if (answer.ok) return answer.val;
-    link.doubt(leader);
+    link.reportFailure(leader);
     return settle.unavailable(answer.val.detail);
   }
 }
--- a/packages/daemon/src/keeper/leadership.ts
+++ b/packages/daemon/src/keeper/leadership.ts
@@ -4,16 +4,16 @@
  * which a new leader rebuilds from its followers within a second.
  */
 import * as domain from '@celerydrift/domain';
-import type * as holding from '../fleet/holding';
+import type * as fleetState from '../fleet/holding';
 import * as messages from '../fleet/messages';
-import * as registryCopies from '../fleet/registryCopies';
+import * as registrySnapshots from '../fleet/registryCopies';
 import type * as observer from '../observability/observer';
 import type * as logHost from '../replicas/logHost';
 import type * as peerClient from '../rpc/peerClient';
 import * as batchQueue from './batchQueue';
 import * as followers from './followers';
 import * as limitCoordinator from './limitCoordinator';
-import * as placing from './placing';
+import * as placer from './placing';
 import * as registryUpdates from './registryUpdates';
 import * as snapshotThrottle from './snapshotThrottle';
 import * as suspectTracker from './suspectTracker';
@@ -24,12 +24,12 @@
   /** Name of this keeper. */
   name: string;
   host: logHost.LogHost;
-  fleetState: holding.Holding;
+  fleetState: fleetState.FleetState;
   client: peerClient.PeerClient;
   observer: observer.Observer;
   now: () => number;
   random: domain.shared.random.Random;
-  newestCatalogue: () => domain.catalogue.versions.Edition | undefined;
+  newestCatalogue: () => domain.catalogue.newestCatalogue.PackedCatalogue | undefined;
   /** Called when the known suspect requests change. */
   onSuspects: () => void;
   /** Called when the rate limits of targets change. */
@@ -58,7 +58,7 @@
 
   readonly allocator: domain.allocation.allocator.Allocator;
 
-  private readonly placer: placing.Placing;
+  private readonly placer: placer.Placer;
 
   private readonly placementQueue = new batchQueue.BatchQueue();
 
@@ -79,7 +79,7 @@
   /** Number of targets loaded from disk that announced themselves since the last tick. */
   private confirmedTargets = 0;
 
-  private averages: { at: number; of: domain.allocation.unseen.Crowding[] } | undefined;
+  private averages: { at: number; of: domain.allocation.assumedLoad.AverageLoad[] } | undefined;
 
   private isLeading = false;
 
@@ -121,7 +121,7 @@
         this.updates.publishLimits(limits);
       },
     });
-    this.placer = new placing.Placing({
+    this.placer = new placer.Placer({
       allocator: this.allocator,
       clock: { now, after: (ms, action) => setTimeout(action, ms) },
       random,
@@ -151,13 +151,13 @@
         this.allocator.forgetEntry(name, now());
         this.suspects.forgetEntry(name);
       });
-    fleet.registry.forget(now());
+    fleet.registry.forgetGone(now());
     const expired = fleet.expireUnconfirmed(this.leadingSince);
     if (expired.length > 0) void this.updates.publish(expired);
     this.logConfirmed();
     this.suspects.tick();
     this.limits.tick();
-    this.placer.serveSoon();
+    this.placer.scheduleServing();
   }
 
   private logConfirmed(): void {
@@ -167,17 +167,17 @@
   }
 
   /** Answers a follower's poll, or returns undefined if this keeper doesn't lead. */
-  async follow(follower: messages.FollowRequest): Promise<messages.Confirmed | undefined> {
+  async follow(follower: messages.FollowRequest): Promise<messages.Confirmation | undefined> {
     const { now } = this.options;
     // A follower without a catalogue can't serve, and a new follower requests placements only once it is confirmed,
     // so neither waits for the next heartbeat.
     const isNew = !this.isSelf(follower.name) && !this.followers.has(follower.name);
     const isUrgent = follower.version === 0 || isNew;
-    if (!(await this.options.host.confirm(isUrgent))) return undefined;
+    if (!(await this.options.host.confirmLeadership(isUrgent))) return undefined;
     if (!this.isLeading) this.setLeading(true);
     this.endCanariesOfPreviousProcess(follower);
     if (!this.isSelf(follower.name)) this.followers.recordPoll(follower);
-    void this.mergeRecords(registryCopies.unpackRecords(follower));
+    void this.mergeRecords(registrySnapshots.unpackRecords(follower));
     this.suspects.merge(follower.suspects);
     // A follower on this leader's epoch has missed the end of no limit except those still being pushed, so its report
     // has nothing to add.
@@ -200,7 +200,7 @@
    * and whatever its previous process ran under the same name ended with it.
    */
   private endCanariesOfPreviousProcess({ name, mark, version }: messages.FollowRequest): void {
-    const isNew = messages.isSameVersion(mark, messages.NO_MARK);
+    const isNew = messages.isSameVersion(mark, messages.NO_VERSION);
     // A follower that has a catalogue but no registry version may simply be waiting for its registry snapshot.
     const isAwaitingSnapshot = version > 0 && this.awaitingSnapshot.has(name);
     if (isNew && !isAwaitingSnapshot) this.suspects.forgetEntry(name);
@@ -266,29 +266,29 @@
   }
 
   /** Applies announcements, received in targets' answers to entries, that those targets are draining. */
-  leaving({ lifetimes }: messages.Leaving): messages.TakenAnswer {
-    const changed = lifetimes.flatMap((each) => this.options.fleetState.takeLeaving(each));
+  leaving({ lifetimes }: messages.DrainingReport): messages.AppliedAnswer {
+    const changed = lifetimes.flatMap((each) => this.options.fleetState.applyDraining(each));
     if (changed.length > 0) void this.updates.publish(changed);
     return { kind: 'taken' };
   }
 
   /** Pushes an accepted catalogue to the followers. */
-  publishEdition(edition: domain.catalogue.versions.Edition): Promise<void> {
+  publishEdition(edition: domain.catalogue.newestCatalogue.PackedCatalogue): Promise<void> {
     return this.updates.publishEdition(edition);
   }
 
-  async place(request: messages.Place): Promise<messages.PlaceAnswer> {
+  async place(request: messages.PlaceRequest): Promise<messages.PlaceAnswer> {
     const answer = await this.placementQueue.run(() => this.placer.place(request));
     return answer.kind === 'closed' ? { kind: 'redirect', leader: '' } : answer;
   }
 
-  ended({ dispatches }: messages.Ended): void {
+  ended({ dispatches }: messages.FinishedDispatches): void {
     const now = this.options.now();
     dispatches.forEach(({ id, ending, faulty, gapMs, target }) => {
-      this.allocator.ended(id, ending, now, { faulty, gapMs });
+      this.allocator.endDispatch(id, ending, now, { faulty, gapMs });
       if (ending === 'replaced') this.presumeGone(faulty ?? target);
     });
-    this.placer.serveSoon();
+    this.placer.scheduleServing();
   }
 
   /**
@@ -296,7 +296,7 @@
    * by itself.
    */
   private presumeGone(id: string): void {
-    const changed = this.options.fleetState.registry.presumeEnded(id, this.options.now());
+    const changed = this.options.fleetState.registry.reportReplaced(id, this.options.now());
     if (changed.length === 0) return;
     this.options.observer.log('targetAnnounced', { target: id, state: 'gone', presumed: true });
     changed.forEach((record) => this.allocator.observe(record));
@@ -316,7 +316,7 @@
     if (isLeading) this.updates.beginEpoch();
   }
 
-  private snapshot(): registryCopies.RegistrySnapshot {
+  private snapshot(): registrySnapshots.RegistrySnapshot {
     const { fleetState: fleet, now } = this.options;
     return {
       records: fleet.registry.records(),
@@ -325,15 +325,15 @@
     };
   }
 
-  private currentAverages(): domain.allocation.unseen.Crowding[] {
+  private currentAverages(): domain.allocation.assumedLoad.AverageLoad[] {
     const now = this.options.now();
     if (this.averages === undefined || now - this.averages.at >= AVERAGES_TTL_MS) {
-      this.averages = { at: now, of: this.allocator.averages() };
+      this.averages = { at: now, of: this.allocator.averageLoadByService() };
     }
     return this.averages.of;
   }
 
-  private updateFor({ name, version, mark }: messages.FollowRequest): messages.News {
+  private updateFor({ name, version, mark }: messages.FollowRequest): messages.FleetUpdate {
     const newest = this.options.newestCatalogue();
     const edition = newest !== undefined && newest.version > version ? newest : undefined;
     return { edition, ...this.registryUpdateFor(name, mark) };
--- a/packages/daemon/src/keeper/limitCoordinator.ts
+++ b/packages/daemon/src/keeper/limitCoordinator.ts
@@ -29,7 +29,7 @@
   /** Starts or stops granting when a leadership begins or ends. */
   setLeading(isLeading: boolean): void {
     const { limits, now } = this.dependencies;
-    limits.giveOut(isLeading ? 1 : 0, now());
+    limits.setShare(isLeading ? 1 : 0, now());
     this.endedLimits.clear();
   }
 
@@ -47,27 +47,29 @@
   }
 
   /** Applies what an entry's targets reported, and counts the messages that it sent without a grant. */
-  report({ limits, spent }: messages.Limited): messages.TakenAnswer {
+  report({ limits, spent }: messages.LimitReport): messages.AppliedAnswer {
     this.apply(limits);
     const { now } = this.dependencies;
-    spent.forEach(({ count, ...place }) => this.dependencies.limits.take(place, count, now()));
+    spent.forEach(({ count, ...place }) => this.dependencies.limits.countSent(place, count, now()));
     return { kind: 'taken' };
   }
 
   /** Grants one message to the address with the most capacity left. */
-  grant({ places, purpose }: messages.GrantQuestion): messages.GrantAnswer {
+  grant({ places, purpose }: messages.GrantRequest): messages.GrantAnswer {
     const { limits, now } = this.dependencies;
     const available = places.filter((place) => {
-      return purpose === 'check' ? limits.mayCheck(place, now()) : limits.mayTake(place, now());
+      return purpose === 'check' ? limits.mayProbe(place, now()) : limits.maySend(place, now());
     });
     this.dependencies.observer.count(`limits.${available.length === 0 ? 'waits' : 'grants'}`);
     if (available.length === 0) {
       return { kind: 'wait', waitMs: Math.ceil(limits.waitMs(places, 0, now())) };
     }
     const place = available.reduce((best, each) => {
-      return limits.room(each, now()) > limits.room(best, now()) ? each : best;
+      return limits.availableTokens(each, now()) > limits.availableTokens(best, now())
+        ? each
+        : best;
     });
-    limits.take(place, 1, now());
+    limits.countSent(place, 1, now());
     return { kind: 'granted', place };
   }
 
--- a/packages/daemon/src/keeper/placing.ts
+++ b/packages/daemon/src/keeper/placing.ts
@@ -91,7 +91,7 @@
   settle: (placement: Placement | undefined) => void;
 }
 
-export class Placing {
+export class Placer {
   private readonly queue = new waitQueue.WaitQueue<Placement>();
 
   private isOpen = false;
@@ -114,12 +114,12 @@
 
   place(request: Request): Promise<Answer> {
     return new Promise((resolve) => {
-      this.ask(request, resolve);
+      this.placeWithCallback(request, resolve);
     });
   }
 
   /** Callback variant of `place`, for virtual clocks that can't drive promises. */
-  ask(request: Request, answer: (answer: Answer) => void): void {
+  placeWithCallback(request: Request, answer: (answer: Answer) => void): void {
     const since = this.now;
     const settle = (placement: Placement | undefined): void => {
       if (placement !== undefined) answer({ kind: 'placed', placement });
@@ -130,7 +130,7 @@
   }
 
   /** Schedules a round that serves the wait queue, as slots may have become free. */
-  serveSoon(): void {
+  scheduleServing(): void {
     if (this.isServeScheduled || this.queue.length === 0) return;
     this.isServeScheduled = true;
     // Reschedules itself while requests wait: slots also become free over time as engines work off their prefill.
@@ -139,13 +139,13 @@
       const attempts = this.queue.serve(this.now);
       const workMs = attempts * this.attemptMs;
       this.serveIntervalMs = Math.max(SERVE_INTERVAL_MS, workMs / SERVE_SHARE);
-      this.serveSoon();
+      this.scheduleServing();
     });
   }
 
   /** Cost of one attempt to place a short prompt, in milliseconds. */
   private get attemptMs(): number {
-    return ATTEMPT_MS_PER_ENGINE * this.dependencies.allocator.mostAsked;
+    return ATTEMPT_MS_PER_ENGINE * this.dependencies.allocator.maxCandidates;
   }
 
   private get now(): number {
@@ -196,7 +196,7 @@
     const isRestricted = excluded.length > 0 || writers !== undefined;
     const attributes = { tokens, pauseMs, service, isRestricted };
     this.queue.add({ ...attributes, since, inTimeUntil, until, attempt, resolve: settle });
-    this.serveSoon();
+    this.scheduleServing();
   }
 
   /** Time until the engines' rate limits admit one request more than those in the queue, in milliseconds. */
@@ -207,7 +207,7 @@
   private refuse(request: Request, waitedMs: number): Answer {
     const { min, max } = RETRY_AFTER_MS;
     const limitedForMs = this.limitedForMs(request.service);
-    const nextPlaceMs = this.dependencies.allocator.nextPlaceMs(request.service, this.now);
+    const nextPlaceMs = this.dependencies.allocator.nextAvailableMs(request.service, this.now);
     const predictedMs = Math.max(nextPlaceMs, limitedForMs);
     // Callers that waited in vain retry at different times; if all came back at once, most would find the slots taken
     // again.
--- a/packages/daemon/src/keeper/registryUpdates.ts
+++ b/packages/daemon/src/keeper/registryUpdates.ts
@@ -6,24 +6,24 @@
 import * as crypto from 'node:crypto';
 import type * as domain from '@celerydrift/domain';
 import * as messages from '../fleet/messages';
-import * as registryCopies from '../fleet/registryCopies';
+import * as registrySnapshots from '../fleet/registryCopies';
 
 type Announcement = domain.registry.registry.Announcement;
-type SuspectReport = domain.quarantine.suspect.Report;
+type SuspectReport = domain.quarantine.suspect.SuspectReport;
 type RateLimit = domain.rateLimits.rateLimits.RateLimit;
 
 /** What a follower lacks, apart from the catalogue. */
-export type RegistryUpdate = Omit<messages.News, 'edition'>;
+export type RegistryUpdate = Omit<messages.FleetUpdate, 'edition'>;
 
 /** What a follower lacks whose version isn't covered by the retained changes. */
 export type SnapshotUpdate = RegistryUpdate & { packedRegistry: Uint8Array };
 
 export interface Dependencies {
-  snapshot: () => registryCopies.RegistrySnapshot;
+  snapshot: () => registrySnapshots.RegistrySnapshot;
   now: () => number;
   followers: () => number;
   /** Resolves when the reachable followers have applied the update, or after a time limit. */
-  push: (update: messages.News) => Promise<void>;
+  push: (update: messages.FleetUpdate) => Promise<void>;
 }
 
 /**
@@ -87,10 +87,10 @@
 }
 
 export class RegistryUpdates {
-  private version: messages.RegistryVersion = messages.NO_MARK;
+  private version: messages.RegistryVersion = messages.NO_VERSION;
 
   /** The version that followers have once everything pushed has arrived. */
-  private pushedVersion: messages.RegistryVersion = messages.NO_MARK;
+  private pushedVersion: messages.RegistryVersion = messages.NO_VERSION;
 
   private changes: Change[] = [];
 
@@ -104,7 +104,7 @@
   private shared: { mark: messages.RegistryVersion; at: number } | undefined;
 
   /** Packed records by version range, the latest last. */
-  private batches = new Map<string, registryCopies.RecordBatch>();
+  private batches = new Map<string, registrySnapshots.RecordBatch>();
 
   constructor(private readonly dependencies: Dependencies) {}
 
@@ -148,7 +148,7 @@
   }
 
   /** Pushes a catalogue, which leaves the registry version unchanged. */
-  async publishEdition(edition: domain.catalogue.versions.Edition): Promise<void> {
+  async publishEdition(edition: domain.catalogue.newestCatalogue.PackedCatalogue): Promise<void> {
     const { pushedVersion } = this;
     await this.dependencies.push({
       edition,
@@ -191,7 +191,7 @@
     const { mark, packed } = this.currentSnapshot();
     // Many changes since the snapshot come with the next poll; packed for each follower, they would cost as much as
     // new snapshots.
-    const isFew = this.version.change - mark.change < registryCopies.MIN_PACKED_RECORDS;
+    const isFew = this.version.change - mark.change < registrySnapshots.MIN_PACKED_RECORDS;
     const changes = this.changesBetween({ from: mark, to: isFew ? this.version : mark });
     return { ...changes, since: undefined, packedRegistry: packed };
   }
@@ -218,12 +218,12 @@
   private batchOf(
     { from, to }: VersionRange,
     changes: readonly Change[],
-  ): registryCopies.RecordBatch {
+  ): registrySnapshots.RecordBatch {
     const key = `${from.change} ${to.change}`;
     const cached = this.batches.get(key);
     if (cached !== undefined) return cached;
     const records = changes.flatMap(({ record }) => (record === undefined ? [] : [record]));
-    const batch = registryCopies.packRecords(records);
+    const batch = registrySnapshots.packRecords(records);
     if (batch.packedRecords === undefined) return batch;
     this.batches.set(key, batch);
     if (this.batches.size > MAX_CACHED_BATCHES) this.batches.delete([...this.batches.keys()][0]);
@@ -280,7 +280,7 @@
     if (isFresh) return cachedSnapshot;
     const snapshot = this.dependencies.snapshot();
     const size = snapshot.records.length;
-    this.cachedSnapshot = { mark: this.version, packed: registryCopies.pack(snapshot), size };
+    this.cachedSnapshot = { mark: this.version, packed: registrySnapshots.pack(snapshot), size };
     return this.cachedSnapshot;
   }
 }
--- a/packages/daemon/src/keeper/softStateFile.ts
+++ b/packages/daemon/src/keeper/softStateFile.ts
@@ -72,7 +72,7 @@
     while (this.isChanged && !this.isClosed) {
       this.isChanged = false;
       await this.replace();
-      await clock.pause(WRITE_INTERVAL_MS);
+      await clock.sleep(WRITE_INTERVAL_MS);
     }
     this.writing = undefined;
   }
--- a/packages/daemon/src/keeper/softStateStore.ts
+++ b/packages/daemon/src/keeper/softStateStore.ts
@@ -3,7 +3,7 @@
  * VMs removes it everywhere else; where a file is outdated, the targets' next announcements and answers correct it.
  */
 import * as clock from '../clock';
-import type * as holding from '../fleet/holding';
+import type * as fleetState from '../fleet/holding';
 import type * as observer from '../observability/observer';
 import * as limitStore from './limitStore';
 import * as softStateFile from './softStateFile';
@@ -12,7 +12,7 @@
 
 export interface Dependencies {
   folder: string;
-  fleetState: holding.Holding;
+  fleetState: fleetState.FleetState;
   observer: observer.Observer;
 }
 
@@ -28,7 +28,7 @@
 
   constructor(private readonly dependencies: Dependencies) {
     const { fleetState: fleet } = dependencies;
-    this.targets = this.file(targetStore.FILE, () => fleet.registry.durable());
+    this.targets = this.file(targetStore.FILE, () => fleet.registry.durableRecords());
     this.quarantine = this.file(suspectStore.FILE, () => this.quarantineReports());
     this.limits = this.file(limitStore.FILE, () => fleet.limits.all());
   }
--- a/packages/daemon/src/keeper/suspectStore.ts
+++ b/packages/daemon/src/keeper/suspectStore.ts
@@ -8,7 +8,7 @@
 import { Err, Ok, Result } from 'ts-results';
 import * as softStateFile from './softStateFile';
 
-type Report = domain.quarantine.suspect.Report;
+type Report = domain.quarantine.suspect.SuspectReport;
 
 export const FILE = 'quarantine';
 
--- a/packages/daemon/src/keeper/suspectTracker.ts
+++ b/packages/daemon/src/keeper/suspectTracker.ts
@@ -7,8 +7,8 @@
 import type * as messages from '../fleet/messages';
 import type * as observer from '../observability/observer';
 
-type Change = domain.quarantine.quarantine.Change;
-type Report = domain.quarantine.suspect.Report;
+type Change = domain.quarantine.quarantine.StatusChange;
+type Report = domain.quarantine.suspect.SuspectReport;
 
 /**
  * How long after a crash an announcement sent before it may still arrive, in milliseconds: a usual announcement
@@ -17,7 +17,7 @@
 const MAX_ANNOUNCEMENT_DELAY_MS = 1_200;
 
 /** Number of crashes counted against a request before its last canary run. */
-const CRASHES_BEFORE_LAST_CANARY = domain.quarantine.quarantine.MOST_ENDINGS - 1;
+const CRASHES_BEFORE_LAST_CANARY = domain.quarantine.quarantine.QUARANTINE_CRASHES - 1;
 
 export interface Dependencies {
   quarantine: domain.quarantine.quarantine.Quarantine;
@@ -31,7 +31,7 @@
 }
 
 export class SuspectTracker {
-  private readonly canaries = new domain.quarantine.trials.Trials();
+  private readonly canaries = new domain.quarantine.canaryRuns.CanaryRuns();
 
   constructor(private readonly dependencies: Dependencies) {}
 
@@ -51,14 +51,14 @@
   }
 
   /** Applies crash reports; returns the current report of each named request, also where nothing changed. */
-  blame({ ended }: messages.Blame): Report[] {
+  blame({ ended }: messages.CrashReport): Report[] {
     const { quarantine, now } = this.dependencies;
     const changes = ended
       .filter((each) => !this.hasAnnouncedSince(each))
       .map(({ content, lifetime, isTrial, sentAgoMs }) => {
-        const key = domain.quarantine.endedLifetimes.lifetimeOf(lifetime);
+        const key = domain.quarantine.crashedLifetimes.lifetimeKey(lifetime);
         const run = { sentAt: now() - sentAgoMs, isTrial };
-        return quarantine.blame(content, key, run, now());
+        return quarantine.reportCrash(content, key, run, now());
       });
     this.publishChanges(changes.filter((change) => change !== undefined));
     return ended.map(({ content }) => quarantine.report(content, now()));
@@ -68,17 +68,17 @@
   handleAnnouncement({ id, bornAt, sequence, state }: domain.registry.registry.Announcement): void {
     const { quarantine } = this.dependencies;
     if (state === 'gone') return;
-    this.publishChanges(quarantine.spoke({ id, bornAt }, sequence));
+    this.publishChanges(quarantine.applyAnnouncement({ id, bornAt }, sequence));
   }
 
-  permit(request: messages.PermitQuestion): messages.PermitAnswer {
+  permit(request: messages.PermitRequest): messages.PermitAnswer {
     const { quarantine, now } = this.dependencies;
     const { content, id, entry } = request;
     const status = quarantine.standing(content);
     if (status === 'quarantined') return { kind: 'quarantined' };
     if (status === 'free') return { kind: 'granted', endings: 0, target: undefined };
     if (!this.canaries.mayBegin(content, { id, entry }, now())) return { kind: 'busy' };
-    const endings = quarantine.count(content);
+    const endings = quarantine.crashCount(content);
     const choice = this.chooseTarget(request);
     // The crash that would be the last one counted must not be caused by another suspect on the same target.
     if (choice === 'none' && endings >= CRASHES_BEFORE_LAST_CANARY) return { kind: 'busy' };
@@ -87,9 +87,9 @@
     return { kind: 'granted', endings, target };
   }
 
-  trialEnded({ content, id, ranWhole }: messages.TrialEnded): void {
+  trialEnded({ content, id, ranWhole }: messages.CanaryEnded): void {
     this.canaries.end(content, id);
-    const change = ranWhole ? this.dependencies.quarantine.ranWhole(content) : undefined;
+    const change = ranWhole ? this.dependencies.quarantine.completed(content) : undefined;
     if (change !== undefined) this.publishChanges([change]);
   }
 
@@ -101,12 +101,12 @@
   private chooseTarget({
     service,
     excluded,
-  }: messages.PermitQuestion): 'any' | 'none' | domain.registry.registry.Announcement {
+  }: messages.PermitRequest): 'any' | 'none' | domain.registry.registry.Announcement {
     const { quarantine, registry, isAllocated } = this.dependencies;
     if (isAllocated(service)) return 'any';
     const taken = new Set([...this.canaries.targets, ...excluded]);
     const free = registry.ready(service).filter(({ id }) => !taken.has(id));
-    return free.find((record) => !quarantine.hasEnded(record)) ?? free.at(0) ?? 'none';
+    return free.find((record) => !quarantine.hasCrashed(record)) ?? free.at(0) ?? 'none';
   }
 
   /**
@@ -114,7 +114,7 @@
    * crashed and reports so once it is back; for a request that many callers send, that would mean a quarantine at
    * every entry until the targets have announced themselves twice more.
    */
-  private hasAnnouncedSince({ lifetime, agoMs }: messages.EndedTarget): boolean {
+  private hasAnnouncedSince({ lifetime, agoMs }: messages.TargetCrash): boolean {
     const { registry, now } = this.dependencies;
     const endedAt = now() - agoMs;
     return registry.spokeAt(lifetime) > endedAt + MAX_ANNOUNCEMENT_DELAY_MS;
@@ -126,7 +126,7 @@
     changes.forEach(({ content, standing, endings, reason }) => {
       if (standing === 'quarantined') {
         observe.count('quarantine.begun');
-        const lifetimes = quarantine.endings(content);
+        const lifetimes = quarantine.crashesOf(content);
         observe.log('requestQuarantined', { content, endings, lifetimes });
       } else if (reason === undefined) observe.log('requestSuspected', { content, endings });
       else observe.log('suspicionEnded', { content, endings, reason });
--- a/packages/daemon/src/membership/members.ts
+++ b/packages/daemon/src/membership/members.ts
@@ -20,7 +20,7 @@
   hash: domain.shared.hashing.Hash;
   now: () => number;
   /** Handles records other than daemons; returns whether the record was new. */
-  take: (record: gossipRecords.News) => boolean;
+  onRecord: (record: gossipRecords.GossipRecord) => boolean;
   onDaemons: () => void;
 }
 
@@ -28,11 +28,11 @@
   from: Daemon;
   /** Checksum of the sender's persistent records; transient ones are left out. */
   checksum: number;
-  records: gossipRecords.News[];
+  records: gossipRecords.GossipRecord[];
 }
 
 interface PushRequest {
-  records: gossipRecords.News[];
+  records: gossipRecords.GossipRecord[];
   /** Whether the receiver forwards the records within its data centre. */
   passOn: boolean;
 }
@@ -48,7 +48,7 @@
 export class Members {
   readonly detector: domain.membership.detector.Detector;
 
-  private readonly board: domain.membership.gossip.Board<gossipRecords.News>;
+  private readonly board: domain.membership.gossip.GossipBuffer<gossipRecords.GossipRecord>;
 
   private timer: NodeJS.Timeout | undefined;
 
@@ -59,9 +59,9 @@
 
   constructor(private readonly options: Options) {
     const { self, random, hash } = options;
-    this.board = new domain.membership.gossip.Board(hash);
+    this.board = new domain.membership.gossip.GossipBuffer(hash);
     this.detector = new domain.membership.detector.Detector(self, random);
-    this.board.post(`daemon/${self.id}`, { kind: 'daemon', daemon: self }, '');
+    this.board.put(`daemon/${self.id}`, { kind: 'daemon', daemon: self }, '');
   }
 
   start(server: peerServer.PeerServer): void {
@@ -97,19 +97,19 @@
   }
 
   /** Queues a record for the next exchanges. */
-  post(record: gossipRecords.News): void {
+  post(record: gossipRecords.GossipRecord): void {
     this.postFrom(record, '');
   }
 
-  private postFrom(record: gossipRecords.News, from: string): void {
-    this.board.post(gossipRecords.keyOf(record), record, from, record.kind === 'work');
+  private postFrom(record: gossipRecords.GossipRecord, from: string): void {
+    this.board.put(gossipRecords.keyOf(record), record, from, record.kind === 'work');
   }
 
   /**
    * Sends a record immediately to every live daemon of this data centre and to two of each other data centre,
    * which forward it. Gossip carries it as well, so a single broken path doesn't keep it from anyone.
    */
-  async push(record: gossipRecords.News): Promise<void> {
+  async push(record: gossipRecords.GossipRecord): Promise<void> {
     this.post(record);
     const livePeers = this.detector.list().filter(domain.membership.daemon.isLive);
     const localPeers = livePeers.filter(({ dataCentre }) => dataCentre === this.self.dataCentre);
@@ -125,7 +125,7 @@
   }
 
   /** Adds registered daemons that are not known yet, so that they are probed like the others. */
-  learn(daemons: Iterable<domain.control.state.Registered>): void {
+  addRegistered(daemons: Iterable<domain.control.state.RegisteredDaemon>): void {
     for (const { id, address, dataCentre } of daemons) {
       if (id === this.self.id || this.detector.get(id) !== undefined) continue;
       this.mergeDaemon({ id, address, dataCentre, incarnation: 0, status: 'alive' }, '');
@@ -137,7 +137,11 @@
     await this.push({ kind: 'daemon', daemon });
   }
 
-  private async pushTo(peer: Daemon, record: gossipRecords.News, passOn: boolean): Promise<void> {
+  private async pushTo(
+    peer: Daemon,
+    record: gossipRecords.GossipRecord,
+    passOn: boolean,
+  ): Promise<void> {
     if (peer.id === this.self.id) return;
     const message: PushRequest = { records: [record], passOn };
     const { client } = this.options;
@@ -199,7 +203,7 @@
     if (await this.exchange(peer.address, peer.id, false)) return;
     // Only the open connection may have failed; a new one may work.
     if (await this.exchange(peer.address, peer.id, true)) return;
-    const helpers = this.detector.helpers(peer.id, REDUNDANT_PEERS);
+    const helpers = this.detector.indirectProbers(peer.id, REDUNDANT_PEERS);
     const answers = await Promise.all(
       helpers.map(({ address }) =>
         this.options.client.call<boolean>(
@@ -237,8 +241,8 @@
     );
     if (answer.err) return false;
     this.contacted.add(id);
-    if (answer.val.checksum === checksum) this.board.agreed(id);
-    else this.board.acknowledged(id, batch.upTo);
+    if (answer.val.checksum === checksum) this.board.markInSync(id);
+    else this.board.acknowledge(id, batch.upTo);
     this.mergeExchange(answer.val);
     return true;
   }
@@ -247,10 +251,10 @@
     this.mergeExchange(exchange);
     const { id } = exchange.from;
     const { checksum } = this.board;
-    if (exchange.checksum === checksum) this.board.agreed(id);
+    if (exchange.checksum === checksum) this.board.markInSync(id);
     const batch = this.board.batchFor(id, BATCH_LIMIT);
     // Records in a lost answer are not resent to this peer; it receives them from others and by its own probes.
-    this.board.acknowledged(id, batch.upTo);
+    this.board.acknowledge(id, batch.upTo);
     return { from: this.self, checksum, records: batch.records };
   }
 
@@ -258,16 +262,16 @@
     const known = this.detector.get(from.id);
     const hasRestarted = known !== undefined && known.incarnation < from.incarnation;
     if (hasRestarted) {
-      this.board.forget(from.id);
+      this.board.resetPeer(from.id);
       this.contacted.delete(from.id);
     }
     this.mergeRecord({ kind: 'daemon', daemon: from }, from.id);
     records.forEach((record) => this.mergeRecord(record, from.id));
   }
 
-  private mergeRecord(record: gossipRecords.News, from: string): boolean {
+  private mergeRecord(record: gossipRecords.GossipRecord, from: string): boolean {
     if (record.kind === 'daemon') return this.mergeDaemon(record.daemon, from);
-    const isNew = this.options.take(record);
+    const isNew = this.options.onRecord(record);
     if (isNew) this.postFrom(record, from);
     return isNew;
   }
@@ -279,7 +283,7 @@
   }
 
   private handleChange(daemon: Daemon, from: string): void {
-    this.board.post(`daemon/${daemon.id}`, { kind: 'daemon', daemon }, from);
+    this.board.put(`daemon/${daemon.id}`, { kind: 'daemon', daemon }, from);
     const { id, status } = daemon;
     if (status === 'suspect') this.options.observer.log('daemonSuspected', { id });
     if (status === 'dead') this.options.observer.log('daemonDead', { id });
--- a/packages/daemon/src/membership/news.ts
+++ b/packages/daemon/src/membership/news.ts
@@ -2,7 +2,7 @@
 import type * as domain from '@celerydrift/domain';
 
 /** One daemon's workload; the others predict load and compute their shares of capacity and limits from it. */
-export interface Work {
+export interface Workload {
   daemon: string;
   incarnation: number;
   version: number;
@@ -13,13 +13,13 @@
   organisations: Record<string, number>;
 }
 
-export type News =
+export type GossipRecord =
   | { kind: 'daemon'; daemon: domain.membership.daemon.Daemon }
   | { kind: 'target'; target: domain.target.target.Target }
-  | { kind: 'work'; work: Work };
+  | { kind: 'work'; work: Workload };
 
 /** Key under which a newer record replaces an older one. */
-export function keyOf(record: News): string {
+export function keyOf(record: GossipRecord): string {
   if (record.kind === 'daemon') return `daemon/${record.daemon.id}`;
   if (record.kind === 'target') return `target/${record.target.name}`;
   return `work/${record.work.daemon}`;
--- a/packages/daemon/src/membership/workTeller.ts
+++ b/packages/daemon/src/membership/workTeller.ts
@@ -11,7 +11,7 @@
   router: router.Router;
   /** This daemon's demand in tokens per second, by rate-limited organisation. */
   demand: () => Record<string, number>;
-  post: (record: gossipRecords.News) => void;
+  post: (record: gossipRecords.GossipRecord) => void;
 }
 
 /** Newest announcement received from a peer. */
@@ -20,7 +20,7 @@
   version: number;
 }
 
-export class WorkTeller {
+export class WorkloadAnnouncer {
   private readonly versions = new Map<string, AnnouncedVersion>();
 
   private version = 0;
@@ -30,18 +30,18 @@
   constructor(private readonly options: Options) {}
 
   /** Applies a peer's announcement; returns false if it is outdated or this daemon's own. */
-  take(work: gossipRecords.Work): boolean {
+  receive(work: gossipRecords.Workload): boolean {
     if (work.daemon === this.options.self || this.isStale(work)) return false;
     const { incarnation, version } = work;
     this.versions.set(work.daemon, { incarnation, version });
-    this.options.router.peerWork(work);
+    this.options.router.updatePeerWorkload(work);
     return true;
   }
 
   /** Announces this daemon's workload if it differs from the last announcement. */
-  tell(): void {
+  announce(): void {
     const { router: localRouter, demand, self, incarnation, post } = this.options;
-    const content = { ...localRouter.ownWork(), organisations: demand() };
+    const content = { ...localRouter.ownWorkload(), organisations: demand() };
     const serialized = JSON.stringify(content);
     if (serialized === this.lastContent) return;
     this.lastContent = serialized;
@@ -50,7 +50,7 @@
     post({ kind: 'work', work });
   }
 
-  private isStale({ daemon, incarnation, version }: gossipRecords.Work): boolean {
+  private isStale({ daemon, incarnation, version }: gossipRecords.Workload): boolean {
     const known = this.versions.get(daemon);
     if (known === undefined || incarnation > known.incarnation) return false;
     return incarnation < known.incarnation || version <= known.version;
--- a/packages/daemon/src/replicas/errors.ts
+++ b/packages/daemon/src/replicas/errors.ts
@@ -2,7 +2,8 @@
 import type * as domain from '@celerydrift/domain';
 
 /** After `lost` and `timeout` the command may or may not have taken effect; resending it with its id settles it. */
-export type Kind = domain.replication.replica.Refusal | 'noMajorityOfDaemons' | 'lost' | 'timeout';
+export type Kind =
+  domain.replication.replica.RefusalReason | 'noMajorityOfDaemons' | 'lost' | 'timeout';
 
 export interface LogError {
   kind: Kind;
--- a/packages/daemon/src/replicas/logHost.ts
+++ b/packages/daemon/src/replicas/logHost.ts
@@ -26,12 +26,12 @@
   id: string;
   replica: Replica;
   journal: journal.Journal;
-  machine: stateMachine.Machine;
+  machine: stateMachine.StateMachine;
   send: (address: string, message: Message) => void;
   now: () => number;
   observer: observer.Observer;
   /** Recreates the replica from its durable state. */
-  reopen: (durable: domain.replication.messages.Durable) => Replica;
+  reopen: (durable: domain.replication.messages.DurableState) => Replica;
   /** Log length in entries at which the log is compacted into a snapshot; undefined for the default. */
   snapshotIntervalEntries: number | undefined;
   /** Called when the disk lost synced data; the process must exit. */
@@ -136,7 +136,7 @@
    * Whether this replica still leads and holds the latest state as of now. An urgent check starts a round
    * of the quorum within milliseconds; any other waits for the next heartbeat.
    */
-  confirm(urgent: boolean): Promise<boolean> {
+  confirmLeadership(urgent: boolean): Promise<boolean> {
     return new Promise((resolve) => {
       const timer = setTimeout(() => resolve(false), LEADERSHIP_CHECK_TIMEOUT_MS);
       const settle = (confirmed: boolean): void => {
@@ -154,7 +154,7 @@
   private scheduleQuorumCheck(): void {
     this.quorumCheckTimer ??= setTimeout(() => {
       this.quorumCheckTimer = undefined;
-      this.enqueue((now) => this.replica.askQuorum(now));
+      this.enqueue((now) => this.replica.contactQuorum(now));
     }, QUORUM_CHECK_BATCH_MS);
   }
 
@@ -233,7 +233,7 @@
     this.isRecovering = true;
     this.rejectPending();
     while (this.isRecovering && !this.isClosed) {
-      await clock.pause(RECOVERY_RETRY_MS);
+      await clock.sleep(RECOVERY_RETRY_MS);
       this.rejectPending();
       const recovered = await this.dependencies.journal.recover().catch(() => undefined);
       if (recovered?.err === true) {
@@ -310,7 +310,7 @@
     return effects;
   }
 
-  private async persist(records: domain.replication.messages.Record[]): Promise<void> {
+  private async persist(records: domain.replication.messages.StorageRecord[]): Promise<void> {
     if (records.length === 0) return;
     const appendable = records.filter((record) => record.kind !== 'snapshot');
     const needsRewrite = appendable.length < records.length;
--- a/packages/daemon/src/replicas/machine.ts
+++ b/packages/daemon/src/replicas/machine.ts
@@ -1,5 +1,5 @@
 /** A deterministic state machine, driven by a replicated log, whose state can be snapshotted. */
-export interface Machine {
+export interface StateMachine {
   /** Applies one committed command; the result is returned to its proposer. */
   apply(command: unknown, index: number): unknown;
   snapshot(): unknown;
--- a/packages/daemon/src/replicas/repairer.ts
+++ b/packages/daemon/src/replicas/repairer.ts
@@ -16,7 +16,7 @@
   /** Registered daemons with a data folder that answered recently. */
   spares: () => domain.replication.repair.Spare[];
   /** Records an automatic action in the audit trail. */
-  note: (action: string, subject: string, detail: string) => void;
+  recordAudit: (action: string, subject: string, detail: string) => void;
 }
 
 export class Repairer {
@@ -40,7 +40,7 @@
     const { reason, subject } = step;
     host.changeMembers(step.members, () => {
       this.options.observer.log('repairStep', { log: host.id, reason, subject });
-      this.options.note(reason, subject, `log ${host.id}, ${step.members.length} members`);
+      this.options.recordAudit(reason, subject, `log ${host.id}, ${step.members.length} members`);
     });
   }
 }
--- a/packages/daemon/src/replicas/replicaSet.ts
+++ b/packages/daemon/src/replicas/replicaSet.ts
@@ -23,13 +23,13 @@
   folder: string;
   address: string;
   dataCentre: string;
-  machines: ReadonlyMap<string, stateMachine.Machine>;
+  machines: ReadonlyMap<string, stateMachine.StateMachine>;
   timing: domain.replication.replica.Timing;
   random: domain.shared.random.Random;
   client: peerClient.PeerClient;
   observer: observer.Observer;
   /** Log length in entries at which the log is compacted into a snapshot. */
-  snapshotEvery?: number;
+  snapshotIntervalEntries?: number;
   onDiskFailure: (error: unknown) => void;
 }
 
@@ -106,7 +106,7 @@
 
   private async openLog(
     log: string,
-    logMachine: stateMachine.Machine,
+    logMachine: stateMachine.StateMachine,
   ): Promise<Result<void, frames.CorruptFrame>> {
     const opened = await journal.Journal.open(path.join(this.options.folder, log));
     if (opened.err) return opened;
@@ -120,7 +120,7 @@
     };
     const now = clock.steady;
     const createReplica = (
-      durableState: domain.replication.messages.Durable,
+      durableState: domain.replication.messages.DurableState,
     ): domain.replication.replica.Replica =>
       new domain.replication.replica.Replica(this.id, durableState, timing, random, now());
     this.hosts.set(
@@ -134,7 +134,7 @@
         send,
         now,
         observer: observe,
-        snapshotIntervalEntries: this.options.snapshotEvery,
+        snapshotIntervalEntries: this.options.snapshotIntervalEntries,
         onDiskFailure: this.options.onDiskFailure,
       }),
     );
--- a/packages/daemon/src/requests/admission.ts
+++ b/packages/daemon/src/requests/admission.ts
@@ -14,7 +14,7 @@
   hash: domain.shared.hashing.Hash;
   now: () => number;
   /** Number of live daemons, which share each limit. */
-  daemons: () => number;
+  liveDaemonCount: () => number;
   /** Demand of all peers for an organisation, in tokens per second. */
   peerDemand: (organisation: string) => number;
 }
@@ -125,7 +125,7 @@
   /** Hashes of the prompt's blocks, each chained to all blocks before it. */
   prefixKeys(prompt: string): number[] {
     const blockLength =
-      domain.routing.prefixIndex.BLOCK_TOKENS * domain.request.tokens.INITIAL_RATIO;
+      domain.routing.prefixIndex.BLOCK_TOKENS * domain.request.tokens.INITIAL_BYTES_PER_TOKEN;
     const keys: number[] = [];
     let previous = 0;
     for (let end = blockLength; end <= prompt.length; end += blockLength) {
@@ -136,7 +136,7 @@
   }
 
   private sharedLimit(name: string, rate: number, now: number): domain.request.limit.SharedLimit {
-    const daemons = this.options.daemons();
+    const daemons = this.options.liveDaemonCount();
     const known = this.limits.get(name);
     if (known === undefined) {
       const limit = new domain.request.limit.SharedLimit(rate, daemons, now);
--- a/packages/daemon/src/requests/allocations.ts
+++ b/packages/daemon/src/requests/allocations.ts
@@ -38,7 +38,7 @@
   request: Request;
 }
 
-export class Allocations {
+export class AllocationClient {
   private readonly remoteRequests = new Map<string, RemoteRequest>();
 
   private readonly notifications: outbox.Outbox<allocationMessages.Notification>;
