--- a/packages/daemon/src/requests/cellWatch.ts
+++ b/packages/daemon/src/requests/cellWatch.ts
@@ -11,15 +11,15 @@
 type Target = domain.target.target.Target;
 
 export interface Options {
-  self: domain.routing.cell.Placed;
+  self: domain.routing.cell.Member;
   hash: domain.shared.hashing.Hash;
   members: members.Members;
   targets: targetTable.TargetTable;
   router: router.Router;
-  stops: stopWatch.StopWatch;
+  stops: stopWatch.PlannedStopTracker;
 }
 
-export class CellWatch {
+export class CellTracker {
   private cell: domain.routing.cell.Cell;
 
   constructor(private readonly options: Options) {
@@ -27,16 +27,16 @@
   }
 
   /** Targets of any kind that accept new work. */
-  open(): Target[] {
+  availableTargets(): Target[] {
     const { targets, stops } = this.options;
     return targets.list().filter((target) => stops.acceptsNewWork(target));
   }
 
-  openEngines(): Target[] {
-    return this.open().filter(({ kind }) => kind === 'engine');
+  availableEngines(): Target[] {
+    return this.availableTargets().filter(({ kind }) => kind === 'engine');
   }
 
-  openTarget(name: string): Target | undefined {
+  availableTarget(name: string): Target | undefined {
     const { targets, stops } = this.options;
     const target = targets.get(name);
     return target !== undefined && stops.acceptsNewWork(target) ? target : undefined;
@@ -45,7 +45,7 @@
   /** Recomputes the cell after a change of daemons, targets or planned stops. */
   refresh(): void {
     const { hash, self, members: membership, router: localRouter } = this.options;
-    const engines = this.openEngines();
+    const engines = this.availableEngines();
     const live = membership.detector.list().filter(domain.membership.daemon.isLive);
     const ids = live.map(({ id }) => id).sort();
     localRouter.setPosition(Math.max(0, ids.indexOf(self.id)), ids.length);
--- a/packages/daemon/src/requests/contentMemory.ts
+++ b/packages/daemon/src/requests/contentMemory.ts
@@ -16,30 +16,30 @@
   isTrial: boolean;
 }
 
-export class ContentMemory {
+export class PromptQuarantine {
   private readonly quarantine = new domain.quarantine.quarantine.Quarantine();
 
   constructor(private readonly now: () => number) {}
 
-  status(prompt: Prompt): domain.quarantine.quarantine.Standing {
+  status(prompt: Prompt): domain.quarantine.quarantine.QuarantineStatus {
     this.quarantine.tick(this.now());
     return this.mayBeSuspect(prompt) ? this.quarantine.standing(fingerprintOf(prompt)) : 'free';
   }
 
   reportEngineLoss(prompt: Prompt, { target, sentAt, isTrial }: EngineLoss): void {
     const lifetime = { id: target.name, bornAt: target.incarnation };
-    const key = domain.quarantine.endedLifetimes.lifetimeOf(lifetime);
-    this.quarantine.blame(fingerprintOf(prompt), key, { sentAt, isTrial }, this.now());
+    const key = domain.quarantine.crashedLifetimes.lifetimeKey(lifetime);
+    this.quarantine.reportCrash(fingerprintOf(prompt), key, { sentAt, isTrial }, this.now());
   }
 
   /** Clears the suspicion after a complete answer: the prompt wasn't the cause of the losses. */
   clearSuspicion(prompt: Prompt): void {
-    if (this.mayBeSuspect(prompt)) this.quarantine.ranWhole(fingerprintOf(prompt));
+    if (this.mayBeSuspect(prompt)) this.quarantine.completed(fingerprintOf(prompt));
   }
 
   /** Filters by length, so that the digest is computed only for prompts as long as some suspect. */
   private mayBeSuspect({ prompt }: Prompt): boolean {
-    return this.quarantine.size > 0 && this.quarantine.mayKnow(Buffer.byteLength(prompt));
+    return this.quarantine.size > 0 && this.quarantine.mayHaveSuspect(Buffer.byteLength(prompt));
   }
 }
 
--- a/packages/daemon/src/requests/execution.ts
+++ b/packages/daemon/src/requests/execution.ts
@@ -39,18 +39,21 @@
 }
 
 /** What an execution needs from the rest of the daemon. */
-export interface Parts {
+export interface Dependencies {
   router: router.Router;
-  allocations: allocations.Allocations;
+  allocations: allocations.AllocationClient;
   adapter: adapter.EngineAdapter;
   gatherer: gatherer.Gatherer;
-  holdings: holdingsLoop.HoldingsLoop;
+  holdings: holdingsLoop.LeaseLoop;
   observer: observer.Observer;
   budget: domain.request.retry.Budget;
   /** Quarantine of prompts that crash engines. */
-  contents: Pick<contentMemory.ContentMemory, 'status' | 'reportEngineLoss' | 'clearSuspicion'>;
+  quarantine: Pick<
+    contentMemory.PromptQuarantine,
+    'status' | 'reportEngineLoss' | 'clearSuspicion'
+  >;
   random: domain.shared.random.Random;
-  owner: () => domain.memory.holding.Owner;
+  owner: () => domain.memory.leasedResources.Owner;
   /** Response timeout: an engine that sends nothing for so long is probed. */
   silenceMs: number;
   /** Updates the ratio of prompt length to tokens of a model. */
@@ -112,7 +115,7 @@
   constructor(
     private readonly request: ModelRequest,
     private readonly sink: Sink,
-    private readonly dependencies: Parts,
+    private readonly dependencies: Dependencies,
   ) {
     this.check = new domain.request.stream.StreamCheck(request.id);
     this.promptTokens = request.promptTokens;
@@ -151,7 +154,7 @@
     for (;;) {
       const termination = this.earlyTermination();
       if (termination !== undefined) return Err(termination);
-      const status = this.dependencies.contents.status(this.request);
+      const status = this.dependencies.quarantine.status(this.request);
       if (status === 'quarantined') return Err(this.quarantineError());
       this.abortController = new AbortController();
       this.abortReason = undefined;
@@ -162,8 +165,8 @@
       const { last, failure } = await this.attemptUntilAccepted(id, dispatch);
       this.dependencies.allocations.finished(id, this.target, this.lastLoad);
       if (failure === undefined) return Ok(this.complete(last));
-      if (domain.request.retry.LOST.includes(failure.attempt.fault)) {
-        this.dependencies.contents.reportEngineLoss(this.request, {
+      if (domain.request.retry.TARGET_LOST_FAULTS.includes(failure.attempt.fault)) {
+        this.dependencies.quarantine.reportEngineLoss(this.request, {
           target: last.target,
           ...this.attemptContext,
         });
@@ -261,7 +264,7 @@
     this.dependencies.holdings.hold(target, id, 'stream');
     const failure = await this.stream(id, dispatch, gathered.val.parts);
     const nothingLeased = failure === undefined || failure.noRoom !== undefined;
-    if (nothingLeased) this.dependencies.holdings.holdings.confirmed(target.name, id);
+    if (nothingLeased) this.dependencies.holdings.holdings.confirmRelease(target.name, id);
     else this.dependencies.holdings.release(target.name, id);
     this.dependencies.gatherer.release(gathered.val);
     return failure;
@@ -270,7 +273,7 @@
   private async stream(
     id: string,
     { target, enginePriority, needsRoom }: Dispatch,
-    reservations: readonly domain.memory.gathering.Part[],
+    reservations: readonly domain.memory.gathering.MemoryPart[],
   ): Promise<AttemptFailure | undefined> {
     const { model, prompt, answerTokens, prefixKeys } = this.request;
     const opened = await this.open(target, {
@@ -420,7 +423,7 @@
   }
 
   private acceptFrame(target: string, frame: adapter.EngineFrame): 'more' | 'whole' | 'wrong' {
-    const finding = this.check.take(frame);
+    const finding = this.check.accept(frame);
     if (finding.kind === 'crossed' || finding.kind === 'gap') {
       this.dependencies.observer.log('frameCrossed', { target, finding: finding.kind });
       return 'wrong';
@@ -500,7 +503,7 @@
 
   private complete({ target }: Dispatch): Completion {
     this.dependencies.router.succeeded(target.name);
-    this.dependencies.contents.clearSuspicion(this.request);
+    this.dependencies.quarantine.clearSuspicion(this.request);
     const { position: tokens, text } = this.check;
     const attempts = this.attempts.length + 1;
     return { text, tokens, promptTokens: this.promptTokens, target: target.name, attempts };
--- a/packages/daemon/src/requests/gatherer.ts
+++ b/packages/daemon/src/requests/gatherer.ts
@@ -8,13 +8,13 @@
 import type * as holdingsLoop from './holdingsLoop';
 
 type Target = domain.target.target.Target;
-type Part = domain.memory.gathering.Part;
+type Part = domain.memory.gathering.MemoryPart;
 
 export interface Options {
   adapter: adapter.EngineAdapter;
-  holdings: holdingsLoop.HoldingsLoop;
+  holdings: holdingsLoop.LeaseLoop;
   random: domain.shared.random.Random;
-  owner: () => domain.memory.holding.Owner;
+  owner: () => domain.memory.leasedResources.Owner;
   /** Engines that may lend memory. */
   engines: () => Target[];
   /** Estimated free memory of an engine, in tokens. */
@@ -54,7 +54,7 @@
     signal: AbortSignal,
   ): Promise<Result<Gathered, GatherError>> {
     const tokens = request.promptTokens + request.answerTokens;
-    const primaryShare = domain.routing.dispatcher.PRIMARY_SHARE;
+    const primaryShare = domain.routing.dispatcher.MAX_PRIMARY_MEMORY_FRACTION;
     if (tokens <= Math.floor(primary.memoryTokens * primaryShare))
       return Ok({ tag: id, parts: [] });
     const { now, random } = this.options;
@@ -115,7 +115,7 @@
     if (target === undefined) return false;
     const reservation = this.reservationId(tag, name);
     holdings.hold(target, reservation, 'reservation');
-    const leaseMs = domain.memory.holding.LEASE_MS;
+    const leaseMs = domain.memory.leasedResources.LEASE_MS;
     const request = { id: reservation, owner: owner(), tokens, leaseMs };
     const reserved = await engine.reserve(target, request);
     return reserved.ok && reserved.val;
--- a/packages/daemon/src/requests/holdingsLoop.ts
+++ b/packages/daemon/src/requests/holdingsLoop.ts
@@ -16,9 +16,9 @@
   /** Engines whose keeper is this daemon; it reclaims the leases of dead daemons there. */
   keptEngines: () => Target[];
   /** What is known about the daemon that owns a lease. */
-  standing: (daemon: string) => domain.memory.holding.Standing;
+  ownerStatus: (daemon: string) => domain.memory.leasedResources.OwnerStatus;
   /** Writes an entry to the audit trail. */
-  note: (action: string, subject: string, detail: string) => void;
+  audit: (action: string, subject: string, detail: string) => void;
 }
 
 const RELEASE_INTERVAL_MS = 100;
@@ -27,8 +27,8 @@
 
 const RECLAIM_INTERVAL_MS = 3_000;
 
-export class HoldingsLoop {
-  readonly holdings = new domain.memory.holding.Holdings();
+export class LeaseLoop {
+  readonly holdings = new domain.memory.leasedResources.LeasedResources();
 
   private timers: NodeJS.Timeout[] = [];
 
@@ -46,8 +46,8 @@
     this.timers.forEach((timer) => clearInterval(timer));
   }
 
-  hold(target: Target, id: string, kind: domain.memory.holding.Kind): void {
-    this.holdings.hold(target.name, target.incarnation, id, kind);
+  hold(target: Target, id: string, kind: domain.memory.leasedResources.Kind): void {
+    this.holdings.add(target.name, target.incarnation, id, kind);
   }
 
   /** Releases at once and repeats it until the engine confirms. */
@@ -57,7 +57,7 @@
   }
 
   private releaseDue(): void {
-    this.holdings.due(this.options.now()).forEach(({ target, id, kind }) => {
+    this.holdings.dueReleases(this.options.now()).forEach(({ target, id, kind }) => {
       void this.releaseOne(target, id, kind);
     });
   }
@@ -65,12 +65,12 @@
   private async releaseOne(
     name: string,
     id: string,
-    kind: domain.memory.holding.Kind,
+    kind: domain.memory.leasedResources.Kind,
   ): Promise<void> {
     const target = this.options.target(name);
     if (target === undefined) return;
     const released = await this.options.adapter.release(target, id, kind);
-    if (released.ok) this.holdings.confirmed(name, id);
+    if (released.ok) this.holdings.confirmRelease(name, id);
     else this.options.observer.log('releaseRetried', { target: name, id });
   }
 
@@ -78,7 +78,7 @@
     this.holdings.renewable().forEach(({ target: name, id }) => {
       const target = this.options.target(name);
       if (target === undefined) return;
-      void this.options.adapter.renew(target, id, domain.memory.holding.LEASE_MS);
+      void this.options.adapter.renew(target, id, domain.memory.leasedResources.LEASE_MS);
     });
   }
 
@@ -93,14 +93,14 @@
     const listed = await this.options.adapter.holdings(target);
     if (listed.err || listed.val.incarnation !== target.incarnation) return;
     const orphaned = listed.val.holdings.filter((holding) => {
-      const ownerStatus = this.options.standing(holding.owner.daemon);
-      return domain.memory.holding.judge(holding, ownerStatus) === 'reclaim';
+      const ownerStatus = this.options.ownerStatus(holding.owner.daemon);
+      return domain.memory.leasedResources.classify(holding, ownerStatus) === 'reclaim';
     });
     for (const { id, kind, owner } of orphaned) {
       const released = await this.options.adapter.release(target, id, kind);
       if (released.ok) {
         this.options.observer.log('reclaimed', { target: target.name, id, owner: owner.daemon });
-        this.options.note('reclaim', `${target.name}/${id}`, `owner ${owner.daemon} is dead`);
+        this.options.audit('reclaim', `${target.name}/${id}`, `owner ${owner.daemon} is dead`);
       }
     }
   }
--- a/packages/daemon/src/requests/ledgerClient.ts
+++ b/packages/daemon/src/requests/ledgerClient.ts
@@ -6,7 +6,7 @@
 
 type Command =
   Exclude<domain.ledger.ledger.Command, { kind: 'claim' }> | domain.ledger.ledger.TimedClaim;
-type Verdict = domain.ledger.ledger.Verdict;
+type Verdict = domain.ledger.ledger.CommandResult;
 
 export function shardName(shard: number): string {
   return `ledger-${shard}`;
--- a/packages/daemon/src/requests/router.ts
+++ b/packages/daemon/src/requests/router.ts
@@ -4,7 +4,7 @@
  */
 import * as domain from '@celerydrift/domain';
 import type * as observer from '../observability/observer';
-import type * as news from '../membership/news';
+import type * as gossipRecords from '../membership/news';
 import type * as adapter from '../targets/adapter';
 
 type Target = domain.target.target.Target;
@@ -37,7 +37,7 @@
 
   private readonly waiters = new Map<string, Waiter>();
 
-  private readonly peerWorkloads = new Map<string, news.Work>();
+  private readonly peerWorkloads = new Map<string, gossipRecords.Workload>();
 
   private engines: Target[] = [];
 
@@ -124,7 +124,7 @@
     const wasOpen = circuit.state !== 'closed';
     circuit.succeeded();
     if (wasOpen) this.options.observer.log('circuitClosed', { target });
-    this.dispatcher.setBroken(target, false);
+    this.dispatcher.setCircuitOpen(target, false);
   }
 
   failed(target: string): void {
@@ -133,7 +133,7 @@
     circuit.failed(this.options.now());
     if (circuit.state !== 'open') return;
     if (formerState !== 'open') this.options.observer.log('circuitOpened', { target });
-    this.dispatcher.setBroken(target, true);
+    this.dispatcher.setCircuitOpen(target, true);
   }
 
   freeTokens(target: string): number {
@@ -149,7 +149,7 @@
   }
 
   /** Takes a peer's workload report. */
-  peerWork(workload: news.Work): void {
+  updatePeerWorkload(workload: gossipRecords.Workload): void {
     this.peerWorkloads.set(workload.daemon, workload);
     this.applyPeerWorkloads();
   }
@@ -167,9 +167,9 @@
   }
 
   /** Own workload for the peers; short requests are omitted since the engines' load reports cover them in time. */
-  ownWork(): Pick<news.Work, 'outstanding' | 'demand'> {
+  ownWorkload(): Pick<gossipRecords.Workload, 'outstanding' | 'demand'> {
     const { quantised } = domain.target.target;
-    const outstanding: news.Work['outstanding'] = {};
+    const outstanding: gossipRecords.Workload['outstanding'] = {};
     this.dispatcher.outstanding().forEach(({ medium, long }, name) => {
       if (medium + long === 0) return;
       outstanding[name] = { short: 0, medium: quantised(medium), long: quantised(long) };
@@ -190,7 +190,7 @@
     const now = this.options.now();
     this.circuits.forEach((circuit, target) => {
       if (!circuit.tick(now)) return;
-      this.dispatcher.setBroken(target, false);
+      this.dispatcher.setCircuitOpen(target, false);
       this.poll();
     });
   }
@@ -230,7 +230,7 @@
   private applyPeerWorkloads(): void {
     const now = this.options.now();
     const workloads = [...this.peerWorkloads.values()];
-    const sum = (select: (work: news.Work) => number): number =>
+    const sum = (select: (work: gossipRecords.Workload) => number): number =>
       workloads.reduce((total, work) => total + select(work), 0);
     this.engines.forEach(({ name }) => {
       const tokensIn = (band: domain.routing.band.Band): number =>
@@ -240,7 +240,7 @@
         medium: tokensIn('medium'),
         long: tokensIn('long'),
       };
-      this.dispatcher.peersReported(name, outstanding, now);
+      this.dispatcher.setPeersOutstanding(name, outstanding, now);
     });
     this.dispatcher.setPeerDemand({
       short: sum(({ demand }) => demand.short),
@@ -263,7 +263,7 @@
     if (response.err) return;
     const { sequence, keys, events = [] } = response.val;
     if (keys !== undefined) prefixes.resync(target.name, keys, sequence);
-    const findings = events.map((event) => prefixes.event(target.name, event));
+    const findings = events.map((event) => prefixes.applyEvent(target.name, event));
     const hasGap = findings.includes('gap') || sequence < since;
     this.cacheSequences.set(target.name, hasGap ? -1 : sequence);
   }
--- a/packages/daemon/src/requests/serviceProxy.ts
+++ b/packages/daemon/src/requests/serviceProxy.ts
@@ -14,7 +14,7 @@
 import type * as router from './router';
 
 type Target = domain.target.target.Target;
-type Verdict = domain.ledger.ledger.Verdict;
+type Verdict = domain.ledger.ledger.CommandResult;
 
 export interface ServiceCall {
   tenant: domain.settings.directory.Tenant;
@@ -94,7 +94,7 @@
         this.options.random,
       );
       if (decision.kind === 'giveUp') return Err(attemptsError(attempts, true));
-      await clock.pause(decision.delayMs);
+      await clock.sleep(decision.delayMs);
     }
   }
 
@@ -140,7 +140,7 @@
       if (verdict.val.kind === 'granted') return this.runClaimed(call, key, attempt);
       if (verdict.val.kind !== 'running') return resultOfVerdict(verdict.val);
       if (remainingMs <= CLAIM_POLL_INTERVAL_MS) return Err(stillRunningError());
-      await clock.pause(CLAIM_POLL_INTERVAL_MS);
+      await clock.sleep(CLAIM_POLL_INTERVAL_MS);
     }
   }
 
--- a/packages/daemon/src/requests/stopWatch.ts
+++ b/packages/daemon/src/requests/stopWatch.ts
@@ -23,7 +23,7 @@
   return address.slice(0, address.lastIndexOf(':'));
 }
 
-export class StopWatch {
+export class PlannedStopTracker {
   constructor(private readonly options: Options) {}
 
   /** Whether a target is serving and not covered by a planned stop. */
@@ -38,17 +38,17 @@
   }
 
   /** Moves requests away from targets whose grace period is over. */
-  moveOverdue(): void {
+  moveAfterGrace(): void {
     const now = this.options.now();
     this.options.running.forEach((running) => {
       const target = this.options.target(running.target);
       const stop = target === undefined ? undefined : this.stopFor(target);
-      if (stop !== undefined && domain.stop.stop.graceIsOver(stop, now)) running.move();
+      if (stop !== undefined && domain.stop.stop.isGraceOver(stop, now)) running.move();
     });
   }
 
   /** Number of requests still running under each planned stop, for its progress report. */
-  remainders(): domain.stop.stop.Remainder[] {
+  remainders(): domain.stop.stop.RunningCount[] {
     const { host, dataCentre } = this.options;
     return this.options.stops().map((stop) => {
       const coversSelf = domain.stop.stop.covers(stop, { target: '', host, dataCentre });
--- a/packages/daemon/src/rpc/peerClient.ts
+++ b/packages/daemon/src/rpc/peerClient.ts
@@ -134,7 +134,7 @@
   private readonly connections = new Map<string, Connection>();
 
   /** Addresses to which no connection is made; tests simulate network partitions with it. */
-  readonly cut = new Set<string>();
+  readonly blockedAddresses = new Set<string>();
 
   constructor(
     private readonly secret: string,
@@ -171,7 +171,7 @@
   }
 
   /** Closes the connection to the address, and fails its pending calls, if it isn't established in time. */
-  dropStuck(address: string): void {
+  dropOverdueConnection(address: string): void {
     if (this.connections.get(address)?.isConnectOverdue(this.connectTimeoutMs))
       this.drop(address, 'no connection');
   }
@@ -206,7 +206,7 @@
   }
 
   private connection(address: string): Connection | undefined {
-    if (this.cut.has(address)) {
+    if (this.blockedAddresses.has(address)) {
       this.drop(address, 'path cut');
       return undefined;
     }
--- a/packages/daemon/src/storage/__tests__/storage.test.ts
+++ b/packages/daemon/src/storage/__tests__/storage.test.ts
@@ -79,7 +79,7 @@
     const second = (await journal.Journal.open(folder)).unwrap();
     expect([first.durable, second.wasTorn, second.durable]).toMatchSnapshot();
     await second.journal.rewrite({
-      ...(second.durable as domain.replication.messages.Durable),
+      ...(second.durable as domain.replication.messages.DurableState),
       snapshot: { index: 2, term: 1, members: [], state: 'state' },
     });
     await second.journal.append([{ kind: 'append', entries: [entry(4)] }]);
--- a/packages/daemon/src/storage/journal.ts
+++ b/packages/daemon/src/storage/journal.ts
@@ -9,9 +9,9 @@
 import { Err, Ok, Result } from 'ts-results';
 import * as frames from './frames';
 
-type Durable = domain.replication.messages.Durable;
+type Durable = domain.replication.messages.DurableState;
 /** Snapshots aren't appended: they rewrite the journal from the replica's whole durable state. */
-type Record = Exclude<domain.replication.messages.Record, { kind: 'snapshot' }>;
+type Record = Exclude<domain.replication.messages.StorageRecord, { kind: 'snapshot' }>;
 
 export interface OpenedJournal {
   journal: Journal;
--- a/packages/daemon/src/targets/adapter.ts
+++ b/packages/daemon/src/targets/adapter.ts
@@ -21,8 +21,8 @@
   /** Text of these tokens. */
   emitted: string;
   prefixKeys: readonly number[];
-  owner: domain.memory.holding.Owner;
-  reservations: readonly domain.memory.gathering.Part[];
+  owner: domain.memory.leasedResources.Owner;
+  reservations: readonly domain.memory.gathering.MemoryPart[];
   /** Whether the engine must refuse at once, as not run, if it lacks the memory now. */
   needsRoom: boolean;
 }
@@ -52,7 +52,7 @@
 /** Resources that an engine lists as leased. */
 export interface LeaseListing {
   incarnation: number;
-  holdings: domain.memory.holding.Listed[];
+  holdings: domain.memory.leasedResources.ListedResource[];
 }
 
 /** Contents or recent events of an engine's prefix cache. */
@@ -64,7 +64,7 @@
 
 export interface ReservationRequest {
   id: string;
-  owner: domain.memory.holding.Owner;
+  owner: domain.memory.leasedResources.Owner;
   tokens: number;
   leaseMs: number;
 }
@@ -87,7 +87,7 @@
   release(
     target: Target,
     id: string,
-    kind: domain.memory.holding.Kind,
+    kind: domain.memory.leasedResources.Kind,
   ): Promise<Result<void, errors.TargetError>>;
   reserve(
     target: Target,
--- a/packages/daemon/src/targets/httpAdapter.ts
+++ b/packages/daemon/src/targets/httpAdapter.ts
@@ -112,7 +112,7 @@
     generation: adapter.GenerateRequest,
     signal: AbortSignal,
   ): AdapterResult<adapter.EngineStream> {
-    const body = JSON.stringify({ ...generation, system: domain.memory.holding.SYSTEM });
+    const body = JSON.stringify({ ...generation, system: domain.memory.leasedResources.SYSTEM });
     const headers = { 'content-type': 'application/json' };
     const call = { method: 'POST', path: '/v1/generate', body, headers, signal } as const;
     return this.open(target, { ...call, headersTimeoutMs: 0 });
@@ -130,7 +130,11 @@
     return answer.map(({ state }) => state);
   }
 
-  async release(target: Target, id: string, kind: domain.memory.holding.Kind): AdapterResult<void> {
+  async release(
+    target: Target,
+    id: string,
+    kind: domain.memory.leasedResources.Kind,
+  ): AdapterResult<void> {
     const collection = kind === 'stream' ? 'requests' : 'holdings';
     const path = `/v1/${collection}/${encodeURIComponent(id)}`;
     const answer = await this.json(target, { method: 'DELETE', path, newConnection: true });
@@ -138,7 +142,7 @@
   }
 
   async reserve(target: Target, reservation: adapter.ReservationRequest): AdapterResult<boolean> {
-    const body = JSON.stringify({ ...reservation, system: domain.memory.holding.SYSTEM });
+    const body = JSON.stringify({ ...reservation, system: domain.memory.leasedResources.SYSTEM });
     const call = { method: 'POST', path: '/v1/reservations', body } as const;
     const answer = await this.json<{ granted: boolean }>(target, call, [409]);
     return answer.map(({ granted }) => granted);
--- a/packages/daemon/src/targets/httpClient.ts
+++ b/packages/daemon/src/targets/httpClient.ts
@@ -64,7 +64,7 @@
   }
 
   /** Closes the pooled connections of a target that is gone or restarted. */
-  forget(address: string): void {
+  closePool(address: string): void {
     void this.pools.get(address)?.destroy();
     this.pools.delete(address);
   }
--- a/packages/daemon/src/targets/targetTable.ts
+++ b/packages/daemon/src/targets/targetTable.ts
@@ -76,7 +76,8 @@
       await this.options.members().push({ kind: 'target', target });
     }
     const known = this.get(target.name);
-    const isUnchanged = known !== undefined && !domain.target.target.isNews(target, known);
+    const isUnchanged =
+      known !== undefined && !domain.target.target.isSignificantChange(target, known);
     const { self } = this.options.members();
     const keepers = this.keepersOf(target);
     if (keepers.includes(self.id)) this.acceptAsKeeper(target);
@@ -140,7 +141,7 @@
     const { self } = this.options.members();
     this.targets.forEach((target) => {
       const isKeeper = this.keepersOf(target).includes(self.id);
-      if (isKeeper && target.status === 'serving') this.keeper.adopt(target, now);
+      if (isKeeper && target.status === 'serving') this.keeper.startLease(target, now);
       if (!isKeeper) this.keeper.drop(target.name);
     });
   }
--- a/packages/domain/src/allocation/__tests__/allocator.test.ts
+++ b/packages/domain/src/allocation/__tests__/allocator.test.ts
@@ -22,7 +22,7 @@
     const readings = [5_000, 45_000, 154_000, 220_000].map((tokens) => {
       return [
         tokens,
-        Math.round(cost.readMs(ENGINE, tokens)),
+        Math.round(cost.prefillMs(ENGINE, tokens)),
         cost.engineStepMs(ENGINE, 4, 20_000),
       ];
     });
@@ -47,7 +47,7 @@
     expect(suspects).not.to.include(last);
     const others = Array.from({ length: 60 }, (_, i) => where(`o${i}`));
     expect(others).not.to.include(last);
-    placer.ended('last', 'done', 0);
+    placer.endDispatch('last', 'done', 0);
     expect(Array.from({ length: 60 }, (_, i) => where(`p${i}`))).to.include(last);
   });
 
@@ -89,7 +89,7 @@
     const placer = fleet(1);
     for (let i = 0; i < 11; i++) placer.place(request(`s${i}`, { pauseMs: 1e6 }), 0);
     expect(placer.place(request('more'), 0)).to.equal(undefined);
-    placer.ended('s3', 'done', 10);
+    placer.endDispatch('s3', 'done', 10);
     expect(placer.place(request('more', { entry: 'e2' }), 10)).to.not.equal(undefined);
     placer.forgetEntry('e1', 20);
     expect(placer.size).to.equal(1);
@@ -108,17 +108,17 @@
 
   it('predicts when the least busy engine becomes available', () => {
     const placer = fleet(1);
-    expect(placer.nextPlaceMs('engines', 0)).to.be.lessThan(100);
+    expect(placer.nextAvailableMs('engines', 0)).to.be.lessThan(100);
     placer.place(request('long', { ...LONG, tokens: 100_000 }), 0);
-    expect(placer.nextPlaceMs('engines', 0)).to.be.within(1_400, 1_700);
-    expect(placer.nextPlaceMs('engines', 1_000)).to.be.within(400, 700);
-    expect(placer.nextPlaceMs('other', 0)).to.equal(Infinity);
+    expect(placer.nextAvailableMs('engines', 0)).to.be.within(1_400, 1_700);
+    expect(placer.nextAvailableMs('engines', 1_000)).to.be.within(400, 700);
+    expect(placer.nextAvailableMs('other', 0)).to.equal(Infinity);
   });
 
   it('avoids a target that failed, unless there is no other', () => {
     const placer = fleet(2);
     const first = placer.place(request('a'), 0)?.target;
-    placer.ended('a', 'unreachable', 10);
+    placer.endDispatch('a', 'unreachable', 10);
     expect(placer.place(request('b'), 20)?.target).to.not.equal(first);
     placer.observe({ ...target(0), state: 'draining' });
     placer.observe({ ...target(1), state: 'draining' });
@@ -148,7 +148,7 @@
     const patient = { ...huge, objectiveMs: 6_000 };
     expect(placer.place(request('huge', patient), 0)).to.not.equal(undefined);
     expect(placer.place(request('next', { ...LONG, tokens: 250_000 }), 0)).to.equal(undefined);
-    placer.ended('huge', 'done', 5_000);
+    placer.endDispatch('huge', 'done', 5_000);
     expect(placer.place(request('next', { ...LONG, tokens: 250_000 }), 5_000)).to.not.equal(
       undefined,
     );
@@ -223,11 +223,11 @@
     };
     const entry = fleet(21, random.seeded(1));
     expect(partsIn(entry)).to.be.greaterThan(11);
-    entry.ended('long', 'done', 5_000);
-    entry.assume(leader.averages());
+    entry.endDispatch('long', 'done', 5_000);
+    entry.assumeAverageLoads(leader.averageLoadByService());
     expect(partsIn(entry)).to.be.lessThan(5);
-    entry.ended('long', 'done', 5_000);
-    entry.assume([{ service: 'engines', value: 0, pauseMs: 0 }]);
+    entry.endDispatch('long', 'done', 5_000);
+    entry.assumeAverageLoads([{ service: 'engines', value: 0, pauseMs: 0 }]);
     expect(partsIn(entry)).to.be.greaterThan(11);
   });
 
@@ -240,7 +240,7 @@
     let slow = 't0';
     const decode = (more: Partial<allocator.Request> = {}): string => {
       const { target: id = '' } = placer.place(request('r', more), 0) ?? {};
-      placer.ended('r', 'done', 0, { gapMs: id === slow ? 4 * 43 : 43 });
+      placer.endDispatch('r', 'done', 0, { gapMs: id === slow ? 4 * 43 : 43 });
       return id;
     };
     for (let i = 0; i < 10; i++) decode();
--- a/packages/domain/src/allocation/__tests__/limitedEngines.test.ts
+++ b/packages/domain/src/allocation/__tests__/limitedEngines.test.ts
@@ -19,7 +19,7 @@
 /** The first `limited` of `size` engines take one request a second. */
 function fleet(size: number, limited: number): Fleet {
   const limits = new rateLimits.RateLimits();
-  limits.giveOut(1, 0);
+  limits.setShare(1, 0);
   const placer = new allocator.Allocator(undefined, undefined, limits);
   placer.setServices([SERVICE]);
   for (let i = 0; i < size; i++) placer.observe(target(i));
@@ -34,7 +34,7 @@
     const placed = placer.place(request('long', LONG), 1_000);
     const used = [placed?.target, ...(placed?.helpers ?? []).map((helper) => helper.target)];
     expect(used.length).to.be.above(1);
-    const left = [0, 1, 2, 3].map((i) => limits.mayTake(target(i), 1_000));
+    const left = [0, 1, 2, 3].map((i) => limits.maySend(target(i), 1_000));
     expect(left).to.deep.equal([0, 1, 2, 3].map((i) => !used.includes(`t${i}`)));
   });
 
--- a/packages/domain/src/allocation/__tests__/prefill.test.ts
+++ b/packages/domain/src/allocation/__tests__/prefill.test.ts
@@ -12,19 +12,19 @@
 
 const { expect } = chai;
 
-const IDLE: prefillQueue.DecodeState = { isWriting: false, passMs: () => 45 };
-const BUSY: prefillQueue.DecodeState = { isWriting: true, passMs: () => 40 };
+const IDLE: prefillQueue.DecodeState = { isDecoding: false, engineStepMs: () => 45 };
+const BUSY: prefillQueue.DecodeState = { isDecoding: true, engineStepMs: () => 40 };
 
 /** Adds a prompt whose only part is in `queue`. */
 function addPart(
-  queue: prefillQueue.ReadQueue,
+  queue: prefillQueue.PrefillQueue,
   name: string,
   part: { leftMs: number; isPart: boolean },
   now: number,
-): prefills.Reading {
-  const started = new prefills.Reading(name, 1_000, 3_000, now);
-  queue.add({ reading: started, ...part }, now);
-  started.addPlace(queue);
+): prefills.Prefill {
+  const started = new prefills.Prefill(name, 1_000, 3_000, now);
+  queue.add({ prefill: started, ...part }, now);
+  started.addPart(queue);
   return started;
 }
 
@@ -35,7 +35,7 @@
    * parts of four later prompts preempted its own, each newer one first.
    */
   it('is the newest part, where nothing decodes', () => {
-    const queue = new prefillQueue.ReadQueue(IDLE);
+    const queue = new prefillQueue.PrefillQueue(IDLE);
     const first = addPart(queue, 'a', { leftMs: 610, isPart: true }, 0);
     const second = addPart(queue, 'b', { leftMs: 516, isPart: true }, 280);
     expect([first.endsAt(280), second.endsAt(280)]).to.deep.equal([1_126, 796]);
@@ -45,7 +45,7 @@
   });
 
   it('is a part before a whole prompt, and whole prompts in order of arrival', () => {
-    const queue = new prefillQueue.ReadQueue(IDLE);
+    const queue = new prefillQueue.PrefillQueue(IDLE);
     const whole = addPart(queue, 'whole', { leftMs: 100, isPart: false }, 0);
     const next = addPart(queue, 'next', { leftMs: 100, isPart: false }, 0);
     const part = addPart(queue, 'part', { leftMs: 300, isPart: true }, 50);
@@ -57,7 +57,7 @@
    * arrivals wait for its end, and all prompts of one step have their first token at its end.
    */
   it('is everything queued, where a request decodes', () => {
-    const queue = new prefillQueue.ReadQueue(BUSY);
+    const queue = new prefillQueue.PrefillQueue(BUSY);
     const first = addPart(queue, 'a', { leftMs: 100, isPart: true }, 0);
     expect(first.endsAt(0)).to.equal(20 + 100 + 40);
     const late = addPart(queue, 'late', { leftMs: 50, isPart: true }, 30);
@@ -65,7 +65,7 @@
   });
 
   it('is nothing of a request that has ended', () => {
-    const queue = new prefillQueue.ReadQueue(IDLE);
+    const queue = new prefillQueue.PrefillQueue(IDLE);
     const first = addPart(queue, 'a', { leftMs: 100, isPart: true }, 0);
     addPart(queue, 'b', { leftMs: 500, isPart: true }, 50);
     queue.remove('b', 150);
@@ -98,15 +98,15 @@
     name: string,
     tokens: number,
     now: number,
-  ): prefills.Reading {
+  ): prefills.Prefill {
     const prompt = { ...PROMPT, tokens };
     const decision = new planner.Planner(ENGINE).decide(prompt, loads, now, false);
-    const started = new prefills.Reading(name, planner.valueOf(prompt), PROMPT.objectiveMs, now);
+    const started = new prefills.Prefill(name, planner.valueOf(prompt), PROMPT.objectiveMs, now);
     if (decision.kind !== 'begin') throw new Error(`no plan for ${name}`);
     const { helpers, decoder, partMs, decoderTokens } = decision.plan;
     const task = { request: name, prefillMs: partMs, contextTokens: 0, value: 0 };
     const part: Omit<prefillQueue.PrefillPart, 'leftMs'> = {
-      reading: started,
+      prefill: started,
       isPart: helpers.length > 0,
     };
     decoder.add(
@@ -145,7 +145,7 @@
   });
 
   it('costs the penalty of each delayed prompt once, however many engines delay it', () => {
-    const delayed = new prefills.Reading('a', 1_000, 3_000, 0);
+    const delayed = new prefills.Prefill('a', 1_000, 3_000, 0);
     const delay = { prefill: delayed, sooner: 1_000 };
     const twice = loadForecast.delayPenalty([
       { ...delay, later: 2_400 },
--- a/packages/domain/src/allocation/__tests__/soundness.test.ts
+++ b/packages/domain/src/allocation/__tests__/soundness.test.ts
@@ -5,13 +5,13 @@
 const { expect } = chai;
 
 /** Times at which an idle target gets requests that all fail in the same way. */
-function canaryTimes(outcome: targetHealth.Ending, forMs: number): number[] {
-  const health = new targetHealth.Soundness();
+function canaryTimes(outcome: targetHealth.DispatchOutcome, forMs: number): number[] {
+  const health = new targetHealth.TargetHealth();
   const times: number[] = [];
   for (let now = 0; now < forMs; now += 50) {
     if (!health.isUsable(now, true)) continue;
     times.push(now);
-    health.ended(outcome, now);
+    health.recordOutcome(outcome, now);
   }
   return times;
 }
@@ -28,22 +28,22 @@
   });
 
   it('sends one canary request at a time to a failed target, and all once it succeeds', () => {
-    const health = new targetHealth.Soundness();
-    health.ended('unreachable', 0);
+    const health = new targetHealth.TargetHealth();
+    health.recordOutcome('unreachable', 0);
     expect(health.isUsable(1_499, true)).to.equal(false);
     expect([health.isUsable(1_500, true), health.isUsable(1_500, false)]).to.deep.equal([
       true,
       false,
     ]);
-    health.ended('done', 1_600);
+    health.recordOutcome('done', 1_600);
     expect(health.isUsable(1_600, false)).to.equal(true);
   });
 
   it('requires no canary request after one broken answer, but after two', () => {
-    const health = new targetHealth.Soundness();
-    health.ended('broken', 0);
+    const health = new targetHealth.TargetHealth();
+    health.recordOutcome('broken', 0);
     expect(health.isUsable(500, false)).to.equal(true);
-    health.ended('broken', 600);
+    health.recordOutcome('broken', 600);
     expect([health.isUsable(1_600, false), health.isUsable(1_600, true)]).to.deep.equal([
       false,
       true,
@@ -51,15 +51,15 @@
   });
 
   it('counts concurrent failures as one', () => {
-    const health = new targetHealth.Soundness();
-    for (let i = 0; i < 8; i++) health.ended('broken', i);
+    const health = new targetHealth.TargetHealth();
+    for (let i = 0; i < 8; i++) health.recordOutcome('broken', i);
     expect(health.isUsable(500, true)).to.equal(true);
   });
 
   it('ejects a full target only briefly, and none whose caller left', () => {
-    const health = new targetHealth.Soundness();
-    health.ended('cancelled', 0);
-    health.ended('full', 0);
+    const health = new targetHealth.TargetHealth();
+    health.recordOutcome('cancelled', 0);
+    health.recordOutcome('full', 0);
     expect([health.isUsable(100, true), health.isUsable(250, false)]).to.deep.equal([false, true]);
   });
 
@@ -69,11 +69,11 @@
    * them.
    */
   it('distinguishes a target that fails two in five from a healthy one', () => {
-    const failing = new targetHealth.Soundness();
-    const healthy = new targetHealth.Soundness();
+    const failing = new targetHealth.TargetHealth();
+    const healthy = new targetHealth.TargetHealth();
     for (let i = 0; i < 10; i++) {
-      failing.ended(i % 5 < 2 ? 'full' : 'done', 100 * i);
-      healthy.ended(i === 3 ? 'broken' : 'done', 100 * i);
+      failing.recordOutcome(i % 5 < 2 ? 'full' : 'done', 100 * i);
+      healthy.recordOutcome(i === 3 ? 'broken' : 'done', 100 * i);
     }
     expect(failing.failureShare(1_000)).to.be.greaterThan(0.15);
     expect(healthy.failureShare(1_000)).to.be.lessThan(0.06);
--- a/packages/domain/src/allocation/allocator.ts
+++ b/packages/domain/src/allocation/allocator.ts
@@ -51,7 +51,7 @@
   firstTokenMs: number;
 }
 
-export type Choice =
+export type PlacementResult =
   { kind: 'placed'; placement: Placement } | Exclude<planner.Decision, { kind: 'begin' }>;
 
 /** What an entry observed of a dispatch beside its outcome. */
@@ -103,7 +103,7 @@
   private engines = new Map<string, catalogue.Engine>();
 
   /** Average load reported by the leader, by service; assumed on each engine. */
-  private readonly averageLoads = new Map<string, assumedLoad.Crowding>();
+  private readonly averageLoads = new Map<string, assumedLoad.AverageLoad>();
 
   /**
    * `randomSource` is for an allocator that sees only part of all dispatches: it shuffles the
@@ -154,7 +154,7 @@
   }
 
   /** Average load of the engines of each service, for allocators that see only part of it. */
-  averages(): assumedLoad.Crowding[] {
+  averageLoadByService(): assumedLoad.AverageLoad[] {
     return [...this.engines.keys()].map((name) => {
       const ready = this.cellsOf(name)
         .all()
@@ -164,7 +164,7 @@
   }
 
   /** Assumes the given average load on each engine. */
-  assume(averages: readonly assumedLoad.Crowding[]): void {
+  assumeAverageLoads(averages: readonly assumedLoad.AverageLoad[]): void {
     averages.forEach((each) => this.averageLoads.set(each.service, each));
     this.loads.forEach((each) => this.applyAverageLoad(each));
   }
@@ -176,7 +176,7 @@
   }
 
   /** Places the request or, with `mayWait`, returns the time after which to try again. */
-  choose(request: Request, now: number, mayWait: boolean): Choice {
+  choose(request: Request, now: number, mayWait: boolean): PlacementResult {
     const enginePlanner = this.planners.get(request.service);
     if (enginePlanner === undefined) return { kind: 'full' };
     const scope = this.candidateScope(request);
@@ -188,7 +188,7 @@
     const { plan } = decision;
     this.recordDispatch(request, plan, now);
     [plan.decoder, ...plan.helpers.map((each) => each.load)].forEach(({ record }) => {
-      this.limits.take(record, 1, now);
+      this.limits.countSent(record, 1, now);
     });
     return { kind: 'placed', placement: placementOf(plan) };
   }
@@ -235,11 +235,11 @@
    * Milliseconds until the least busy engine of a service has prefilled its queue; infinite without
    * engines. A request that found no place finds one then, unless another takes it.
    */
-  nextPlaceMs(service: string, now: number): number {
+  nextAvailableMs(service: string, now: number): number {
     const waits = this.cellsOf(service)
       .all()
       .filter(({ record }) => record.state === 'ready')
-      .map((each) => each.pendingPrefillMs(now) + each.passMs());
+      .map((each) => each.pendingPrefillMs(now) + each.engineStepMs());
     return Math.min(Infinity, ...waits);
   }
 
@@ -265,9 +265,9 @@
   }
 
   /** Records the end of a dispatch. */
-  ended(
+  endDispatch(
     id: string,
-    outcome: targetHealth.Ending,
+    outcome: targetHealth.DispatchOutcome,
     now: number,
     observations: DispatchObservations = {},
   ): void {
@@ -280,18 +280,18 @@
     dispatch.loads.forEach((each) => each.remove(id, now));
     const responsible =
       (faulty === undefined ? undefined : this.loads.get(faulty)) ?? dispatch.decoder;
-    responsible.health.ended(outcome, now);
+    responsible.health.recordOutcome(outcome, now);
   }
 
   /** Ends all dispatches of an entry that is gone. */
   forgetEntry(entry: string, now: number): void {
     [...this.dispatches]
       .filter(([, dispatch]) => dispatch.entry === entry)
-      .forEach(([id]) => this.ended(id, 'cancelled', now));
+      .forEach(([id]) => this.endDispatch(id, 'cancelled', now));
   }
 
   /** Most engines that one placement considers. */
-  get mostAsked(): number {
+  get maxCandidates(): number {
     return Math.max(0, ...[...this.cells.values()].map((each) => each.maxCandidates));
   }
 
@@ -337,7 +337,7 @@
   ): load.Load[] {
     const ready = candidates.filter(({ record }) => {
       const isReady = record.state === 'ready' && !excluded.includes(record.id);
-      return isReady && this.limits.mayTake(record, now);
+      return isReady && this.limits.maySend(record, now);
     });
     const healthy = ready.filter((each) => each.health.isUsable(now, each.decodingCount === 0));
     const available = healthy.length > 0 ? healthy : ready;
@@ -362,10 +362,10 @@
     const value = planner.valueOf(request);
     const { id, objectiveMs, waitedMs } = request;
     const part: Omit<prefillQueue.PrefillPart, 'leftMs'> = {
-      reading: new prefills.Reading(id, value, objectiveMs, now - waitedMs),
+      prefill: new prefills.Prefill(id, value, objectiveMs, now - waitedMs),
       isPart: parts > 1,
     };
-    const task = { request: id, prefillMs: cost.readMs(decoder.engine, request.tokens, parts) };
+    const task = { request: id, prefillMs: cost.prefillMs(decoder.engine, request.tokens, parts) };
     decoder.add(
       {
         ...task,
--- a/packages/domain/src/allocation/cost.ts
+++ b/packages/domain/src/allocation/cost.ts
@@ -7,7 +7,7 @@
 import type * as catalogue from '../catalogue/catalogue';
 
 /** Time to prefill a prompt of `tokens` split evenly over `parts` engines; per engine. */
-export function readMs(engine: catalogue.Engine, tokens: number, parts = 1): number {
+export function prefillMs(engine: catalogue.Engine, tokens: number, parts = 1): number {
   const pairsInMillions = (tokens * tokens) / 2 / 1_000_000;
   return (tokens / engine.readTokensPerMs + pairsInMillions * engine.pairMsPerMillion) / parts;
 }
--- a/packages/domain/src/allocation/load.ts
+++ b/packages/domain/src/allocation/load.ts
@@ -66,9 +66,9 @@
    */
   private aggregates: Aggregates;
 
-  readonly prefillQueue = new prefillQueue.ReadQueue(this);
+  readonly prefillQueue = new prefillQueue.PrefillQueue(this);
 
-  readonly health = new targetHealth.Soundness();
+  readonly health = new targetHealth.TargetHealth();
 
   /**
    * Measured time over modelled time; above 1 for a slow engine. Learned from the inter-token gaps
@@ -79,7 +79,7 @@
   constructor(
     readonly engine: catalogue.Engine,
     public record: registry.Announcement,
-    private readonly isLimitedAt: (place: rateLimits.Place) => boolean = () => false,
+    private readonly isLimitedAt: (place: rateLimits.Endpoint) => boolean = () => false,
   ) {
     this.aggregates = this.computeAggregates();
   }
@@ -120,7 +120,7 @@
   }
 
   /** Whether any request decodes here, that is, has been prefilled. */
-  get isWriting(): boolean {
+  get isDecoding(): boolean {
     return this.decoderTasks.some(({ request }) => !this.prefillQueue.has(request));
   }
 
@@ -129,7 +129,7 @@
     return this.aggregates.tightestGapMs;
   }
 
-  passMs(): number {
+  engineStepMs(): number {
     return this.slowdown * this.aggregates.engineStepMs;
   }
 
@@ -157,7 +157,7 @@
       .reduce((sum, { value }) => sum + value, 0);
   }
 
-  completionTime(prefill: prefills.Reading, now: number): number | undefined {
+  completionTime(prefill: prefills.Prefill, now: number): number | undefined {
     return this.prefillQueue.completionTime(prefill, now);
   }
 
@@ -179,7 +179,7 @@
     const leftMs = this.slowdown * task.prefillMs;
     if (leftMs > 0) {
       this.prefillQueue.add({ ...part, leftMs }, now);
-      part.reading.addPlace(this);
+      part.prefill.addPart(this);
     }
     this.tasks.set(task.request, task);
     this.refresh();
--- a/packages/domain/src/allocation/outlook.ts
+++ b/packages/domain/src/allocation/outlook.ts
@@ -7,7 +7,7 @@
 
 /** A prompt that one more prefill delays. */
 export interface Delay {
-  prefill: prefills.Reading;
+  prefill: prefills.Prefill;
   /** When its prefill ends without and with the additional one. */
   sooner: number;
   later: number;
@@ -47,8 +47,8 @@
     this.stepRestMs = load.prefillQueue.stepRestMs(now);
     this.waitingMs = load.prefillQueue.waitingMs(now);
     this.pendingMs = this.stepRestMs + this.waitingMs;
-    this.engineStepMs = load.passMs();
-    this.isDecoding = load.isWriting;
+    this.engineStepMs = load.engineStepMs();
+    this.isDecoding = load.isDecoding;
     this.allowanceMs = GAP_FRACTION * load.tightestGapMs - this.engineStepMs - this.waitingMs;
   }
 
@@ -82,7 +82,7 @@
     if (!isPart && !this.isDecoding) return [];
     const partMs = this.load.slowdown * prefillMs;
     this.pendingDelays ??= this.load.prefillQueue
-      .waitingShares(this.now)
+      .pendingParts(this.now)
       .map(({ prefill: each, endsAt }) => {
         return { prefill: each, sooner: each.endsAt(this.now), later: endsAt };
       });
@@ -95,7 +95,7 @@
 
 /** Penalty of delays, in tokens of work; a prefill that several engines delay counts once. */
 export function delayPenalty(delays: readonly Delay[]): number {
-  const latest = new Map<prefills.Reading, Delay>();
+  const latest = new Map<prefills.Prefill, Delay>();
   delays.forEach((each) => {
     const known = latest.get(each.prefill);
     if (known === undefined || known.later < each.later) latest.set(each.prefill, each);
--- a/packages/domain/src/allocation/planner.ts
+++ b/packages/domain/src/allocation/planner.ts
@@ -145,13 +145,13 @@
       return {
         load: each,
         forecast: new loadForecast.LoadForecast(each, now),
-        mayHelp: each.mayHelp(this.planWeights.mostHelped, now),
+        mayHelp: each.mayHelp(this.planWeights.maxHelpedPrompts, now),
         failureShare: each.health.failureShare(now),
       };
     });
-    const maxParts = Math.min(loads.length, this.planWeights.mostParts);
+    const maxParts = Math.min(loads.length, this.planWeights.maxParts);
     const partCounts = PART_COUNTS.filter((count) => count <= maxParts);
-    const wholeMs = cost.readMs(this.engine, prompt.tokens);
+    const wholeMs = cost.prefillMs(this.engine, prompt.tokens);
     const usefulPartCounts = partCounts.filter(
       (count) => count === 1 || wholeMs / count >= MIN_PART_MS,
     );
@@ -162,7 +162,7 @@
     if (plans.length === 0) return { kind: 'full' };
     const best = minBy(plans, ({ penalty }) => penalty);
     const value = valueOf(prompt);
-    const deferralMs = !(mayWait && this.planWeights.mayPostpone)
+    const deferralMs = !(mayWait && this.planWeights.mayDefer)
       ? undefined
       : deferral.deferralMs({
           engine: this.engine,
@@ -174,13 +174,13 @@
         });
     if (deferralMs !== undefined) return { kind: 'later', inMs: deferralMs };
     // A request whose penalty exceeds its value, or whose caller will have left, isn't started.
-    const isWorthIt = best.penalty < value || !this.planWeights.refusesHarmful;
+    const isWorthIt = best.penalty < value || !this.planWeights.refusesAboveValue;
     return isWorthIt ? { kind: 'begin', plan: best } : { kind: 'full' };
   }
 
   /** Most engines among which dividing a prompt's prefill pays off. */
   maxUsefulParts({ tokens }: Prompt): number {
-    return Math.max(1, cost.readMs(this.engine, tokens) / MIN_PART_MS);
+    return Math.max(1, cost.prefillMs(this.engine, tokens) / MIN_PART_MS);
   }
 
   /**
@@ -200,7 +200,7 @@
     mayDecode: ReadonlySet<load.Load>,
   ): Plan | undefined {
     const part = {
-      prefillMs: cost.readMs(this.engine, prompt.tokens, parts),
+      prefillMs: cost.prefillMs(this.engine, prompt.tokens, parts),
       isShared: parts > 1,
     };
     const value = valueOf(prompt);
@@ -211,7 +211,7 @@
     if (decoderCandidates.length === 0) return undefined;
     const decoder = minBy(decoderCandidates, ({ candidate, penalty }) => {
       return (
-        penalty - value * this.planWeights.packGain * similarDecodingCount(prompt, candidate.load)
+        penalty - value * this.planWeights.packBonus * similarDecodingCount(prompt, candidate.load)
       );
     });
     const helpers = parts === 1 ? [] : bestHelpers(scored, decoder, parts - 1);
@@ -228,7 +228,7 @@
     );
     const gapPenalty = all.reduce((sum, each) => sum + each.gapPenalty, 0);
     const delayPenalty = this.delayPenalty(part, forecasts);
-    const { partLoss, blockLoss } = this.planWeights;
+    const { partPenalty: partLoss, blockPenalty: blockLoss } = this.planWeights;
     const blocked = Math.max(0, part.prefillMs - MAX_NONBLOCKING_PART_MS) / prompt.objectiveMs;
     const latenessPenalty =
       value * lateness.latenessPenalty(prompt.waitedMs + firstTokenMs, prompt.objectiveMs);
@@ -260,7 +260,12 @@
   private score(prompt: Prompt, candidate: Candidate, part: Part): Scored {
     const { load: engineLoad, forecast } = candidate;
     const { prefillMs, isShared } = part;
-    const { tightRisk, nearMs, waitLoss, failureLoss } = this.planWeights;
+    const {
+      tightGapFactor: tightRisk,
+      localPreferenceMs: nearMs,
+      waitPenalty: waitLoss,
+      failurePenalty: failureLoss,
+    } = this.planWeights;
     const weight = hasTighterGaps(prompt, engineLoad)
       ? tightRisk * lateness.LATE_PENALTY
       : lateness.LATE_PENALTY;
@@ -280,7 +285,7 @@
       gapPenalty +
       this.delayPenalty(part, [forecast]) +
       value * (waitPenalty + queuePenalty + failurePenalty);
-    const spread = this.planWeights.spreadLoss * helperRank(prompt, candidate);
+    const spread = this.planWeights.spreadPenalty * helperRank(prompt, candidate);
     return {
       candidate,
       gapPenalty,
--- a/packages/domain/src/allocation/postponement.ts
+++ b/packages/domain/src/allocation/postponement.ts
@@ -61,7 +61,7 @@
   { engine, prompt, forecasts: all }: DeferralInput,
   parts: number,
 ): DeferredStart | undefined {
-  const prefillMs = cost.readMs(engine, prompt.tokens, parts);
+  const prefillMs = cost.prefillMs(engine, prompt.tokens, parts);
   const availableInMs = all
     .filter((each) => each.tolerates(prefillMs))
     .map(({ pendingMs }) => pendingMs)
--- a/packages/domain/src/allocation/readQueue.ts
+++ b/packages/domain/src/allocation/readQueue.ts
@@ -12,7 +12,7 @@
 
 /** The part of a prompt that this engine prefills. */
 export interface PrefillPart {
-  reading: prefills.Reading;
+  prefill: prefills.Prefill;
   /** Whether other engines prefill parts of the same prompt. */
   isPart: boolean;
   /** Remaining work, milliseconds of this engine. */
@@ -22,14 +22,14 @@
 /** The engine state that determines the duration of its steps. */
 export interface DecodeState {
   /** Whether any request decodes here. */
-  readonly isWriting: boolean;
+  readonly isDecoding: boolean;
   /** Duration of an engine step without prefill, milliseconds. */
-  passMs(): number;
+  engineStepMs(): number;
 }
 
 /** A queued part and when its prefill ends, if nothing is added. */
 export interface PendingPart {
-  prefill: prefills.Reading;
+  prefill: prefills.Prefill;
   endsAt: number;
 }
 
@@ -38,7 +38,7 @@
   parts: PrefillPart[];
 }
 
-export class ReadQueue {
+export class PrefillQueue {
   /** The next part first. */
   private waiting: PrefillPart[] = [];
 
@@ -51,8 +51,8 @@
   add(part: PrefillPart, now: number): void {
     this.advance(now);
     // A step without prefill was under way; its phase is unknown, so assume half of it is left.
-    if (this.step === undefined && this.decodeState.isWriting && this.waiting.length === 0) {
-      this.step = { endsAt: now + this.decodeState.passMs() / 2, parts: [] };
+    if (this.step === undefined && this.decodeState.isDecoding && this.waiting.length === 0) {
+      this.step = { endsAt: now + this.decodeState.engineStepMs() / 2, parts: [] };
     }
     if (part.isPart) this.waiting.unshift(part);
     else this.waiting.push(part);
@@ -60,13 +60,13 @@
 
   remove(request: string, now: number): void {
     this.advance(now);
-    const isOtherRequest = (part: PrefillPart): boolean => part.reading.request !== request;
+    const isOtherRequest = (part: PrefillPart): boolean => part.prefill.request !== request;
     this.waiting = this.waiting.filter(isOtherRequest);
     if (this.step !== undefined) this.step.parts = this.step.parts.filter(isOtherRequest);
   }
 
   has(request: string): boolean {
-    const isSameRequest = (part: PrefillPart): boolean => part.reading.request === request;
+    const isSameRequest = (part: PrefillPart): boolean => part.prefill.request === request;
     return this.waiting.some(isSameRequest) || this.step?.parts.some(isSameRequest) === true;
   }
 
@@ -80,7 +80,7 @@
   stepRestMs(now: number): number {
     this.advance(now);
     if (this.step !== undefined) return this.step.endsAt - now;
-    return this.decodeState.isWriting ? this.decodeState.passMs() / 2 : 0;
+    return this.decodeState.isDecoding ? this.decodeState.engineStepMs() / 2 : 0;
   }
 
   /** Prefill work queued for the next step, milliseconds. */
@@ -90,25 +90,25 @@
   }
 
   /** Queued parts, which one more part would delay. */
-  waitingShares(now: number): PendingPart[] {
+  pendingParts(now: number): PendingPart[] {
     this.advance(now);
     let endsAt = now + this.stepRestMs(now);
-    if (this.decodeState.isWriting) {
-      endsAt += this.waitingMs(now) + this.decodeState.passMs();
-      return this.waiting.map((part) => ({ prefill: part.reading, endsAt }));
+    if (this.decodeState.isDecoding) {
+      endsAt += this.waitingMs(now) + this.decodeState.engineStepMs();
+      return this.waiting.map((part) => ({ prefill: part.prefill, endsAt }));
     }
     return this.waiting.map((part) => {
       endsAt += part.leftMs;
-      return { prefill: part.reading, endsAt };
+      return { prefill: part.prefill, endsAt };
     });
   }
 
-  completionTime(prefill: prefills.Reading, now: number): number | undefined {
+  completionTime(prefill: prefills.Prefill, now: number): number | undefined {
     this.advance(now);
-    if (this.step?.parts.some((part) => part.reading === prefill) === true) {
+    if (this.step?.parts.some((part) => part.prefill === prefill) === true) {
       return this.step.endsAt;
     }
-    return this.waitingShares(now).find((part) => part.prefill === prefill)?.endsAt;
+    return this.pendingParts(now).find((part) => part.prefill === prefill)?.endsAt;
   }
 
   private advance(now: number): void {
@@ -118,7 +118,7 @@
         this.clock = Math.max(this.clock, this.step.endsAt);
         this.step = undefined;
       } else if (this.waiting.length === 0) break;
-      else if (this.decodeState.isWriting) this.beginStep();
+      else if (this.decodeState.isDecoding) this.beginStep();
       else this.prefillNext(now);
     }
     this.clock = Math.max(this.clock, now);
@@ -126,7 +126,7 @@
 
   private beginStep(): void {
     const prefillMs = this.waiting.reduce((sum, { leftMs }) => sum + leftMs, 0);
-    const endsAt = this.clock + prefillMs + this.decodeState.passMs();
+    const endsAt = this.clock + prefillMs + this.decodeState.engineStepMs();
     this.step = { endsAt, parts: this.waiting.splice(0) };
   }
 
--- a/packages/domain/src/allocation/reading.ts
+++ b/packages/domain/src/allocation/reading.ts
@@ -7,10 +7,10 @@
 /** The engine queue that holds a part of the prompt. */
 export interface PartSchedule {
   /** When the prefill of that part ends; undefined once it has. */
-  completionTime(reading: Reading, now: number): number | undefined;
+  completionTime(reading: Prefill, now: number): number | undefined;
 }
 
-export class Reading {
+export class Prefill {
   private readonly parts: PartSchedule[] = [];
 
   /**
@@ -24,7 +24,7 @@
     private readonly waitingSince: number,
   ) {}
 
-  addPlace(part: PartSchedule): void {
+  addPart(part: PartSchedule): void {
     this.parts.push(part);
   }
 
--- a/packages/domain/src/allocation/soundness.ts
+++ b/packages/domain/src/allocation/soundness.ts
@@ -6,7 +6,7 @@
  */
 
 /** Outcome of a dispatch, as far as it concerns the health of the target. */
-export type Ending =
+export type DispatchOutcome =
   | 'done'
   /** The target was full although the model predicted room. */
   | 'full'
@@ -19,7 +19,7 @@
   | 'cancelled';
 
 /** How long a target is ejected after the first failure in a row, milliseconds. */
-const EJECTION_MS: Record<Ending, number> = {
+const EJECTION_MS: Record<DispatchOutcome, number> = {
   done: 0,
   cancelled: 0,
   // A few engine steps later the model may be right again.
@@ -52,7 +52,7 @@
 /** From here on every ejection has the maximum length. */
 const MAX_DOUBLINGS = 4;
 
-export class Soundness {
+export class TargetHealth {
   private failures = 0;
 
   private ejectedUntil = 0;
@@ -70,7 +70,7 @@
     return this.lastFailureShare * Math.exp((this.lastOutcomeAt - now) / FAILURE_DECAY_MS);
   }
 
-  ended(outcome: Ending, now: number): void {
+  recordOutcome(outcome: DispatchOutcome, now: number): void {
     if (outcome !== 'cancelled') this.updateFailureShare(outcome === 'done' ? 0 : 1, now);
     if (outcome === 'done') this.failures = 0;
     if (EJECTION_MS[outcome] === 0) return;
--- a/packages/domain/src/allocation/unseen.ts
+++ b/packages/domain/src/allocation/unseen.ts
@@ -8,7 +8,7 @@
 import type * as load from './load';
 
 /** Average load of the engines of a service. */
-export interface Crowding {
+export interface AverageLoad {
   service: string;
   /** Value of the requests that decode on an engine, in tokens of work. */
   value: number;
@@ -23,7 +23,7 @@
 const ASSUMED_PROMPT_TOKENS = 5_000;
 
 /** Average load of the engines of a service. */
-export function averageLoadOf(service: string, loads: readonly load.Load[]): Crowding {
+export function averageLoadOf(service: string, loads: readonly load.Load[]): AverageLoad {
   const gaps = loads.map(({ tightestGapMs }) => tightestGapMs);
   const tightest = Math.min(Infinity, ...gaps);
   const value = loads.reduce((sum, each) => sum + each.valueWithTighterGap(Infinity), 0);
@@ -34,7 +34,7 @@
   };
 }
 
-function assumedTask({ value, pauseMs }: Crowding): load.Task {
+function assumedTask({ value, pauseMs }: AverageLoad): load.Task {
   return {
     request: ASSUMED_REQUEST,
     role: 'decoder',
@@ -47,7 +47,7 @@
 }
 
 /** Adds the assumed request to an engine, or removes it where nothing decodes. */
-export function applyAssumedLoad(engineLoad: load.Load, average: Crowding): void {
+export function applyAssumedLoad(engineLoad: load.Load, average: AverageLoad): void {
   if (average.pauseMs > 0) engineLoad.assume(assumedTask(average));
   else engineLoad.forgetAssumed(ASSUMED_REQUEST);
 }
--- a/packages/domain/src/allocation/weights.ts
+++ b/packages/domain/src/allocation/weights.ts
@@ -5,59 +5,59 @@
 
 export interface Weights {
   /** Most engines that prefill one prompt; the engines' interface takes at most 17. */
-  mostParts: number;
+  maxParts: number;
   /**
    * Most prompts that an engine prefills parts for as a helper. Engines prefill the newest part
    * first, so a second part delays the first; the planner accounts for that, but can't predict
    * later prompts or the placements of entries without a leader. With bursts of long prompts, a
    * limit of one saved a quarter of the prompt tokens that were prefilled twice without it.
    */
-  mostHelped: number;
+  maxHelpedPrompts: number;
   /** Preference for the caller's own data centre, as milliseconds of the objective. */
-  nearMs: number;
+  localPreferenceMs: number;
   /**
    * Bonus per decoding request with similarly tight gaps on an engine, so that other engines stay
    * free.
    */
-  packGain: number;
+  packBonus: number;
   /** Penalty of a wait as long as the objective, in addition to lateness. */
-  waitLoss: number;
+  waitPenalty: number;
   /** Penalty of a failure: a second target answers most such requests, mostly late. */
-  failureLoss: number;
+  failurePenalty: number;
   /** Penalty per engine: it may fail, and prefills for no other prompt meanwhile. */
-  partLoss: number;
+  partPenalty: number;
   /**
    * Penalty of occupying each engine for the whole objective: long parts block an engine for short
    * prompts.
    */
-  blockLoss: number;
+  blockPenalty: number;
   /**
    * Factor on the gap penalty where decoding requests tolerate less than this one: more of them
    * arrive before the part is prefilled.
    */
-  tightRisk: number;
+  tightGapFactor: number;
   /** Penalty per step of preference of a helper that is idle or has tighter gaps. */
-  spreadLoss: number;
+  spreadPenalty: number;
   /** Whether delays of other prefills on the engines count. */
   countsDelays: boolean;
   /** Whether a prompt may be deferred where that has a lower penalty. */
-  mayPostpone: boolean;
+  mayDefer: boolean;
   /** Whether a plan whose penalty exceeds the request's value is refused. */
-  refusesHarmful: boolean;
+  refusesAboveValue: boolean;
 }
 
 export const WEIGHTS: Weights = {
-  mostParts: 17,
-  mostHelped: 1,
-  nearMs: 3,
-  packGain: 0.01,
-  waitLoss: 0.002,
-  failureLoss: 0.5,
-  partLoss: 0.001,
-  blockLoss: 0.02,
-  tightRisk: 2,
-  spreadLoss: 0.002,
+  maxParts: 17,
+  maxHelpedPrompts: 1,
+  localPreferenceMs: 3,
+  packBonus: 0.01,
+  waitPenalty: 0.002,
+  failurePenalty: 0.5,
+  partPenalty: 0.001,
+  blockPenalty: 0.02,
+  tightGapFactor: 2,
+  spreadPenalty: 0.002,
   countsDelays: true,
-  mayPostpone: true,
-  refusesHarmful: true,
+  mayDefer: true,
+  refusesAboveValue: true,
 };
--- a/packages/domain/src/backOff/__tests__/backOffs.test.ts
+++ b/packages/domain/src/backOff/__tests__/backOffs.test.ts
@@ -22,15 +22,15 @@
    * out of use for good.
    */
   it('last for the longest requested time, up to a bound', () => {
-    known.ask(TARGET, 3_000, 0);
-    known.ask(TARGET, 100, 1_000);
-    known.ask(TARGET, 0, 1_500);
-    expect([known.waitMs(TARGET, 2_000), known.takesRequest(TARGET, 2_999)]).to.deep.equal([
+    known.start(TARGET, 3_000, 0);
+    known.start(TARGET, 100, 1_000);
+    known.start(TARGET, 0, 1_500);
+    expect([known.waitMs(TARGET, 2_000), known.mayReceiveRequest(TARGET, 2_999)]).to.deep.equal([
       1_000,
       false,
     ]);
-    expect(known.takesRequest(TARGET, 3_000)).to.equal(true);
-    known.ask(TARGET, 1e12, 3_000);
+    expect(known.mayReceiveRequest(TARGET, 3_000)).to.equal(true);
+    known.start(TARGET, 1e12, 3_000);
     expect(known.waitMs(TARGET, 3_000)).to.equal(backOffs.MAX_BACK_OFF_MS);
   });
 
@@ -38,10 +38,10 @@
    * Guards against a target that is only presumed gone and whose back-off is lost when it returns.
    */
   it('outlast the target until their time is over', () => {
-    known.ask(TARGET, 3_000, 0);
+    known.start(TARGET, 3_000, 0);
     known.forget(TARGET, 1_000);
-    expect(known.takesRequest(TARGET, 1_000)).to.equal(false);
-    expect(known.takesRequest('other', 1_000)).to.equal(true);
+    expect(known.mayReceiveRequest(TARGET, 1_000)).to.equal(false);
+    expect(known.mayReceiveRequest('other', 1_000)).to.equal(true);
     known.forget(TARGET, 3_000);
     expect(known.size).to.equal(0);
   });
@@ -51,11 +51,11 @@
    * sent in its first millisecond.
    */
   it('admit few requests after the time, twice as many with each answer', () => {
-    known.ask(TARGET, 1_000, 0);
+    known.start(TARGET, 1_000, 0);
     const passed: number[] = [];
     while (known.size > 0) {
-      const passages: backOffs.Passage[] = [];
-      while (known.takesRequest(TARGET, 1_000)) passages.push(known.sent(TARGET, 1_000));
+      const passages: backOffs.InFlightMessage[] = [];
+      while (known.mayReceiveRequest(TARGET, 1_000)) passages.push(known.sent(TARGET, 1_000));
       passed.push(passages.length);
       passages[0].answered();
       passages.forEach(({ ended }) => ended());
@@ -78,17 +78,19 @@
         const tried = new backOffs.BackOffs();
         const sent: number[] = [];
         const asked: { from: number; until: number }[] = [];
-        let underWay: backOffs.Passage[] = [];
+        let underWay: backOffs.InFlightMessage[] = [];
         let now = 0;
         steps.forEach(({ kind, waitMs, forMs }) => {
           now += waitMs;
           const takes =
-            kind === 'request' ? tried.takesRequest(TARGET, now) : tried.takesUpkeep(TARGET, now);
+            kind === 'request'
+              ? tried.mayReceiveRequest(TARGET, now)
+              : tried.mayReceiveUpkeep(TARGET, now);
           if ((kind === 'request' || kind === 'upkeep') && takes) {
             sent.push(now);
             underWay.push(tried.sent(TARGET, now));
           } else if (kind === 'ask') {
-            tried.ask(TARGET, forMs, now);
+            tried.start(TARGET, forMs, now);
             asked.push({ from: now + GRACE_MS, until: now + forMs });
           } else if (kind === 'answer') underWay.at(0)?.answered();
           if (kind === 'answer' || kind === 'lose') underWay.at(0)?.ended();
--- a/packages/domain/src/backOff/backOffs.ts
+++ b/packages/domain/src/backOff/backOffs.ts
@@ -31,14 +31,14 @@
 }
 
 /** A message in flight to a target; knows which back-off it counts for. */
-export interface Passage {
+export interface InFlightMessage {
   /** An answer arrived that requests no back-off. */
   answered: () => void;
   /** The message has ended, with or without an answer. */
   ended: () => void;
 }
 
-const UNCOUNTED: Passage = { answered: () => undefined, ended: () => undefined };
+const UNCOUNTED: InFlightMessage = { answered: () => undefined, ended: () => undefined };
 
 export class BackOffs {
   private readonly backOffs = new Map<string, BackOff>();
@@ -58,7 +58,7 @@
   /**
    * A target requests a back-off; returns for how long it is honoured from now on, milliseconds.
    */
-  ask(target: string, forMs: number, now: number): number {
+  start(target: string, forMs: number, now: number): number {
     const known = this.backOffs.get(target);
     const until = Math.max(known?.until ?? now, now + Math.min(forMs, MAX_BACK_OFF_MS));
     if (until <= now) return 0;
@@ -68,14 +68,14 @@
   }
 
   /** Whether a target may get a request from this VM now. */
-  takesRequest(target: string, now: number): boolean {
+  mayReceiveRequest(target: string, now: number): boolean {
     const known = this.backOffs.get(target);
     if (known === undefined) return true;
     return now >= known.until && known.inFlight < 2 ** known.answers;
   }
 
   /** Whether it may get a message about one of its running requests. */
-  takesUpkeep(target: string, now: number): boolean {
+  mayReceiveUpkeep(target: string, now: number): boolean {
     const known = this.backOffs.get(target);
     return known === undefined || now >= known.until || known.upkeep < MAX_UPKEEP_MESSAGES;
   }
@@ -89,7 +89,7 @@
   }
 
   /** Counts a message that is sent to a target. */
-  sent(target: string, now: number): Passage {
+  sent(target: string, now: number): InFlightMessage {
     const known = this.backOffs.get(target);
     if (known === undefined) return UNCOUNTED;
     if (now < known.until) {
--- a/packages/domain/src/catalogue/__tests__/catalogue.test.ts
+++ b/packages/domain/src/catalogue/__tests__/catalogue.test.ts
@@ -3,7 +3,7 @@
 import * as random from '../../shared/random';
 import * as catalogue from '../catalogue';
 import * as directory from '../directory';
-import * as versions from '../versions';
+import * as newestCatalogue from '../versions';
 
 const { expect } = chai;
 
@@ -83,8 +83,8 @@
    * 7, whose answer was lost, is resent after 9 is active.
    */
   it('keeps the highest version in any order of arrival', () => {
-    const tested = new versions.Versions();
-    const edition = (version: number, byte = version): versions.Edition => {
+    const tested = new newestCatalogue.NewestCatalogue();
+    const edition = (version: number, byte = version): newestCatalogue.PackedCatalogue => {
       return { version, packed: Uint8Array.of(byte) };
     };
     tested.apply(edition(9));
--- a/packages/domain/src/catalogue/versions.ts
+++ b/packages/domain/src/catalogue/versions.ts
@@ -5,23 +5,23 @@
  */
 
 /** A packed catalogue as sent; opaque to replication. */
-export interface Edition {
+export interface PackedCatalogue {
   version: number;
   /** The document, compressed. */
   packed: Uint8Array;
 }
 
-export interface Acceptance {
+export interface ApplyResult {
   /** The active version afterwards. */
   version: number;
   /** Whether this catalogue was activated. */
   changed: boolean;
 }
 
-export class Versions {
-  private current: Edition | undefined;
+export class NewestCatalogue {
+  private current: PackedCatalogue | undefined;
 
-  get newest(): Edition | undefined {
+  get newest(): PackedCatalogue | undefined {
     return this.current;
   }
 
@@ -29,13 +29,13 @@
     return this.current?.version ?? 0;
   }
 
-  apply(edition: Edition): Acceptance {
+  apply(edition: PackedCatalogue): ApplyResult {
     const changed = edition.version > this.version;
     if (changed) this.current = edition;
     return { version: this.version, changed };
   }
 
-  restore(edition: Edition | undefined): void {
+  restore(edition: PackedCatalogue | undefined): void {
     if (edition !== undefined) this.apply(edition);
   }
 }
--- a/packages/domain/src/control/__tests__/view.test.ts
+++ b/packages/domain/src/control/__tests__/view.test.ts
@@ -68,9 +68,13 @@
               const differing = new Set(
                 upstream.digest(hash).buckets.flatMap((sum, b) => (sum === own[b] ? [] : [b])),
               );
-              const parts = upstream.partsIn(hash, differing);
+              const parts = upstream.itemsIn(hash, differing);
               const kept = new Set(parts.map(({ key }) => key));
-              follower.replace(parts, follower.keysBeyond(hash, differing, kept), upstream.index);
+              follower.replace(
+                parts,
+                follower.keysMissingFrom(hash, differing, kept),
+                upstream.index,
+              );
             }
             expect(contentOf(follower)).to.deep.equal(contentOf(upstream));
             const adopted = new view.View();
--- a/packages/domain/src/control/state.ts
+++ b/packages/domain/src/control/state.ts
@@ -7,7 +7,7 @@
 import * as stop from '../stop/stop';
 
 /** A registered daemon; the majority rule of `membership/freshness` counts these. */
-export interface Registered {
+export interface RegisteredDaemon {
   id: string;
   address: string;
   dataCentre: string;
@@ -15,7 +15,7 @@
   replica: string;
 }
 
-export interface Audit {
+export interface AuditEntry {
   index: number;
   at: number;
   /** An operator's name, or `system` for actions of the system itself. */
@@ -28,7 +28,7 @@
 
 export type Command =
   | { kind: 'change'; change: tree.Change }
-  | { kind: 'register'; daemon: Registered; at: number }
+  | { kind: 'register'; daemon: RegisteredDaemon; at: number }
   | { kind: 'unregister'; id: string; at: number; reason: string }
   | { kind: 'announceStop'; stop: stop.Stop; address: string }
   | { kind: 'cancelStop'; id: string; author: string; address: string; at: number }
@@ -42,7 +42,7 @@
 /** A change for the view of a follower. */
 export type Delta =
   | { kind: 'subtree'; index: number; name: string; subtree: tree.Subtree | undefined }
-  | { kind: 'daemon'; index: number; id: string; daemon: Registered | undefined }
+  | { kind: 'daemon'; index: number; id: string; daemon: RegisteredDaemon | undefined }
   | { kind: 'stop'; index: number; id: string; stop: stop.Stop | undefined };
 
 export interface Applied {
@@ -53,11 +53,11 @@
 export interface Snapshot {
   index: number;
   tree: tree.Snapshot;
-  daemons: Registered[];
+  daemons: RegisteredDaemon[];
   stops: stop.Stop[];
   /** Keys of the models that this system loaded on targets. */
   ordered: string[];
-  audit: Audit[];
+  audit: AuditEntry[];
 }
 
 /** Audit entries that the state keeps, enough for about a day of changes at the expected rate. */
@@ -75,14 +75,14 @@
 
   tree = new tree.Tree();
 
-  readonly daemons = new Map<string, Registered>();
+  readonly daemons = new Map<string, RegisteredDaemon>();
 
   readonly stops = new Map<string, stop.Stop>();
 
   /** Keys of the models that this system loaded on targets. */
   readonly ordered = new Set<string>();
 
-  private audit: Audit[] = [];
+  private audit: AuditEntry[] = [];
 
   apply(command: Command, index: number): Applied {
     this.index = index;
@@ -104,7 +104,7 @@
   }
 
   /** Newest first. */
-  history(limit: number): Audit[] {
+  history(limit: number): AuditEntry[] {
     return this.audit.slice(-limit).reverse();
   }
 
@@ -145,7 +145,7 @@
     return { answer, delta: { kind: 'subtree', index, name: subject, subtree } };
   }
 
-  private register(daemon: Registered, at: number, index: number): Applied {
+  private register(daemon: RegisteredDaemon, at: number, index: number): Applied {
     const isUnchanged = JSON.stringify(this.daemons.get(daemon.id)) === JSON.stringify(daemon);
     if (isUnchanged) return { answer: undefined, delta: undefined };
     this.daemons.set(daemon.id, daemon);
@@ -195,7 +195,7 @@
     this.record({ index, at, author: 'system', address: '', action, subject, detail });
   }
 
-  private record(entry: Audit): void {
+  private record(entry: AuditEntry): void {
     this.audit.push(entry);
     if (this.audit.length > AUDIT_LIMIT * 1.1) this.audit = this.audit.slice(-AUDIT_LIMIT);
   }
--- a/packages/domain/src/control/view.ts
+++ b/packages/domain/src/control/view.ts
@@ -9,7 +9,7 @@
 import * as state from './state';
 
 /** An item of a view, with the key under which digests compare it. */
-export interface Part {
+export interface ViewItem {
   key: string;
   delta: state.Delta;
 }
@@ -35,7 +35,7 @@
 
   readonly subtrees = new Map<string, tree.Subtree>();
 
-  readonly daemons = new Map<string, state.Registered>();
+  readonly daemons = new Map<string, state.RegisteredDaemon>();
 
   readonly stops = new Map<string, stop.Stop>();
 
@@ -56,7 +56,7 @@
   }
 
   /** Replaces the differing items after a comparison of digests made at `index`. */
-  replace(parts: readonly Part[], removed: readonly string[], index: number): boolean {
+  replace(parts: readonly ViewItem[], removed: readonly string[], index: number): boolean {
     if (index <= this.index) return false;
     removed.forEach((key) => this.removeItem(key));
     parts.forEach(({ delta }) => this.store(delta));
@@ -83,17 +83,17 @@
   }
 
   /** The items in buckets whose digest differs from the other side's. */
-  partsIn(hash: hashing.Hash, buckets: ReadonlySet<number>): Part[] {
+  itemsIn(hash: hashing.Hash, buckets: ReadonlySet<number>): ViewItem[] {
     return this.items().filter(({ key }) => buckets.has(hash(key) % BUCKET_COUNT));
   }
 
   /** Keys in those buckets that are here but not in `kept`, as the other side has removed them. */
-  keysBeyond(
+  keysMissingFrom(
     hash: hashing.Hash,
     buckets: ReadonlySet<number>,
     kept: ReadonlySet<string>,
   ): string[] {
-    return this.partsIn(hash, buckets)
+    return this.itemsIn(hash, buckets)
       .map(({ key }) => key)
       .filter((key) => !kept.has(key));
   }
@@ -113,7 +113,7 @@
     return true;
   }
 
-  private items(): Part[] {
+  private items(): ViewItem[] {
     // The index of an item's last change is left out, as two views may have received it by
     // different paths.
     const index = 0;
--- a/packages/domain/src/ledger/ledger.ts
+++ b/packages/domain/src/ledger/ledger.ts
@@ -55,7 +55,7 @@
 
 export type Command = Claim | Settle | Release;
 
-export type Verdict =
+export type CommandResult =
   | { kind: 'granted' }
   | { kind: 'running'; deadline: number }
   | { kind: 'settled'; settlement: Settlement; answer: Answer | undefined }
@@ -91,7 +91,7 @@
   answerLength: number;
 }
 
-export const DEFAULT_BOUNDS: LedgerLimits = {
+export const DEFAULT_LIMITS: LedgerLimits = {
   retention: 24 * 3600 * 1000,
   tombstones: 30 * 24 * 3600 * 1000,
   claimsPerOrganisation: 100_000,
@@ -115,13 +115,13 @@
 
   private readonly claimCounts = new Map<string, number>();
 
-  constructor(private readonly limits: LedgerLimits = DEFAULT_BOUNDS) {}
+  constructor(private readonly limits: LedgerLimits = DEFAULT_LIMITS) {}
 
   get size(): number {
     return this.entries.size;
   }
 
-  apply(command: Command): Verdict {
+  apply(command: Command): CommandResult {
     this.expire(command.at);
     if (command.kind === 'claim') return this.claim(command);
     if (command.kind === 'settle') return this.settle(command);
@@ -133,14 +133,14 @@
     return { entries: [...this.entries.values()], tombstones };
   }
 
-  static restore(snapshot: Snapshot, limits: LedgerLimits = DEFAULT_BOUNDS): Ledger {
+  static restore(snapshot: Snapshot, limits: LedgerLimits = DEFAULT_LIMITS): Ledger {
     const ledger = new Ledger(limits);
     snapshot.entries.forEach((entry) => ledger.add({ ...entry }));
     snapshot.tombstones.forEach(({ key, at }) => ledger.tombstones.set(key, at));
     return ledger;
   }
 
-  private claim(claim: Claim): Verdict {
+  private claim(claim: Claim): CommandResult {
     const known = this.entries.get(claim.key);
     if (known !== undefined) {
       if (known.content !== claim.content) return { kind: 'mismatch' };
@@ -160,7 +160,7 @@
     return { kind: 'granted' };
   }
 
-  private resultFor(entry: Entry, now: number): Verdict {
+  private resultFor(entry: Entry, now: number): CommandResult {
     if (entry.settlement !== 'running') {
       return { kind: 'settled', settlement: entry.settlement, answer: entry.answer };
     }
@@ -170,7 +170,7 @@
     return { kind: 'running', deadline: entry.deadline };
   }
 
-  private settle(settle: Settle): Verdict {
+  private settle(settle: Settle): CommandResult {
     const entry = this.entries.get(settle.key);
     if (entry === undefined || entry.attempt !== settle.attempt) return { kind: 'ignored' };
     // An answer may replace an unknown outcome, but never the reverse.
@@ -185,7 +185,7 @@
     return { ...answer, body: '' };
   }
 
-  private release({ key, attempt }: Release): Verdict {
+  private release({ key, attempt }: Release): CommandResult {
     const entry = this.entries.get(key);
     const isOwner = entry?.attempt === attempt && entry.settlement === 'running';
     if (!isOwner) return { kind: 'ignored' };
--- a/packages/domain/src/membership/__tests__/membership.test.ts
+++ b/packages/domain/src/membership/__tests__/membership.test.ts
@@ -78,14 +78,14 @@
    * 5.5 KB/s per daemon until each pair had met. Equal checksums must replace them.
    */
   it('has equal checksums for equal records in any order', () => {
-    const buffers = [new gossip.Board<string>(hash), new gossip.Board<string>(hash)];
-    const [a, b] = buffers as [gossip.Board<string>, gossip.Board<string>];
-    a.post('x', 'old', '');
-    ['x', 'y', 'z'].forEach((key) => a.post(key, `${key}1`, ''));
-    ['z', 'x', 'y'].forEach((key) => b.post(key, `${key}1`, 'a'));
-    b.post('passing', 'p', '', true);
+    const buffers = [new gossip.GossipBuffer<string>(hash), new gossip.GossipBuffer<string>(hash)];
+    const [a, b] = buffers as [gossip.GossipBuffer<string>, gossip.GossipBuffer<string>];
+    a.put('x', 'old', '');
+    ['x', 'y', 'z'].forEach((key) => a.put(key, `${key}1`, ''));
+    ['z', 'x', 'y'].forEach((key) => b.put(key, `${key}1`, 'a'));
+    b.put('passing', 'p', '', true);
     const equal = a.checksum === b.checksum;
-    b.agreed('a');
+    b.markInSync('a');
     const due = b.batchFor('a', 10).records;
     a.remove('x');
     expect([equal, due, a.checksum === b.checksum]).to.deep.equal([true, [], false]);
@@ -96,22 +96,22 @@
       fastCheck.property(fastCheck.integer(), (seed) => {
         const source = random.seeded(seed);
         const names = ['a', 'b', 'c', 'd', 'e'];
-        const boards = new Map(names.map((name) => [name, new gossip.Board<string>(hash)]));
+        const boards = new Map(names.map((name) => [name, new gossip.GossipBuffer<string>(hash)]));
         const known = new Map(names.map((name) => [name, new Set<string>()]));
         const deliver = (at: string, record: string, from: string): void => {
           if (known.get(at)?.has(record) === true) return;
           known.get(at)?.add(record);
-          boards.get(at)?.post(record, record, from);
+          boards.get(at)?.put(record, record, from);
         };
         names.forEach((name) => deliver(name, `of-${name}`, ''));
         for (let round = 0; round < 200; round++) {
           const from = random.pick(source, names);
           const to = random.pick(source, names);
-          const board = boards.get(from) as gossip.Board<string>;
+          const board = boards.get(from) as gossip.GossipBuffer<string>;
           const batch = board.batchFor(to, 3);
           // Half of the exchanges are lost; the batch must be sent again.
           if (from === to || source.uniform() < 0.5) continue;
-          board.acknowledged(to, batch.upTo);
+          board.acknowledge(to, batch.upTo);
           batch.records.forEach((record) => deliver(to, record, from));
         }
         names.forEach((name) => expect(known.get(name)?.size).to.equal(names.length));
@@ -119,10 +119,10 @@
           let records = 0;
           names.forEach((name) => {
             names.forEach((peer) => {
-              const board = boards.get(name) as gossip.Board<string>;
+              const board = boards.get(name) as gossip.GossipBuffer<string>;
               const batch = board.batchFor(peer, 10);
               records += batch.records.length;
-              board.acknowledged(peer, batch.upTo);
+              board.acknowledge(peer, batch.upTo);
             });
           });
           return records;
@@ -152,16 +152,16 @@
       const accepted = freshness.isHeldByMajority(9, ids, (id) => (isOnLeaderSide(id) ? 9 : 8));
       const admitting = other.filter((id) => {
         const tested = new freshness.Freshness('majority', lease);
-        tested.confirm(0);
-        other.forEach((peer) => tested.exchanged(peer, 9_000));
-        return tested.verdict(10_000, id, ids) === 'admit';
+        tested.renewLease(0);
+        other.forEach((peer) => tested.recordExchange(peer, 9_000));
+        return tested.admission(10_000, id, ids) === 'admit';
       });
       expect(accepted && admitting.length > 0, `split ${leaderSide.join()}`).to.equal(false);
       const nobodyLeads = ids.filter((id) => {
         const tested = new freshness.Freshness('majority', lease);
-        tested.confirm(0);
-        ids.forEach((peer) => tested.exchanged(peer, 9_000));
-        return tested.verdict(10_000, id, ids) === 'admit';
+        tested.renewLease(0);
+        ids.forEach((peer) => tested.recordExchange(peer, 9_000));
+        return tested.admission(10_000, id, ids) === 'admit';
       });
       expect(nobodyLeads.length).to.equal(ids.length);
     }
@@ -170,12 +170,12 @@
   it('follows the configured rule', () => {
     const admissions = (['majority', 'refuse', 'serve'] as const).map((rule) => {
       const tested = new freshness.Freshness(rule, 1_000);
-      const never = tested.verdict(0, 'a', ['a', 'b', 'c']);
-      tested.confirm(0);
-      const fresh = tested.verdict(900, 'a', ['a', 'b', 'c']);
-      const alone = tested.verdict(5_000, 'a', ['a', 'b', 'c']);
-      tested.exchanged('b', 5_000);
-      return [rule, never, fresh, alone, tested.verdict(5_500, 'a', ['a', 'b', 'c'])];
+      const never = tested.admission(0, 'a', ['a', 'b', 'c']);
+      tested.renewLease(0);
+      const fresh = tested.admission(900, 'a', ['a', 'b', 'c']);
+      const alone = tested.admission(5_000, 'a', ['a', 'b', 'c']);
+      tested.recordExchange('b', 5_000);
+      return [rule, never, fresh, alone, tested.admission(5_500, 'a', ['a', 'b', 'c'])];
     });
     expect(admissions).toMatchSnapshot();
   });
--- a/packages/domain/src/membership/detector.ts
+++ b/packages/domain/src/membership/detector.ts
@@ -69,7 +69,7 @@
   }
 
   /** Other live peers in the data centre for indirect probes. */
-  helpers(subject: string, count: number): daemon.Daemon[] {
+  indirectProbers(subject: string, count: number): daemon.Daemon[] {
     return this.shuffledPeers()
       .map((id) => this.known.get(id)?.record)
       .filter((record) => record?.status === 'alive' && record.id !== subject)
--- a/packages/domain/src/membership/freshness.ts
+++ b/packages/domain/src/membership/freshness.ts
@@ -13,9 +13,9 @@
  */
 
 /** How a daemon without a valid lease admits requests. */
-export type Rule = 'majority' | 'refuse' | 'serve';
+export type StalenessRule = 'majority' | 'refuse' | 'serve';
 
-export type Verdict = 'admit' | 'refuse';
+export type Admission = 'admit' | 'refuse';
 
 /** Milliseconds without an update from the leader after which a daemon's view may be stale. */
 export const DEFAULT_LEASE = 4_000;
@@ -30,12 +30,12 @@
   private readonly exchanges = new Map<string, number>();
 
   constructor(
-    private readonly rule: Rule,
+    private readonly rule: StalenessRule,
     private readonly lease: number = DEFAULT_LEASE,
   ) {}
 
   /** The view was equal to the leader's at this time of the own clock. */
-  confirm(asOf: number): void {
+  renewLease(asOf: number): void {
     this.freshAsOf = Math.max(this.freshAsOf, asOf);
   }
 
@@ -43,20 +43,20 @@
    * A peer reported its index, and this daemon has caught up with it; the request was sent at
    * `requestedAt`.
    */
-  exchanged(peer: string, requestedAt: number): void {
+  recordExchange(peer: string, requestedAt: number): void {
     this.exchanges.set(peer, Math.max(this.exchanges.get(peer) ?? -Infinity, requestedAt));
   }
 
-  age(now: number): number {
+  ageMs(now: number): number {
     return now - this.freshAsOf;
   }
 
   hasLease(now: number): boolean {
-    return this.age(now) <= this.lease;
+    return this.ageMs(now) <= this.lease;
   }
 
   /** Whether to admit requests; `registered` are all registered daemons, with or without `self`. */
-  verdict(now: number, self: string, registered: readonly string[]): Verdict {
+  admission(now: number, self: string, registered: readonly string[]): Admission {
     if (this.hasLease(now) || this.rule === 'serve') return 'admit';
     if (this.rule === 'refuse' || this.freshAsOf === -Infinity) return 'refuse';
     const recent = registered.filter(
--- a/packages/domain/src/membership/gossip.ts
+++ b/packages/domain/src/membership/gossip.ts
@@ -27,7 +27,7 @@
   upTo: number;
 }
 
-export class Board<R> {
+export class GossipBuffer<R> {
   private readonly queued = new Map<string, QueuedRecord<R>>();
 
   private readonly acknowledgedUpTo = new Map<string, number>();
@@ -47,7 +47,7 @@
    * Sets the current record of `key`. `from` is the peer that sent it, empty for own records. A
    * transient record is replaced soon and doesn't count for the checksum.
    */
-  post(key: string, record: R, from: string, isTransient = false): void {
+  put(key: string, record: R, from: string, isTransient = false): void {
     this.remove(key);
     this.counter += 1;
     const sum = isTransient ? 0 : this.hash(`${key}=${JSON.stringify(record)}`);
@@ -63,7 +63,7 @@
   }
 
   /** The peer has the same lasting records, so there is nothing to send. */
-  agreed(peer: string): void {
+  markInSync(peer: string): void {
     this.acknowledgedUpTo.set(peer, this.counter);
   }
 
@@ -82,12 +82,12 @@
   }
 
   /** The peer acknowledged everything up to this number. */
-  acknowledged(peer: string, upTo: number): void {
+  acknowledge(peer: string, upTo: number): void {
     this.acknowledgedUpTo.set(peer, Math.max(this.acknowledgedUpTo.get(peer) ?? 0, upTo));
   }
 
   /** The peer restarted and has lost its records. */
-  forget(peer: string): void {
+  resetPeer(peer: string): void {
     this.acknowledgedUpTo.delete(peer);
   }
 
--- a/packages/domain/src/memory/__tests__/memory.test.ts
+++ b/packages/domain/src/memory/__tests__/memory.test.ts
@@ -6,7 +6,7 @@
 import * as fastCheck from 'fast-check';
 import * as random from '../../shared/random';
 import * as gathering from '../gathering';
-import * as holding from '../holding';
+import * as leasedResources from '../holding';
 
 const { expect } = chai;
 
@@ -18,27 +18,28 @@
   it('are reclaimed only if they are ours and their owner is dead or restarted', () => {
     const owner = { daemon: 'd', incarnation: 5 };
     const listed = { id: 'h', kind: 'stream', owner, tokens: 1 } as const;
-    const standings: holding.Standing[] = [
+    const standings: leasedResources.OwnerStatus[] = [
       { kind: 'dead' },
       { kind: 'unknown' },
       { kind: 'live', incarnation: 5 },
       { kind: 'live', incarnation: 6 },
     ];
-    const findings = [holding.SYSTEM, 'older'].map((system) => [
+    const findings = [leasedResources.SYSTEM, 'older'].map((system) => [
       system,
-      ...standings.map((standing) => holding.judge({ ...listed, system }, standing)),
+      ...standings.map((standing) => leasedResources.classify({ ...listed, system }, standing)),
     ]);
     expect(findings).toMatchSnapshot();
   });
 
   it('repeat a release with increasing delays until it is confirmed', () => {
-    const tested = new holding.Holdings();
-    tested.hold('e', 1, 'h', 'stream');
+    const tested = new leasedResources.LeasedResources();
+    tested.add('e', 1, 'h', 'stream');
     const times: number[] = [];
     tested.release('e', 'h', 0);
-    for (let now = 0; now < 10_000; now += 50) if (tested.due(now).length > 0) times.push(now);
-    tested.confirmed('e', 'h');
-    expect([times, tested.due(20_000), tested.size]).to.deep.equal([
+    for (let now = 0; now < 10_000; now += 50)
+      if (tested.dueReleases(now).length > 0) times.push(now);
+    tested.confirmRelease('e', 'h');
+    expect([times, tested.dueReleases(20_000), tested.size]).to.deep.equal([
       [0, 400, 1_200, 2_800, 6_000],
       [],
       0,
@@ -46,9 +47,9 @@
   });
 
   it('are dropped when their engine restarts', () => {
-    const tested = new holding.Holdings();
-    tested.hold('e', 1, 'old', 'stream');
-    tested.hold('e', 2, 'new', 'reservation');
+    const tested = new leasedResources.LeasedResources();
+    tested.add('e', 1, 'old', 'stream');
+    tested.add('e', 2, 'new', 'reservation');
     tested.targetRestarted('e', 2);
     expect(tested.renewable()).to.deep.equal([{ target: 'e', id: 'new' }]);
   });
@@ -56,7 +57,7 @@
 
 describe('gathering', () => {
   interface Prompt {
-    parts: gathering.Part[];
+    parts: gathering.MemoryPart[];
     held: number;
     done: boolean;
   }
--- a/packages/domain/src/memory/gathering.ts
+++ b/packages/domain/src/memory/gathering.ts
@@ -5,7 +5,7 @@
  */
 import * as target from '../target/target';
 
-export interface Part {
+export interface MemoryPart {
   target: string;
   tokens: number;
 }
@@ -22,9 +22,9 @@
   primary: target.Target,
   others: readonly target.Target[],
   freeTokens: (name: string) => number,
-): Part[] | undefined {
+): MemoryPart[] | undefined {
   let missingTokens = tokens - Math.floor(primary.memoryTokens * HELPER_SHARE);
-  const parts: Part[] = [];
+  const parts: MemoryPart[] = [];
   const ranked = [...others].sort((a, b) => freeTokens(b.name) - freeTokens(a.name));
   ranked.forEach(({ name, memoryTokens }) => {
     if (missingTokens <= 0) return;
--- a/packages/domain/src/memory/holding.ts
+++ b/packages/domain/src/memory/holding.ts
@@ -19,7 +19,7 @@
 export const SYSTEM = 'celerydrift';
 
 /** A leased resource as an engine lists it. */
-export interface Listed {
+export interface ListedResource {
   id: string;
   system: string;
   kind: Kind;
@@ -30,7 +30,7 @@
 export type ReclaimDecision = 'keep' | 'reclaim';
 
 /** Status of a daemon that owns resources. */
-export type Standing =
+export type OwnerStatus =
   { kind: 'live'; incarnation: number } | { kind: 'dead' } | { kind: 'unknown' };
 
 /**
@@ -38,7 +38,7 @@
  * has no record of its earlier resources, so those are reclaimed; an owner of unknown status keeps
  * them until the engine's own lease expires.
  */
-export function judge(listed: Listed, status: Standing): ReclaimDecision {
+export function classify(listed: ListedResource, status: OwnerStatus): ReclaimDecision {
   if (listed.system !== SYSTEM) return 'keep';
   if (status.kind === 'dead') return 'reclaim';
   if (status.kind === 'unknown') return 'keep';
@@ -64,14 +64,14 @@
 export const LEASE_MS = 15_000;
 
 /** The leased resources of one daemon. A release is retried until the engine confirms it. */
-export class Holdings {
+export class LeasedResources {
   private readonly resources = new Map<string, LeasedResource>();
 
   get size(): number {
     return this.resources.size;
   }
 
-  hold(target: string, targetIncarnation: number, id: string, kind: Kind): void {
+  add(target: string, targetIncarnation: number, id: string, kind: Kind): void {
     const initial = { state: 'held', retryAt: 0, tries: 0 } as const;
     this.resources.set(`${target}/${id}`, { target, targetIncarnation, id, kind, ...initial });
   }
@@ -84,7 +84,7 @@
     entry.retryAt = now;
   }
 
-  confirmed(target: string, id: string): void {
+  confirmRelease(target: string, id: string): void {
     this.resources.delete(`${target}/${id}`);
   }
 
@@ -103,7 +103,7 @@
   }
 
   /** Releases to send now; each is repeated with exponential backoff until confirmed. */
-  due(now: number): { target: string; id: string; kind: Kind }[] {
+  dueReleases(now: number): { target: string; id: string; kind: Kind }[] {
     const ready = [...this.resources.values()].filter(
       (entry) => entry.state === 'releasing' && entry.retryAt <= now,
     );
--- a/packages/domain/src/memory/index.ts
+++ b/packages/domain/src/memory/index.ts
@@ -1,2 +1,2 @@
 export * as gathering from './gathering';
-export * as holding from './holding';
+export * as leasedResources from './holding';
--- a/packages/domain/src/quarantine/__tests__/quarantine.test.ts
+++ b/packages/domain/src/quarantine/__tests__/quarantine.test.ts
@@ -1,8 +1,8 @@
 /** Suspicion of requests that crash targets, their quarantine, and how each of these ends. */
 import * as chai from 'chai';
-import * as endedLifetimes from '../endedLifetimes';
+import * as crashedLifetimes from '../endedLifetimes';
 import * as quarantine from '../quarantine';
-import * as trials from '../trials';
+import * as canaryRuns from '../trials';
 
 const { expect } = chai;
 
@@ -10,14 +10,14 @@
 const BYSTANDER = '7-beside';
 
 function keyOf(id: string): string {
-  return endedLifetimes.lifetimeOf({ id, bornAt: 1 });
+  return crashedLifetimes.lifetimeKey({ id, bornAt: 1 });
 }
 
 /** A quarantine after the culprit crashed `count` targets, one each second. */
 function afterCrashes(count: number): quarantine.Quarantine {
   const tested = new quarantine.Quarantine();
   for (let i = 0; i < count; i++)
-    tested.blame(CULPRIT, keyOf(`t${i}`), { sentAt: 1_000 * i, isTrial: true }, 1_000 * i);
+    tested.reportCrash(CULPRIT, keyOf(`t${i}`), { sentAt: 1_000 * i, isTrial: true }, 1_000 * i);
   return tested;
 }
 
@@ -25,11 +25,11 @@
   it('begins with the third crashed lifetime, however often each crash is reported', () => {
     const tested = new quarantine.Quarantine();
     const seen = ['t0', 't0', 't1', 't1', 't2'].map((id) => {
-      tested.blame(CULPRIT, keyOf(id), { sentAt: 0, isTrial: true }, 0);
+      tested.reportCrash(CULPRIT, keyOf(id), { sentAt: 0, isTrial: true }, 0);
       return tested.standing(CULPRIT);
     });
     expect(seen.join(' ')).to.equal('suspected suspected suspected suspected quarantined');
-    expect([tested.mayKnow(9), tested.mayKnow(8)]).to.deep.equal([true, false]);
+    expect([tested.mayHaveSuspect(9), tested.mayHaveSuspect(8)]).to.deep.equal([true, false]);
   });
 
   /*
@@ -39,10 +39,10 @@
    */
   it("doesn't count a crash against requests that were sent after it", () => {
     const tested = afterCrashes(1);
-    expect(tested.blame(BYSTANDER, keyOf('t0'), { sentAt: 1, isTrial: true }, 5)).to.equal(
+    expect(tested.reportCrash(BYSTANDER, keyOf('t0'), { sentAt: 1, isTrial: true }, 5)).to.equal(
       undefined,
     );
-    tested.blame(BYSTANDER, keyOf('t0'), { sentAt: -1, isTrial: false }, 5);
+    tested.reportCrash(BYSTANDER, keyOf('t0'), { sentAt: -1, isTrial: false }, 5);
     expect(tested.standing(BYSTANDER)).to.equal('suspected');
   });
 
@@ -54,11 +54,14 @@
   it('counts the crashes of concurrent runs as one', () => {
     const tested = new quarantine.Quarantine();
     ['t0', 't1', 't2', 't3'].forEach((id) =>
-      tested.blame(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: false }, 0),
+      tested.reportCrash(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: false }, 0),
     );
-    expect([tested.standing(BYSTANDER), tested.count(BYSTANDER)]).to.deep.equal(['suspected', 1]);
+    expect([tested.standing(BYSTANDER), tested.crashCount(BYSTANDER)]).to.deep.equal([
+      'suspected',
+      1,
+    ]);
     ['t4', 't5'].forEach((id) =>
-      tested.blame(BYSTANDER, keyOf(id), { sentAt: 1_000, isTrial: true }, 1_000),
+      tested.reportCrash(BYSTANDER, keyOf(id), { sentAt: 1_000, isTrial: true }, 1_000),
     );
     expect(tested.standing(BYSTANDER)).to.equal('quarantined');
   });
@@ -71,12 +74,12 @@
   it('ends when the targets announce themselves again, but not at a delayed announcement', () => {
     const tested = afterCrashes(3);
     const target = { id: 't0', bornAt: 1 };
-    tested.spoke(target, 7);
-    tested.spoke(target, 7);
+    tested.applyAnnouncement(target, 7);
+    tested.applyAnnouncement(target, 7);
     expect(tested.standing(CULPRIT)).to.equal('quarantined');
-    tested.spoke({ id: 't0', bornAt: 2 }, 8);
+    tested.applyAnnouncement({ id: 't0', bornAt: 2 }, 8);
     expect(tested.standing(CULPRIT)).to.equal('quarantined');
-    expect(tested.spoke(target, 8)).to.deep.equal([
+    expect(tested.applyAnnouncement(target, 8)).to.deep.equal([
       { content: CULPRIT, standing: 'suspected', endings: 2, reason: 'targetLives' },
     ]);
   });
@@ -89,18 +92,18 @@
   it('takes targets that announce themselves again for alive without any suspect left', () => {
     const tested = afterCrashes(1);
     const target = { id: 't0', bornAt: 1 };
-    tested.ranWhole(CULPRIT);
+    tested.completed(CULPRIT);
     const seen = [7, 8].map((sequence) => {
-      tested.spoke(target, sequence);
-      return tested.hasEnded(target);
+      tested.applyAnnouncement(target, sequence);
+      return tested.hasCrashed(target);
     });
     expect(seen).to.deep.equal([true, false]);
   });
 
   it('ends when the request completes', () => {
     const tested = afterCrashes(3);
-    tested.ranWhole(CULPRIT);
-    expect([tested.standing(CULPRIT), tested.size, tested.mayKnow(9)]).to.deep.equal([
+    tested.completed(CULPRIT);
+    expect([tested.standing(CULPRIT), tested.size, tested.mayHaveSuspect(9)]).to.deep.equal([
       'free',
       0,
       false,
@@ -115,7 +118,7 @@
   it('explains crashes to requests that ran beside the culprit', () => {
     const tested = afterCrashes(3);
     ['t0', 't1'].forEach((id) =>
-      tested.blame(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: false }, 2_000),
+      tested.reportCrash(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: false }, 2_000),
     );
     tested.tick(2_400);
     expect(tested.standing(BYSTANDER)).to.equal('suspected');
@@ -135,8 +138,8 @@
     const tested = afterCrashes(3);
     const other = '8-other';
     const canaryRun = { sentAt: 0, isTrial: true };
-    ['t3', 't4', 't5'].forEach((id) => tested.blame(other, keyOf(id), canaryRun, 2_000));
-    ['t0', 't3', 't4'].forEach((id) => tested.blame(BYSTANDER, keyOf(id), canaryRun, 2_000));
+    ['t3', 't4', 't5'].forEach((id) => tested.reportCrash(other, keyOf(id), canaryRun, 2_000));
+    ['t0', 't3', 't4'].forEach((id) => tested.reportCrash(BYSTANDER, keyOf(id), canaryRun, 2_000));
     tested.tick(3_900);
     expect(tested.standing(BYSTANDER)).to.equal('quarantined');
     tested.tick(4_000);
@@ -145,14 +148,14 @@
     expect(standings).to.deep.equal(['suspected', 'quarantined', 'suspected']);
     // First beside the other culprit once more, for four seconds this time; then alone, for the two
     // minutes of a first quarantine.
-    tested.blame(other, keyOf('t8'), { sentAt: 4_100, isTrial: true }, 4_200);
-    tested.blame(BYSTANDER, keyOf('t8'), { sentAt: 4_100, isTrial: true }, 4_200);
+    tested.reportCrash(other, keyOf('t8'), { sentAt: 4_100, isTrial: true }, 4_200);
+    tested.reportCrash(BYSTANDER, keyOf('t8'), { sentAt: 4_100, isTrial: true }, 4_200);
     const later = [8_100, 8_200].map((at) => {
       tested.tick(at);
       return tested.standing(BYSTANDER);
     });
     expect(later).to.deep.equal(['quarantined', 'suspected']);
-    tested.blame(BYSTANDER, keyOf('t9'), { sentAt: 8_300, isTrial: true }, 8_400);
+    tested.reportCrash(BYSTANDER, keyOf('t9'), { sentAt: 8_300, isTrial: true }, 8_400);
     tested.tick(8_400 + 119_000);
     expect(tested.standing(BYSTANDER)).to.equal('quarantined');
     tested.tick(8_400 + 120_000);
@@ -166,16 +169,16 @@
    */
   it('ends soon where at most one crash is its own', () => {
     const tested = afterCrashes(3);
-    tested.blame(BYSTANDER, keyOf('t9'), { sentAt: 0, isTrial: false }, 1_000);
+    tested.reportCrash(BYSTANDER, keyOf('t9'), { sentAt: 0, isTrial: false }, 1_000);
     ['t1', 't2'].forEach((id) =>
-      tested.blame(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: true }, 2_000),
+      tested.reportCrash(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: true }, 2_000),
     );
     tested.tick(4_000);
     expect(tested.standing(BYSTANDER)).to.equal('suspected');
     // The culprit has one crash of its own too; its canary run decides.
     ['u0', 'u1'].forEach((id, i) => {
       const at = 4_100 + 4_000 * i;
-      tested.blame(CULPRIT, keyOf(id), { sentAt: at - 10, isTrial: true }, at);
+      tested.reportCrash(CULPRIT, keyOf(id), { sentAt: at - 10, isTrial: true }, at);
       tested.tick(at + 100);
     });
     tested.tick(60_000);
@@ -190,7 +193,7 @@
   it('ends for all that are doubtful at the same time', () => {
     const tested = afterCrashes(3);
     const canaryRun = { sentAt: 0, isTrial: true };
-    ['t0', 't1', 't2'].forEach((id) => tested.blame(BYSTANDER, keyOf(id), canaryRun, 2_000));
+    ['t0', 't1', 't2'].forEach((id) => tested.reportCrash(BYSTANDER, keyOf(id), canaryRun, 2_000));
     tested.tick(4_000);
     expect([tested.standing(CULPRIT), tested.standing(BYSTANDER)]).to.deep.equal([
       'suspected',
@@ -206,9 +209,13 @@
   it('ends soon where the culprit was released as doubtful just before', () => {
     const tested = new quarantine.Quarantine();
     const canaryRun = { sentAt: 0, isTrial: true };
-    tested.blame(CULPRIT, keyOf('t0'), { sentAt: 0, isTrial: false }, 2_000);
-    ['t1', 't2', 't3', 't4'].forEach((id) => tested.blame(CULPRIT, keyOf(id), canaryRun, 2_000));
-    ['t1', 't2', 't3', 't4'].forEach((id) => tested.blame(BYSTANDER, keyOf(id), canaryRun, 2_100));
+    tested.reportCrash(CULPRIT, keyOf('t0'), { sentAt: 0, isTrial: false }, 2_000);
+    ['t1', 't2', 't3', 't4'].forEach((id) =>
+      tested.reportCrash(CULPRIT, keyOf(id), canaryRun, 2_000),
+    );
+    ['t1', 't2', 't3', 't4'].forEach((id) =>
+      tested.reportCrash(BYSTANDER, keyOf(id), canaryRun, 2_100),
+    );
     [4_000, 4_100, 4_200].forEach((at) => tested.tick(at));
     expect(tested.standing(BYSTANDER)).to.equal('suspected');
   });
@@ -220,7 +227,7 @@
   it('ends soon where the culprit never comes again', () => {
     const tested = afterCrashes(2);
     const canaryRun = { sentAt: 0, isTrial: true };
-    ['t0', 't1', 'u0'].forEach((id) => tested.blame(BYSTANDER, keyOf(id), canaryRun, 2_000));
+    ['t0', 't1', 'u0'].forEach((id) => tested.reportCrash(BYSTANDER, keyOf(id), canaryRun, 2_000));
     tested.tick(3_900);
     expect(tested.standing(BYSTANDER)).to.equal('quarantined');
     tested.tick(4_000);
@@ -234,10 +241,10 @@
   it('ends soon where the culprit crashed two targets at the same time', () => {
     const tested = new quarantine.Quarantine();
     ['t0', 't1'].forEach((id, i) => {
-      tested.blame(CULPRIT, keyOf(id), { sentAt: 0, isTrial: false }, 100);
-      tested.blame(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: i > 0 }, 100);
+      tested.reportCrash(CULPRIT, keyOf(id), { sentAt: 0, isTrial: false }, 100);
+      tested.reportCrash(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: i > 0 }, 100);
     });
-    tested.blame(BYSTANDER, keyOf('u0'), { sentAt: 5_000, isTrial: true }, 6_000);
+    tested.reportCrash(BYSTANDER, keyOf('u0'), { sentAt: 5_000, isTrial: true }, 6_000);
     expect(tested.standing(BYSTANDER)).to.equal('quarantined');
     [6_500, 8_000].forEach((at) => tested.tick(at));
     expect(tested.standing(BYSTANDER)).to.equal('suspected');
@@ -250,11 +257,11 @@
   it('ends soon where the culprit was released as doubtful before it began', () => {
     const tested = afterCrashes(3);
     ['t0', 't2'].forEach((id, i) => {
-      tested.blame(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: i > 0 }, 2_000);
+      tested.reportCrash(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: i > 0 }, 2_000);
     });
     tested.tick(4_000);
     expect(tested.standing(CULPRIT)).to.equal('suspected');
-    tested.blame(BYSTANDER, keyOf('u0'), { sentAt: 4_000, isTrial: true }, 4_100);
+    tested.reportCrash(BYSTANDER, keyOf('u0'), { sentAt: 4_000, isTrial: true }, 4_100);
     expect(tested.standing(BYSTANDER)).to.equal('quarantined');
     tested.tick(6_100);
     expect(tested.standing(BYSTANDER)).to.equal('suspected');
@@ -267,13 +274,13 @@
   it('costs at most two more targets where a request that ran beside it twice is suspected', () => {
     const tested = afterCrashes(3);
     ['t1', 't2'].forEach((id) =>
-      tested.blame(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: true }, 2_000),
+      tested.reportCrash(BYSTANDER, keyOf(id), { sentAt: 0, isTrial: true }, 2_000),
     );
     let further = 0;
     for (let at = 2_000; at < 110_000; at += 100) {
       tested.tick(at);
       if (tested.standing(CULPRIT) !== 'quarantined') {
-        tested.blame(CULPRIT, keyOf(`u${further}`), { sentAt: at, isTrial: true }, at);
+        tested.reportCrash(CULPRIT, keyOf(`u${further}`), { sentAt: at, isTrial: true }, at);
         further += 1;
       }
     }
@@ -292,7 +299,7 @@
       tested.tick(at);
       if (both.every((content) => tested.standing(content) !== 'quarantined')) {
         const run = { sentAt: at, isTrial: ends.length > 0 };
-        both.forEach((content) => tested.blame(content, keyOf(`t${ends.length}`), run, at));
+        both.forEach((content) => tested.reportCrash(content, keyOf(`t${ends.length}`), run, at));
         ends.push(at);
       }
     }
@@ -306,19 +313,19 @@
   it('ignores crashes from a follower that a request was cleared of', () => {
     const tested = afterCrashes(3);
     const canaryRun = { sentAt: 0, isTrial: true };
-    ['t0', 't1', 't2'].forEach((id) => tested.blame(BYSTANDER, keyOf(id), canaryRun, 2_000));
+    ['t0', 't1', 't2'].forEach((id) => tested.reportCrash(BYSTANDER, keyOf(id), canaryRun, 2_000));
     const reports = tested.reports(3_900);
     tested.tick(4_000);
     tested.merge(reports, 4_050);
     expect(tested.standing(BYSTANDER)).to.equal('suspected');
-    tested.ranWhole(BYSTANDER);
+    tested.completed(BYSTANDER);
     tested.merge(reports, 4_100);
     expect(tested.standing(BYSTANDER)).to.equal('free');
     // Once a target is known to be alive, the next report of its crash counts.
-    tested.spoke({ id: 't1', bornAt: 1 }, 7);
-    tested.spoke({ id: 't1', bornAt: 1 }, 8);
-    tested.blame(CULPRIT, keyOf('t1'), { sentAt: 9_000, isTrial: true }, 9_100);
-    expect(tested.endings(CULPRIT)).to.include(keyOf('t1'));
+    tested.applyAnnouncement({ id: 't1', bornAt: 1 }, 7);
+    tested.applyAnnouncement({ id: 't1', bornAt: 1 }, 8);
+    tested.reportCrash(CULPRIT, keyOf('t1'), { sentAt: 9_000, isTrial: true }, 9_100);
+    expect(tested.crashesOf(CULPRIT)).to.include(keyOf('t1'));
   });
 
   it('lasts two minutes at first, then one run decides, and longer each time', () => {
@@ -329,7 +336,7 @@
       return tested.standing(CULPRIT);
     });
     expect(standings).to.deep.equal(['quarantined', 'suspected']);
-    tested.blame(
+    tested.reportCrash(
       CULPRIT,
       keyOf('t9'),
       { sentAt: since + 3 * minute, isTrial: true },
@@ -349,19 +356,24 @@
    */
   it('evicts the suspects with the fewest crashes beyond its limit', () => {
     const tested = afterCrashes(3);
-    for (let i = 0; i < 2 * quarantine.MOST_SUSPECTS; i++)
-      tested.blame(`5-${i}`, keyOf(`u${i}`), { sentAt: 3_000 + i, isTrial: false }, 3_000 + i);
+    for (let i = 0; i < 2 * quarantine.MAX_SUSPECTS; i++)
+      tested.reportCrash(
+        `5-${i}`,
+        keyOf(`u${i}`),
+        { sentAt: 3_000 + i, isTrial: false },
+        3_000 + i,
+      );
     expect([tested.size, tested.standing(CULPRIT)]).to.deep.equal([
-      quarantine.MOST_SUSPECTS,
+      quarantine.MAX_SUSPECTS,
       'quarantined',
     ]);
-    expect(tested.standing(`5-${2 * quarantine.MOST_SUSPECTS - 1}`)).to.equal('suspected');
+    expect(tested.standing(`5-${2 * quarantine.MAX_SUSPECTS - 1}`)).to.equal('suspected');
   });
 
   it('is sent with ages, replaces the state of a follower, and is merged by a new leader', () => {
     const [leader, follower] = [afterCrashes(3), afterCrashes(1)];
-    follower.blame(BYSTANDER, keyOf('t0'), { sentAt: 0, isTrial: true }, 0);
-    follower.takeAll(leader.reports(10_000), 500_000);
+    follower.reportCrash(BYSTANDER, keyOf('t0'), { sentAt: 0, isTrial: true }, 0);
+    follower.replaceAll(leader.reports(10_000), 500_000);
     expect([follower.standing(CULPRIT), follower.standing(BYSTANDER)]).to.deep.equal([
       'quarantined',
       'free',
@@ -369,14 +381,14 @@
     const next = afterCrashes(1);
     next.merge(follower.reports(500_000), 20_000);
     expect(next.standing(CULPRIT)).to.equal('quarantined');
-    follower.take(new quarantine.Quarantine().report(CULPRIT, 0), 500_000);
+    follower.applyReport(new quarantine.Quarantine().report(CULPRIT, 0), 500_000);
     expect(follower.size).to.equal(0);
   });
 });
 
 describe('canary runs', () => {
   it('run one request per fingerprint at a time, and end with their entry', () => {
-    const tested = new trials.Trials();
+    const tested = new canaryRuns.CanaryRuns();
     const begin = (id: string, entry: string, now = 0): boolean => {
       return tested.begin(CULPRIT, { id, entry, target: undefined }, now);
     };
--- a/packages/domain/src/quarantine/endedLifetimes.ts
+++ b/packages/domain/src/quarantine/endedLifetimes.ts
@@ -24,7 +24,7 @@
 }
 
 /** Identifies a lifetime; the id alone doesn't, as a restarted target keeps it. */
-export function lifetimeOf({ id, bornAt }: Lifetime): string {
+export function lifetimeKey({ id, bornAt }: Lifetime): string {
   return `${id}/${bornAt}`;
 }
 
--- a/packages/domain/src/quarantine/index.ts
+++ b/packages/domain/src/quarantine/index.ts
@@ -1,4 +1,4 @@
-export * as endedLifetimes from './endedLifetimes';
+export * as crashedLifetimes from './endedLifetimes';
 export * as quarantine from './quarantine';
 export * as suspect from './suspect';
-export * as trials from './trials';
+export * as canaryRuns from './trials';
--- a/packages/domain/src/quarantine/quarantine.ts
+++ b/packages/domain/src/quarantine/quarantine.ts
@@ -10,13 +10,13 @@
  * run then decides.
  */
 
-import * as endedLifetimes from './endedLifetimes';
+import * as crashedLifetimes from './endedLifetimes';
 import * as suspects from './suspect';
 
 type Suspect = suspects.Suspect;
 
 /** Quarantine status of a request. */
-export type Standing = 'free' | 'suspected' | 'quarantined';
+export type QuarantineStatus = 'free' | 'suspected' | 'quarantined';
 
 /** Why a suspicion was cleared or reduced. */
 export type ClearanceReason = 'targetLives' | 'ranWhole' | 'explained' | 'doubtful' | 'expired';
@@ -26,7 +26,7 @@
  * it; the third run happens apart from other suspects. With two, the crash of a whole data centre
  * together with any other crash would refuse innocent requests.
  */
-export const MOST_ENDINGS = 3;
+export const QUARANTINE_CRASHES = 3;
 
 /**
  * A suspect without a new crash for this long is forgotten, milliseconds; callers give up sooner.
@@ -46,7 +46,7 @@
  * was running, so this covers a hundred crashes within `SUSPECT_EXPIRY_MS`. Beyond that, those with
  * the fewest crashes are evicted first.
  */
-export const MOST_SUSPECTS = 1_000;
+export const MAX_SUSPECTS = 1_000;
 
 /**
  * A quarantine is doubtful where all its crashes, except one at most, also count against other
@@ -67,14 +67,14 @@
 const LATE_CRASH_MS = 3_000;
 
 /** Crashes that still count after a quarantine: the next one is the third again. */
-const CRASHES_KEPT_ON_RELEASE = MOST_ENDINGS - 1;
+const CRASHES_KEPT_ON_RELEASE = QUARANTINE_CRASHES - 1;
 
 /** Effect of a change on one request, for the log. */
-export interface Change {
+export interface StatusChange {
   /** Fingerprint of the request. */
   content: string;
   /** Its status afterwards. */
-  standing: Standing;
+  standing: QuarantineStatus;
   /** Crashes that count against it afterwards. */
   endings: number;
   /** Why the suspicion was cleared or reduced; undefined where a crash was added. */
@@ -90,7 +90,7 @@
 }
 
 export class Quarantine {
-  private readonly lifetimes = new endedLifetimes.CrashedLifetimes();
+  private readonly lifetimes = new crashedLifetimes.CrashedLifetimes();
 
   private readonly suspects = new Map<string, Suspect>();
 
@@ -112,24 +112,24 @@
    * Whether some suspect's body has this length, bytes; a cheap check before a fingerprint is
    * computed.
    */
-  mayKnow(bodyBytes: number): boolean {
+  mayHaveSuspect(bodyBytes: number): boolean {
     return this.lengths.has(String(bodyBytes));
   }
 
-  standing(fingerprint: string): Standing {
+  standing(fingerprint: string): QuarantineStatus {
     const suspect = this.suspects.get(fingerprint);
     if (suspect === undefined) return 'free';
     return suspects.isQuarantined(suspect) ? 'quarantined' : 'suspected';
   }
 
   /** Crashes that count against a request. */
-  count(fingerprint: string): number {
+  crashCount(fingerprint: string): number {
     const suspect = this.suspects.get(fingerprint);
-    return suspect === undefined ? 0 : suspects.countOf(suspect);
+    return suspect === undefined ? 0 : suspects.crashCountOf(suspect);
   }
 
   /** Lifetimes that crashed while they ran a request. */
-  endings(fingerprint: string): string[] {
+  crashesOf(fingerprint: string): string[] {
     return this.suspects.get(fingerprint)?.endings.map(({ lifetime }) => lifetime) ?? [];
   }
 
@@ -137,12 +137,12 @@
    * Counts a crash of a lifetime against a request that it was running. Undefined where the crash
    * is known already, or happened before the request was sent.
    */
-  blame(
+  reportCrash(
     fingerprint: string,
     lifetime: string,
     { sentAt, isTrial }: UnansweredRun,
     now: number,
-  ): Change | undefined {
+  ): StatusChange | undefined {
     if ((this.lifetimes.reportedAt(lifetime) ?? Infinity) < sentAt) return undefined;
     if (this.lifetimes.isCleared(fingerprint, lifetime)) return undefined;
     this.lifetimes.record(lifetime, now);
@@ -151,7 +151,7 @@
     known.endings.push({ lifetime, at: now, isTrial });
     countCrash(known, now);
     this.lifetimes.addSuspect(fingerprint, lifetime);
-    if (suspects.countOf(known) >= MOST_ENDINGS && !suspects.isQuarantined(known)) {
+    if (suspects.crashCountOf(known) >= QUARANTINE_CRASHES && !suspects.isQuarantined(known)) {
       known.quarantinedAt = now;
       known.quarantines += 1;
     }
@@ -162,8 +162,8 @@
    * Takes an announcement of a lifetime; once that proves it alive, its crash no longer counts
    * against any request.
    */
-  spoke(lifetime: endedLifetimes.Lifetime, sequence: number): Change[] {
-    const key = endedLifetimes.lifetimeOf(lifetime);
+  applyAnnouncement(lifetime: crashedLifetimes.Lifetime, sequence: number): StatusChange[] {
+    const key = crashedLifetimes.lifetimeKey(lifetime);
     if (!this.lifetimes.confirmAlive(key, sequence)) return [];
     return this.lifetimes
       .suspectsOf(key)
@@ -171,12 +171,12 @@
   }
 
   /** Whether a lifetime is taken for crashed. */
-  hasEnded(lifetime: endedLifetimes.Lifetime): boolean {
-    return this.lifetimes.has(endedLifetimes.lifetimeOf(lifetime));
+  hasCrashed(lifetime: crashedLifetimes.Lifetime): boolean {
+    return this.lifetimes.has(crashedLifetimes.lifetimeKey(lifetime));
   }
 
   /** The request ran to completion, so it didn't cause the crashes that happened beside it. */
-  ranWhole(fingerprint: string): Change | undefined {
+  completed(fingerprint: string): StatusChange | undefined {
     const known = this.suspects.get(fingerprint);
     return known === undefined ? undefined : this.clearSuspicion(known, 'ranWhole');
   }
@@ -185,7 +185,7 @@
    * Advances time: ends quarantines, drops old suspicions and explains crashes by quarantined
    * requests.
    */
-  tick(now: number): Change[] {
+  tick(now: number): StatusChange[] {
     const all = [...this.suspects.values()];
     // Selected before any of them is released, as each may be what makes another one doubtful.
     const due = all.flatMap((each) => {
@@ -202,31 +202,31 @@
     return [...released, ...expired, ...this.explain(now)];
   }
 
-  reports(now: number): suspects.Report[] {
+  reports(now: number): suspects.SuspectReport[] {
     return [...this.suspects.values()].map((each) => suspects.toReport(each, now));
   }
 
   /** State of one request, without crashes where it isn't a suspect. */
-  report(fingerprint: string, now: number): suspects.Report {
+  report(fingerprint: string, now: number): suspects.SuspectReport {
     const known = this.suspects.get(fingerprint);
     return known === undefined ? suspects.emptyReport(fingerprint) : suspects.toReport(known, now);
   }
 
   /** Applies the leader's report, which replaces the state of that request here. */
-  take(report: suspects.Report, now: number): void {
+  applyReport(report: suspects.SuspectReport, now: number): void {
     const known = this.suspects.get(report.content);
     if (known !== undefined) this.deleteSuspect(known);
     if (report.endings.length > 0) this.restore(report, now);
   }
 
   /** Replaces all suspects by the leader's. */
-  takeAll(reports: readonly suspects.Report[], now: number): void {
+  replaceAll(reports: readonly suspects.SuspectReport[], now: number): void {
     [...this.suspects.values()].forEach((each) => this.deleteSuspect(each));
     reports.forEach((report) => this.restore(report, now));
   }
 
   /** Adds the suspects of another copy, for a new leader; returns what changed. */
-  merge(reports: readonly suspects.Report[], now: number): Change[] {
+  merge(reports: readonly suspects.SuspectReport[], now: number): StatusChange[] {
     return reports.flatMap((received) => {
       const report = this.withoutCleared(received);
       const known = this.suspects.get(report.content);
@@ -240,7 +240,7 @@
         report.endings
           // The reporter has checked that the request was sent before the crash.
           .map(({ lifetime, isTrial }) => {
-            return this.blame(report.content, lifetime, { sentAt: -Infinity, isTrial }, now);
+            return this.reportCrash(report.content, lifetime, { sentAt: -Infinity, isTrial }, now);
           })
           .filter((change) => change !== undefined)
       );
@@ -251,13 +251,14 @@
    * Removes crashes of which the request was cleared here; a follower may not have received that
    * yet.
    */
-  private withoutCleared(report: suspects.Report): suspects.Report {
+  private withoutCleared(report: suspects.SuspectReport): suspects.SuspectReport {
     const { content } = report;
     const endings = report.endings.filter(({ lifetime }) => {
       return !this.lifetimes.isCleared(content, lifetime);
     });
     if (endings.length === report.endings.length) return report;
-    const quarantinedForMs = endings.length < MOST_ENDINGS ? undefined : report.quarantinedForMs;
+    const quarantinedForMs =
+      endings.length < QUARANTINE_CRASHES ? undefined : report.quarantinedForMs;
     return { ...report, endings, quarantinedForMs };
   }
 
@@ -265,10 +266,11 @@
     return this.restore(suspects.emptyReport(fingerprint), now);
   }
 
-  private restore(report: suspects.Report, now: number): Suspect {
-    if (this.suspects.size >= MOST_SUSPECTS) this.evict(now);
+  private restore(report: suspects.SuspectReport, now: number): Suspect {
+    if (this.suspects.size >= MAX_SUSPECTS) this.evict(now);
     const restored = suspects.fromReport(report, now);
-    if (restored.totalEndings >= MOST_ENDINGS) restored.thirdEndAt = suspects.lastCrashAt(restored);
+    if (restored.totalEndings >= QUARANTINE_CRASHES)
+      restored.thirdEndAt = suspects.lastCrashAt(restored);
     this.suspects.set(restored.content, restored);
     restored.endings.forEach(({ lifetime, at }) => {
       this.lifetimes.addSuspect(restored.content, lifetime);
@@ -289,7 +291,7 @@
     else this.lengths.delete(length);
   }
 
-  private clearSuspicion(suspect: Suspect, reason: ClearanceReason): Change {
+  private clearSuspicion(suspect: Suspect, reason: ClearanceReason): StatusChange {
     const { content, endings } = suspect;
     this.deleteSuspect(suspect);
     endings.forEach(({ lifetime }) => this.lifetimes.recordCleared(content, lifetime));
@@ -297,13 +299,13 @@
   }
 
   /** The crash of a lifetime no longer counts against a request. */
-  private clearCrash(fingerprint: string, lifetime: string, reason: ClearanceReason): Change {
+  private clearCrash(fingerprint: string, lifetime: string, reason: ClearanceReason): StatusChange {
     const suspect = this.suspects.get(fingerprint) as Suspect;
     suspect.endings = suspect.endings.filter((each) => each.lifetime !== lifetime);
     this.lifetimes.removeSuspect(fingerprint, lifetime);
     this.lifetimes.recordCleared(fingerprint, lifetime);
     if (suspect.endings.length === 0) return this.clearSuspicion(suspect, reason);
-    if (suspects.countOf(suspect) < MOST_ENDINGS) suspect.quarantinedAt = undefined;
+    if (suspects.crashCountOf(suspect) < QUARANTINE_CRASHES) suspect.quarantinedAt = undefined;
     return this.statusChange(suspect, reason);
   }
 
@@ -318,7 +320,7 @@
     return this.isDoubtful(suspect) ? 'doubtful' : undefined;
   }
 
-  private release(suspect: Suspect, reason: 'expired' | 'doubtful', now: number): Change {
+  private release(suspect: Suspect, reason: 'expired' | 'doubtful', now: number): StatusChange {
     if (reason === 'doubtful') {
       suspect.doubts += 1;
       // It may never have been a culprit, so this quarantine makes no later one longer.
@@ -355,7 +357,7 @@
         .filter((other) => other !== suspect.content);
       return !others.some((other) => this.mayBeCulprit(other));
     });
-    return suspects.countOf({ endings: ownCrashes }) < CRASHES_KEPT_ON_RELEASE;
+    return suspects.crashCountOf({ endings: ownCrashes }) < CRASHES_KEPT_ON_RELEASE;
   }
 
   /**
@@ -367,21 +369,21 @@
     const suspect = this.suspects.get(fingerprint);
     if (suspect === undefined) return false;
     if (suspects.isQuarantined(suspect) || suspect.doubts > 0) return true;
-    return suspect.endings.length >= MOST_ENDINGS - 1;
+    return suspect.endings.length >= QUARANTINE_CRASHES - 1;
   }
 
   /**
    * Clears suspects with a single crash of the crashes that a quarantined request explains.
    * Suspects with a crash in a canary run as well may be culprits of their own.
    */
-  private explain(now: number): Change[] {
+  private explain(now: number): StatusChange[] {
     const culprits = [...this.suspects.values()].filter(({ quarantinedAt = Infinity }) => {
       return now - quarantinedAt >= EXPLANATION_DELAY_MS;
     });
     return culprits.flatMap((culprit) => this.explainCrashesOf(culprit));
   }
 
-  private explainCrashesOf(culprit: Suspect): Change[] {
+  private explainCrashesOf(culprit: Suspect): StatusChange[] {
     const lifetimes = culprit.endings.map(({ lifetime }) => lifetime);
     // A suspect that is cleared here may be the culprit, with the quarantined request only beside
     // it.
@@ -399,7 +401,7 @@
 
   /** Fingerprints of the suspects that this crash counts against, and no other one. */
   private singleCrashSuspects(lifetime: string): string[] {
-    return this.lifetimes.suspectsOf(lifetime).filter((content) => this.count(content) === 1);
+    return this.lifetimes.suspectsOf(lifetime).filter((content) => this.crashCount(content) === 1);
   }
 
   /**
@@ -408,7 +410,7 @@
   private evict(now: number): void {
     const priorityOf = (each: Suspect): number => {
       return (
-        suspects.countOf(each) * SUSPECT_EXPIRY_MS -
+        suspects.crashCountOf(each) * SUSPECT_EXPIRY_MS -
         Math.min(SUSPECT_EXPIRY_MS, now - suspects.lastCrashAt(each))
       );
     };
@@ -418,12 +420,12 @@
     );
   }
 
-  private statusChange(suspect: Suspect, reason: ClearanceReason | undefined): Change {
+  private statusChange(suspect: Suspect, reason: ClearanceReason | undefined): StatusChange {
     const { content } = suspect;
     return {
       content,
       standing: this.standing(content),
-      endings: suspects.countOf(suspect),
+      endings: suspects.crashCountOf(suspect),
       reason,
     };
   }
@@ -432,7 +434,7 @@
 /** Counts every crash, including those that later no longer count against the request. */
 function countCrash(suspect: Suspect, now: number): void {
   suspect.totalEndings += 1;
-  if (suspect.totalEndings === MOST_ENDINGS) suspect.thirdEndAt = now;
+  if (suspect.totalEndings === QUARANTINE_CRASHES) suspect.thirdEndAt = now;
   if (now > suspect.thirdEndAt + LATE_CRASH_MS) suspect.laterEndings += 1;
 }
 
--- a/packages/domain/src/quarantine/suspect.ts
+++ b/packages/domain/src/quarantine/suspect.ts
@@ -44,7 +44,7 @@
  * A suspect as sent between VMs. Their clocks can't be compared, so times are sent as ages. Without
  * endings the suspicion is cleared.
  */
-export interface Report {
+export interface SuspectReport {
   /** Fingerprint of the request. */
   content: string;
   endings: { lifetime: string; agoMs: number; isTrial: boolean }[];
@@ -76,7 +76,7 @@
  * many callers send is on many targets at once, and a culprit that crashes some of them would
  * otherwise have it quarantined too.
  */
-export function countOf({ endings }: Pick<Suspect, 'endings'>): number {
+export function crashCountOf({ endings }: Pick<Suspect, 'endings'>): number {
   const inCanaryRuns = endings.filter(({ isTrial }) => isTrial).length;
   return inCanaryRuns < endings.length ? inCanaryRuns + 1 : inCanaryRuns;
 }
@@ -86,7 +86,7 @@
   return Math.max(...endings.map(({ at }) => at));
 }
 
-export function toReport(suspect: Suspect, now: number): Report {
+export function toReport(suspect: Suspect, now: number): SuspectReport {
   const { content, endings, quarantines, quarantinedAt } = suspect;
   return {
     content,
@@ -97,11 +97,11 @@
 }
 
 /** The report on a request that is no suspect. */
-export function emptyReport(content: string): Report {
+export function emptyReport(content: string): SuspectReport {
   return { content, endings: [], quarantines: 0, quarantinedForMs: undefined };
 }
 
-export function fromReport(report: Report, now: number): Suspect {
+export function fromReport(report: SuspectReport, now: number): Suspect {
   const { content, endings, quarantines, quarantinedForMs } = report;
   return {
     content,
--- a/packages/domain/src/quarantine/trials.ts
+++ b/packages/domain/src/quarantine/trials.ts
@@ -16,7 +16,7 @@
   target: string | undefined;
 }
 
-export class Trials {
+export class CanaryRuns {
   private readonly byFingerprint = new Map<string, CanaryRun & { since: number }>();
 
   /** Begins a canary run; false while another request with the same fingerprint runs. */
--- a/packages/domain/src/rateLimits/__tests__/rateLimits.test.ts
+++ b/packages/domain/src/rateLimits/__tests__/rateLimits.test.ts
@@ -8,11 +8,11 @@
 
 const { expect } = chai;
 
-const PLACE: rateLimits.Place = { service: 's', address: '10.0.0.1:80' };
+const PLACE: rateLimits.Endpoint = { service: 's', address: '10.0.0.1:80' };
 
 function limited(perSecond: number, share = 1, now = 0): rateLimits.RateLimits {
   const limits = new rateLimits.RateLimits();
-  limits.giveOut(share, now);
+  limits.setShare(share, now);
   limits.set({ ...PLACE, perSecond }, now);
   return limits;
 }
@@ -21,8 +21,8 @@
 function takeAll(limits: rateLimits.RateLimits, from: number, to: number): number[] {
   const taken: number[] = [];
   for (let now = from; now < to; now += 10) {
-    if (limits.mayTake(PLACE, now)) {
-      limits.take(PLACE, 1, now);
+    if (limits.maySend(PLACE, now)) {
+      limits.countSent(PLACE, 1, now);
       taken.push(now);
     }
   }
@@ -36,7 +36,7 @@
 
   it('admit everything where no limit is known', () => {
     const limits = new rateLimits.RateLimits();
-    expect([limits.mayTake(PLACE, 0), limits.mayCheck(PLACE, 0)]).to.deep.equal([true, true]);
+    expect([limits.maySend(PLACE, 0), limits.mayProbe(PLACE, 0)]).to.deep.equal([true, true]);
     expect(limits.waitMs([PLACE], 5, 0)).to.equal(0);
   });
 
@@ -51,14 +51,14 @@
    */
   it('apply to the next target at the address, and to that service only', () => {
     const limits = limited(1);
-    expect(limits.at({ ...PLACE })).to.equal(1);
-    expect(limits.at({ ...PLACE, service: 'other' })).to.equal(undefined);
+    expect(limits.limitAt({ ...PLACE })).to.equal(1);
+    expect(limits.limitAt({ ...PLACE, service: 'other' })).to.equal(undefined);
   });
 
   it('end when the target announces none any more', () => {
     const limits = limited(1);
     expect(limits.set({ ...PLACE, perSecond: undefined }, 10)).to.equal(true);
-    expect(limits.mayTake(PLACE, 11)).to.equal(true);
+    expect(limits.maySend(PLACE, 11)).to.equal(true);
   });
 
   it('are removed some time after the last target left the address', () => {
@@ -70,20 +70,20 @@
 
   it('count unconditional messages as debt', () => {
     const limits = limited(1);
-    limits.take(PLACE, 2, 1_000);
+    limits.countSent(PLACE, 2, 1_000);
     expect(limits.waitMs([PLACE], 0, 1_000)).to.equal(2_000);
     expect(limits.waitMs([PLACE], 3, 1_000)).to.equal(5_000);
   });
 
   it('leave one more token for a liveness probe', () => {
     const limits = limited(1);
-    limits.take(PLACE, 1, 1_000);
-    expect([limits.mayTake(PLACE, 1_000), limits.mayCheck(PLACE, 1_000)]).to.deep.equal([
+    limits.countSent(PLACE, 1, 1_000);
+    expect([limits.maySend(PLACE, 1_000), limits.mayProbe(PLACE, 1_000)]).to.deep.equal([
       false,
       true,
     ]);
-    limits.take(PLACE, 1, 1_000);
-    expect(limits.mayCheck(PLACE, 1_000)).to.equal(false);
+    limits.countSent(PLACE, 1, 1_000);
+    expect(limits.mayProbe(PLACE, 1_000)).to.equal(false);
   });
 
   it('report an infinite wait where this process hands out nothing', () => {
@@ -108,13 +108,13 @@
         const taken: number[] = [];
         let now = 0;
         turns.forEach(([forMs, leader]) => {
-          keepers.forEach((each, i) => each.giveOut(i === leader ? 1 : 0, now));
-          parts.forEach((each) => each.giveOut(0, now));
+          keepers.forEach((each, i) => each.setShare(i === leader ? 1 : 0, now));
+          parts.forEach((each) => each.setShare(0, now));
           taken.push(...takeAll(keepers[leader], now, now + forMs));
           now += forMs;
-          keepers[leader].giveOut(0, now);
+          keepers[leader].setShare(0, now);
           parts.forEach((each) => {
-            each.giveOut(1 / entries, now);
+            each.setShare(1 / entries, now);
             taken.push(...takeAll(each, now, now + 500));
           });
           now += 500;
--- a/packages/domain/src/rateLimits/rateLimits.ts
+++ b/packages/domain/src/rateLimits/rateLimits.ts
@@ -10,14 +10,14 @@
 import * as tokenBucket from './tokenBucket';
 
 /** The service and address at which a target listens. */
-export interface Place {
+export interface Endpoint {
   service: string;
   /** HOST:PORT. */
   address: string;
 }
 
 /** The limit at an address, requests per second; undefined where it ended. */
-export interface RateLimit extends Place {
+export interface RateLimit extends Endpoint {
   perSecond: number | undefined;
 }
 
@@ -36,7 +36,7 @@
  */
 const PROBE_DEBT_TOKENS = 1;
 
-interface Limited extends Place {
+interface Limited extends Endpoint {
   perSecond: number;
   bucket: tokenBucket.TokenBucket;
   /** When this process learned of the limit. */
@@ -56,7 +56,7 @@
   }
 
   /** Hands out this share of each limit from now on, starting with empty buckets. */
-  giveOut(share: number, now: number): void {
+  setShare(share: number, now: number): void {
     if (share === this.share) return;
     this.share = share;
     this.limited.forEach(({ bucket, perSecond }) => {
@@ -66,12 +66,12 @@
   }
 
   /** The known limit at an address; undefined where there is none. */
-  at(place: Place): number | undefined {
+  limitAt(place: Endpoint): number | undefined {
     return this.find(place)?.perSecond;
   }
 
   /** When the limit at an address became known; undefined where there is none. */
-  knownSince(place: Place): number | undefined {
+  knownSince(place: Endpoint): number | undefined {
     return this.find(place)?.knownAt;
   }
 
@@ -107,29 +107,29 @@
     });
   }
 
-  isLimited(place: Place): boolean {
+  isLimited(place: Endpoint): boolean {
     return this.find(place) !== undefined;
   }
 
   /** Whether a request may be sent to an address now. */
-  mayTake(place: Place, now: number): boolean {
+  maySend(place: Endpoint, now: number): boolean {
     return this.find(place)?.bucket.isReady(now) !== false;
   }
 
   /** Whether a liveness probe may be sent to an address now. */
-  mayCheck(place: Place, now: number): boolean {
+  mayProbe(place: Endpoint, now: number): boolean {
     const known = this.find(place);
     if (known === undefined) return true;
     return this.share > 0 && known.bucket.levelAt(now) >= 1 - PROBE_DEBT_TOKENS;
   }
 
   /** Messages that may be sent to an address at once; infinite where there is no limit. */
-  room(place: Place, now: number): number {
+  availableTokens(place: Endpoint, now: number): number {
     return this.find(place)?.bucket.levelAt(now) ?? Infinity;
   }
 
   /** Counts messages that were sent or will be. */
-  take(place: Place, count: number, now: number): void {
+  countSent(place: Endpoint, count: number, now: number): void {
     this.find(place)?.bucket.take(count, now);
   }
 
@@ -137,7 +137,7 @@
    * Milliseconds until one of the addresses accepts a request with `ahead` requests queued before
    * it; 0 where one of them has no limit, infinite where this process hands out nothing.
    */
-  waitMs(places: readonly Place[], ahead: number, now: number): number {
+  waitMs(places: readonly Endpoint[], ahead: number, now: number): number {
     const limited = places.flatMap((place) => this.find(place) ?? []);
     if (limited.length < places.length || limited.length === 0) return 0;
     if (this.share === 0) return Infinity;
@@ -148,7 +148,7 @@
   }
 
   /** Removes and returns the limits of addresses at which no target listens any more. */
-  forget(isServed: (place: Place) => boolean, now: number): RateLimit[] {
+  forget(isServed: (place: Endpoint) => boolean, now: number): RateLimit[] {
     this.limited.forEach((each) => {
       if (isServed(each)) each.servedAt = now;
     });
@@ -166,12 +166,12 @@
     return this.share * Math.max(perSecond, 1 / CANARY_INTERVAL_SECONDS);
   }
 
-  private find(place: Place): Limited | undefined {
+  private find(place: Endpoint): Limited | undefined {
     return this.limited.size === 0 ? undefined : this.limited.get(keyOf(place));
   }
 }
 
 /** A unique string per address. */
-export function keyOf({ service, address }: Place): string {
+export function keyOf({ service, address }: Endpoint): string {
   return `${service} ${address}`;
 }
--- a/packages/domain/src/registry/__tests__/registry.test.ts
+++ b/packages/domain/src/registry/__tests__/registry.test.ts
@@ -31,18 +31,18 @@
    */
   it('never returns a lifetime to ready that announced in a response that it drains', () => {
     const tested = new registry.Registry();
-    tested.remember([announcement('a', { sequence: 4 })], 0);
-    expect(tested.leave('a', 0).map(({ state }) => state)).to.deep.equal(['draining']);
+    tested.loadFromDisk([announcement('a', { sequence: 4 })], 0);
+    expect(tested.reportDraining('a', 0).map(({ state }) => state)).to.deep.equal(['draining']);
     tested.announce(announcement('a', { sequence: 9 }), 20);
     tested.merge([announcement('a', { sequence: 10 })], 30);
     tested.follow([announcement('a', { sequence: 11 })], 40);
-    expect([states(tested), tested.leave('a', 0), tested.leave('b', 0)]).to.deep.equal([
-      { a: 'draining' },
-      [],
-      [],
-    ]);
+    expect([
+      states(tested),
+      tested.reportDraining('a', 0),
+      tested.reportDraining('b', 0),
+    ]).to.deep.equal([{ a: 'draining' }, [], []]);
     tested.announce(announcement('a', { bornAt: 5, sequence: 1 }), 50);
-    expect([tested.leave('a', 0), states(tested)]).to.deep.equal([[], { a: 'ready' }]);
+    expect([tested.reportDraining('a', 0), states(tested)]).to.deep.equal([[], { a: 'ready' }]);
   });
 
   /*
@@ -69,7 +69,7 @@
       follower.merge(changed, 0);
     };
     propagate(leader.announce(announcement('a', { sequence: 7 }), 0));
-    propagate(leader.presumeEnded('a', 100));
+    propagate(leader.reportReplaced('a', 100));
     expect(states(follower)).to.deep.equal({ a: 'gone' });
     // A copy of the registry that hasn't received the end yet changes nothing.
     propagate([announcement('a', { sequence: 7 })]);
@@ -125,7 +125,7 @@
   it('presumes a lifetime dead when another one answers for it, until it announces itself again', () => {
     const tested = new registry.Registry();
     tested.announce(announcement('a'), 0);
-    tested.presumeEnded('a', 100);
+    tested.reportReplaced('a', 100);
     expect(states(tested)).to.deep.equal({ a: 'gone' });
     tested.announce(announcement('a', { sequence: 2 }), 200);
     tested.announce(announcement('a', { sequence: 3 }), 1_400);
@@ -137,7 +137,7 @@
     tested.depart('a', 0);
     tested.announce(announcement('a'), 10);
     expect(states(tested)).to.deep.equal({ a: 'gone' });
-    tested.forget(registry.GONE_RETENTION_MS + 1);
+    tested.forgetGone(registry.GONE_RETENTION_MS + 1);
     expect(states(tested)).to.deep.equal({});
   });
 
--- a/packages/domain/src/registry/__tests__/remembered.test.ts
+++ b/packages/domain/src/registry/__tests__/remembered.test.ts
@@ -17,7 +17,7 @@
 
 function loadedRegistry(...records: registry.Announcement[]): registry.Registry {
   const tested = new registry.Registry();
-  tested.remember(records, 0);
+  tested.loadFromDisk(records, 0);
   return tested;
 }
 
@@ -46,8 +46,8 @@
    */
   it('are given up without an announcement, and return with a later one', () => {
     const tested = loadedRegistry(announcement('a'));
-    expect(tested.endRemembered(registry.LOADED_TIMEOUT_MS - 1)).to.deep.equal([]);
-    const ended = tested.endRemembered(registry.LOADED_TIMEOUT_MS + 1);
+    expect(tested.expireLoaded(registry.LOADED_TIMEOUT_MS - 1)).to.deep.equal([]);
+    const ended = tested.expireLoaded(registry.LOADED_TIMEOUT_MS + 1);
     expect(ended.map(({ id, state }) => `${id} ${state}`)).to.deep.equal(['a gone']);
     expect(readyTargets(tested)).to.deep.equal([]);
     tested.announce(announcement('a', { sequence: 9 }), registry.LOADED_TIMEOUT_MS + 50);
@@ -103,7 +103,7 @@
     const leader = loadedRegistry(announcement('a'));
     const follower = new registry.Registry();
     follower.merge(leader.records(), 0);
-    follower.merge(leader.endRemembered(registry.LOADED_TIMEOUT_MS + 1), 2_500);
+    follower.merge(leader.expireLoaded(registry.LOADED_TIMEOUT_MS + 1), 2_500);
     expect(readyTargets(follower)).to.deep.equal([]);
     follower.merge(leader.announce(announcement('a', { sequence: 9 }), 2_600), 2_600);
     expect(readyTargets(follower)).to.deep.equal(['a']);
@@ -115,11 +115,13 @@
    */
   it('are stored without ends that were only inferred', () => {
     const tested = loadedRegistry(announcement('a'));
-    tested.endRemembered(registry.LOADED_TIMEOUT_MS + 1);
+    tested.expireLoaded(registry.LOADED_TIMEOUT_MS + 1);
     tested.announce(announcement('bb'), 3_000);
-    tested.presumeEnded('bb', 3_100);
+    tested.reportReplaced('bb', 3_100);
     tested.announce(announcement('ccc', { state: 'gone' }), 3_200);
-    expect(tested.durable().map(({ id, state }) => `${id} ${state}`)).to.deep.equal(['ccc gone']);
+    expect(tested.durableRecords().map(({ id, state }) => `${id} ${state}`)).to.deep.equal([
+      'ccc gone',
+    ]);
   });
 
   /*
--- a/packages/domain/src/registry/registry.ts
+++ b/packages/domain/src/registry/registry.ts
@@ -102,7 +102,7 @@
    * A lifetime announced in a response that it drains. Its earlier announcements that arrive later
    * don't undo that.
    */
-  leave(id: string, bornAt: number): Announcement[] {
+  reportDraining(id: string, bornAt: number): Announcement[] {
     const known = this.entries.get(id);
     if (known?.record.bornAt !== bornAt || known.record.state !== 'ready') return [];
     this.replaceRecord(known, { ...known.record, state: 'draining', isRemembered: undefined });
@@ -113,7 +113,7 @@
    * Another process answered at the address of this lifetime, so it is presumed dead. It is revived
    * when it announces itself.
    */
-  presumeEnded(id: string, now: number): Announcement[] {
+  reportReplaced(id: string, now: number): Announcement[] {
     const known = this.entries.get(id);
     if (known === undefined || known.record.state === 'gone') return [];
     return [this.presumeEntryDead(known, now)];
@@ -123,7 +123,7 @@
    * Adds the records that were loaded from disk at the start of this process. A lifetime that was
    * draining or gone stays so; whether the others are alive isn't known yet.
    */
-  remember(records: readonly Announcement[], now: number): Announcement[] {
+  loadFromDisk(records: readonly Announcement[], now: number): Announcement[] {
     return records
       .filter(({ id }) => !this.entries.has(id))
       .map((record) => {
@@ -136,7 +136,7 @@
    * Marks targets loaded from disk as gone that haven't announced themselves for too long; the wait
    * begins at `since` at the earliest, when the caller began to receive announcements.
    */
-  endRemembered(now: number, since = -Infinity): Announcement[] {
+  expireLoaded(now: number, since = -Infinity): Announcement[] {
     return [...this.entries.values()]
       .filter(({ record, heardAt }) => {
         const isTimedOut = now - Math.max(heardAt, since) > LOADED_TIMEOUT_MS;
@@ -184,7 +184,7 @@
    * Records for a restart. Inferred ends are left out: after a restart such a lifetime could never
    * return, as the announcements that revoke the inference may come later.
    */
-  durable(): Announcement[] {
+  durableRecords(): Announcement[] {
     return [...this.entries.values()]
       .filter((entry) => !isPresumedDead(entry))
       .map(({ record }) => record)
@@ -205,7 +205,7 @@
   }
 
   /** Removes lifetimes that are gone for longer than `GONE_RETENTION_MS`. */
-  forget(now: number): void {
+  forgetGone(now: number): void {
     this.entries.forEach(({ record, heardAt }, id) => {
       if (record.state === 'gone' && now - heardAt > GONE_RETENTION_MS) this.entries.delete(id);
     });
--- a/packages/domain/src/replication/__tests__/replica.test.ts
+++ b/packages/domain/src/replication/__tests__/replica.test.ts
@@ -214,7 +214,7 @@
       return { id, address: id, dataCentre: id, role: 'voter' };
     });
     const empty = messages.emptyDurable();
-    const durable: messages.Durable = {
+    const durable: messages.DurableState = {
       vote: { term: 3, votedFor: '' },
       snapshot: { ...empty.snapshot, members },
       entries: [{ kind: 'command', index: 1, term: 2, command: 'old' }],
--- a/packages/domain/src/replication/__tests__/schedule.ts
+++ b/packages/domain/src/replication/__tests__/schedule.ts
@@ -9,7 +9,7 @@
 import * as replica from '../replica';
 
 interface Disk {
-  durable: messages.Durable;
+  durable: messages.DurableState;
 }
 
 interface Node {
@@ -46,7 +46,10 @@
 
 const LATENCY_MS = 5;
 
-function applyRecord(durable: messages.Durable, record: messages.Record): messages.Durable {
+function applyRecord(
+  durable: messages.DurableState,
+  record: messages.StorageRecord,
+): messages.DurableState {
   if (record.kind === 'vote') return { ...durable, vote: record.vote };
   if (record.kind === 'append') {
     return { ...durable, entries: [...durable.entries, ...record.entries] };
@@ -199,7 +202,7 @@
     this.start(node);
   }
 
-  private addNode(id: string, durable: messages.Durable): void {
+  private addNode(id: string, durable: messages.DurableState): void {
     const skew = Math.floor(this.source.uniform() * 1_000);
     const node: Node = { id, disk: { durable }, replica: undefined, applied: new Map(), skew };
     this.nodes.set(id, node);
--- a/packages/domain/src/replication/messages.ts
+++ b/packages/domain/src/replication/messages.ts
@@ -109,14 +109,14 @@
 export type Message = VoteRequest | VoteAnswer | AppendRequest | AppendAnswer | SnapshotRequest;
 
 /** A record that must be on disk before the messages of the same step are sent. */
-export type Record =
+export type StorageRecord =
   | { kind: 'vote'; vote: Vote }
   | { kind: 'append'; entries: Entry[] }
   | { kind: 'truncate'; from: number }
   | { kind: 'snapshot'; snapshot: Snapshot };
 
 /** State of a replica on disk after the replay of its journal. */
-export interface Durable {
+export interface DurableState {
   vote: Vote;
   snapshot: Snapshot;
   entries: Entry[];
@@ -124,7 +124,7 @@
 
 /** Effects of a step, to be carried out in this order: persist, send, install, apply. */
 export interface Effects {
-  persist: Record[];
+  persist: StorageRecord[];
   send: { to: string; message: Message }[];
   /** Snapshot that replaces the state of the state machine. */
   install: Snapshot | undefined;
@@ -143,7 +143,7 @@
 }
 
 /** The log of a new data folder: empty, in no replica set. */
-export function emptyDurable(): Durable {
+export function emptyDurable(): DurableState {
   return {
     vote: { term: 0, votedFor: '' },
     snapshot: { index: 0, term: 0, members: [], state: undefined },
--- a/packages/domain/src/replication/replica.ts
+++ b/packages/domain/src/replication/replica.ts
@@ -56,7 +56,7 @@
 }
 
 /** Why a replica refuses a command or a change of the replica set. */
-export type Refusal = 'notLeader' | 'noQuorumContact' | 'changeInProgress' | 'notCaughtUp';
+export type RefusalReason = 'notLeader' | 'noQuorumContact' | 'changeInProgress' | 'notCaughtUp';
 
 /** Where a proposal stands in the log. */
 export interface Position {
@@ -97,7 +97,7 @@
 
   constructor(
     id: string,
-    durable: messages.Durable,
+    durable: messages.DurableState,
     timing: Timing,
     source: random.Random,
     now: number,
@@ -134,7 +134,7 @@
   }
 
   /** State that the disk must hold, for rewriting the journal. */
-  get durable(): messages.Durable {
+  get durable(): messages.DurableState {
     const entries = this.log.from(this.log.snapshot.index + 1, Infinity);
     return { vote: this.vote, snapshot: this.log.snapshot, entries };
   }
@@ -180,7 +180,7 @@
   propose(
     commands: readonly unknown[],
     now: number,
-  ): { refusal?: Refusal; positions: Position[]; effects: messages.Effects } {
+  ): { refusal?: RefusalReason; positions: Position[]; effects: messages.Effects } {
     const refusal = this.refusalToPropose(now);
     if (refusal !== undefined) return { refusal, positions: [], effects: messages.noEffects() };
     const first = this.log.lastIndex + 1;
@@ -196,7 +196,7 @@
   changeMembers(
     members: messages.Member[],
     now: number,
-  ): { refusal?: Refusal; effects: messages.Effects } {
+  ): { refusal?: RefusalReason; effects: messages.Effects } {
     const refusal = this.refusalToChange(members, now);
     if (refusal !== undefined) return { refusal, effects: messages.noEffects() };
     const index = this.log.lastIndex + 1;
@@ -222,7 +222,7 @@
   }
 
   /** Sends heartbeats at once, to confirm with a quorum that this replica still leads. */
-  askQuorum(now: number): messages.Effects {
+  contactQuorum(now: number): messages.Effects {
     if (this.state === 'leader') this.broadcast(now);
     return this.takeEffects();
   }
@@ -615,12 +615,12 @@
     this.send(from, { kind: 'appendAnswer', from: this.id, term, success: true, matched, sentAt });
   }
 
-  private refusalToPropose(now: number): Refusal | undefined {
+  private refusalToPropose(now: number): RefusalReason | undefined {
     if (this.state !== 'leader') return 'notLeader';
     return this.hasQuorumContact(now) ? undefined : 'noQuorumContact';
   }
 
-  private refusalToChange(members: messages.Member[], now: number): Refusal | undefined {
+  private refusalToChange(members: messages.Member[], now: number): RefusalReason | undefined {
     const refusal = this.refusalToPropose(now);
     if (refusal !== undefined) return refusal;
     // Two concurrent changes could form two disjoint quorums.
--- a/packages/domain/src/request/__tests__/request.test.ts
+++ b/packages/domain/src/request/__tests__/request.test.ts
@@ -172,7 +172,13 @@
         let next = 0;
         let ended = false;
         frames.forEach(({ request, position, last }) => {
-          const finding = tested.take({ request, position, text: `${position}`, tokens: 1, last });
+          const finding = tested.accept({
+            request,
+            position,
+            text: `${position}`,
+            tokens: 1,
+            last,
+          });
           const wanted = request === 'mine' && position === next && !ended;
           expect(finding.kind === 'next').to.equal(wanted);
           if (!wanted) return;
--- a/packages/domain/src/request/__tests__/streamsAndBudget.test.ts
+++ b/packages/domain/src/request/__tests__/streamsAndBudget.test.ts
@@ -51,7 +51,7 @@
     let repeats = 0;
     for (let now = 0; now < 10_000; now += 100) {
       entries.forEach((entry) => {
-        entry.countFirst(now);
+        entry.countFirstAttempt(now);
         firsts += 1;
         while (entry.spend(now)) repeats += 1;
       });
@@ -90,8 +90,8 @@
   it('spends no slack before the number of entries is reported', () => {
     const entry = new repeatBudget.RepeatBudget({ ratio: 1, slack: 100, windowMs: 1_000 });
     expect(entry.spend(0)).to.equal(false);
-    entry.countFirst(0);
-    entry.countFirst(0);
+    entry.countFirstAttempt(0);
+    entry.countFirstAttempt(0);
     expect([entry.spend(0), entry.spend(0)]).to.deep.equal([true, false]);
   });
 
@@ -101,7 +101,7 @@
    */
   it('keeps the budgets of services separate', () => {
     const budgets = new repeatBudget.RepeatBudgets({ ratio: 0, slack: 30, windowMs: 1_000 });
-    budgets.shareWith(10, 0);
+    budgets.setEntryCount(10, 0);
     const failing = [1, 2, 3, 4].map(() => budgets.of('engines').spend(10));
     expect(failing).to.deep.equal([true, true, false, false]);
     expect(budgets.of('plain').spend(20)).to.equal(true);
--- a/packages/domain/src/request/repeatBudget.ts
+++ b/packages/domain/src/request/repeatBudget.ts
@@ -53,7 +53,7 @@
     this.entryCounts.report(entries, now);
   }
 
-  countFirst(now: number): void {
+  countFirstAttempt(now: number): void {
     this.firstAttempts.push(now);
   }
 
@@ -92,7 +92,7 @@
   }
 
   /** Reports how many entries share each budget now. */
-  shareWith(entries: number, now: number): void {
+  setEntryCount(entries: number, now: number): void {
     this.entryCounts.report(entries, now);
   }
 
--- a/packages/domain/src/request/retry.ts
+++ b/packages/domain/src/request/retry.ts
@@ -59,10 +59,10 @@
  * would crash twice as many; three targets that fail independently under one request are rarer than
  * a request that crashes its targets.
  */
-const MAX_TARGETS_LOST = quarantine.MOST_ENDINGS;
+const MAX_TARGETS_LOST = quarantine.QUARANTINE_CRASHES;
 
 /** Faults that indicate that a target was lost under a request. */
-export const LOST: readonly outcome.Fault[] = ['connectionLost', 'cutShort'];
+export const TARGET_LOST_FAULTS: readonly outcome.Fault[] = ['connectionLost', 'cutShort'];
 
 /** Decides what to do after the latest of `attempts` failed. */
 export function decide(
@@ -82,7 +82,7 @@
   if (last.fault === 'callerGone' || last.fault === 'deadline') {
     return { kind: 'giveUp', reason: 'deadline' };
   }
-  const lostAttempts = attempts.filter(({ fault }) => LOST.includes(fault));
+  const lostAttempts = attempts.filter(({ fault }) => TARGET_LOST_FAULTS.includes(fault));
   if (lostAttempts.length >= MAX_TARGETS_LOST) return { kind: 'giveUp', reason: 'targetsLost' };
   if (attempts.length >= options.maxAttempts) return { kind: 'giveUp', reason: 'attempts' };
   const ceiling = Math.min(options.maxDelayMs, options.baseDelayMs * 2 ** (attempts.length - 1));
--- a/packages/domain/src/request/stream.ts
+++ b/packages/domain/src/request/stream.ts
@@ -35,7 +35,7 @@
     this.request = request;
   }
 
-  take(frame: Frame): Finding {
+  accept(frame: Frame): Finding {
     if (frame.request !== this.request) return { kind: 'crossed' };
     if (this.isComplete || frame.position < this.position) return { kind: 'repeated' };
     if (frame.position > this.position) return { kind: 'gap' };
--- a/packages/domain/src/request/tokens.ts
+++ b/packages/domain/src/request/tokens.ts
@@ -3,7 +3,7 @@
  */
 
 /** Initial bytes per token; typical of English text. */
-export const INITIAL_RATIO = 4;
+export const INITIAL_BYTES_PER_TOKEN = 4;
 
 const LEARNING_WEIGHT = 0.1;
 
@@ -25,6 +25,6 @@
   }
 
   bytesPerTokenOf(model: string): number {
-    return this.bytesPerToken.get(model) ?? INITIAL_RATIO;
+    return this.bytesPerToken.get(model) ?? INITIAL_BYTES_PER_TOKEN;
   }
 }
--- a/packages/domain/src/routing/__tests__/routing.test.ts
+++ b/packages/domain/src/routing/__tests__/routing.test.ts
@@ -96,7 +96,7 @@
             running.delete(id);
             waiting.add(id);
           } else if (kind === 'break' || kind === 'mend') {
-            tested.setBroken(name, kind === 'break');
+            tested.setCircuitOpen(name, kind === 'break');
             if (kind === 'break') broken.add(name);
             else broken.delete(name);
           } else if (kind === 'withdraw') {
@@ -211,7 +211,7 @@
   it('distrusts a target after a gap until a listing', () => {
     const tested = new prefixIndex.PrefixIndex();
     const stored = (sequence: number, key: number): prefixIndex.EventOrder =>
-      tested.event('e', { sequence, kind: 'stored', key });
+      tested.applyEvent('e', { sequence, kind: 'stored', key });
     const cached = (): number => tested.cachedTokens('e', [1, 2, 3]);
     const seen: unknown[] = [stored(1, 1), stored(2, 2), cached(), stored(4, 3), cached()];
     seen.push(stored(4, 9));
@@ -224,7 +224,7 @@
 });
 
 describe('cells', () => {
-  const places = (count: number, prefix: string): cell.Placed[] =>
+  const places = (count: number, prefix: string): cell.Member[] =>
     Array.from({ length: count }, (_v, i) => ({ id: `${prefix}${i}`, dataCentre: `dc${i % 17}` }));
 
   it('are one for a small fleet, and all daemons name the same allocator', async () => {
--- a/packages/domain/src/routing/cell.ts
+++ b/packages/domain/src/routing/cell.ts
@@ -14,7 +14,7 @@
 /** Fleets of up to this many daemons share cells across all data centres. */
 export const SMALL_FLEET = 16;
 
-export interface Placed {
+export interface Member {
   id: string;
   dataCentre: string;
 }
@@ -33,12 +33,12 @@
 /** The cell of the daemon `self`; `daemons` are the live ones, with or without itself. */
 export function cellOf(
   hash: hashing.Hash,
-  self: Placed,
-  daemons: readonly Placed[],
-  targets: readonly Placed[],
+  self: Member,
+  daemons: readonly Member[],
+  targets: readonly Member[],
 ): Cell {
   const small = daemons.length <= SMALL_FLEET;
-  const isNearby = (placed: Placed): boolean => small || placed.dataCentre === self.dataCentre;
+  const isNearby = (placed: Member): boolean => small || placed.dataCentre === self.dataCentre;
   const nearbyTargets = targets.filter(isNearby).map(({ id }) => id);
   const nearbyDaemons = daemons.filter(isNearby).map(({ id }) => id);
   const count = Math.max(1, Math.ceil(nearbyTargets.length / CELL_TARGETS));
--- a/packages/domain/src/routing/dispatcher.ts
+++ b/packages/domain/src/routing/dispatcher.ts
@@ -72,7 +72,7 @@
  * Largest fraction of an engine's memory for one prompt; other engines hold the rest of a longer
  * one. Leaves room for shorter requests on every engine.
  */
-export const PRIMARY_SHARE = 0.8;
+export const MAX_PRIMARY_MEMORY_FRACTION = 0.8;
 
 interface QueuedRequest extends Request {
   tokens: number;
@@ -168,7 +168,7 @@
   }
 
   /** Targets whose circuit is open get nothing until it closes. */
-  setBroken(name: string, broken: boolean): void {
+  setCircuitOpen(name: string, broken: boolean): void {
     if (broken) this.openCircuits.add(name);
     else this.openCircuits.delete(name);
   }
@@ -240,7 +240,7 @@
     this.targets.get(name)?.targetEstimate.reported(report);
   }
 
-  peersReported(name: string, outstanding: estimate.Outstanding, now: number): void {
+  setPeersOutstanding(name: string, outstanding: estimate.Outstanding, now: number): void {
     this.targets.get(name)?.targetEstimate.setPeersOutstanding(outstanding, now);
   }
 
@@ -331,7 +331,10 @@
     const { id, promptTokens: tokens, answerTokens } = waiting;
     const largest = this.largestMemory(waiting.model);
     // For a prompt longer than any engine, the daemon reserves memory of others before it starts.
-    const memoryTokens = Math.min(tokens + answerTokens, Math.floor(largest * PRIMARY_SHARE));
+    const memoryTokens = Math.min(
+      tokens + answerTokens,
+      Math.floor(largest * MAX_PRIMARY_MEMORY_FRACTION),
+    );
     const job = { id, band: waiting.band, tokens, memoryTokens };
     const placement = this.placer.place(job, this.candidates(waiting), now);
     if (placement === undefined) return undefined;
--- a/packages/domain/src/routing/prefixIndex.ts
+++ b/packages/domain/src/routing/prefixIndex.ts
@@ -46,7 +46,7 @@
   }
 
   /** Applies one event of the target; after a gap the caller should request a listing. */
-  event(target: string, event: CacheEvent): EventOrder {
+  applyEvent(target: string, event: CacheEvent): EventOrder {
     const cached = this.of(target);
     if (event.sequence <= cached.sequence) return 'old';
     const inOrder = event.sequence === cached.sequence + 1;
--- a/packages/domain/src/settings/__tests__/settings.test.ts
+++ b/packages/domain/src/settings/__tests__/settings.test.ts
@@ -88,7 +88,7 @@
       noName: '[model]\nbase = b',
     };
     const problems = Object.entries(bad).map(([name, text]): [string, unknown] => {
-      const read = document.read(text);
+      const read = document.parse(text);
       return [name, read.ok ? 'accepted' : read.val.map(schema.describe)];
     });
     expect(Object.fromEntries(problems)).toMatchSnapshot();
@@ -101,7 +101,7 @@
     );
     fastCheck.assert(
       fastCheck.property(fastCheck.array(line), (lines) => {
-        document.read(lines.join('\n'));
+        document.parse(lines.join('\n'));
       }),
       { seed: 3, numRuns: 2_000 },
     );
--- a/packages/domain/src/settings/directory.ts
+++ b/packages/domain/src/settings/directory.ts
@@ -32,7 +32,7 @@
       this.revisions.set(name, index);
       const isUnchanged = previous?.revisions.get(name) === index;
       const known = isUnchanged ? previous?.documents.get(name) : undefined;
-      const content = known ?? document.read(text).unwrapOr(undefined);
+      const content = known ?? document.parse(text).unwrapOr(undefined);
       if (content !== undefined) this.add(name, content);
     });
   }
@@ -74,7 +74,7 @@
   }
 
   /** All models that any team serves. */
-  wantedModels(): document.Model[] {
+  servedModels(): document.Model[] {
     return [...this.documents.values()].flatMap(({ models }) => models);
   }
 
--- a/packages/domain/src/settings/document.ts
+++ b/packages/domain/src/settings/document.ts
@@ -205,12 +205,12 @@
     return;
   }
   const before = problems.length;
-  const values = schema.readFields(section, fields, raw, DEFAULTS, problems);
+  const values = schema.decodeFields(section, fields, raw, DEFAULTS, problems);
   if (problems.length === before) addSection(document, kind ?? '', name, values);
 }
 
 /** Parses the text of a subtree; fails with all problems in it. */
-export function read(text: string): Result<Document, schema.Problem[]> {
+export function parse(text: string): Result<Document, schema.Problem[]> {
   if (text.length > MAX_TEXT_LENGTH) {
     const mend = `keep a subtree under ${MAX_TEXT_LENGTH} characters`;
     return Err([{ section: '', key: '', value: `${text.length} characters`, mend }]);
--- a/packages/domain/src/settings/schema.ts
+++ b/packages/domain/src/settings/schema.ts
@@ -73,7 +73,7 @@
 export type Values = Map<string, unknown>;
 
 /** Decodes the keys of one section; appends what is wrong to `problems`. */
-export function readFields(
+export function decodeFields(
   section: string,
   fields: Fields,
   raw: Record<string, unknown>,
--- a/packages/domain/src/settings/tree.ts
+++ b/packages/domain/src/settings/tree.ts
@@ -154,7 +154,7 @@
     }
     const revision = this.revisionOf(change.subtree);
     if (revision !== change.basedOn) return this.conflict(change.subtree, revision);
-    const parsed = document.read(change.text);
+    const parsed = document.parse(change.text);
     if (parsed.err) return { kind: 'invalid', problems: parsed.val };
     return { kind: 'accepted', subtree: change.subtree, revision: revision + 1, index };
   }
--- a/packages/domain/src/stop/stop.ts
+++ b/packages/domain/src/stop/stop.ts
@@ -34,12 +34,12 @@
 }
 
 /** Whether the grace period is over, so that streams are moved now. */
-export function graceIsOver(stop: Stop, now: number): boolean {
+export function isGraceOver(stop: Stop, now: number): boolean {
   return now - stop.at > stop.graceSeconds * 1000;
 }
 
 /** Number of requests that one daemon still runs on the location of a stop. */
-export interface Remainder {
+export interface RunningCount {
   stop: string;
   running: number;
 }
@@ -50,7 +50,7 @@
 export function progress(
   stop: Stop,
   daemons: readonly string[],
-  remainders: ReadonlyMap<string, readonly Remainder[]>,
+  remainders: ReadonlyMap<string, readonly RunningCount[]>,
 ): Progress {
   const isDone = daemons.every((id) => {
     const own = remainders.get(id)?.find((remainder) => remainder.stop === stop.id);
--- a/packages/domain/src/target/keeper.ts
+++ b/packages/domain/src/target/keeper.ts
@@ -38,7 +38,7 @@
     const current = this.leases.get(announced.name);
     if (!target.isNewer(announced, current?.announced)) return false;
     this.leases.set(announced.name, { announced, heardAt: now });
-    return target.isNews(announced, current?.announced);
+    return target.isSignificantChange(announced, current?.announced);
   }
 
   /** Renews a lease by name alone; false if there is no lease of the target in this incarnation. */
@@ -53,7 +53,7 @@
   }
 
   /** Starts the lease of a target whose former keepers may have died together with it. */
-  adopt(announced: target.Target, now: number): void {
+  startLease(announced: target.Target, now: number): void {
     if (!this.leases.has(announced.name)) {
       this.leases.set(announced.name, { announced, heardAt: now });
     }
--- a/packages/domain/src/target/target.ts
+++ b/packages/domain/src/target/target.ts
@@ -82,7 +82,7 @@
  * lease. Load isn't reported: engines return it with their responses, to those that use them,
  * without extra messages.
  */
-export function isNews(candidate: Target, current: Target | undefined): boolean {
+export function isSignificantChange(candidate: Target, current: Target | undefined): boolean {
   if (current === undefined) return true;
   const relevantFields = ({ incarnation, status, address, models, memoryTokens }: Target): string =>
     JSON.stringify([incarnation, status, address, models, memoryTokens]);
--- a/packages/measure/src/decisions/__tests__/allocationSimulation.test.ts
+++ b/packages/measure/src/decisions/__tests__/allocationSimulation.test.ts
@@ -33,22 +33,25 @@
   it('prefills in the order that the planner predicts', () => {
     const events = new eventQueue.EventQueue();
     const engine = new engines.Engine(USUAL_WORKLOAD.engine, events);
-    const queue = new domain.allocation.readQueue.ReadQueue({ isWriting: false, passMs: () => 45 });
+    const queue = new domain.allocation.prefillQueue.PrefillQueue({
+      isDecoding: false,
+      engineStepMs: () => 45,
+    });
     const ends: number[][] = [];
     [171_000, 122_000, 206_000, 283_000].forEach((tokens, i) => {
       const at = 250 * i;
       events.at(at, () => {
-        const prefillMs = domain.allocation.cost.readMs(USUAL_WORKLOAD.engine, tokens, 6);
-        const reading = new domain.allocation.reading.Reading(`r${i}`, 1, 3_000, at);
-        reading.addPlace(queue);
-        queue.add({ reading, isPart: true, leftMs: prefillMs }, at);
+        const prefillMs = domain.allocation.cost.prefillMs(USUAL_WORKLOAD.engine, tokens, 6);
+        const reading = new domain.allocation.prefill.Prefill(`r${i}`, 1, 3_000, at);
+        reading.addPart(queue);
+        queue.add({ prefill: reading, isPart: true, leftMs: prefillMs }, at);
         engine.prefill(`r${i}`, tokens, 6, () => ends.push([i, events.now]));
       });
       events.at(749, () => undefined);
     });
     const predicted: number[] = [];
     events.at(751, () => {
-      queue.waitingShares(751).forEach(({ endsAt }) => predicted.push(endsAt));
+      queue.pendingParts(751).forEach(({ endsAt }) => predicted.push(endsAt));
     });
     while (events.size > 0) events.next();
     expect(ends.map(([i]) => i)).to.deep.equal([3, 2, 1, 0]);
@@ -65,7 +68,7 @@
 
   it('shows that prefill helpers increase earned worth', () => {
     const complete = decisions.score(simulate());
-    const withoutHelpers = decisions.score(simulate({ mostParts: 1 }));
+    const withoutHelpers = decisions.score(simulate({ maxParts: 1 }));
     expect(complete.worth - withoutHelpers.worth).to.be.greaterThan(0.02);
     expect(complete.worth).to.be.within(0.85, 1);
   });
@@ -73,6 +76,6 @@
   it('draws the same requests whatever mechanism is switched off', () => {
     const arrivalTimes = (outcomes: readonly allocationSimulation.Outcome[]): number[] =>
       outcomes.map(({ arrivedAt }) => arrivedAt).sort((a, b) => a - b);
-    expect(arrivalTimes(simulate({ packGain: 0 }))).to.deep.equal(arrivalTimes(simulate()));
+    expect(arrivalTimes(simulate({ packBonus: 0 }))).to.deep.equal(arrivalTimes(simulate()));
   });
 });
--- a/packages/measure/src/decisions/allocationSimulation.ts
+++ b/packages/measure/src/decisions/allocationSimulation.ts
@@ -2,7 +2,7 @@
  * Runs a workload in virtual time against the production allocator, wait queue and admission, with simulated engines. A
  * seed gives the same requests whatever mechanism is switched off, so that results can be compared in pairs.
  */
-import { placing } from '@celerydrift/daemon';
+import { placer } from '@celerydrift/daemon';
 import * as domain from '@celerydrift/domain';
 import * as eventQueue from '../mixed/eventQueue';
 import * as engines from './engine';
@@ -67,7 +67,7 @@
 
   private readonly allocator: domain.allocation.allocator.Allocator;
 
-  private readonly placer: placing.Placing;
+  private readonly placer: placer.Placer;
 
   private readonly engines = new Map<string, engines.Engine>();
 
@@ -81,7 +81,7 @@
       { name: SERVICE, healthPath: '/', maxConnections: 1_000, engine: workload.engine },
     ]);
     for (let i = 0; i < workload.engines; i++) this.addEngine(`t${i}`);
-    this.placer = new placing.Placing({
+    this.placer = new placer.Placer({
       allocator: this.allocator,
       clock: {
         now: () => this.events.now,
@@ -180,7 +180,7 @@
   private requestPlacement(request: Request): void {
     const { kind, tokens, events, at } = request;
     const callerTimeoutMs = Math.max(2_000, 4 * kind.objectiveMs, 8 * kind.pauseMs);
-    this.placer.ask(
+    this.placer.placeWithCallback(
       {
         id: `${request.id}/${request.attempt}`,
         entry: ENTRY,
@@ -257,8 +257,8 @@
   }
 
   private release(id: string, outcome: 'done' | 'broken', faulty?: string): void {
-    this.allocator.ended(id, outcome, this.events.now, { faulty });
-    this.placer.serveSoon();
+    this.allocator.endDispatch(id, outcome, this.events.now, { faulty });
+    this.placer.scheduleServing();
   }
 
   private finish(request: Request, result: Outcome['result']): void {
--- a/packages/measure/src/decisions/decisions.ts
+++ b/packages/measure/src/decisions/decisions.ts
@@ -13,19 +13,19 @@
 
 /** The weights that switch off one mechanism of the planner each, by the mechanism's name in the report. */
 export const ABLATIONS: Readonly<Record<string, Partial<Weights>>> = {
-  helpers: { mostParts: 1 },
-  oneHelpedAtMost: { mostHelped: 17 },
-  moreThanFourParts: { mostParts: 4 },
-  packing: { packGain: 0 },
-  riskOfTighterPauses: { tightRisk: 1 },
-  refusalOfHarmfulPlans: { refusesHarmful: false },
+  helpers: { maxParts: 1 },
+  oneHelpedAtMost: { maxHelpedPrompts: 17 },
+  moreThanFourParts: { maxParts: 4 },
+  packing: { packBonus: 0 },
+  riskOfTighterPauses: { tightGapFactor: 1 },
+  refusalOfHarmfulPlans: { refusesAboveValue: false },
   countingDelays: { countsDelays: false },
-  postponement: { mayPostpone: false },
-  costOfParts: { partLoss: 0 },
-  costOfLongParts: { blockLoss: 0 },
-  costOfSpreading: { spreadLoss: 0 },
-  preferenceForSooner: { waitLoss: 0 },
-  failureShares: { failureLoss: 0 },
+  postponement: { mayDefer: false },
+  costOfParts: { partPenalty: 0 },
+  costOfLongParts: { blockPenalty: 0 },
+  costOfSpreading: { spreadPenalty: 0 },
+  preferenceForSooner: { waitPenalty: 0 },
+  failureShares: { failurePenalty: 0 },
 };
 
 export interface Score {
--- a/packages/measure/src/decisions/engine.ts
+++ b/packages/measure/src/decisions/engine.ts
@@ -51,7 +51,7 @@
   /** Queues one of `parts` equal parts of a prompt of `tokens`; calls `onPrefilled` when it is done. */
   prefill(request: string, tokens: number, parts: number, onPrefilled: () => void): void {
     const remainingTokens = Math.max(1, tokens / parts);
-    const prefillMs = domain.allocation.cost.readMs(this.parameters, tokens, parts);
+    const prefillMs = domain.allocation.cost.prefillMs(this.parameters, tokens, parts);
     const isPart = parts > 1;
     const part = {
       request,
--- a/packages/measure/src/demo.ts
+++ b/packages/measure/src/demo.ts
@@ -144,7 +144,7 @@
 }
 
 async function printAudit(target: fleet.Fleet): Promise<void> {
-  const { content } = await target.callOperator<domain.control.state.Audit[]>(
+  const { content } = await target.callOperator<domain.control.state.AuditEntry[]>(
     'GET',
     'audit?limit=12',
   );
--- a/packages/measure/src/leader/leader.ts
+++ b/packages/measure/src/leader/leader.ts
@@ -122,7 +122,7 @@
   for (let i = 0; i < decisions; i++) {
     now += 1_000 / (PROMPTS_PER_SECOND_PER_ENGINE * engines);
     while (completions.length > 0 && completions[0].at <= now) {
-      allocator.ended(completions.shift()?.id ?? '', 'done', now);
+      allocator.endDispatch(completions.shift()?.id ?? '', 'done', now);
     }
     const { name, prompt } = kindAt(random.uniform());
     const dataCentre = `dc${i % DATA_CENTRES}`;
@@ -145,7 +145,7 @@
       [...durations].map(([name, all]) => [name, statistics.percentiles(all)]),
     ),
     firstHundredMs,
-    averagesMs: meanMs(() => allocator.averages()),
+    averagesMs: meanMs(() => allocator.averageLoadByService()),
     announcementMs: meanMs(() => {
       sequence += 1;
       registry.announce({ ...makeAnnouncement(sequence % engines), sequence }, 0);
--- a/packages/measure/src/mixed/simulation.ts
+++ b/packages/measure/src/mixed/simulation.ts
@@ -45,7 +45,7 @@
 
 const MODEL: domain.target.target.Loaded = { base: 'base', adapter: '', version: '1' };
 
-const { REPORT_EVERY } = standins.engineModel;
+const { LOAD_REPORT_INTERVAL_TOKENS } = standins.engineModel;
 
 /** The legacy system sends medium prompts at a steady rate. */
 const LEGACY_PROMPT_TOKENS = 4_000;
@@ -205,7 +205,9 @@
     this.owners.set(id, index);
     const { promptTokens, answerTokens, prefixKeys } = this.arrivals.get(id) as workload.Arrival;
     const { memoryTokens } = this.options.parameters;
-    const localTokens = Math.floor(memoryTokens * domain.routing.dispatcher.PRIMARY_SHARE);
+    const localTokens = Math.floor(
+      memoryTokens * domain.routing.dispatcher.MAX_PRIMARY_MEMORY_FRACTION,
+    );
     const remoteTokens = Math.max(0, promptTokens + answerTokens - localTokens);
     const priority = dispatch.enginePriority;
     const job = { id, promptTokens, answerTokens, priority, prefixKeys, remoteTokens };
@@ -222,13 +224,13 @@
     needsRoom: boolean,
   ): void {
     const isReserved = job.remoteTokens === 0 || this.reserveRemoteMemory(engine, job);
-    if (isReserved && !(needsRoom && !engine.model.hasRoom(job))) {
+    if (isReserved && !(needsRoom && !engine.model.hasMemoryFor(job))) {
       engine.model.submit(job, this.now);
       this.step(engine);
       return;
     }
     if (isReserved) this.releaseRemoteMemory(job.id);
-    const report = { ...engine.model.trueLoad(this.now), measuredAt: this.now };
+    const report = { ...engine.model.currentLoad(this.now), measuredAt: this.now };
     const delayMs = isReserved ? this.options.networkMs + this.allocatorHopMs : RETRY_MS;
     this.events.at(this.now + delayMs, () => {
       this.dispatchers[index].refused(job.id, report, this.now);
@@ -239,7 +241,7 @@
   /** Reserves memory on other engines for a prompt that exceeds one engine's: all of it or none. */
   private reserveRemoteMemory({ name }: Engine, job: standins.engineModel.Job): boolean {
     const others = [...this.engines.values()].filter((other) => other.name !== name);
-    const freeTokens = (other: Engine): number => other.model.trueLoad(this.now).freeTokens;
+    const freeTokens = (other: Engine): number => other.model.currentLoad(this.now).freeTokens;
     const maxPerEngine =
       this.options.parameters.memoryTokens * domain.memory.gathering.HELPER_SHARE;
     const reservations: { engine: Engine; tokens: number }[] = [];
@@ -261,17 +263,17 @@
   private releaseRemoteMemory(id: string): void {
     this.remoteReservations
       .get(id)
-      ?.forEach(({ engine, tokens }) => engine.model.unreserve(tokens));
+      ?.forEach(({ engine, tokens }) => engine.model.releaseReserved(tokens));
     this.remoteReservations.delete(id);
   }
 
   private step(engine: Engine): void {
-    if (engine.model.stepping) return;
-    const durationMs = engine.model.begin();
+    if (engine.model.isStepping) return;
+    const durationMs = engine.model.beginStep();
     if (durationMs === undefined) return;
     this.busyMs += durationMs;
     this.events.at(this.now + durationMs, () => {
-      engine.model.finish(this.now).forEach((token) => this.emit(engine, token));
+      engine.model.finishStep(this.now).forEach((token) => this.emit(engine, token));
       this.step(engine);
     });
   }
@@ -281,11 +283,12 @@
     if (owner === undefined) return;
     if (token.last) this.releaseRemoteMemory(token.id);
     // An allocator receives loads only with first and last tokens.
-    const reportEvery = this.options.allocatorHopMs === undefined ? REPORT_EVERY : Infinity;
+    const reportEvery =
+      this.options.allocatorHopMs === undefined ? LOAD_REPORT_INTERVAL_TOKENS : Infinity;
     const isReported = token.position % reportEvery === 0 || token.last;
     if (!isReported) return;
     const { loadLagMs } = this.options.parameters;
-    const load = engine.model.load(this.now);
+    const load = engine.model.reportedLoad(this.now);
     const measuredAt = this.now - loadLagMs;
     if (token.position === 0) this.recordFirstToken(token.id);
     this.events.at(this.now + this.options.networkMs + this.allocatorHopMs, () => {
@@ -316,7 +319,7 @@
         const sum = (band: domain.routing.band.Band): number =>
           others.reduce((all, { outstanding }) => all + (outstanding.get(name)?.[band] ?? 0), 0);
         const reported = { short: 0, medium: sum('medium'), long: sum('long') };
-        dispatcher.peersReported(name, reported, this.now);
+        dispatcher.setPeersOutstanding(name, reported, this.now);
       });
       const demand = (band: domain.routing.band.Band): number =>
         others.reduce((all, other) => all + other.demand[band], 0);
@@ -339,8 +342,8 @@
           0,
         );
       const reported = { short: sum('short'), medium: sum('medium'), long: sum('long') };
-      dispatcher.peersReported(name, reported, this.now);
-      const load = model.trueLoad(this.now);
+      dispatcher.setPeersOutstanding(name, reported, this.now);
+      const load = model.currentLoad(this.now);
       dispatcher.reported(name, { ...load, measuredAt: this.now });
     });
   }
--- a/packages/measure/src/quarantine/quarantine.ts
+++ b/packages/measure/src/quarantine/quarantine.ts
@@ -3,7 +3,7 @@
  * table of suspect requests in memory and on the wire. Durations are measured on the machine that runs it.
  */
 import * as domain from '@celerydrift/domain';
-import { fingerprint, registryCopies } from '@celerydrift/daemon';
+import { fingerprint, registrySnapshots } from '@celerydrift/daemon';
 
 type Quarantine = domain.quarantine.quarantine.Quarantine;
 
@@ -39,8 +39,8 @@
 function makeTable(suspects: number, bodyBytes: number): Quarantine {
   const quarantine = new domain.quarantine.quarantine.Quarantine();
   for (let i = 0; i < suspects; i++) {
-    const lifetime = domain.quarantine.endedLifetimes.lifetimeOf({ id: `i-${i}`, bornAt: i });
-    quarantine.blame(`${bodyBytes}-${i}`, lifetime, { sentAt: i, isTrial: false }, i);
+    const lifetime = domain.quarantine.crashedLifetimes.lifetimeKey({ id: `i-${i}`, bornAt: i });
+    quarantine.reportCrash(`${bodyBytes}-${i}`, lifetime, { sentAt: i, isTrial: false }, i);
   }
   return quarantine;
 }
@@ -49,7 +49,7 @@
 function lookupMicroseconds(quarantine: Quarantine, body: Buffer, repeats: number): number {
   const request = { host: 'a.example', method: 'POST', path: '/a/1', organisation: 'o', body };
   const check = (): void => {
-    if (quarantine.mayKnow(body.length)) quarantine.standing(fingerprint.of(request));
+    if (quarantine.mayHaveSuspect(body.length)) quarantine.standing(fingerprint.of(request));
   };
   for (let i = 0; i < repeats / 10; i++) check();
   const since = performance.now();
@@ -65,13 +65,18 @@
 function crashReportMs(full: Quarantine): number {
   const since = performance.now();
   for (let i = 0; i < CRASH_REPORTS; i++) {
-    full.blame(`${OTHER_BYTES}-new${i}`, `new${i}/0`, { sentAt: 0, isTrial: false }, 10_000 + i);
+    full.reportCrash(
+      `${OTHER_BYTES}-new${i}`,
+      `new${i}/0`,
+      { sentAt: 0, isTrial: false },
+      10_000 + i,
+    );
   }
   return (performance.now() - since) / CRASH_REPORTS;
 }
 
 export async function run(quick: boolean, log: (line: string) => void): Promise<Result> {
-  const { MOST_SUSPECTS: maxSuspects } = domain.quarantine.quarantine;
+  const { MAX_SUSPECTS: maxSuspects } = domain.quarantine.quarantine;
   const costs = BODY_BYTES.map((bodyBytes) => {
     const body = Buffer.alloc(bodyBytes, 'x');
     const defaultRepeats = quick ? QUICK_REPEATS : REPEATS;
@@ -88,7 +93,7 @@
   const before = usedHeapBytes();
   const full = makeTable(maxSuspects, OTHER_BYTES);
   const heapBytes = usedHeapBytes() - before;
-  const copyBytes = registryCopies.pack({
+  const copyBytes = registrySnapshots.pack({
     records: [],
     suspects: full.reports(0),
     limits: [],
--- a/packages/measure/src/settings/partitions.ts
+++ b/packages/measure/src/settings/partitions.ts
@@ -124,11 +124,11 @@
   isolated.forEach((a) => {
     others.forEach((b) => {
       if (isCut) {
-        a.daemon.peers.cut.add(b.peerAddress);
-        b.daemon.peers.cut.add(a.peerAddress);
+        a.daemon.peers.blockedAddresses.add(b.peerAddress);
+        b.daemon.peers.blockedAddresses.add(a.peerAddress);
       } else {
-        a.daemon.peers.cut.delete(b.peerAddress);
-        b.daemon.peers.cut.delete(a.peerAddress);
+        a.daemon.peers.blockedAddresses.delete(b.peerAddress);
+        b.daemon.peers.blockedAddresses.delete(a.peerAddress);
       }
     });
   });
--- a/packages/measure/src/state/state.ts
+++ b/packages/measure/src/state/state.ts
@@ -151,7 +151,7 @@
   const claims = measureBytes(CLAIMS, () => fillLedger(CLAIMS));
   const tombstones = measureBytes(CLAIMS, () => {
     const shard = fillLedger(CLAIMS);
-    const { retention } = domain.ledger.ledger.DEFAULT_BOUNDS;
+    const { retention } = domain.ledger.ledger.DEFAULT_LIMITS;
     shard.apply({ kind: 'release', key: '', attempt: '', at: retention + CLAIMS + 1 });
     return shard;
   });
@@ -159,7 +159,7 @@
   const changed = unchanged.map((each, i) => (i === 0 ? { ...each, index: 1e6 } : each));
   const { Directory } = domain.settings.directory;
   const formerDirectory = subtrees.made;
-  const placedAt = (prefix: string, i: number): domain.routing.cell.Placed => {
+  const placedAt = (prefix: string, i: number): domain.routing.cell.Member => {
     return { id: `${prefix}${i}`, dataCentre: `dc-${i % 17}` };
   };
   const fleet = Array.from({ length: 810 }, (_value, i) => placedAt('vm', i));
--- a/packages/soak/src/operator.ts
+++ b/packages/soak/src/operator.ts
@@ -233,7 +233,7 @@
 
 /** The version and label that a document's probe route contains. */
 function identityOf(body: string): { version: number; label: string } | undefined {
-  const decoded = new control.Control().catalogue(Buffer.from(body));
+  const decoded = new control.Control().parseCatalogue(Buffer.from(body));
   if (decoded.err) return undefined;
   const { version, routes } = decoded.val;
   const probe = routes.find(({ name }) => name.startsWith(`v${version}`));
--- a/packages/soak/src/targetMain.ts
+++ b/packages/soak/src/targetMain.ts
@@ -144,7 +144,7 @@
       target,
       organisation = '',
       resumeAfter,
-    } = counterpart.received(request.headers);
+    } = counterpart.parseRequest(request.headers);
     const { id, slots } = this.options;
     if (target !== id || this.running >= slots) {
       const status = target === id ? 503 : 421;
--- a/packages/standins/src/engine/engineModel.ts
+++ b/packages/standins/src/engine/engineModel.ts
@@ -38,7 +38,7 @@
 }
 
 /** A stream reports the engine's load once in this many tokens. */
-export const REPORT_EVERY = 16;
+export const LOAD_REPORT_INTERVAL_TOKENS = 16;
 
 /** At this count samples that are no longer reported are dropped, and if still needed every other one. */
 const MAX_LOAD_SAMPLES = 256;
@@ -69,7 +69,7 @@
 
   private loads: Load[] = [];
 
-  stepping = false;
+  isStepping = false;
 
   constructor(readonly options: parameters.Parameters = parameters.DEFAULT_PARAMETERS) {}
 
@@ -80,7 +80,7 @@
   }
 
   /** Whether memory would suffice for this request and all queued ones at the next step. */
-  hasRoom(job: Job): boolean {
+  hasMemoryFor(job: Job): boolean {
     const waitingTokens = this.queue.reduce(
       (sum, queued) => sum + this.requiredTokens(queued.job),
       0,
@@ -113,7 +113,7 @@
     return true;
   }
 
-  unreserve(tokens: number): void {
+  releaseReserved(tokens: number): void {
     this.reserved -= tokens;
   }
 
@@ -122,16 +122,16 @@
   }
 
   /** Begins a step; returns its duration in milliseconds, or undefined if no request is running. */
-  begin(): number | undefined {
+  beginStep(): number | undefined {
     this.admit();
     if (this.running.length === 0) return undefined;
-    this.stepping = true;
+    this.isStepping = true;
     return this.planStep();
   }
 
   /** Applies the step in progress and returns the tokens that it generated. */
-  finish(now: number): Token[] {
-    this.stepping = false;
+  finishStep(now: number): Token[] {
+    this.isStepping = false;
     const tokens: Token[] = [];
     [...this.running].forEach((running) => {
       const token = this.advance(running);
@@ -142,13 +142,13 @@
   }
 
   /** The load that the engine reports, which lags by `loadLagMs`. */
-  load(now: number): Load {
+  reportedLoad(now: number): Load {
     const asOf = now - this.options.loadLagMs;
-    return this.loads.findLast(({ at }) => at <= asOf) ?? this.loads[0] ?? this.trueLoad(now);
+    return this.loads.findLast(({ at }) => at <= asOf) ?? this.loads[0] ?? this.currentLoad(now);
   }
 
   /** The load at this moment, without the lag. */
-  trueLoad(now: number): Load {
+  currentLoad(now: number): Load {
     const waitingTokens = this.queue.reduce((sum, { job }) => sum + job.promptTokens, 0);
     const prefillingTokens = this.running.reduce(
       (sum, { job, prefilledTokens }) => sum + job.promptTokens - prefilledTokens,
@@ -163,7 +163,7 @@
   }
 
   /** Number of queued and running requests. */
-  get size(): number {
+  get requestCount(): number {
     return this.queue.length + this.running.length;
   }
 
@@ -268,7 +268,7 @@
   }
 
   private recordLoad(now: number): void {
-    this.loads.push(this.trueLoad(now));
+    this.loads.push(this.currentLoad(now));
     if (this.loads.length < MAX_LOAD_SAMPLES) return;
     const asOf = now - this.options.loadLagMs;
     const firstNeeded = this.loads.findLastIndex(({ at }) => at <= asOf);
--- a/packages/standins/src/engine/engineServer.ts
+++ b/packages/standins/src/engine/engineServer.ts
@@ -38,7 +38,7 @@
   /** Keys of the prompt's blocks in the prefix cache. */
   prefixKeys: number[];
   /** Daemon that leases the engine's resources for this request. */
-  owner: domain.memory.holding.Owner;
+  owner: domain.memory.leasedResources.Owner;
   system: string;
   /** KV memory that is reserved for this request on other engines. */
   reservations: { target: string; tokens: number }[];
@@ -78,7 +78,7 @@
   readonly model: engineModel.EngineModel;
 
   /** Resources that daemons lease on this engine. */
-  readonly held = new leaseTable.LeaseTable();
+  readonly leases = new leaseTable.LeaseTable();
 
   readonly incarnation = Date.now();
 
@@ -102,7 +102,7 @@
   private leaseTimer: NodeJS.Timeout | undefined;
 
   /** Number of starts by request id. */
-  readonly started = new Map<string, number>();
+  readonly startCounts = new Map<string, number>();
 
   constructor(private readonly options: Options) {
     this.model = new engineModel.EngineModel(options.parameters);
@@ -127,14 +127,14 @@
   }
 
   /** Starts draining: announces that the target is leaving and refuses new requests. */
-  async leave(): Promise<void> {
+  async drain(): Promise<void> {
     this.status = 'leaving';
     await this.announcer.announce();
   }
 
   private buildAnnouncement(): Omit<announcer.Announcement, 'sequence'> {
     const { name, host, dataCentre, fencing } = this.options;
-    const { queuedTokens, streams, freeTokens } = this.model.load(Date.now());
+    const { queuedTokens, streams, freeTokens } = this.model.reportedLoad(Date.now());
     return {
       name,
       incarnation: this.incarnation,
@@ -161,7 +161,7 @@
     else if (collection === 'orders') this.onOrder(call);
     else if (collection === 'cache') this.onCache(call);
     else if (collection === 'leave')
-      void this.leave().then(() => httpServer.sendJson(call, 200, {}));
+      void this.drain().then(() => httpServer.sendJson(call, 200, {}));
     else httpServer.sendJson(call, 404, { error: 'no such path' });
   }
 
@@ -204,8 +204,8 @@
       return;
     }
     const job = this.toJob(body);
-    if (body.needsRoom && !this.model.hasRoom(job)) {
-      const noRoom = { ...this.model.trueLoad(Date.now()), ageMs: 0 };
+    if (body.needsRoom && !this.model.hasMemoryFor(job)) {
+      const noRoom = { ...this.model.currentLoad(Date.now()), ageMs: 0 };
       httpServer.sendJson(call, 409, { error: 'not enough free KV memory', notRun: true, noRoom });
       return;
     }
@@ -225,7 +225,7 @@
   }
 
   private startStream(call: httpServer.Call, body: GenerateBody, job: engineModel.Job): void {
-    this.started.set(body.request, (this.started.get(body.request) ?? 0) + 1);
+    this.startCounts.set(body.request, (this.startCounts.get(body.request) ?? 0) + 1);
     const stream: Stream = {
       body,
       digest: promptDigest(body.prompt),
@@ -237,7 +237,7 @@
       isComplete: false,
     };
     this.streams.set(body.request, stream);
-    this.held.add({
+    this.leases.add({
       id: body.request,
       system: body.system,
       kind: 'stream',
@@ -307,15 +307,15 @@
     this.model.cancel(id, Date.now());
     this.streams.get(id)?.response?.destroy();
     this.streams.delete(id);
-    this.held.remove(id);
+    this.leases.remove(id);
   }
 
   private step(): void {
-    if (this.model.stepping) return;
-    const durationMs = this.model.begin();
+    if (this.model.isStepping) return;
+    const durationMs = this.model.beginStep();
     if (durationMs === undefined) return;
     setTimeout(() => {
-      this.model.finish(Date.now()).forEach((token) => this.emit(token));
+      this.model.finishStep(Date.now()).forEach((token) => this.emit(token));
       this.step();
     }, durationMs);
   }
@@ -326,8 +326,11 @@
     const position = token.position + stream.body.resumeFrom;
     const { loadLagMs } = this.options.parameters;
     const isFirstOrLast = token.position === 0 || token.last;
-    const reportsLoad = isFirstOrLast || token.position % engineModel.REPORT_EVERY === 0;
-    const load = reportsLoad ? { ...this.model.load(Date.now()), ageMs: loadLagMs } : undefined;
+    const reportsLoad =
+      isFirstOrLast || token.position % engineModel.LOAD_REPORT_INTERVAL_TOKENS === 0;
+    const load = reportsLoad
+      ? { ...this.model.reportedLoad(Date.now()), ageMs: loadLagMs }
+      : undefined;
     const promptTokens = Math.ceil(stream.body.prompt.length / BYTES_PER_TOKEN);
     const frame = `data: ${JSON.stringify({
       request: stream.hasWrongId ? `${token.id}-other` : token.id,
@@ -352,7 +355,7 @@
     if (stream.response === undefined) return;
     stream.response.end();
     this.streams.delete(id);
-    this.held.remove(id);
+    this.leases.remove(id);
   }
 
   private onReservation(call: httpServer.Call, id: string): void {
@@ -370,32 +373,32 @@
     };
     const expiresAt = now + reservation.leaseMs;
     if (call.method === 'PUT') {
-      const known = this.held.renew(id, expiresAt);
+      const known = this.leases.renew(id, expiresAt);
       httpServer.sendJson(call, known ? 200 : 404, { renewed: known });
       return;
     }
     const granted =
-      this.held.get(reservation.id) !== undefined || this.model.reserve(reservation.tokens);
+      this.leases.get(reservation.id) !== undefined || this.model.reserve(reservation.tokens);
     if (granted) {
       const { id: name, system, owner, tokens } = reservation;
-      this.held.add({ id: name, system, kind: 'reservation', owner, tokens, expiresAt });
+      this.leases.add({ id: name, system, kind: 'reservation', owner, tokens, expiresAt });
     }
-    const { freeTokens } = this.model.trueLoad(now);
+    const { freeTokens } = this.model.currentLoad(now);
     httpServer.sendJson(call, granted ? 200 : 409, { granted, freeTokens });
   }
 
   private releaseReservation(id: string): void {
-    const lease = this.held.remove(id);
-    if (lease?.kind === 'reservation') this.model.unreserve(lease.tokens);
+    const lease = this.leases.remove(id);
+    if (lease?.kind === 'reservation') this.model.releaseReserved(lease.tokens);
   }
 
   private expireLeases(): void {
-    this.held.expired(Date.now()).forEach(({ id }) => this.releaseReservation(id));
+    this.leases.expired(Date.now()).forEach(({ id }) => this.releaseReservation(id));
   }
 
   private onLeases(call: httpServer.Call, id: string): void {
     if (call.method === 'DELETE') {
-      if (this.held.get(id)?.kind === 'reservation') this.releaseReservation(id);
+      if (this.leases.get(id)?.kind === 'reservation') this.releaseReservation(id);
       else this.endRequest(id);
       httpServer.sendJson(call, 200, { released: true });
       return;
@@ -403,10 +406,10 @@
     if (call.method === 'POST') {
       const lease = JSON.parse(call.body) as leaseTable.EngineLease;
       this.model.reserve(lease.tokens);
-      this.held.add({ ...lease, expiresAt: Date.now() + REGISTERED_LEASE_MS });
+      this.leases.add({ ...lease, expiresAt: Date.now() + REGISTERED_LEASE_MS });
     }
-    const listed = this.held.list().map(({ expiresAt, ...resource }) => resource);
-    const started = Object.fromEntries(this.started);
+    const listed = this.leases.list().map(({ expiresAt, ...resource }) => resource);
+    const started = Object.fromEntries(this.startCounts);
     httpServer.sendJson(call, 200, { incarnation: this.incarnation, holdings: listed, started });
   }
 
--- a/packages/standins/src/engine/leaseTable.ts
+++ b/packages/standins/src/engine/leaseTable.ts
@@ -4,7 +4,7 @@
  */
 import type * as domain from '@celerydrift/domain';
 
-export interface EngineLease extends domain.memory.holding.Listed {
+export interface EngineLease extends domain.memory.leasedResources.ListedResource {
   /** Time in milliseconds at which an unrenewed lease is released; Infinity for streams. */
   expiresAt: number;
 }
--- a/packages/standins/src/service/plainService.ts
+++ b/packages/standins/src/service/plainService.ts
@@ -20,7 +20,7 @@
 
 export class PlainService {
   /** Number of runs by entry id. */
-  readonly runs = new Map<string, number>();
+  readonly runCounts = new Map<string, number>();
 
   private readonly incarnation = Date.now();
 
@@ -75,7 +75,7 @@
       else this.faultInjector.inject(fault);
       httpServer.sendJson(call, 200, {});
     } else if (call.path === '/runs') {
-      httpServer.sendJson(call, 200, Object.fromEntries(this.runs));
+      httpServer.sendJson(call, 200, Object.fromEntries(this.runCounts));
     } else if (call.method === 'POST') {
       await this.createEntry(call);
     } else {
@@ -95,8 +95,8 @@
       return;
     }
     const { id } = JSON.parse(call.body) as { id: string };
-    const runs = (this.runs.get(id) ?? 0) + 1;
-    this.runs.set(id, runs);
+    const runs = (this.runCounts.get(id) ?? 0) + 1;
+    this.runCounts.set(id, runs);
     await new Promise((resolve) => {
       setTimeout(resolve, this.faultInjector.consume('late')?.delayMs ?? this.options.workMs);
     });
