--- a/packages/daemon/src/__tests__/__fixtures__/crashableTarget.ts
+++ b/packages/daemon/src/__tests__/__fixtures__/crashableTarget.ts
@@ -7,7 +7,7 @@
 import type * as net from 'node:net';
 import type * as domain from '@celerydrift/domain';
 import * as clock from '../../clock';
-import * as entryBench from '../../entry/__tests__/__fixtures__/bench';
+import * as entryBench from '../../entry/__tests__/__fixtures__/harness';
 
 /** A request whose body contains this text crashes the target. */
 export const CRASH_MARKER = 'crash';
--- a/packages/daemon/src/__tests__/__fixtures__/smallFleet.ts
+++ b/packages/daemon/src/__tests__/__fixtures__/smallFleet.ts
@@ -9,7 +9,7 @@
 import * as roleSettings from '../../configuration/roleSettings';
 import type * as protocols from '../../edges/protocols';
 import * as entry from '../../entry/entry';
-import * as entryBench from '../../entry/__tests__/__fixtures__/bench';
+import * as entryBench from '../../entry/__tests__/__fixtures__/harness';
 import * as keeper from '../../keeper/keeper';
 import * as observer from '../../observability/observer';
 import * as crashableTarget from './crashableTarget';
--- a/packages/daemon/src/control/controlMachine.ts
+++ b/packages/daemon/src/control/controlMachine.ts
@@ -1,6 +1,6 @@
 /** The state machine of the settings log: applies commands and passes the resulting deltas to the view. */
 import * as domain from '@celerydrift/domain';
-import type * as stateMachine from '../replicas/machine';
+import type * as stateMachine from '../replicas/stateMachine';
 
 type Delta = domain.control.state.Delta;
 
--- a/packages/daemon/src/control/controlPlane.ts
+++ b/packages/daemon/src/control/controlPlane.ts
@@ -8,7 +8,7 @@
 import type * as configuration from '../configuration/configuration';
 import type * as observer from '../observability/observer';
 import type * as logHost from '../replicas/logHost';
-import type * as stateMachine from '../replicas/machine';
+import type * as stateMachine from '../replicas/stateMachine';
 import * as repairer from '../replicas/repairer';
 import * as replicaSet from '../replicas/replicaSet';
 import * as ledgerClient from '../requests/ledgerClient';
--- a/packages/daemon/src/control/ledgerMachine.ts
+++ b/packages/daemon/src/control/ledgerMachine.ts
@@ -1,6 +1,6 @@
 /** The state machine of one ledger shard. */
 import * as domain from '@celerydrift/domain';
-import type * as stateMachine from '../replicas/machine';
+import type * as stateMachine from '../replicas/stateMachine';
 
 export class LedgerMachine implements stateMachine.StateMachine {
   ledger = new domain.ledger.ledger.Ledger();
--- a/packages/daemon/src/entry/__tests__/exchange.test.ts
+++ b/packages/daemon/src/entry/__tests__/exchange.test.ts
@@ -2,7 +2,7 @@
 import * as net from 'node:net';
 import * as chai from 'chai';
 import * as clock from '../../clock';
-import * as harness from './__fixtures__/bench';
+import * as harness from './__fixtures__/harness';
 
 const { expect } = chai;
 
--- a/packages/daemon/src/entry/__tests__/livenessProbes.test.ts
+++ b/packages/daemon/src/entry/__tests__/livenessProbes.test.ts
@@ -4,7 +4,7 @@
 import * as chai from 'chai';
 import * as observer from '../../observability/observer';
 import * as livenessProbes from '../livenessProbes';
-import * as harness from './__fixtures__/bench';
+import * as harness from './__fixtures__/harness';
 
 const { expect } = chai;
 
--- a/packages/daemon/src/entry/__tests__/rateLimitClient.test.ts
+++ b/packages/daemon/src/entry/__tests__/rateLimitClient.test.ts
@@ -10,7 +10,7 @@
 import * as rateLimitClient from '../rateLimitClient';
 import * as reservations from '../reservations';
 import type * as targetClient from '../targetClient';
-import * as harness from './__fixtures__/bench';
+import * as harness from './__fixtures__/harness';
 
 const { expect } = chai;
 
--- a/packages/daemon/src/entry/__tests__/silence.test.ts
+++ b/packages/daemon/src/entry/__tests__/responseTimeout.test.ts
@@ -1,7 +1,7 @@
 /** When a response is overdue, and when its target is given up. */
 import * as chai from 'chai';
 import type * as domain from '@celerydrift/domain';
-import * as responseTimeout from '../silence';
+import * as responseTimeout from '../responseTimeout';
 
 const { expect } = chai;
 
--- a/packages/daemon/src/entry/__tests__/targetSelector.test.ts
+++ b/packages/daemon/src/entry/__tests__/targetSelector.test.ts
@@ -2,7 +2,7 @@
 import * as chai from 'chai';
 import * as domain from '@celerydrift/domain';
 import * as clock from '../../clock';
-import type * as fleetState from '../../fleet/holding';
+import type * as fleetState from '../../fleet/fleetState';
 import * as leaderLink from '../../fleet/leaderLink';
 import * as messages from '../../fleet/messages';
 import * as observer from '../../observability/observer';
--- a/packages/daemon/src/entry/entry.ts
+++ b/packages/daemon/src/entry/entry.ts
@@ -8,7 +8,7 @@
 import * as codecs from '../configuration/codecs';
 import type * as roleSettings from '../configuration/roleSettings';
 import type * as protocols from '../edges/protocols';
-import * as holding from '../fleet/holding';
+import * as holding from '../fleet/fleetState';
 import * as leaderLink from '../fleet/leaderLink';
 import type * as messages from '../fleet/messages';
 import * as peers from '../fleet/peers';
--- a/packages/daemon/src/entry/exchange.ts
+++ b/packages/daemon/src/entry/exchange.ts
@@ -17,7 +17,7 @@
 import type * as rateLimitClient from './rateLimitClient';
 import * as outcomes from './outcome';
 import * as reservations from './reservations';
-import * as responseTimeout from './silence';
+import * as responseTimeout from './responseTimeout';
 import * as responseWatchdog from './responseWatchdog';
 import type * as targetClient from './targetClient';
 import type * as targetSignals from './targetSignals';
--- a/packages/daemon/src/entry/rateLimitClient.ts
+++ b/packages/daemon/src/entry/rateLimitClient.ts
@@ -6,7 +6,7 @@
 import * as domain from '@celerydrift/domain';
 import * as clock from '../clock';
 import type * as protocols from '../edges/protocols';
-import type * as holding from '../fleet/holding';
+import type * as holding from '../fleet/fleetState';
 import type * as messages from '../fleet/messages';
 import type * as observer from '../observability/observer';
 import * as leaderCall from './leaderCall';
--- a/packages/daemon/src/entry/responseWatchdog.ts
+++ b/packages/daemon/src/entry/responseWatchdog.ts
@@ -1,5 +1,5 @@
 /** Watches the response of one attempt: probes its target when it is overdue, and reports when to give it up. */
-import * as responseTimeout from './silence';
+import * as responseTimeout from './responseTimeout';
 
 export interface Dependencies {
   thresholds: responseTimeout.Thresholds;
--- a/packages/daemon/src/entry/targetSelector.ts
+++ b/packages/daemon/src/entry/targetSelector.ts
@@ -6,7 +6,7 @@
 import * as domain from '@celerydrift/domain';
 import type { Result } from 'ts-results';
 import * as clock from '../clock';
-import type * as holding from '../fleet/holding';
+import type * as holding from '../fleet/fleetState';
 import type * as leaderLink from '../fleet/leaderLink';
 import type * as messages from '../fleet/messages';
 import type * as observer from '../observability/observer';
--- a/packages/daemon/src/fleet/__tests__/leaderLink.test.ts
+++ b/packages/daemon/src/fleet/__tests__/leaderLink.test.ts
@@ -4,7 +4,7 @@
 import * as clock from '../../clock';
 import * as observer from '../../observability/observer';
 import type * as peerClient from '../../rpc/peerClient';
-import type * as fleetState from '../holding';
+import type * as fleetState from '../fleetState';
 import * as leaderLink from '../leaderLink';
 import * as messages from '../messages';
 
--- a/packages/daemon/src/fleet/holding.ts
+++ b/packages/daemon/src/fleet/fleetState.ts
@@ -7,7 +7,7 @@
 import type * as observer from '../observability/observer';
 import * as messages from './messages';
 import * as packedCatalogue from './packedCatalogue';
-import * as registrySnapshots from './registryCopies';
+import * as registrySnapshots from './registrySnapshots';
 
 type Announcement = domain.registry.registry.Announcement;
 type RateLimit = domain.rateLimits.rateLimits.RateLimit;
--- a/packages/daemon/src/fleet/leaderLink.ts
+++ b/packages/daemon/src/fleet/leaderLink.ts
@@ -6,9 +6,9 @@
 import * as clock from '../clock';
 import type * as observer from '../observability/observer';
 import type * as peerClient from '../rpc/peerClient';
-import type * as fleetState from './holding';
+import type * as fleetState from './fleetState';
 import * as messages from './messages';
-import * as registrySnapshots from './registryCopies';
+import * as registrySnapshots from './registrySnapshots';
 
 export interface Options {
   name: string;
--- a/packages/daemon/src/fleet/messages.ts
+++ b/packages/daemon/src/fleet/messages.ts
@@ -1,6 +1,6 @@
 /** Messages that entries and keepers exchange with the leader of the keepers. */
 import type * as domain from '@celerydrift/domain';
-import type * as registrySnapshots from './registryCopies';
+import type * as registrySnapshots from './registrySnapshots';
 
 type Announcement = domain.registry.registry.Announcement;
 type SuspectReport = domain.quarantine.suspect.SuspectReport;
--- a/packages/daemon/src/keeper/__tests__/__fixtures__/leaderFixture.ts
+++ b/packages/daemon/src/keeper/__tests__/__fixtures__/leaderFixture.ts
@@ -3,7 +3,7 @@
 import * as random from '@celerydrift/domain/dist/shared/random';
 import { Ok } from 'ts-results';
 import * as clock from '../../../clock';
-import * as fleetState from '../../../fleet/holding';
+import * as fleetState from '../../../fleet/fleetState';
 import * as messages from '../../../fleet/messages';
 import * as observer from '../../../observability/observer';
 import type * as logHost from '../../../replicas/logHost';
--- a/packages/daemon/src/keeper/__tests__/keeper.test.ts
+++ b/packages/daemon/src/keeper/__tests__/keeper.test.ts
@@ -10,7 +10,7 @@
 import * as clock from '../../clock';
 import * as roleSettings from '../../configuration/roleSettings';
 import type * as protocols from '../../edges/protocols';
-import * as fleetState from '../../fleet/holding';
+import * as fleetState from '../../fleet/fleetState';
 import * as leaderLink from '../../fleet/leaderLink';
 import * as messages from '../../fleet/messages';
 import * as observer from '../../observability/observer';
--- a/packages/daemon/src/keeper/__tests__/leaderLoad.test.ts
+++ b/packages/daemon/src/keeper/__tests__/leaderLoad.test.ts
@@ -4,9 +4,9 @@
  */
 import * as chai from 'chai';
 import * as clock from '../../clock';
-import * as fleetState from '../../fleet/holding';
+import * as fleetState from '../../fleet/fleetState';
 import * as messages from '../../fleet/messages';
-import * as registrySnapshots from '../../fleet/registryCopies';
+import * as registrySnapshots from '../../fleet/registrySnapshots';
 import type * as observer from '../../observability/observer';
 import * as batchQueue from '../batchQueue';
 import * as fixture from './__fixtures__/leaderFixture';
--- a/packages/daemon/src/keeper/__tests__/placing.test.ts
+++ b/packages/daemon/src/keeper/__tests__/placer.test.ts
@@ -2,7 +2,7 @@
 import * as chai from 'chai';
 import * as domain from '@celerydrift/domain';
 import * as random from '@celerydrift/domain/dist/shared/random';
-import * as placer from '../placing';
+import * as placer from '../placer';
 
 const { expect } = chai;
 
--- a/packages/daemon/src/keeper/catalogueMachine.ts
+++ b/packages/daemon/src/keeper/catalogueMachine.ts
@@ -1,6 +1,6 @@
 /** The replicated catalogue as a state machine of the log. */
 import * as domain from '@celerydrift/domain';
-import type * as stateMachine from '../replicas/machine';
+import type * as stateMachine from '../replicas/stateMachine';
 
 type Edition = domain.catalogue.newestCatalogue.PackedCatalogue;
 
--- a/packages/daemon/src/keeper/keeper.ts
+++ b/packages/daemon/src/keeper/keeper.ts
@@ -7,7 +7,7 @@
 import * as codecs from '../configuration/codecs';
 import type * as roleSettings from '../configuration/roleSettings';
 import type * as protocols from '../edges/protocols';
-import * as fleetState from '../fleet/holding';
+import * as fleetState from '../fleet/fleetState';
 import * as leaderLink from '../fleet/leaderLink';
 import * as messages from '../fleet/messages';
 import * as peers from '../fleet/peers';
--- a/packages/daemon/src/keeper/leadership.ts
+++ b/packages/daemon/src/keeper/leadership.ts
@@ -4,16 +4,16 @@
  * which a new leader rebuilds from its followers within a second.
  */
 import * as domain from '@celerydrift/domain';
-import type * as fleetState from '../fleet/holding';
+import type * as fleetState from '../fleet/fleetState';
 import * as messages from '../fleet/messages';
-import * as registrySnapshots from '../fleet/registryCopies';
+import * as registrySnapshots from '../fleet/registrySnapshots';
 import type * as observer from '../observability/observer';
 import type * as logHost from '../replicas/logHost';
 import type * as peerClient from '../rpc/peerClient';
 import * as batchQueue from './batchQueue';
 import * as followers from './followers';
 import * as limitCoordinator from './limitCoordinator';
-import * as placer from './placing';
+import * as placer from './placer';
 import * as registryUpdates from './registryUpdates';
 import * as snapshotThrottle from './snapshotThrottle';
 import * as suspectTracker from './suspectTracker';
--- a/packages/daemon/src/keeper/registryUpdates.ts
+++ b/packages/daemon/src/keeper/registryUpdates.ts
@@ -6,7 +6,7 @@
 import * as crypto from 'node:crypto';
 import type * as domain from '@celerydrift/domain';
 import * as messages from '../fleet/messages';
-import * as registrySnapshots from '../fleet/registryCopies';
+import * as registrySnapshots from '../fleet/registrySnapshots';
 
 type Announcement = domain.registry.registry.Announcement;
 type SuspectReport = domain.quarantine.suspect.SuspectReport;
--- a/packages/daemon/src/keeper/softStateStore.ts
+++ b/packages/daemon/src/keeper/softStateStore.ts
@@ -3,7 +3,7 @@
  * VMs removes it everywhere else; where a file is outdated, the targets' next announcements and answers correct it.
  */
 import * as clock from '../clock';
-import type * as fleetState from '../fleet/holding';
+import type * as fleetState from '../fleet/fleetState';
 import type * as observer from '../observability/observer';
 import * as limitStore from './limitStore';
 import * as softStateFile from './softStateFile';
--- a/packages/daemon/src/membership/members.ts
+++ b/packages/daemon/src/membership/members.ts
@@ -7,7 +7,7 @@
 import type * as observer from '../observability/observer';
 import type * as peerClient from '../rpc/peerClient';
 import type * as peerServer from '../rpc/peerServer';
-import * as gossipRecords from './news';
+import * as gossipRecords from './gossipRecords';
 
 type Daemon = domain.membership.daemon.Daemon;
 
--- a/packages/daemon/src/membership/workTeller.ts
+++ b/packages/daemon/src/membership/workloadAnnouncer.ts
@@ -3,7 +3,7 @@
  * announcement of a peer counts, whichever path it arrived by.
  */
 import type * as router from '../requests/router';
-import type * as gossipRecords from './news';
+import type * as gossipRecords from './gossipRecords';
 
 export interface Options {
   self: string;
--- a/packages/daemon/src/replicas/logHost.ts
+++ b/packages/daemon/src/replicas/logHost.ts
@@ -10,7 +10,7 @@
 import type * as observer from '../observability/observer';
 import type * as journal from '../storage/journal';
 import type * as errors from './errors';
-import type * as stateMachine from './machine';
+import type * as stateMachine from './stateMachine';
 
 type Replica = domain.replication.replica.Replica;
 type Effects = domain.replication.messages.Effects;
--- a/packages/daemon/src/replicas/replicaSet.ts
+++ b/packages/daemon/src/replicas/replicaSet.ts
@@ -13,7 +13,7 @@
 import * as identity from '../storage/identity';
 import * as journal from '../storage/journal';
 import * as logHost from './logHost';
-import type * as stateMachine from './machine';
+import type * as stateMachine from './stateMachine';
 import * as outbox from './outbox';
 import * as wire from './wire';
 
--- a/packages/daemon/src/requests/__tests__/contentMemory.test.ts
+++ b/packages/daemon/src/requests/__tests__/promptQuarantine.test.ts
@@ -1,7 +1,7 @@
 /** Quarantine of prompts that crash every engine, when one daemon receives them repeatedly. */
 import * as chai from 'chai';
 import type * as execution from '../execution';
-import * as contentMemory from '../contentMemory';
+import * as contentMemory from '../promptQuarantine';
 
 const { expect } = chai;
 
--- a/packages/daemon/src/requests/cellWatch.ts
+++ b/packages/daemon/src/requests/cellTracker.ts
@@ -6,7 +6,7 @@
 import type * as members from '../membership/members';
 import type * as targetTable from '../targets/targetTable';
 import type * as router from './router';
-import type * as stopWatch from './stopWatch';
+import type * as stopWatch from './plannedStopTracker';
 
 type Target = domain.target.target.Target;
 
--- a/packages/daemon/src/requests/execution.ts
+++ b/packages/daemon/src/requests/execution.ts
@@ -7,11 +7,11 @@
 import type * as observer from '../observability/observer';
 import type * as adapter from '../targets/adapter';
 import type * as targetErrors from '../targets/errors';
-import type * as allocations from './allocations';
-import type * as contentMemory from './contentMemory';
+import type * as allocations from './allocationClient';
+import type * as contentMemory from './promptQuarantine';
 import * as errors from './errors';
 import type * as gatherer from './gatherer';
-import type * as holdingsLoop from './holdingsLoop';
+import type * as holdingsLoop from './leaseLoop';
 import type * as router from './router';
 
 type Dispatch = domain.routing.dispatcher.Dispatch;
--- a/packages/daemon/src/requests/gatherer.ts
+++ b/packages/daemon/src/requests/gatherer.ts
@@ -5,7 +5,7 @@
 import * as domain from '@celerydrift/domain';
 import { Err, Ok, Result } from 'ts-results';
 import type * as adapter from '../targets/adapter';
-import type * as holdingsLoop from './holdingsLoop';
+import type * as holdingsLoop from './leaseLoop';
 
 type Target = domain.target.target.Target;
 type Part = domain.memory.gathering.MemoryPart;
--- a/packages/daemon/src/requests/router.ts
+++ b/packages/daemon/src/requests/router.ts
@@ -4,7 +4,7 @@
  */
 import * as domain from '@celerydrift/domain';
 import type * as observer from '../observability/observer';
-import type * as gossipRecords from '../membership/news';
+import type * as gossipRecords from '../membership/gossipRecords';
 import type * as adapter from '../targets/adapter';
 
 type Target = domain.target.target.Target;
--- a/packages/domain/src/allocation/__tests__/prefill.test.ts
+++ b/packages/domain/src/allocation/__tests__/prefill.test.ts
@@ -4,10 +4,10 @@
  */
 import * as chai from 'chai';
 import * as load from '../load';
-import * as loadForecast from '../outlook';
+import * as loadForecast from '../loadForecast';
 import * as planner from '../planner';
-import * as prefills from '../reading';
-import * as prefillQueue from '../readQueue';
+import * as prefills from '../prefill';
+import * as prefillQueue from '../prefillQueue';
 import * as fixture from './__fixtures__/engine';
 
 const { expect } = chai;
--- a/packages/domain/src/allocation/__tests__/soundness.test.ts
+++ b/packages/domain/src/allocation/__tests__/targetHealth.test.ts
@@ -1,6 +1,6 @@
 /** Tests of targets that fail requests while they pass health checks. */
 import * as chai from 'chai';
-import * as targetHealth from '../soundness';
+import * as targetHealth from '../targetHealth';
 
 const { expect } = chai;
 
--- a/packages/domain/src/allocation/allocator.ts
+++ b/packages/domain/src/allocation/allocator.ts
@@ -13,10 +13,10 @@
 import * as isolation from './isolation';
 import * as load from './load';
 import * as planner from './planner';
-import * as prefills from './reading';
-import type * as prefillQueue from './readQueue';
-import type * as targetHealth from './soundness';
-import * as assumedLoad from './unseen';
+import * as prefills from './prefill';
+import type * as prefillQueue from './prefillQueue';
+import type * as targetHealth from './targetHealth';
+import * as assumedLoad from './assumedLoad';
 import * as weights from './weights';
 
 export interface Request extends planner.Prompt {
--- a/packages/domain/src/allocation/postponement.ts
+++ b/packages/domain/src/allocation/deferral.ts
@@ -6,7 +6,7 @@
 import type * as catalogue from '../catalogue/catalogue';
 import * as cost from './cost';
 import * as lateness from './lateness';
-import type * as loadForecast from './outlook';
+import type * as loadForecast from './loadForecast';
 import type * as planner from './planner';
 
 /**
--- a/packages/domain/src/allocation/load.ts
+++ b/packages/domain/src/allocation/load.ts
@@ -7,9 +7,9 @@
 import type * as rateLimits from '../rateLimits/rateLimits';
 import type * as registry from '../registry/registry';
 import * as cost from './cost';
-import type * as prefills from './reading';
-import * as prefillQueue from './readQueue';
-import * as targetHealth from './soundness';
+import type * as prefills from './prefill';
+import * as prefillQueue from './prefillQueue';
+import * as targetHealth from './targetHealth';
 
 /** One request's work on an engine: as the decoder, or as a prefill helper. */
 export interface Task {
--- a/packages/domain/src/allocation/outlook.ts
+++ b/packages/domain/src/allocation/loadForecast.ts
@@ -3,7 +3,7 @@
  * for the requests that decode there and for the prompts already in its queue.
  */
 import type * as load from './load';
-import type * as prefills from './reading';
+import type * as prefills from './prefill';
 
 /** A prompt that one more prefill delays. */
 export interface Delay {
--- a/packages/domain/src/allocation/planner.ts
+++ b/packages/domain/src/allocation/planner.ts
@@ -12,8 +12,8 @@
 import * as cost from './cost';
 import * as lateness from './lateness';
 import * as load from './load';
-import * as loadForecast from './outlook';
-import * as deferral from './postponement';
+import * as loadForecast from './loadForecast';
+import * as deferral from './deferral';
 import * as weights from './weights';
 
 export interface Prompt {
--- a/packages/domain/src/allocation/readQueue.ts
+++ b/packages/domain/src/allocation/prefillQueue.ts
@@ -8,7 +8,7 @@
  * had their first token within 1.27 times the predicted time; with parts in order of arrival,
  * within 4 times.
  */
-import type * as prefills from './reading';
+import type * as prefills from './prefill';
 
 /** The part of a prompt that this engine prefills. */
 export interface PrefillPart {
--- a/packages/domain/src/catalogue/__tests__/catalogue.test.ts
+++ b/packages/domain/src/catalogue/__tests__/catalogue.test.ts
@@ -3,7 +3,7 @@
 import * as random from '../../shared/random';
 import * as catalogue from '../catalogue';
 import * as directory from '../directory';
-import * as newestCatalogue from '../versions';
+import * as newestCatalogue from '../newestCatalogue';
 
 const { expect } = chai;
 
--- a/packages/domain/src/catalogue/index.ts
+++ b/packages/domain/src/catalogue/index.ts
@@ -1,3 +1,3 @@
 export * as catalogue from './catalogue';
 export * as directory from './directory';
-export * as newestCatalogue from './versions';
+export * as newestCatalogue from './newestCatalogue';
--- a/packages/domain/src/memory/__tests__/memory.test.ts
+++ b/packages/domain/src/memory/__tests__/memory.test.ts
@@ -6,7 +6,7 @@
 import * as fastCheck from 'fast-check';
 import * as random from '../../shared/random';
 import * as gathering from '../gathering';
-import * as leasedResources from '../holding';
+import * as leasedResources from '../leasedResources';
 
 const { expect } = chai;
 
--- a/packages/domain/src/memory/index.ts
+++ b/packages/domain/src/memory/index.ts
@@ -1,2 +1,2 @@
 export * as gathering from './gathering';
-export * as leasedResources from './holding';
+export * as leasedResources from './leasedResources';
--- a/packages/domain/src/quarantine/__tests__/quarantine.test.ts
+++ b/packages/domain/src/quarantine/__tests__/quarantine.test.ts
@@ -1,8 +1,8 @@
 /** Suspicion of requests that crash targets, their quarantine, and how each of these ends. */
 import * as chai from 'chai';
-import * as crashedLifetimes from '../endedLifetimes';
+import * as crashedLifetimes from '../crashedLifetimes';
 import * as quarantine from '../quarantine';
-import * as canaryRuns from '../trials';
+import * as canaryRuns from '../canaryRuns';
 
 const { expect } = chai;
 
--- a/packages/domain/src/quarantine/index.ts
+++ b/packages/domain/src/quarantine/index.ts
@@ -1,4 +1,4 @@
-export * as crashedLifetimes from './endedLifetimes';
+export * as crashedLifetimes from './crashedLifetimes';
 export * as quarantine from './quarantine';
 export * as suspect from './suspect';
-export * as canaryRuns from './trials';
+export * as canaryRuns from './canaryRuns';
--- a/packages/domain/src/quarantine/quarantine.ts
+++ b/packages/domain/src/quarantine/quarantine.ts
@@ -10,7 +10,7 @@
  * run then decides.
  */
 
-import * as crashedLifetimes from './endedLifetimes';
+import * as crashedLifetimes from './crashedLifetimes';
 import * as suspects from './suspect';
 
 type Suspect = suspects.Suspect;
