--- a/packages/daemon/src/__tests__/__fixtures__/crashableTarget.ts
+++ b/packages/daemon/src/__tests__/__fixtures__/crashableTarget.ts
@@ -7,7 +7,7 @@
 import type * as net from 'node:net';
 import type * as domain from '@celerydrift/domain';
 import * as clock from '../../clock';
-import * as entryBench from '../../entry/__tests__/__fixtures__/harness';
+import * as entryHarness from '../../entry/__tests__/__fixtures__/harness';
 
 /** A request whose body contains this text crashes the target. */
 export const CRASH_MARKER = 'crash';
@@ -148,12 +148,12 @@
     response.on('error', () => undefined);
     request.on('end', () => {
       const { id } = this;
-      const isRequest = request.url !== entryBench.REPORT_PATH;
+      const isRequest = request.url !== entryHarness.REPORT_PATH;
       const { name } = this.options;
       const source = request.socket.remoteAddress ?? '';
       this.options.onMessage({ name, isRequest, source, at: clock.steady() });
       if (request.headers.target !== id) this.reply(request, response, 421);
-      else if (request.url === entryBench.REPORT_PATH) this.reply(request, response, 200);
+      else if (request.url === entryHarness.REPORT_PATH) this.reply(request, response, 200);
       else if (this.backOffMs !== undefined) this.answerBackOff(request, response, this.backOffMs);
       else this.run(request, response, Buffer.concat(chunks).toString());
     });
--- a/packages/daemon/src/__tests__/__fixtures__/smallFleet.ts
+++ b/packages/daemon/src/__tests__/__fixtures__/smallFleet.ts
@@ -9,7 +9,7 @@
 import * as roleSettings from '../../configuration/roleSettings';
 import type * as protocols from '../../edges/protocols';
 import * as entry from '../../entry/entry';
-import * as entryBench from '../../entry/__tests__/__fixtures__/harness';
+import * as entryHarness from '../../entry/__tests__/__fixtures__/harness';
 import * as keeper from '../../keeper/keeper';
 import * as observer from '../../observability/observer';
 import * as crashableTarget from './crashableTarget';
@@ -101,9 +101,9 @@
 
 /** Treats every request as a short prompt. */
 const TRAFFIC: protocols.TrafficProtocol = {
-  ...entryBench.PROTOCOL,
+  ...entryHarness.PROTOCOL,
   callerMetadata: (headers) => ({
-    ...entryBench.PROTOCOL.callerMetadata(headers),
+    ...entryHarness.PROTOCOL.callerMetadata(headers),
     promptTokens: 2_000,
     maxAnswerTokens: 200,
   }),
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -19,18 +19,18 @@
 import * as orderLoop from './orders/orderLoop';
 import type * as founding from './replicas/founding';
 import * as admission from './requests/admission';
-import * as cellWatch from './requests/cellTracker';
+import * as cellTracker from './requests/cellTracker';
 import type * as execution from './requests/execution';
-import * as allocations from './requests/allocationClient';
+import * as allocationClient from './requests/allocationClient';
 import * as allocator from './requests/allocator';
-import * as contentMemory from './requests/promptQuarantine';
+import * as promptQuarantine from './requests/promptQuarantine';
 import * as gatherer from './requests/gatherer';
-import * as holdingsLoop from './requests/leaseLoop';
+import * as leaseLoop from './requests/leaseLoop';
 import * as ledgerClient from './requests/ledgerClient';
 import * as policies from './requests/policies';
 import * as router from './requests/router';
 import * as serviceProxy from './requests/serviceProxy';
-import * as stopWatch from './requests/plannedStopTracker';
+import * as plannedStopTracker from './requests/plannedStopTracker';
 import * as peerClient from './rpc/peerClient';
 import * as peerServer from './rpc/peerServer';
 import * as httpAdapter from './targets/httpAdapter';
@@ -70,7 +70,7 @@
 
   readonly admission: admission.Admission;
 
-  readonly holdings: holdingsLoop.LeaseLoop;
+  readonly holdings: leaseLoop.LeaseLoop;
 
   readonly running = new Set<execution.Execution>();
 
@@ -81,7 +81,7 @@
 
   private readonly orders: orderLoop.OrderLoop;
 
-  private readonly stopWatch: stopWatch.PlannedStopTracker;
+  private readonly plannedStopTracker: plannedStopTracker.PlannedStopTracker;
 
   private readonly listeners: listener.Listener[];
 
@@ -104,7 +104,7 @@
 
   private readonly workloadReporter: workloadAnnouncer.WorkloadAnnouncer;
 
-  private readonly cells: cellWatch.CellTracker;
+  private readonly cells: cellTracker.CellTracker;
 
   private readonly allocator: allocator.Allocator;
 
@@ -180,7 +180,7 @@
       liveDaemonCount: () => this.liveDaemons().all.length,
       peerDemand: (organisation) => this.router.peerDemand(organisation),
     });
-    this.holdings = new holdingsLoop.LeaseLoop({
+    this.holdings = new leaseLoop.LeaseLoop({
       adapter: this.adapter,
       observer: this.observer,
       now,
@@ -199,7 +199,7 @@
       ours: () => this.control.ordered,
       record: (key, loaded) => this.recordOrder(key, loaded),
     });
-    this.stopWatch = new stopWatch.PlannedStopTracker({
+    this.plannedStopTracker = new plannedStopTracker.PlannedStopTracker({
       host: settings.peers.host,
       dataCentre,
       stops: () => [...this.control.view.stops.values()],
@@ -207,13 +207,13 @@
       running: this.running,
       now,
     });
-    this.cells = new cellWatch.CellTracker({
+    this.cells = new cellTracker.CellTracker({
       self: { id: name, dataCentre },
       hash,
       members: this.members,
       targets: this.targets,
       router: this.router,
-      stops: this.stopWatch,
+      stops: this.plannedStopTracker,
     });
     this.workloadReporter = new workloadAnnouncer.WorkloadAnnouncer({
       self: name,
@@ -283,7 +283,8 @@
   unready(): string | undefined {
     if (this.isStopping) return 'this daemon is stopping';
     if (this.control.view.index === 0) return 'the settings in force are not known yet';
-    if (this.stopWatch.ownStop() !== undefined) return 'a planned stop of this VM is announced';
+    if (this.plannedStopTracker.ownStop() !== undefined)
+      return 'a planned stop of this VM is announced';
     if (this.control.admissionVerdict() === 'refuse')
       return 'the settings held here may be out of date';
     return undefined;
@@ -393,7 +394,7 @@
     const owner = (): domain.memory.leasedResources.Owner => this.owner();
     return {
       router: route,
-      allocations: new allocations.AllocationClient({
+      allocationClient: new allocationClient.AllocationClient({
         self: this.settings.name,
         router: route,
         client: this.peers,
@@ -415,7 +416,7 @@
       holdings,
       observer: observe,
       budget: retryBudget,
-      quarantine: new contentMemory.PromptQuarantine(now),
+      quarantine: new promptQuarantine.PromptQuarantine(now),
       random,
       owner,
       silenceMs: this.settings.timeouts.silenceMs,
@@ -552,7 +553,7 @@
       this.observer.log(this.wasReady ? 'ready' : 'unready', { reason: unready });
     }
     if (this.control.view.stops.size === 0) return;
-    this.stopWatch.moveAfterGrace();
-    this.control.reportStopProgress(this.stopWatch.remainders());
+    this.plannedStopTracker.moveAfterGrace();
+    this.control.reportStopProgress(this.plannedStopTracker.remainders());
   }
 }
--- a/packages/daemon/src/entry/entry.ts
+++ b/packages/daemon/src/entry/entry.ts
@@ -8,7 +8,7 @@
 import * as codecs from '../configuration/codecs';
 import type * as roleSettings from '../configuration/roleSettings';
 import type * as protocols from '../edges/protocols';
-import * as holding from '../fleet/fleetState';
+import * as fleetState from '../fleet/fleetState';
 import * as leaderLink from '../fleet/leaderLink';
 import type * as messages from '../fleet/messages';
 import * as peers from '../fleet/peers';
@@ -57,7 +57,7 @@
 
   private readonly server: peerServer.PeerServer;
 
-  private readonly fleetState: holding.FleetState;
+  private readonly fleetState: fleetState.FleetState;
 
   private readonly link: leaderLink.LeaderLink;
 
@@ -93,7 +93,7 @@
     this.client = peers.clientOf(settings, observe);
     this.server = new peerServer.PeerServer(settings.secret, undefined, observe);
     this.budgets = new domain.request.repeatBudget.RepeatBudgets(settings.repeats);
-    this.fleetState = new holding.FleetState({
+    this.fleetState = new fleetState.FleetState({
       protocol: control,
       observer: observe,
       now: clock.steady,
--- a/packages/daemon/src/entry/quarantineClient.ts
+++ b/packages/daemon/src/entry/quarantineClient.ts
@@ -6,7 +6,7 @@
  */
 import * as domain from '@celerydrift/domain';
 import * as clock from '../clock';
-import type * as holding from '../fleet/fleetState';
+import type * as fleetState from '../fleet/fleetState';
 import type * as messages from '../fleet/messages';
 import type * as observer from '../observability/observer';
 import * as leaderCall from './leaderCall';
@@ -55,7 +55,7 @@
 export interface Dependencies extends leaderCall.Dependencies {
   /** Name of this entry. */
   name: string;
-  fleetState: Pick<holding.FleetState, 'quarantine' | 'registry'>;
+  fleetState: Pick<fleetState.FleetState, 'quarantine' | 'registry'>;
   liveness: Pick<livenessProbes.LivenessProbes, 'isAlive'>;
   observer: observer.Observer;
   now: () => number;
--- a/packages/daemon/src/entry/rateLimitClient.ts
+++ b/packages/daemon/src/entry/rateLimitClient.ts
@@ -6,7 +6,7 @@
 import * as domain from '@celerydrift/domain';
 import * as clock from '../clock';
 import type * as protocols from '../edges/protocols';
-import type * as holding from '../fleet/fleetState';
+import type * as fleetState from '../fleet/fleetState';
 import type * as messages from '../fleet/messages';
 import type * as observer from '../observability/observer';
 import * as leaderCall from './leaderCall';
@@ -29,7 +29,7 @@
 export type Grant = Exclude<messages.GrantAnswer, messages.Redirect>;
 
 export interface Dependencies extends leaderCall.Dependencies {
-  fleetState: Pick<holding.FleetState, 'limits' | 'registry'>;
+  fleetState: Pick<fleetState.FleetState, 'limits' | 'registry'>;
   observer: observer.Observer;
   now: () => number;
 }
--- a/packages/daemon/src/entry/targetSelector.ts
+++ b/packages/daemon/src/entry/targetSelector.ts
@@ -6,7 +6,7 @@
 import * as domain from '@celerydrift/domain';
 import type { Result } from 'ts-results';
 import * as clock from '../clock';
-import type * as holding from '../fleet/fleetState';
+import type * as fleetState from '../fleet/fleetState';
 import type * as leaderLink from '../fleet/leaderLink';
 import type * as messages from '../fleet/messages';
 import type * as observer from '../observability/observer';
@@ -79,7 +79,7 @@
 export interface Options {
   name: string;
   dataCentre: string;
-  fleetState: holding.FleetState;
+  fleetState: fleetState.FleetState;
   link: leaderLink.LeaderLink;
   client: peerClient.PeerClient;
   limits: Pick<rateLimitClient.RateLimitClient, 'grant' | 'grantProbe' | 'spent'>;
--- a/packages/daemon/src/entry/targetSignals.ts
+++ b/packages/daemon/src/entry/targetSignals.ts
@@ -8,7 +8,7 @@
  */
 import * as domain from '@celerydrift/domain';
 import type * as protocols from '../edges/protocols';
-import type * as holding from '../fleet/fleetState';
+import type * as fleetState from '../fleet/fleetState';
 import type * as messages from '../fleet/messages';
 import type * as observer from '../observability/observer';
 import * as callerResponse from './callerResponse';
@@ -20,7 +20,7 @@
 type Lifetime = domain.quarantine.crashedLifetimes.Lifetime;
 
 export interface Dependencies extends leaderCall.Dependencies {
-  fleetState: Pick<holding.FleetState, 'registry' | 'directory' | 'applyDraining'>;
+  fleetState: Pick<fleetState.FleetState, 'registry' | 'directory' | 'applyDraining'>;
   limits: Pick<rateLimitClient.RateLimitClient, 'answered'>;
   observer: observer.Observer;
   now: () => number;
--- a/packages/daemon/src/requests/__tests__/promptQuarantine.test.ts
+++ b/packages/daemon/src/requests/__tests__/promptQuarantine.test.ts
@@ -1,11 +1,11 @@
 /** Quarantine of prompts that crash every engine, when one daemon receives them repeatedly. */
 import * as chai from 'chai';
 import type * as execution from '../execution';
-import * as contentMemory from '../promptQuarantine';
+import * as promptQuarantine from '../promptQuarantine';
 
 const { expect } = chai;
 
-type Prompt = Parameters<contentMemory.PromptQuarantine['status']>[0];
+type Prompt = Parameters<promptQuarantine.PromptQuarantine['status']>[0];
 
 function prompt(text: string): Prompt {
   const tenant = {
@@ -23,7 +23,7 @@
    */
   it('quarantines a prompt that lost three engines, counted across requests', () => {
     let now = 0;
-    const quarantine = new contentMemory.PromptQuarantine(() => now);
+    const quarantine = new promptQuarantine.PromptQuarantine(() => now);
     const [crashing, other] = [prompt('crashes'), prompt('another')];
     const statuses = [1, 2, 3, 4].map((run) => {
       const status = quarantine.status(crashing);
@@ -41,7 +41,7 @@
   });
 
   it('clears the suspicion once the prompt gets a complete answer', () => {
-    const quarantine = new contentMemory.PromptQuarantine(() => 0);
+    const quarantine = new promptQuarantine.PromptQuarantine(() => 0);
     const target = { name: 'engine-1', incarnation: 1 };
     quarantine.reportEngineLoss(prompt('a'), { target, sentAt: 0, isTrial: false });
     expect(quarantine.status(prompt('a'))).to.equal('suspected');
--- a/packages/daemon/src/requests/cellTracker.ts
+++ b/packages/daemon/src/requests/cellTracker.ts
@@ -6,7 +6,7 @@
 import type * as members from '../membership/members';
 import type * as targetTable from '../targets/targetTable';
 import type * as router from './router';
-import type * as stopWatch from './plannedStopTracker';
+import type * as plannedStopTracker from './plannedStopTracker';
 
 type Target = domain.target.target.Target;
 
@@ -16,7 +16,7 @@
   members: members.Members;
   targets: targetTable.TargetTable;
   router: router.Router;
-  stops: stopWatch.PlannedStopTracker;
+  stops: plannedStopTracker.PlannedStopTracker;
 }
 
 export class CellTracker {
--- a/packages/daemon/src/requests/execution.ts
+++ b/packages/daemon/src/requests/execution.ts
@@ -7,11 +7,11 @@
 import type * as observer from '../observability/observer';
 import type * as adapter from '../targets/adapter';
 import type * as targetErrors from '../targets/errors';
-import type * as allocations from './allocationClient';
-import type * as contentMemory from './promptQuarantine';
+import type * as allocationClient from './allocationClient';
+import type * as promptQuarantine from './promptQuarantine';
 import * as errors from './errors';
 import type * as gatherer from './gatherer';
-import type * as holdingsLoop from './leaseLoop';
+import type * as leaseLoop from './leaseLoop';
 import type * as router from './router';
 
 type Dispatch = domain.routing.dispatcher.Dispatch;
@@ -41,15 +41,15 @@
 /** What an execution needs from the rest of the daemon. */
 export interface Dependencies {
   router: router.Router;
-  allocations: allocations.AllocationClient;
+  allocationClient: allocationClient.AllocationClient;
   adapter: adapter.EngineAdapter;
   gatherer: gatherer.Gatherer;
-  holdings: holdingsLoop.LeaseLoop;
+  holdings: leaseLoop.LeaseLoop;
   observer: observer.Observer;
   budget: domain.request.retry.Budget;
   /** Quarantine of prompts that crash engines. */
   quarantine: Pick<
-    contentMemory.PromptQuarantine,
+    promptQuarantine.PromptQuarantine,
     'status' | 'reportEngineLoss' | 'clearSuspicion'
   >;
   random: domain.shared.random.Random;
@@ -110,7 +110,10 @@
   target = '';
 
   /** What a loss of the engine in the current attempt is reported with. */
-  private attemptContext: Omit<contentMemory.EngineLoss, 'target'> = { sentAt: 0, isTrial: false };
+  private attemptContext: Omit<promptQuarantine.EngineLoss, 'target'> = {
+    sentAt: 0,
+    isTrial: false,
+  };
 
   constructor(
     private readonly request: ModelRequest,
@@ -142,7 +145,7 @@
 
   private abortAttempt(reason: Fault): void {
     this.abortReason ??= reason;
-    this.dependencies.allocations.withdraw(this.attemptId());
+    this.dependencies.allocationClient.withdraw(this.attemptId());
     this.abortController.abort();
   }
 
@@ -159,11 +162,11 @@
       this.abortController = new AbortController();
       this.abortReason = undefined;
       const id = this.attemptId();
-      const dispatch = await this.dependencies.allocations.acquire(this.routingRequest(id));
+      const dispatch = await this.dependencies.allocationClient.acquire(this.routingRequest(id));
       if (typeof dispatch === 'string') return Err(this.dispatchError(dispatch));
       this.attemptContext = { sentAt: this.dependencies.now(), isTrial: status === 'suspected' };
       const { last, failure } = await this.attemptUntilAccepted(id, dispatch);
-      this.dependencies.allocations.finished(id, this.target, this.lastLoad);
+      this.dependencies.allocationClient.finished(id, this.target, this.lastLoad);
       if (failure === undefined) return Ok(this.complete(last));
       if (domain.request.retry.TARGET_LOST_FAULTS.includes(failure.attempt.fault)) {
         this.dependencies.quarantine.reportEngineLoss(this.request, {
@@ -187,7 +190,7 @@
       this.lastLoad = undefined;
       const failure = await this.attempt(id, last);
       if (failure?.noRoom === undefined) return { last, failure };
-      const next = await this.dependencies.allocations.requeue(id, failure.noRoom);
+      const next = await this.dependencies.allocationClient.requeue(id, failure.noRoom);
       if (typeof next === 'string') {
         const fault = this.abortReason ?? 'deadline';
         return {
@@ -369,7 +372,7 @@
           stream = resumed.val;
           continue;
         }
-        if (!hasFrame) this.dependencies.allocations.firstToken(id, target.name, frame.load);
+        if (!hasFrame) this.dependencies.allocationClient.firstToken(id, target.name, frame.load);
         hasFrame = true;
         const finding = this.acceptFrame(target.name, frame);
         if (finding === 'whole') return undefined;
--- a/packages/daemon/src/requests/gatherer.ts
+++ b/packages/daemon/src/requests/gatherer.ts
@@ -5,14 +5,14 @@
 import * as domain from '@celerydrift/domain';
 import { Err, Ok, Result } from 'ts-results';
 import type * as adapter from '../targets/adapter';
-import type * as holdingsLoop from './leaseLoop';
+import type * as leaseLoop from './leaseLoop';
 
 type Target = domain.target.target.Target;
 type Part = domain.memory.gathering.MemoryPart;
 
 export interface Options {
   adapter: adapter.EngineAdapter;
-  holdings: holdingsLoop.LeaseLoop;
+  holdings: leaseLoop.LeaseLoop;
   random: domain.shared.random.Random;
   owner: () => domain.memory.leasedResources.Owner;
   /** Engines that may lend memory. */
