--- a/packages/domain/src/allocation/__tests__/allocator.test.ts
+++ b/packages/domain/src/allocation/__tests__/allocator.test.ts
@@ -10,8 +10,8 @@
 
 const { ENGINE, LONG, SERVICE, request, target } = fixture;
 
-function fleet(size: number, chance?: random.Random): allocator.Allocator {
-  const placer = new allocator.Allocator(chance);
+function fleet(size: number, randomSource?: random.Random): allocator.Allocator {
+  const placer = new allocator.Allocator(randomSource);
   placer.setServices([SERVICE]);
   for (let i = 0; i < size; i++) placer.observe(target(i));
   return placer;
@@ -19,14 +19,14 @@
 
 describe('cost of an engine', () => {
   it('follows the published figures', () => {
-    const readings = [5_000, 45_000, 154_000, 220_000].map((tokens) => {
+    const costs = [5_000, 45_000, 154_000, 220_000].map((tokens) => {
       return [
         tokens,
         Math.round(cost.prefillMs(ENGINE, tokens)),
         cost.engineStepMs(ENGINE, 4, 20_000),
       ];
     });
-    expect(readings).toMatchSnapshot();
+    expect(costs).toMatchSnapshot();
   });
 });
 
@@ -38,17 +38,17 @@
    */
   it('places suspects apart from each other, and alone before the last crash that is allowed', () => {
     const placer = fleet(12);
-    const where = (id: string, endings?: number): string | undefined => {
+    const targetOf = (id: string, endings?: number): string | undefined => {
       return placer.place(request(id, { endings }), 0)?.target;
     };
-    const suspects = Array.from({ length: 10 }, (_, i) => where(`s${i}`, 1));
+    const suspects = Array.from({ length: 10 }, (_, i) => targetOf(`s${i}`, 1));
     expect(new Set(suspects).size).to.equal(10);
-    const last = where('last', 2);
+    const last = targetOf('last', 2);
     expect(suspects).not.to.include(last);
-    const others = Array.from({ length: 60 }, (_, i) => where(`o${i}`));
+    const others = Array.from({ length: 60 }, (_, i) => targetOf(`o${i}`));
     expect(others).not.to.include(last);
     placer.endDispatch('last', 'done', 0);
-    expect(Array.from({ length: 60 }, (_, i) => where(`p${i}`))).to.include(last);
+    expect(Array.from({ length: 60 }, (_, i) => targetOf(`p${i}`))).to.include(last);
   });
 
   it('refuses no suspect when no separate engine is left', () => {
@@ -66,16 +66,16 @@
    */
   it('divides a long prompt into parts that the decoding requests on each engine tolerate', () => {
     const placer = fleet(23);
-    const hosts = new Set<string>();
+    const decoderAddresses = new Set<string>();
     for (let i = 0; i < 30; i++) {
-      hosts.add(placer.place(request(`s${i}`), 5_000 + i * 30)?.address ?? '');
+      decoderAddresses.add(placer.place(request(`s${i}`), 5_000 + i * 30)?.address ?? '');
     }
     const placed = placer.place(request('long', LONG), 6_000);
     const helpers = placed?.helpers.map(({ address }) => address) ?? [];
     const engines = [placed?.address ?? '', ...helpers];
     expect(engines.length).to.be.at.least(4);
     expect(placed?.firstTokenMs).to.be.lessThan(1_000);
-    expect(engines.filter((address) => hosts.has(address))).to.deep.equal([]);
+    expect(engines.filter((address) => decoderAddresses.has(address))).to.deep.equal([]);
   });
 
   it('packs short streams, so that other engines stay free for long prefills', () => {
@@ -291,16 +291,16 @@
     for (let i = 0; i < 150; i++) {
       placer.observe({ ...target(i), dataCentre: `dc${i % 5}` });
     }
-    const places = Array.from({ length: 400 }, (_each, i) => {
+    const dataCentres = Array.from({ length: 400 }, (_each, i) => {
       const placed = placer.place(request(`r${i}`, { dataCentre: 'dc2' }), i);
       return Number(placed?.target.slice(1)) % 5;
     });
-    const near = places.filter((dataCentre) => dataCentre === 2).length;
-    expect(places.slice(0, 100).every((dataCentre) => dataCentre === 2)).to.equal(true);
+    const nearbyCount = dataCentres.filter((dataCentre) => dataCentre === 2).length;
+    expect(dataCentres.slice(0, 100).every((dataCentre) => dataCentre === 2)).to.equal(true);
     // 30 engines with 11 slots, fewer while they prefill; the excess goes elsewhere, and nothing is
     // refused.
-    expect(near).to.be.within(100, 330);
-    expect(places.some(Number.isNaN)).to.equal(false);
+    expect(nearbyCount).to.be.within(100, 330);
+    expect(dataCentres.some(Number.isNaN)).to.equal(false);
   });
 });
 
@@ -320,16 +320,16 @@
         return get?.call(this);
       },
     });
-    const most: number[] = [];
+    const consideredCounts: number[] = [];
     const waits: number[] = [];
     for (let i = 0; i < 100; i++) {
       considered.clear();
       const placed = placer.place(request(`r${i}`, i % 10 === 0 ? LONG : {}), 0);
-      most.push(considered.size);
+      consideredCounts.push(considered.size);
       waits.push(placed?.firstTokenMs ?? Infinity);
     }
     Object.defineProperty(load.Load.prototype, 'freeMemory', { configurable: true, get });
-    expect(Math.max(...most)).to.be.at.most(400);
+    expect(Math.max(...consideredCounts)).to.be.at.most(400);
     expect(Math.max(...waits.filter((_each, i) => i % 10 !== 0))).to.be.below(300);
     expect(Math.max(...waits)).to.be.below(3_000);
   });
--- a/packages/domain/src/allocation/allocator.ts
+++ b/packages/domain/src/allocation/allocator.ts
@@ -147,9 +147,9 @@
       return;
     }
     this.records.set(record.id, record);
-    const known = this.loads.get(record.id);
+    const current = this.loads.get(record.id);
     const engine = this.engines.get(record.service);
-    if (known !== undefined && hasSameLocation(known.record, record)) known.record = record;
+    if (current !== undefined && hasSameLocation(current.record, record)) current.record = record;
     else if (engine !== undefined) this.replaceLoad(this.createLoad(engine, record));
   }
 
@@ -171,8 +171,8 @@
 
   /** Places the request at once; undefined where every engine is full. */
   place(request: Request, now: number): Placement | undefined {
-    const choice = this.choose(request, now, false);
-    return choice.kind === 'placed' ? choice.placement : undefined;
+    const result = this.choose(request, now, false);
+    return result.kind === 'placed' ? result.placement : undefined;
   }
 
   /** Places the request or, with `mayWait`, returns the time after which to try again. */
@@ -300,9 +300,9 @@
   }
 
   private cellsOf(service: string): cells.Cells {
-    const known = this.cells.get(service) ?? new cells.Cells();
-    this.cells.set(service, known);
-    return known;
+    const existing = this.cells.get(service) ?? new cells.Cells();
+    this.cells.set(service, existing);
+    return existing;
   }
 
   private replaceLoad(replacement: load.Load): void {
@@ -312,14 +312,14 @@
   }
 
   private removeLoad(id: string): void {
-    const known = this.loads.get(id);
-    if (known === undefined) return;
+    const removed = this.loads.get(id);
+    if (removed === undefined) return;
     this.loads.delete(id);
-    this.cellsOf(known.record.service).remove(known);
+    this.cellsOf(removed.record.service).remove(removed);
   }
 
   private createLoad(engine: catalogue.Engine, record: registry.Announcement): load.Load {
-    const created = new load.Load(engine, record, (place) => this.limits.isLimited(place));
+    const created = new load.Load(engine, record, (endpoint) => this.limits.isLimited(endpoint));
     this.applyAverageLoad(created);
     return created;
   }
--- a/packages/domain/src/allocation/deferral.ts
+++ b/packages/domain/src/allocation/deferral.ts
@@ -41,7 +41,7 @@
   if (penalty < MIN_PENALTY_FRACTION * value) return undefined;
   const starts = input.partCounts.flatMap((parts) => deferredStart(input, parts) ?? []);
   if (starts.length === 0) return undefined;
-  const best = starts.reduce((least, each) => (each.penalty < least.penalty ? each : least));
+  const best = starts.reduce((lowest, each) => (each.penalty < lowest.penalty ? each : lowest));
   const isBetter =
     best.inMs >= MIN_DEFERRAL_MS && (best.penalty + MIN_GAIN_FRACTION) * value < penalty;
   return isBetter ? best.inMs : undefined;
--- a/packages/domain/src/allocation/isolation.ts
+++ b/packages/domain/src/allocation/isolation.ts
@@ -58,6 +58,6 @@
 }
 
 function leastLoaded(loads: readonly load.Load[]): load.Load[] {
-  const byWriters = [...loads].sort((a, b) => a.decodingCount - b.decodingCount);
-  return byWriters.slice(0, Math.ceil(LEAST_LOADED_FRACTION * loads.length));
+  const byDecodingCount = [...loads].sort((a, b) => a.decodingCount - b.decodingCount);
+  return byDecodingCount.slice(0, Math.ceil(LEAST_LOADED_FRACTION * loads.length));
 }
--- a/packages/domain/src/allocation/load.ts
+++ b/packages/domain/src/allocation/load.ts
@@ -79,7 +79,7 @@
   constructor(
     readonly engine: catalogue.Engine,
     public record: registry.Announcement,
-    private readonly isLimitedAt: (place: rateLimits.Endpoint) => boolean = () => false,
+    private readonly isLimitedAt: (endpoint: rateLimits.Endpoint) => boolean = () => false,
   ) {
     this.aggregates = this.computeAggregates();
   }
--- a/packages/domain/src/allocation/loadForecast.ts
+++ b/packages/domain/src/allocation/loadForecast.ts
@@ -97,8 +97,8 @@
 export function delayPenalty(delays: readonly Delay[]): number {
   const latest = new Map<prefills.Prefill, Delay>();
   delays.forEach((each) => {
-    const known = latest.get(each.prefill);
-    if (known === undefined || known.later < each.later) latest.set(each.prefill, each);
+    const latestDelay = latest.get(each.prefill);
+    if (latestDelay === undefined || latestDelay.later < each.later) latest.set(each.prefill, each);
   });
   const penalties = [...latest.values()].map((each) =>
     each.prefill.penaltyOfDelay(each.sooner, each.later),
--- a/packages/domain/src/allocation/planner.ts
+++ b/packages/domain/src/allocation/planner.ts
@@ -228,7 +228,7 @@
     );
     const gapPenalty = all.reduce((sum, each) => sum + each.gapPenalty, 0);
     const delayPenalty = this.delayPenalty(part, forecasts);
-    const { partPenalty: partLoss, blockPenalty: blockLoss } = this.planWeights;
+    const { partPenalty, blockPenalty } = this.planWeights;
     const blocked = Math.max(0, part.prefillMs - MAX_NONBLOCKING_PART_MS) / prompt.objectiveMs;
     const latenessPenalty =
       value * lateness.latenessPenalty(prompt.waitedMs + firstTokenMs, prompt.objectiveMs);
@@ -241,7 +241,7 @@
         gapPenalty +
         delayPenalty +
         latenessPenalty +
-        value * (parts * partLoss + blockLoss * blocked),
+        value * (parts * partPenalty + blockPenalty * blocked),
     };
   }
 
@@ -261,13 +261,13 @@
     const { load: engineLoad, forecast } = candidate;
     const { prefillMs, isShared } = part;
     const {
-      tightGapFactor: tightRisk,
-      localPreferenceMs: nearMs,
-      waitPenalty: waitLoss,
-      failurePenalty: failureLoss,
+      tightGapFactor,
+      localPreferenceMs,
+      waitPenalty: waitWeight,
+      failurePenalty: failureWeight,
     } = this.planWeights;
     const weight = hasTighterGaps(prompt, engineLoad)
-      ? tightRisk * lateness.LATE_PENALTY
+      ? tightGapFactor * lateness.LATE_PENALTY
       : lateness.LATE_PENALTY;
     const isTooLong = prefillMs > forecast.allowanceMs;
     const gapPenalty = isTooLong ? weight * forecast.valueAtRisk(prefillMs) : 0;
@@ -276,10 +276,10 @@
       prompt.waitedMs + firstTokenMs,
       prompt.objectiveMs,
     );
-    const distanceMs = engineLoad.record.dataCentre === prompt.dataCentre ? 0 : nearMs;
+    const distanceMs = engineLoad.record.dataCentre === prompt.dataCentre ? 0 : localPreferenceMs;
     const queuePenalty =
-      (waitLoss * (forecast.pendingMs + firstTokenMs + distanceMs)) / prompt.objectiveMs;
-    const failurePenalty = failureLoss * candidate.failureShare;
+      (waitWeight * (forecast.pendingMs + firstTokenMs + distanceMs)) / prompt.objectiveMs;
+    const failurePenalty = failureWeight * candidate.failureShare;
     const value = valueOf(prompt);
     const penalty =
       gapPenalty +
--- a/packages/domain/src/allocation/prefill.ts
+++ b/packages/domain/src/allocation/prefill.ts
@@ -7,7 +7,7 @@
 /** The engine queue that holds a part of the prompt. */
 export interface PartSchedule {
   /** When the prefill of that part ends; undefined once it has. */
-  completionTime(reading: Prefill, now: number): number | undefined;
+  completionTime(prefill: Prefill, now: number): number | undefined;
 }
 
 export class Prefill {
--- a/packages/domain/src/backOff/__tests__/backOffs.test.ts
+++ b/packages/domain/src/backOff/__tests__/backOffs.test.ts
@@ -11,10 +11,10 @@
 const GRACE_MS = 500;
 
 describe('back-offs', () => {
-  let known: backOffs.BackOffs;
+  let tested: backOffs.BackOffs;
 
   beforeEach(() => {
-    known = new backOffs.BackOffs();
+    tested = new backOffs.BackOffs();
   });
 
   /**
@@ -22,28 +22,28 @@
    * out of use for good.
    */
   it('last for the longest requested time, up to a bound', () => {
-    known.start(TARGET, 3_000, 0);
-    known.start(TARGET, 100, 1_000);
-    known.start(TARGET, 0, 1_500);
-    expect([known.waitMs(TARGET, 2_000), known.mayReceiveRequest(TARGET, 2_999)]).to.deep.equal([
+    tested.start(TARGET, 3_000, 0);
+    tested.start(TARGET, 100, 1_000);
+    tested.start(TARGET, 0, 1_500);
+    expect([tested.waitMs(TARGET, 2_000), tested.mayReceiveRequest(TARGET, 2_999)]).to.deep.equal([
       1_000,
       false,
     ]);
-    expect(known.mayReceiveRequest(TARGET, 3_000)).to.equal(true);
-    known.start(TARGET, 1e12, 3_000);
-    expect(known.waitMs(TARGET, 3_000)).to.equal(backOffs.MAX_BACK_OFF_MS);
+    expect(tested.mayReceiveRequest(TARGET, 3_000)).to.equal(true);
+    tested.start(TARGET, 1e12, 3_000);
+    expect(tested.waitMs(TARGET, 3_000)).to.equal(backOffs.MAX_BACK_OFF_MS);
   });
 
   /**
    * Guards against a target that is only presumed gone and whose back-off is lost when it returns.
    */
   it('outlast the target until their time is over', () => {
-    known.start(TARGET, 3_000, 0);
-    known.forget(TARGET, 1_000);
-    expect(known.mayReceiveRequest(TARGET, 1_000)).to.equal(false);
-    expect(known.mayReceiveRequest('other', 1_000)).to.equal(true);
-    known.forget(TARGET, 3_000);
-    expect(known.size).to.equal(0);
+    tested.start(TARGET, 3_000, 0);
+    tested.forget(TARGET, 1_000);
+    expect(tested.mayReceiveRequest(TARGET, 1_000)).to.equal(false);
+    expect(tested.mayReceiveRequest('other', 1_000)).to.equal(true);
+    tested.forget(TARGET, 3_000);
+    expect(tested.size).to.equal(0);
   });
 
   /**
@@ -51,16 +51,16 @@
    * sent in its first millisecond.
    */
   it('admit few requests after the time, twice as many with each answer', () => {
-    known.start(TARGET, 1_000, 0);
-    const passed: number[] = [];
-    while (known.size > 0) {
-      const passages: backOffs.InFlightMessage[] = [];
-      while (known.mayReceiveRequest(TARGET, 1_000)) passages.push(known.sent(TARGET, 1_000));
-      passed.push(passages.length);
-      passages[0].answered();
-      passages.forEach(({ ended }) => ended());
+    tested.start(TARGET, 1_000, 0);
+    const sentCounts: number[] = [];
+    while (tested.size > 0) {
+      const messages: backOffs.InFlightMessage[] = [];
+      while (tested.mayReceiveRequest(TARGET, 1_000)) messages.push(tested.sent(TARGET, 1_000));
+      sentCounts.push(messages.length);
+      messages[0].answered();
+      messages.forEach(({ ended }) => ended());
     }
-    expect(passed).to.deep.equal([1, 2, 4, 8]);
+    expect(sentCounts).to.deep.equal([1, 2, 4, 8]);
   });
 
   /**
@@ -75,28 +75,28 @@
     });
     fc.assert(
       fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
-        const tried = new backOffs.BackOffs();
+        const fresh = new backOffs.BackOffs();
         const sent: number[] = [];
-        const asked: { from: number; until: number }[] = [];
-        let underWay: backOffs.InFlightMessage[] = [];
+        const backOffPeriods: { from: number; until: number }[] = [];
+        let inFlight: backOffs.InFlightMessage[] = [];
         let now = 0;
         steps.forEach(({ kind, waitMs, forMs }) => {
           now += waitMs;
-          const takes =
+          const isAdmitted =
             kind === 'request'
-              ? tried.mayReceiveRequest(TARGET, now)
-              : tried.mayReceiveUpkeep(TARGET, now);
-          if ((kind === 'request' || kind === 'upkeep') && takes) {
+              ? fresh.mayReceiveRequest(TARGET, now)
+              : fresh.mayReceiveUpkeep(TARGET, now);
+          if ((kind === 'request' || kind === 'upkeep') && isAdmitted) {
             sent.push(now);
-            underWay.push(tried.sent(TARGET, now));
+            inFlight.push(fresh.sent(TARGET, now));
           } else if (kind === 'ask') {
-            tried.start(TARGET, forMs, now);
-            asked.push({ from: now + GRACE_MS, until: now + forMs });
-          } else if (kind === 'answer') underWay.at(0)?.answered();
-          if (kind === 'answer' || kind === 'lose') underWay.at(0)?.ended();
-          if (kind === 'answer' || kind === 'lose') underWay = underWay.slice(1);
+            fresh.start(TARGET, forMs, now);
+            backOffPeriods.push({ from: now + GRACE_MS, until: now + forMs });
+          } else if (kind === 'answer') inFlight.at(0)?.answered();
+          if (kind === 'answer' || kind === 'lose') inFlight.at(0)?.ended();
+          if (kind === 'answer' || kind === 'lose') inFlight = inFlight.slice(1);
         });
-        const counts = asked.map(({ from, until }) => {
+        const counts = backOffPeriods.map(({ from, until }) => {
           return sent.filter((at) => at > from && at < until).length;
         });
         return Math.max(0, ...counts) <= 2;
--- a/packages/domain/src/backOff/backOffs.ts
+++ b/packages/domain/src/backOff/backOffs.ts
@@ -59,25 +59,25 @@
    * A target requests a back-off; returns for how long it is honoured from now on, milliseconds.
    */
   start(target: string, forMs: number, now: number): number {
-    const known = this.backOffs.get(target);
-    const until = Math.max(known?.until ?? now, now + Math.min(forMs, MAX_BACK_OFF_MS));
+    const backOff = this.backOffs.get(target);
+    const until = Math.max(backOff?.until ?? now, now + Math.min(forMs, MAX_BACK_OFF_MS));
     if (until <= now) return 0;
-    const upkeep = known !== undefined && now < known.until ? known.upkeep : 0;
+    const upkeep = backOff !== undefined && now < backOff.until ? backOff.upkeep : 0;
     this.backOffs.set(target, { until, upkeep, inFlight: 0, answers: 0 });
     return until - now;
   }
 
   /** Whether a target may get a request from this VM now. */
   mayReceiveRequest(target: string, now: number): boolean {
-    const known = this.backOffs.get(target);
-    if (known === undefined) return true;
-    return now >= known.until && known.inFlight < 2 ** known.answers;
+    const backOff = this.backOffs.get(target);
+    if (backOff === undefined) return true;
+    return now >= backOff.until && backOff.inFlight < 2 ** backOff.answers;
   }
 
   /** Whether it may get a message about one of its running requests. */
   mayReceiveUpkeep(target: string, now: number): boolean {
-    const known = this.backOffs.get(target);
-    return known === undefined || now >= known.until || known.upkeep < MAX_UPKEEP_MESSAGES;
+    const backOff = this.backOffs.get(target);
+    return backOff === undefined || now >= backOff.until || backOff.upkeep < MAX_UPKEEP_MESSAGES;
   }
 
   /**
@@ -90,17 +90,17 @@
 
   /** Counts a message that is sent to a target. */
   sent(target: string, now: number): InFlightMessage {
-    const known = this.backOffs.get(target);
-    if (known === undefined) return UNCOUNTED;
-    if (now < known.until) {
-      known.upkeep += 1;
+    const backOff = this.backOffs.get(target);
+    if (backOff === undefined) return UNCOUNTED;
+    if (now < backOff.until) {
+      backOff.upkeep += 1;
       return UNCOUNTED;
     }
-    known.inFlight += 1;
+    backOff.inFlight += 1;
     return {
-      answered: () => this.answered(target, known),
+      answered: () => this.answered(target, backOff),
       ended: () => {
-        known.inFlight -= 1;
+        backOff.inFlight -= 1;
       },
     };
   }
@@ -113,9 +113,9 @@
     if (this.waitMs(target, now) === 0) this.backOffs.delete(target);
   }
 
-  private answered(target: string, known: BackOff): void {
-    known.answers += 1;
-    const hasRecovered = known.answers >= ANSWERS_TO_RECOVER;
-    if (hasRecovered && this.backOffs.get(target) === known) this.backOffs.delete(target);
+  private answered(target: string, backOff: BackOff): void {
+    backOff.answers += 1;
+    const hasRecovered = backOff.answers >= ANSWERS_TO_RECOVER;
+    if (hasRecovered && this.backOffs.get(target) === backOff) this.backOffs.delete(target);
   }
 }
--- a/packages/domain/src/placement/__tests__/placement.test.ts
+++ b/packages/domain/src/placement/__tests__/placement.test.ts
@@ -60,39 +60,39 @@
     const delay = order.ORDER_DELAY_MS;
     const lease = 900;
     fastCheck.assert(
-      fastCheck.property(fastCheck.integer(), fastCheck.boolean(), (seed, checks) => {
+      fastCheck.property(fastCheck.integer(), fastCheck.boolean(), (seed, checksFencing) => {
         const source = random.seeded(seed);
-        const fencing: target.Fencing = checks ? 'checked' : 'ignored';
+        const fencing: target.Fencing = checksFencing ? 'checked' : 'ignored';
         const former = new order.Issuer(1, 0, 0, { loadsPerSecond: 100, repeatMs: 50 });
         const next = new order.Issuer(2, 1_000, lease + delay, {
           loadsPerSecond: 100,
           repeatMs: 50,
         });
-        const flying: { order: order.Order; arrives: number }[] = [];
-        const wanted = (version: string): order.Difference[] => [
+        const inTransit: { order: order.Order; arrives: number }[] = [];
+        const differencesFor = (version: string): order.Difference[] => [
           { kind: 'load', target: 'e', model: loaded(version), urgency: 0 },
         ];
         const send = (orders: order.Order[], now: number): void => {
           orders.forEach((each) => {
-            flying.push({ order: each, arrives: now + source.uniform() * delay });
+            inTransit.push({ order: each, arrives: now + source.uniform() * delay });
           });
         };
         for (let now = 0; now < 6_000; now += 50) {
           // Deposed at 1,000, the former leader continues until its lease ends.
           if (now < 1_000 + lease)
             send(
-              former.issue(wanted('old'), () => fencing, now),
+              former.issue(differencesFor('old'), () => fencing, now),
               now,
             );
           if (now >= 1_000)
             send(
-              next.issue(wanted('new'), () => fencing, now),
+              next.issue(differencesFor('new'), () => fencing, now),
               now,
             );
         }
-        let seen: order.Fence = { term: 0, sequence: 0 };
+        let latest: order.Fence = { term: 0, sequence: 0 };
         let state = '';
-        flying
+        inTransit
           .sort((a, b) => a.arrives - b.arrives)
           .forEach(
             ({
@@ -101,8 +101,8 @@
                 model: { version },
               },
             }) => {
-              if (checks && order.isStale(fence, seen)) return;
-              seen = fence;
+              if (checksFencing && order.isStale(fence, latest)) return;
+              latest = fence;
               state = version;
             },
           );
@@ -114,11 +114,11 @@
 
   it('keeps to the rate of the weight store and puts first what restores service', () => {
     const issuer = new order.Issuer(1, 0, 0, { loadsPerSecond: 2, repeatMs: 1e9 });
-    const wanted = Array.from({ length: 20 }, (_v, i): order.Difference => {
+    const loads = Array.from({ length: 20 }, (_v, i): order.Difference => {
       return { kind: 'load', target: `e${i}`, model: loaded('1'), urgency: i === 0 ? 0 : 1 };
     });
     const counts = [0, 1_000, 2_000, 2_100].map((now) => {
-      return issuer.issue(wanted, () => 'checked', now).map((each) => each.target);
+      return issuer.issue(loads, () => 'checked', now).map((each) => each.target);
     });
     expect(counts).toMatchSnapshot();
   });
--- a/packages/domain/src/placement/order.ts
+++ b/packages/domain/src/placement/order.ts
@@ -59,11 +59,11 @@
  * this system loaded it.
  */
 export function differences(
-  wanted: readonly document.Model[],
+  desiredModels: readonly document.Model[],
   targets: readonly target.Target[],
   owned: OwnedModels,
 ): Difference[] {
-  const models: target.Loaded[] = wanted.map(({ base, adapter, version }) => {
+  const models: target.Loaded[] = desiredModels.map(({ base, adapter, version }) => {
     return { base, adapter, version };
   });
   const engines = targets.filter(({ kind, status }) => kind === 'engine' && status === 'serving');
@@ -89,9 +89,9 @@
 function replacementIsUp(
   engine: target.Target,
   old: target.Loaded,
-  wanted: readonly target.Loaded[],
+  desiredModels: readonly target.Loaded[],
 ): boolean {
-  const successors = wanted.filter(
+  const successors = desiredModels.filter(
     ({ base, adapter }) => base === old.base && adapter === old.adapter,
   );
   return successors.every((model) => target.serves(engine, model));
@@ -132,13 +132,13 @@
 
   /** The orders to send now. */
   issue(
-    wanted: readonly Difference[],
+    needed: readonly Difference[],
     fencingOf: (name: string) => target.Fencing,
     now: number,
   ): Order[] {
     this.refill(now);
     const orders: Order[] = [];
-    wanted.forEach((difference) => {
+    needed.forEach((difference) => {
       const key = `${difference.kind}/${keyOf(difference.target, difference.model)}`;
       const wasIssuedRecently = now - (this.issuedAt.get(key) ?? -Infinity) < this.options.repeatMs;
       // A target that ignores fencing numbers would apply a late order of the former leader after a
--- a/packages/domain/src/rateLimits/__tests__/rateLimits.test.ts
+++ b/packages/domain/src/rateLimits/__tests__/rateLimits.test.ts
@@ -8,25 +8,25 @@
 
 const { expect } = chai;
 
-const PLACE: rateLimits.Endpoint = { service: 's', address: '10.0.0.1:80' };
+const ENDPOINT: rateLimits.Endpoint = { service: 's', address: '10.0.0.1:80' };
 
 function limited(perSecond: number, share = 1, now = 0): rateLimits.RateLimits {
   const limits = new rateLimits.RateLimits();
   limits.setShare(share, now);
-  limits.set({ ...PLACE, perSecond }, now);
+  limits.set({ ...ENDPOINT, perSecond }, now);
   return limits;
 }
 
 /** Takes a token whenever possible, every 10 ms; returns the times. */
 function takeAll(limits: rateLimits.RateLimits, from: number, to: number): number[] {
-  const taken: number[] = [];
+  const times: number[] = [];
   for (let now = from; now < to; now += 10) {
-    if (limits.maySend(PLACE, now)) {
-      limits.countSent(PLACE, 1, now);
-      taken.push(now);
+    if (limits.maySend(ENDPOINT, now)) {
+      limits.countSent(ENDPOINT, 1, now);
+      times.push(now);
     }
   }
-  return taken;
+  return times;
 }
 
 describe('rate limits', () => {
@@ -36,8 +36,8 @@
 
   it('admit everything where no limit is known', () => {
     const limits = new rateLimits.RateLimits();
-    expect([limits.maySend(PLACE, 0), limits.mayProbe(PLACE, 0)]).to.deep.equal([true, true]);
-    expect(limits.waitMs([PLACE], 5, 0)).to.equal(0);
+    expect([limits.maySend(ENDPOINT, 0), limits.mayProbe(ENDPOINT, 0)]).to.deep.equal([true, true]);
+    expect(limits.waitMs([ENDPOINT], 5, 0)).to.equal(0);
   });
 
   /** Guards against a target that accepts no requests and is never tried again. */
@@ -51,43 +51,45 @@
    */
   it('apply to the next target at the address, and to that service only', () => {
     const limits = limited(1);
-    expect(limits.limitAt({ ...PLACE })).to.equal(1);
-    expect(limits.limitAt({ ...PLACE, service: 'other' })).to.equal(undefined);
+    expect(limits.limitAt({ ...ENDPOINT })).to.equal(1);
+    expect(limits.limitAt({ ...ENDPOINT, service: 'other' })).to.equal(undefined);
   });
 
   it('end when the target announces none any more', () => {
     const limits = limited(1);
-    expect(limits.set({ ...PLACE, perSecond: undefined }, 10)).to.equal(true);
-    expect(limits.maySend(PLACE, 11)).to.equal(true);
+    expect(limits.set({ ...ENDPOINT, perSecond: undefined }, 10)).to.equal(true);
+    expect(limits.maySend(ENDPOINT, 11)).to.equal(true);
   });
 
   it('are removed some time after the last target left the address', () => {
     const limits = limited(1);
     limits.forget(() => true, 50_000);
     expect(limits.forget(() => false, 100_000)).to.deep.equal([]);
-    expect(limits.forget(() => false, 120_000)).to.deep.equal([{ ...PLACE, perSecond: undefined }]);
+    expect(limits.forget(() => false, 120_000)).to.deep.equal([
+      { ...ENDPOINT, perSecond: undefined },
+    ]);
   });
 
   it('count unconditional messages as debt', () => {
     const limits = limited(1);
-    limits.countSent(PLACE, 2, 1_000);
-    expect(limits.waitMs([PLACE], 0, 1_000)).to.equal(2_000);
-    expect(limits.waitMs([PLACE], 3, 1_000)).to.equal(5_000);
+    limits.countSent(ENDPOINT, 2, 1_000);
+    expect(limits.waitMs([ENDPOINT], 0, 1_000)).to.equal(2_000);
+    expect(limits.waitMs([ENDPOINT], 3, 1_000)).to.equal(5_000);
   });
 
   it('leave one more token for a liveness probe', () => {
     const limits = limited(1);
-    limits.countSent(PLACE, 1, 1_000);
-    expect([limits.maySend(PLACE, 1_000), limits.mayProbe(PLACE, 1_000)]).to.deep.equal([
+    limits.countSent(ENDPOINT, 1, 1_000);
+    expect([limits.maySend(ENDPOINT, 1_000), limits.mayProbe(ENDPOINT, 1_000)]).to.deep.equal([
       false,
       true,
     ]);
-    limits.countSent(PLACE, 1, 1_000);
-    expect(limits.mayProbe(PLACE, 1_000)).to.equal(false);
+    limits.countSent(ENDPOINT, 1, 1_000);
+    expect(limits.mayProbe(ENDPOINT, 1_000)).to.equal(false);
   });
 
   it('report an infinite wait where this process hands out nothing', () => {
-    expect(limited(1, 0).waitMs([PLACE], 0, 60_000)).to.equal(Infinity);
+    expect(limited(1, 0).waitMs([ENDPOINT], 0, 60_000)).to.equal(Infinity);
   });
 
   /*
@@ -101,30 +103,36 @@
       maxLength: 12,
     });
     fc.assert(
-      fc.property(handovers, fc.double({ min: 0.2, max: 30, noNaN: true }), (turns, perSecond) => {
-        const entries = 5;
-        const keepers = Array.from({ length: 4 }, () => limited(perSecond, 0));
-        const parts = Array.from({ length: entries }, () => limited(perSecond, 0));
-        const taken: number[] = [];
-        let now = 0;
-        turns.forEach(([forMs, leader]) => {
-          keepers.forEach((each, i) => each.setShare(i === leader ? 1 : 0, now));
-          parts.forEach((each) => each.setShare(0, now));
-          taken.push(...takeAll(keepers[leader], now, now + forMs));
-          now += forMs;
-          keepers[leader].setShare(0, now);
-          parts.forEach((each) => {
-            each.setShare(1 / entries, now);
-            taken.push(...takeAll(each, now, now + 500));
+      fc.property(
+        handovers,
+        fc.double({ min: 0.2, max: 30, noNaN: true }),
+        (leaderships, perSecond) => {
+          const entries = 5;
+          const keepers = Array.from({ length: 4 }, () => limited(perSecond, 0));
+          const entryLimits = Array.from({ length: entries }, () => limited(perSecond, 0));
+          const sentTimes: number[] = [];
+          let now = 0;
+          leaderships.forEach(([forMs, leader]) => {
+            keepers.forEach((each, i) => each.setShare(i === leader ? 1 : 0, now));
+            entryLimits.forEach((each) => each.setShare(0, now));
+            sentTimes.push(...takeAll(keepers[leader], now, now + forMs));
+            now += forMs;
+            keepers[leader].setShare(0, now);
+            entryLimits.forEach((each) => {
+              each.setShare(1 / entries, now);
+              sentTimes.push(...takeAll(each, now, now + 500));
+            });
+            now += 500;
           });
-          now += 500;
-        });
-        const most = Math.max(
-          0,
-          ...taken.map((from) => taken.filter((at) => at >= from && at < from + windowMs).length),
-        );
-        return most <= (1.5 * perSecond * windowMs) / 1_000 + 5;
-      }),
+          const maxInWindow = Math.max(
+            0,
+            ...sentTimes.map(
+              (from) => sentTimes.filter((at) => at >= from && at < from + windowMs).length,
+            ),
+          );
+          return maxInWindow <= (1.5 * perSecond * windowMs) / 1_000 + 5;
+        },
+      ),
       { numRuns: 200, seed: 1 },
     );
   });
--- a/packages/domain/src/rateLimits/rateLimits.ts
+++ b/packages/domain/src/rateLimits/rateLimits.ts
@@ -66,28 +66,28 @@
   }
 
   /** The known limit at an address; undefined where there is none. */
-  limitAt(place: Endpoint): number | undefined {
-    return this.find(place)?.perSecond;
+  limitAt(endpoint: Endpoint): number | undefined {
+    return this.find(endpoint)?.perSecond;
   }
 
   /** When the limit at an address became known; undefined where there is none. */
-  knownSince(place: Endpoint): number | undefined {
-    return this.find(place)?.knownAt;
+  knownSince(endpoint: Endpoint): number | undefined {
+    return this.find(endpoint)?.knownAt;
   }
 
   /** Sets or ends a limit; returns whether anything changed. */
   set({ service, address, perSecond }: RateLimit, now: number): boolean {
     const key = keyOf({ service, address });
-    const known = this.limited.get(key);
-    if (known?.perSecond === perSecond) return false;
+    const current = this.limited.get(key);
+    if (current?.perSecond === perSecond) return false;
     if (perSecond === undefined) {
       this.limited.delete(key);
-    } else if (known === undefined) {
+    } else if (current === undefined) {
       const bucket = new tokenBucket.TokenBucket(this.rateOf(perSecond), now);
       this.limited.set(key, { service, address, perSecond, bucket, knownAt: now, servedAt: now });
     } else {
-      known.perSecond = perSecond;
-      known.bucket.setRate(this.rateOf(perSecond), now);
+      current.perSecond = perSecond;
+      current.bucket.setRate(this.rateOf(perSecond), now);
     }
     return true;
   }
@@ -107,39 +107,39 @@
     });
   }
 
-  isLimited(place: Endpoint): boolean {
-    return this.find(place) !== undefined;
+  isLimited(endpoint: Endpoint): boolean {
+    return this.find(endpoint) !== undefined;
   }
 
   /** Whether a request may be sent to an address now. */
-  maySend(place: Endpoint, now: number): boolean {
-    return this.find(place)?.bucket.isReady(now) !== false;
+  maySend(endpoint: Endpoint, now: number): boolean {
+    return this.find(endpoint)?.bucket.isReady(now) !== false;
   }
 
   /** Whether a liveness probe may be sent to an address now. */
-  mayProbe(place: Endpoint, now: number): boolean {
-    const known = this.find(place);
-    if (known === undefined) return true;
-    return this.share > 0 && known.bucket.levelAt(now) >= 1 - PROBE_DEBT_TOKENS;
+  mayProbe(endpoint: Endpoint, now: number): boolean {
+    const current = this.find(endpoint);
+    if (current === undefined) return true;
+    return this.share > 0 && current.bucket.levelAt(now) >= 1 - PROBE_DEBT_TOKENS;
   }
 
   /** Messages that may be sent to an address at once; infinite where there is no limit. */
-  availableTokens(place: Endpoint, now: number): number {
-    return this.find(place)?.bucket.levelAt(now) ?? Infinity;
+  availableTokens(endpoint: Endpoint, now: number): number {
+    return this.find(endpoint)?.bucket.levelAt(now) ?? Infinity;
   }
 
   /** Counts messages that were sent or will be. */
-  countSent(place: Endpoint, count: number, now: number): void {
-    this.find(place)?.bucket.take(count, now);
+  countSent(endpoint: Endpoint, count: number, now: number): void {
+    this.find(endpoint)?.bucket.take(count, now);
   }
 
   /**
    * Milliseconds until one of the addresses accepts a request with `ahead` requests queued before
    * it; 0 where one of them has no limit, infinite where this process hands out nothing.
    */
-  waitMs(places: readonly Endpoint[], ahead: number, now: number): number {
-    const limited = places.flatMap((place) => this.find(place) ?? []);
-    if (limited.length < places.length || limited.length === 0) return 0;
+  waitMs(endpoints: readonly Endpoint[], ahead: number, now: number): number {
+    const limited = endpoints.flatMap((endpoint) => this.find(endpoint) ?? []);
+    if (limited.length < endpoints.length || limited.length === 0) return 0;
     if (this.share === 0) return Infinity;
     const missingTokens = limited.map(({ bucket }) => 1 - bucket.levelAt(now));
     const waits = missingTokens.map((tokens, i) => tokens / this.rateOf(limited[i].perSecond));
@@ -148,7 +148,7 @@
   }
 
   /** Removes and returns the limits of addresses at which no target listens any more. */
-  forget(isServed: (place: Endpoint) => boolean, now: number): RateLimit[] {
+  forget(isServed: (endpoint: Endpoint) => boolean, now: number): RateLimit[] {
     this.limited.forEach((each) => {
       if (isServed(each)) each.servedAt = now;
     });
@@ -166,8 +166,8 @@
     return this.share * Math.max(perSecond, 1 / CANARY_INTERVAL_SECONDS);
   }
 
-  private find(place: Endpoint): Limited | undefined {
-    return this.limited.size === 0 ? undefined : this.limited.get(keyOf(place));
+  private find(endpoint: Endpoint): Limited | undefined {
+    return this.limited.size === 0 ? undefined : this.limited.get(keyOf(endpoint));
   }
 }
 
--- a/packages/domain/src/request/__tests__/request.test.ts
+++ b/packages/domain/src/request/__tests__/request.test.ts
@@ -90,23 +90,23 @@
 describe('circuit', () => {
   it('opens by the failure share, and closes after one successful trial', () => {
     const tested = new circuit.Circuit();
-    const seen: string[] = [];
-    const note = (): number => seen.push(tested.state);
+    const states: string[] = [];
+    const recordState = (): number => states.push(tested.state);
     tested.failed(0);
-    note();
+    recordState();
     [1, 2, 3].forEach((at) => tested.failed(at));
-    note();
+    recordState();
     tested.tick(500);
-    note();
+    recordState();
     tested.tick(1_100);
-    note();
+    recordState();
     tested.failed(1_200);
     tested.tick(2_300);
-    note();
+    recordState();
     tested.tick(3_300);
     tested.succeeded();
-    note();
-    expect(seen.join(' ')).to.equal('closed open open trial open closed');
+    recordState();
+    expect(states.join(' ')).to.equal('closed open open trial open closed');
   });
 });
 
@@ -146,8 +146,8 @@
         }
         // Demand that moves between daemons may use each one's burst, as stated in CONFIGURATION.
         expect(admitted).to.be.at.most(singleBucket(rate, 20) * 1.1);
-        const asked = weights.reduce((sum, each) => sum + each, 0) * 500 * 0.1 * 20;
-        if (asked > rate * 2) expect(admitted).to.be.at.least(rate * 20 * 0.7);
+        const demanded = weights.reduce((sum, each) => sum + each, 0) * 500 * 0.1 * 20;
+        if (demanded > rate * 2) expect(admitted).to.be.at.least(rate * 20 * 0.7);
       }),
       { seed: 4, numRuns: 60 },
     );
@@ -179,9 +179,9 @@
             tokens: 1,
             last,
           });
-          const wanted = request === 'mine' && position === next && !ended;
-          expect(finding.kind === 'next').to.equal(wanted);
-          if (!wanted) return;
+          const isExpected = request === 'mine' && position === next && !ended;
+          expect(finding.kind === 'next').to.equal(isExpected);
+          if (!isExpected) return;
           next += 1;
           ended = last;
         });
--- a/packages/domain/src/request/__tests__/streamsAndBudget.test.ts
+++ b/packages/domain/src/request/__tests__/streamsAndBudget.test.ts
@@ -19,17 +19,17 @@
         const splitter = new eventSplitter.EventSplitter();
         const bytes = Buffer.from(`${STREAM}id: 4\ndata: half`);
         let at = 0;
-        let passed = '';
+        let passedText = '';
         let events = 0;
         let lastId: string | undefined;
         [...sizes, bytes.length].forEach((size) => {
           const cut = splitter.push(bytes.subarray(at, at + size));
           at += size;
-          passed += cut.bytes.toString();
+          passedText += cut.bytes.toString();
           events += cut.events;
           lastId = cut.lastId ?? lastId;
         });
-        expect(passed).to.equal(STREAM);
+        expect(passedText).to.equal(STREAM);
         expect({ events, lastId }).to.deep.equal({ events: 3, lastId: '3' });
         expect(splitter.isInsideEvent).to.equal(true);
       }),
@@ -63,12 +63,12 @@
   it('releases repeats when they leave the window', () => {
     const entry = new repeatBudget.RepeatBudget({ ratio: 0, slack: 10, windowMs: 1_000 });
     entry.setEntryCount(1, 0);
-    const taken = (now: number): number => {
+    const spendAll = (now: number): number => {
       let count = 0;
       while (entry.spend(now)) count += 1;
       return count;
     };
-    expect([taken(0), taken(500), taken(1_100)]).to.deep.equal([7, 0, 7]);
+    expect([spendAll(0), spendAll(500), spendAll(1_100)]).to.deep.equal([7, 0, 7]);
   });
 
   /*
--- a/packages/domain/src/request/repeatBudget.ts
+++ b/packages/domain/src/request/repeatBudget.ts
@@ -97,8 +97,8 @@
   }
 
   of(service: string): RepeatBudget {
-    const known = this.byService.get(service);
-    if (known !== undefined) return known;
+    const existing = this.byService.get(service);
+    if (existing !== undefined) return existing;
     const budget = new RepeatBudget(this.rule, this.entryCounts);
     this.byService.set(service, budget);
     return budget;
--- a/packages/domain/src/routing/__tests__/routing.test.ts
+++ b/packages/domain/src/routing/__tests__/routing.test.ts
@@ -67,24 +67,24 @@
   it('sends each request to one target with a closed circuit at a time, and loses none', () => {
     fastCheck.assert(
       fastCheck.property(fastCheck.array(STEP, { maxLength: 80 }), (steps) => {
-        const choice = new policy.ElasticReserve(random.seeded(1));
-        const tested = new dispatcher.Dispatcher('dc', hash, choice);
+        const placementPolicy = new policy.ElasticReserve(random.seeded(1));
+        const tested = new dispatcher.Dispatcher('dc', hash, placementPolicy);
         const names = ['e1', 'e2', 'e3', 'e4', 'e5'];
         tested.setTargets(names.map((name) => engine(name)));
         // The model: where each request is.
         const waiting = new Set<string>();
         const running = new Map<string, string>();
-        const broken = new Set<string>();
+        const openCircuits = new Set<string>();
         let now = 0;
-        let made = 0;
+        let requestCount = 0;
         steps.forEach(({ kind, which, tokens }) => {
           now += 20;
-          const [id, place] = [...running][which % Math.max(1, running.size)] ?? ['', ''];
+          const [id, targetName] = [...running][which % Math.max(1, running.size)] ?? ['', ''];
           const name = names[which % names.length];
           if (kind === 'new') {
-            made += 1;
-            if (tested.enqueue(request(`r${made}`, tokens, now), now) === undefined) {
-              waiting.add(`r${made}`);
+            requestCount += 1;
+            if (tested.enqueue(request(`r${requestCount}`, tokens, now), now) === undefined) {
+              waiting.add(`r${requestCount}`);
             }
           } else if (kind === 'first') tested.firstToken(id, now);
           else if (kind === 'end') {
@@ -97,15 +97,15 @@
             waiting.add(id);
           } else if (kind === 'break' || kind === 'mend') {
             tested.setCircuitOpen(name, kind === 'break');
-            if (kind === 'break') broken.add(name);
-            else broken.delete(name);
+            if (kind === 'break') openCircuits.add(name);
+            else openCircuits.delete(name);
           } else if (kind === 'withdraw') {
             const first = [...waiting][0] ?? '';
             expect(tested.withdraw(first)).to.equal(waiting.delete(first));
           }
           tested.poll(now).forEach((dispatch) => {
             expect(waiting.delete(dispatch.request.id)).to.equal(true);
-            expect(broken.has(dispatch.target.name)).to.equal(false);
+            expect(openCircuits.has(dispatch.target.name)).to.equal(false);
             running.set(dispatch.request.id, dispatch.target.name);
           });
           expect(tested.queueLength).to.equal(waiting.size);
@@ -113,7 +113,7 @@
             const expected = [...running].filter(([, at]) => at === each).map(([one]) => one);
             expect(tested.runningOn(each).sort()).to.deep.equal(expected.sort());
           });
-          expect(place).to.be.a('string');
+          expect(targetName).to.be.a('string');
         });
       }),
       { seed: 9, numRuns: 300 },
@@ -125,27 +125,29 @@
    * progress. The reserve keeps some engines free.
    */
   it('keeps a reserve free of long prompts while there is short demand', () => {
-    const choice = new policy.ElasticReserve(random.seeded(2));
-    const tested = new dispatcher.Dispatcher('dc', hash, choice);
+    const placementPolicy = new policy.ElasticReserve(random.seeded(2));
+    const tested = new dispatcher.Dispatcher('dc', hash, placementPolicy);
     tested.setTargets(Array.from({ length: 10 }, (_v, i) => engine(`e${i}`)));
-    const places = new Map<string, Set<string>>();
+    const targetsByBand = new Map<string, Set<string>>();
     for (let i = 0; i < 400; i++) {
       const long = i % 4 === 0;
       tested.enqueue(request(`r${i}`, long ? 200_000 : 2_000, i * 50), i * 50);
       tested.poll(i * 50).forEach(({ request: sent, target: { name }, band: inBand }) => {
         if (i < 100) return;
-        places.set(inBand, (places.get(inBand) ?? new Set()).add(name));
+        targetsByBand.set(inBand, (targetsByBand.get(inBand) ?? new Set()).add(name));
         if (inBand === 'short') tested.firstToken(sent.id, i * 50 + 20);
       });
     }
-    const withLong = places.get('long') ?? new Set();
-    const clear = [...(places.get('short') ?? [])].filter((name) => !withLong.has(name));
-    expect(clear.length).to.be.at.least(1);
+    const withLong = targetsByBand.get('long') ?? new Set();
+    const withoutLong = [...(targetsByBand.get('short') ?? [])].filter(
+      (name) => !withLong.has(name),
+    );
+    expect(withoutLong.length).to.be.at.least(1);
   });
 
   it('refuses as certainly not run what it can never serve', () => {
-    const choice = new policy.RoundRobin();
-    const tested = new dispatcher.Dispatcher('dc', hash, choice, {
+    const placementPolicy = new policy.RoundRobin();
+    const tested = new dispatcher.Dispatcher('dc', hash, placementPolicy, {
       ...dispatcher.DEFAULT_OPTIONS,
       queueLength: 1,
     });
@@ -213,24 +215,24 @@
     const stored = (sequence: number, key: number): prefixIndex.EventOrder =>
       tested.applyEvent('e', { sequence, kind: 'stored', key });
     const cached = (): number => tested.cachedTokens('e', [1, 2, 3]);
-    const seen: unknown[] = [stored(1, 1), stored(2, 2), cached(), stored(4, 3), cached()];
-    seen.push(stored(4, 9));
+    const results: unknown[] = [stored(1, 1), stored(2, 2), cached(), stored(4, 3), cached()];
+    results.push(stored(4, 9));
     tested.resync('e', [1], 5);
-    seen.push(cached());
+    results.push(cached());
     tested.forget('e');
-    seen.push(cached());
-    expect(seen).to.deep.equal(['inOrder', 'inOrder', 2_048, 'gap', 1_536, 'old', 1_024, 0]);
+    results.push(cached());
+    expect(results).to.deep.equal(['inOrder', 'inOrder', 2_048, 'gap', 1_536, 'old', 1_024, 0]);
   });
 });
 
 describe('cells', () => {
-  const places = (count: number, prefix: string): cell.Member[] =>
+  const members = (count: number, prefix: string): cell.Member[] =>
     Array.from({ length: count }, (_v, i) => ({ id: `${prefix}${i}`, dataCentre: `dc${i % 17}` }));
 
   it('are one for a small fleet, and all daemons name the same allocator', async () => {
     const hash = await hashing.load();
-    const daemons = places(8, 'd');
-    const targets = places(25, 't');
+    const daemons = members(8, 'd');
+    const targets = members(25, 't');
     const cells = daemons.map((self) => cell.cellOf(hash, self, daemons, targets));
     expect(new Set(cells.map(({ allocator }) => allocator)).size).to.equal(1);
     expect(cells.every((each) => each.targets.length === 25)).to.equal(true);
@@ -238,8 +240,8 @@
 
   it('stay within a data centre and bounded in a fleet of 810 daemons and 2,400 targets', async () => {
     const hash = await hashing.load();
-    const daemons = places(810, 'd');
-    const targets = places(2_400, 't');
+    const daemons = members(810, 'd');
+    const targets = members(2_400, 't');
     const cells = daemons.map((self) => cell.cellOf(hash, self, daemons, targets));
     const used = new Set(cells.flatMap((each) => each.targets));
     const allocators = new Set(cells.map(({ allocator }) => allocator));
--- a/packages/domain/src/routing/cell.ts
+++ b/packages/domain/src/routing/cell.ts
@@ -38,7 +38,7 @@
   targets: readonly Member[],
 ): Cell {
   const small = daemons.length <= SMALL_FLEET;
-  const isNearby = (placed: Member): boolean => small || placed.dataCentre === self.dataCentre;
+  const isNearby = (member: Member): boolean => small || member.dataCentre === self.dataCentre;
   const nearbyTargets = targets.filter(isNearby).map(({ id }) => id);
   const nearbyDaemons = daemons.filter(isNearby).map(({ id }) => id);
   const count = Math.max(1, Math.ceil(nearbyTargets.length / CELL_TARGETS));
--- a/packages/domain/src/routing/dispatcher.ts
+++ b/packages/domain/src/routing/dispatcher.ts
@@ -146,12 +146,14 @@
   }
 
   private setTarget(announced: target.Target): void {
-    const known = this.targets.get(announced.name);
+    const previous = this.targets.get(announced.name);
     const hasRestarted =
-      known !== undefined && known.announced.incarnation !== announced.incarnation;
+      previous !== undefined && previous.announced.incarnation !== announced.incarnation;
     if (hasRestarted) this.prefixes.forget(announced.name);
     const targetEstimate =
-      known === undefined || hasRestarted ? this.newEstimate(announced) : known.targetEstimate;
+      previous === undefined || hasRestarted
+        ? this.newEstimate(announced)
+        : previous.targetEstimate;
     this.targets.set(announced.name, { announced, targetEstimate });
   }
 
@@ -168,8 +170,8 @@
   }
 
   /** Targets whose circuit is open get nothing until it closes. */
-  setCircuitOpen(name: string, broken: boolean): void {
-    if (broken) this.openCircuits.add(name);
+  setCircuitOpen(name: string, isOpen: boolean): void {
+    if (isOpen) this.openCircuits.add(name);
     else this.openCircuits.delete(name);
   }
 
@@ -263,7 +265,9 @@
 
   /** Running requests on a target. */
   runningOn(name: string): string[] {
-    return [...this.running].filter(([, entry]) => entry.target === name).map(([id]) => id);
+    return [...this.running]
+      .filter(([, runningRequest]) => runningRequest.target === name)
+      .map(([id]) => id);
   }
 
   get queueLength(): number {
@@ -271,8 +275,8 @@
   }
 
   private refusal(request: Request, inBand: band.Band, now: number): Refusal | undefined {
-    const waiting = band.BANDS.reduce((sum, each) => sum + this.queues[each].tokens, 0);
-    if (waiting + request.promptTokens > this.options.queueTokens) return 'queueFull';
+    const waitingTokens = band.BANDS.reduce((sum, each) => sum + this.queues[each].tokens, 0);
+    if (waitingTokens + request.promptTokens > this.options.queueTokens) return 'queueFull';
     if (this.queueLength >= this.options.queueLength) return 'queueFull';
     if (this.serving(request).length === 0) return 'noTarget';
     const candidates = this.candidates(request);
@@ -310,8 +314,8 @@
   }
 
   private preferenceOf(name: string): number {
-    const place = this.preferencePositions.get(name) ?? 0;
-    return (place - this.offset + 1) % 1;
+    const position = this.preferencePositions.get(name) ?? 0;
+    return (position - this.offset + 1) % 1;
   }
 
   private drain(inBand: band.Band, now: number): Dispatch[] {
@@ -339,12 +343,12 @@
     const placement = this.placer.place(job, this.candidates(waiting), now);
     if (placement === undefined) return undefined;
     const { target: name, enginePriority, needsRoom, predictedMs } = placement;
-    const known = this.targets.get(name) as TargetState;
+    const chosen = this.targets.get(name) as TargetState;
     const cached = this.prefixes.cachedTokens(name, waiting.prefixKeys);
     const uncached = Math.max(0, tokens - cached);
-    known.targetEstimate.dispatched(id, waiting.band, uncached, memoryTokens, now);
+    chosen.targetEstimate.dispatched(id, waiting.band, uncached, memoryTokens, now);
     this.prefixes.expectCached(name, waiting.prefixKeys);
-    const { announced } = known;
+    const { announced } = chosen;
     const { band: inBand } = waiting;
     return {
       request: waiting,
@@ -388,10 +392,10 @@
     // except for targets near its boundary while their views of demand differ.
     const ranked = hashing.rendezvous(this.hash, 'reserve', names);
     const reserved = ranked.slice(0, this.reserveSize);
-    const open = ranked.slice(this.reserveSize);
+    const unreserved = ranked.slice(this.reserveSize);
     this.reservedTargets = new Set(reserved);
     this.preferencePositions = new Map(
-      [reserved, open].flatMap((part) =>
+      [reserved, unreserved].flatMap((part) =>
         part.map((name, i): [string, number] => [name, i / part.length]),
       ),
     );
--- a/packages/domain/src/routing/estimate.ts
+++ b/packages/domain/src/routing/estimate.ts
@@ -55,7 +55,7 @@
   private readonly pending = new Map<string, Pending>();
 
   /** Memory of own requests, including those that stream. */
-  private readonly held = new Map<string, HeldMemory>();
+  private readonly heldMemory = new Map<string, HeldMemory>();
 
   private peers: Outstanding = NOTHING_OUTSTANDING;
 
@@ -76,21 +76,24 @@
 
   /** Running requests of this daemon on the target, including those that stream. */
   get streams(): number {
-    return this.held.size;
+    return this.heldMemory.size;
   }
 
   /** Prompt tokens of this daemon without a first token yet, by band. */
   outstanding(): Outstanding {
     const sums = { short: 0, medium: 0, long: 0 };
-    this.pending.forEach((entry) => {
-      sums[entry.band] += entry.tokens;
+    this.pending.forEach((pendingRequest) => {
+      sums[pendingRequest.band] += pendingRequest.tokens;
     });
     return sums;
   }
 
   /** Whether this daemon or, as far as known, a peer has a long prompt in progress there. */
   hasLong(): boolean {
-    return this.peers.long > 0 || [...this.pending.values()].some((entry) => entry.band === 'long');
+    return (
+      this.peers.long > 0 ||
+      [...this.pending.values()].some((pendingRequest) => pendingRequest.band === 'long')
+    );
   }
 
   pendingCount(): number {
@@ -103,7 +106,7 @@
     const isFresh = report !== undefined && now - report.measuredAt < MAX_REPORT_AGE_MS;
     const since = isFresh ? report.measuredAt : -Infinity;
     let free = isFresh ? report.freeTokens : this.memoryTokens;
-    this.held.forEach((each) => {
+    this.heldMemory.forEach((each) => {
       if (each.since >= since) free -= each.tokens;
     });
     return free;
@@ -118,22 +121,27 @@
   ): void {
     const aheadMs = this.aheadMs(inBand, now);
     this.pending.set(id, { band: inBand, tokens, dispatchedAt: now, aheadMs });
-    this.held.set(id, { tokens: memoryTokens, since: now });
+    this.heldMemory.set(id, { tokens: memoryTokens, since: now });
     this.recordTotal(now);
   }
 
   /** Records the first token: the prefill is done, and its duration updates the cost per token. */
   firstToken(id: string, now: number): void {
-    const entry = this.pending.get(id);
-    if (entry === undefined) return;
+    const pendingRequest = this.pending.get(id);
+    if (pendingRequest === undefined) return;
     this.pending.delete(id);
     this.recordTotal(now);
-    this.costs.learn(entry.band, entry.tokens, now - entry.dispatchedAt, entry.aheadMs);
+    this.costs.learn(
+      pendingRequest.band,
+      pendingRequest.tokens,
+      now - pendingRequest.dispatchedAt,
+      pendingRequest.aheadMs,
+    );
   }
 
   ended(id: string, now: number): void {
     this.pending.delete(id);
-    this.held.delete(id);
+    this.heldMemory.delete(id);
     this.recordTotal(now);
   }
 
@@ -146,8 +154,8 @@
     if (this.report !== undefined && report.measuredAt < this.report.measuredAt) return;
     this.report = report;
     const { short, medium, long } = this.peers;
-    const known = this.ownTokensAt(report.measuredAt) + short + medium + long;
-    this.unattributed = Math.max(0, report.queuedTokens - known);
+    const knownTokens = this.ownTokensAt(report.measuredAt) + short + medium + long;
+    this.unattributed = Math.max(0, report.queuedTokens - knownTokens);
     // The engine has worked on it since the measurement, not only since the report arrived.
     this.unattributedAt = report.measuredAt;
   }
--- a/packages/domain/src/routing/policy.ts
+++ b/packages/domain/src/routing/policy.ts
@@ -85,9 +85,9 @@
   private next = 0;
 
   place(job: Job, candidates: readonly Candidate[], now: number): Placement | undefined {
-    const able = candidates.filter((candidate) => fits(job, candidate));
-    if (able.length === 0) return undefined;
-    const chosen = able[this.next % able.length];
+    const fitting = candidates.filter((candidate) => fits(job, candidate));
+    if (fitting.length === 0) return undefined;
+    const chosen = fitting[this.next % fitting.length];
     this.next += 1;
     const predictedMs = predictedFirstTokenMs(job, chosen, now);
     return { target: chosen.name, enginePriority: NEUTRAL_PRIORITY, needsRoom: false, predictedMs };
@@ -101,9 +101,13 @@
   constructor(private readonly source: random.Random) {}
 
   place(job: Job, candidates: readonly Candidate[], now: number): Placement | undefined {
-    const able = candidates.filter((candidate) => fits(job, candidate));
-    const fewest = Math.min(...able.map(({ estimate: targetEstimate }) => targetEstimate.streams));
-    const tied = able.filter(({ estimate: targetEstimate }) => targetEstimate.streams === fewest);
+    const fitting = candidates.filter((candidate) => fits(job, candidate));
+    const fewest = Math.min(
+      ...fitting.map(({ estimate: targetEstimate }) => targetEstimate.streams),
+    );
+    const tied = fitting.filter(
+      ({ estimate: targetEstimate }) => targetEstimate.streams === fewest,
+    );
     if (tied.length === 0) return undefined;
     const chosen = random.pick(this.source, tied);
     const predictedMs = predictedFirstTokenMs(job, chosen, now);
@@ -139,8 +143,8 @@
   readonly name = 'enginePriority';
 
   place(job: Job, candidates: readonly Candidate[], now: number): Placement | undefined {
-    const able = candidates.filter((candidate) => fits(job, candidate));
-    const chosen = minBy(able, (candidate) => predictedFirstTokenMs(job, candidate, now));
+    const fitting = candidates.filter((candidate) => fits(job, candidate));
+    const chosen = minBy(fitting, (candidate) => predictedFirstTokenMs(job, candidate, now));
     if (chosen === undefined) return undefined;
     const enginePriority = ENGINE_PRIORITY[job.band];
     const predictedMs = predictedFirstTokenMs(job, chosen, now);
@@ -193,12 +197,15 @@
   ) {}
 
   place(job: Job, candidates: readonly Candidate[], now: number): Placement | undefined {
-    const able = this.withRoom(job, this.reachable(job, candidates), now);
-    const scored = able.map((candidate) => ({ candidate, cost: this.costMs(job, candidate, now) }));
+    const eligible = this.withRoom(job, this.reachable(job, candidates), now);
+    const scored = eligible.map((candidate) => ({
+      candidate,
+      cost: this.costMs(job, candidate, now),
+    }));
     const bestCost = Math.min(...scored.map(({ cost }) => cost));
-    const near = scored.filter(({ cost }) => cost <= bestCost * (1 + TIE.share) + TIE.ms);
-    if (near.length === 0) return undefined;
-    const { candidate } = random.pick(this.source, near);
+    const nearTies = scored.filter(({ cost }) => cost <= bestCost * (1 + TIE.share) + TIE.ms);
+    if (nearTies.length === 0) return undefined;
+    const { candidate } = random.pick(this.source, nearTies);
     if (this.isFull(job.band, candidate, now)) return undefined;
     const enginePriority = ENGINE_PRIORITY[job.band];
     const predictedMs = predictedFirstTokenMs(job, candidate, now);
@@ -216,11 +223,11 @@
   }
 
   private reachable(job: Job, candidates: readonly Candidate[]): Candidate[] {
-    const able = candidates.filter((candidate) => fits(job, candidate));
-    if (job.band === 'short') return able;
-    const open = able.filter(({ reserved }) => !reserved);
+    const fitting = candidates.filter((candidate) => fits(job, candidate));
+    if (job.band === 'short') return fitting;
+    const unreserved = fitting.filter(({ reserved }) => !reserved);
     // If only the reserve is left, use it.
-    return open.length > 0 ? open : able;
+    return unreserved.length > 0 ? unreserved : fitting;
   }
 
   /**
@@ -228,10 +235,10 @@
    * queue, where no engine that frees memory sooner can take it.
    */
   private withRoom(job: Job, candidates: readonly Candidate[], now: number): readonly Candidate[] {
-    const roomy = candidates.filter(
+    const withMemory = candidates.filter(
       ({ estimate: targetEstimate }) => targetEstimate.freeTokens(now) >= job.memoryTokens,
     );
-    return roomy.length > 0 || job.band !== 'short' ? roomy : candidates;
+    return withMemory.length > 0 || job.band !== 'short' ? withMemory : candidates;
   }
 
   private costMs(job: Job, candidate: Candidate, now: number): number {
--- a/packages/domain/src/routing/prefixIndex.ts
+++ b/packages/domain/src/routing/prefixIndex.ts
@@ -69,8 +69,8 @@
   }
 
   private of(target: string): Cached {
-    const known = this.targets.get(target);
-    if (known !== undefined) return known;
+    const existing = this.targets.get(target);
+    if (existing !== undefined) return existing;
     const fresh = { keys: new Set<number>(), sequence: 0, trusted: true };
     this.targets.set(target, fresh);
     return fresh;
