--- a/packages/domain/src/allocation/__tests__/allocator.test.ts
+++ b/packages/domain/src/allocation/__tests__/allocator.test.ts
@@ -182,8 +182,8 @@
   });
 
   /*
-   * Guards against delaying others in vain: a prompt that has already missed its objective may
-   * cause less delay than one that can still be in time.
+   * Guards against delaying others in vain: a prompt that has already missed its objective must not
+   * cause as much delay as one that can still be in time.
    */
   it('include a late prompt, though the same prompt still in time is started', () => {
     const engineCount = (waitedMs: number): number => {
@@ -282,8 +282,8 @@
   });
 
   /*
-   * Guards against a leader that is unresponsive for half a second, as it weighs each of hundreds
-   * of returning prompts on 150 engines. Engines of the caller's data centre are enough while they
+   * Guards against a leader that is unresponsive for half a second, as it plans each of hundreds of
+   * returning prompts over 150 engines. Engines of the caller's data centre are enough while they
    * have room; then the others are considered too.
    */
   it('chooses among the nearby engines of a large fleet while they have room', () => {
@@ -306,7 +306,7 @@
 
 describe('a fleet of thousands of engines', () => {
   /*
-   * Guards against prompts that wait seconds while most engines are idle: weighing each prompt on
+   * Guards against prompts that wait seconds while most engines are idle: planning each prompt over
    * all 3,000 engines takes longer than the interval between prompts.
    */
   it('considers a bounded number of engines per prompt, and finds idle ones', () => {
--- a/packages/domain/src/allocation/__tests__/targetHealth.test.ts
+++ b/packages/domain/src/allocation/__tests__/targetHealth.test.ts
@@ -18,8 +18,8 @@
 
 describe('target health', () => {
   /*
-   * Guards against a silent target that fails every request once, as each ejection is as short as
-   * the first.
+   * Guards against requests that each fail once before another target serves them: a target that
+   * doesn't respond would be tried again and again if each ejection were as short as the first.
    */
   it('ejects a target that keeps failing for longer each time, up to a bound', () => {
     expect(canaryTimes('broken', 16_000)).to.deep.equal([
--- a/packages/domain/src/allocation/allocator.ts
+++ b/packages/domain/src/allocation/allocator.ts
@@ -21,14 +21,14 @@
 
 export interface Request extends planner.Prompt {
   id: string;
-  /** The entry that requests the placement; its dispatches end with it. */
+  /** The entry that requests the placement; its dispatches end when it is gone. */
   entry: string;
   service: string;
   /** Targets that the request was already sent to. */
   excluded: readonly string[];
   /**
-   * Number of targets that crashed while running a request with this fingerprint; undefined for
-   * none.
+   * Number of targets that crashed while running a request with this fingerprint; undefined if
+   * none did.
    */
   endings?: number;
 }
@@ -65,8 +65,8 @@
 /**
  * Fewest engines of the caller's data centre that a plan may be limited to, and how many of them
  * there must be for each useful prefill part. A plan computes the prompt's cost on every candidate:
- * with 150 engines, re-placing all requests after a total loss cost a new leader 2 ms per prompt,
- * and it was unresponsive for half a second at a time. With 30 engines a short prompt takes 0.08 ms
+ * with 150 engines, the burst of requests after a total outage took a new leader 2 ms per prompt,
+ * and it was unresponsive for half a second at a time. With 30 of them a short prompt takes 0.08 ms
  * instead of 0.35, and one of 45k tokens 0.5 instead of 1.7.
  */
 const MIN_NEARBY_ENGINES = 24;
@@ -194,8 +194,8 @@
   }
 
   /**
-   * Candidate engines: all of a small service, otherwise those of some cells and those that the
-   * request is bound to.
+   * Candidate engines: all of a small service, otherwise those of some cells. Always includes the
+   * engines that the request is bound to (`writers`).
    */
   private candidateScope({ service, dataCentre, writers = [] }: Request): cells.Scope {
     const scope = this.cellsOf(service).scope(dataCentre);
@@ -204,8 +204,8 @@
   }
 
   /**
-   * A plan limited to the first cell or to the caller's data centre; undefined if that has too few
-   * engines or the penalty is too high.
+   * Decides among the engines of the first cell or, without cells, of the caller's data centre;
+   * undefined if these are too few or the plan's penalty is too high.
    */
   private decideNearby(
     enginePlanner: planner.Planner,
@@ -233,7 +233,8 @@
 
   /**
    * Milliseconds until the least busy engine of a service has prefilled its queue; infinite without
-   * engines. A request that found no place finds one then, unless another takes it.
+   * engines. A request for which all engines were full can be placed then, unless another takes
+   * the slot.
    */
   nextAvailableMs(service: string, now: number): number {
     const waits = this.cellsOf(service)
@@ -341,7 +342,7 @@
     });
     const healthy = ready.filter((each) => each.health.isUsable(now, each.decodingCount === 0));
     const available = healthy.length > 0 ? healthy : ready;
-    // A request that is bound to targets which already hold its state can't go elsewhere.
+    // A request that is bound to targets can't go elsewhere, as they already hold its state.
     const eligible =
       writers === undefined ? this.suspects.eligibleEngines(available, endings) : available;
     return this.randomSource === undefined
--- a/packages/domain/src/allocation/cells.ts
+++ b/packages/domain/src/allocation/cells.ts
@@ -19,7 +19,7 @@
  */
 const ENGINES_PER_CELL = 128;
 
-/** Cells that one placement considers if the first has no good place. */
+/** Cells that one placement considers if the first has no good plan. */
 const CELLS_PER_CHOICE = 3;
 
 /** The cells of one data centre; an engine stays in its cell for its lifetime. */
--- a/packages/domain/src/allocation/cost.ts
+++ b/packages/domain/src/allocation/cost.ts
@@ -6,7 +6,7 @@
  */
 import type * as catalogue from '../catalogue/catalogue';
 
-/** Time to prefill a prompt of `tokens` split evenly over `parts` engines; per engine. */
+/** Prefill time on each engine for a prompt of `tokens` that is split evenly over `parts` engines. */
 export function prefillMs(engine: catalogue.Engine, tokens: number, parts = 1): number {
   const pairsInMillions = (tokens * tokens) / 2 / 1_000_000;
   return (tokens / engine.readTokensPerMs + pairsInMillions * engine.pairMsPerMillion) / parts;
--- a/packages/domain/src/allocation/deferral.ts
+++ b/packages/domain/src/allocation/deferral.ts
@@ -1,7 +1,7 @@
 /**
  * Decides whether to defer the start of a prompt. Engines prefill the newest part first, so
- * starting now on engines that prefill for others delays those; started after they have ended, the
- * prompt may be in time as well.
+ * starting now on engines that prefill other prompts delays these; if it starts after they have been
+ * prefilled, the prompt may be in time as well.
  */
 import type * as catalogue from '../catalogue/catalogue';
 import * as cost from './cost';
@@ -11,7 +11,7 @@
 
 /**
  * Penalty of starting now, as a fraction of the request's value, below which no deferral is
- * considered: the model's error is as large.
+ * considered: the error of the prediction is as large.
  */
 const MIN_PENALTY_FRACTION = 0.1;
 
@@ -21,7 +21,7 @@
  */
 const MIN_GAIN_FRACTION = 0.1;
 
-/** Shortest deferral, milliseconds: reports of engines' prefill queues are as old. */
+/** Shortest deferral, milliseconds: engines' reports of their prefill queues are about as old. */
 const MIN_DEFERRAL_MS = 20;
 
 export interface DeferralInput {
--- a/packages/domain/src/allocation/isolation.ts
+++ b/packages/domain/src/allocation/isolation.ts
@@ -25,6 +25,7 @@
 
 interface Suspect {
   id: string;
+  /** Number of targets that crashed while running it; undefined if none did. */
   endings?: number;
 }
 
--- a/packages/domain/src/allocation/load.ts
+++ b/packages/domain/src/allocation/load.ts
@@ -1,7 +1,7 @@
 /**
  * Tracks the unfinished work of one engine and what more it can take. The allocator's own
  * dispatches are exact, whereas an engine's report is some hundred milliseconds old, so the load is
- * computed from the dispatches; an error of the model ends with its request.
+ * computed from the dispatches; an error of the cost model lasts only until its request ends.
  */
 import type * as catalogue from '../catalogue/catalogue';
 import type * as rateLimits from '../rateLimits/rateLimits';
@@ -17,7 +17,7 @@
   role: 'decoder' | 'helper';
   /** Prefill work on this engine, milliseconds. */
   prefillMs: number;
-  /** Context tokens that add to the cost of each of its steps here. */
+  /** Context tokens that add to the duration of each engine step here while the request decodes. */
   contextTokens: number;
   /** Memory held here when the request ends, tokens. */
   memoryTokens: number;
@@ -34,9 +34,9 @@
 const SLOWDOWN = { min: 0.8, max: 8, weight: 0.25 } as const;
 
 /**
- * Requests sent to an engine that was loaded from disk until it announces itself. It may have
- * stopped while the keepers were down, and a request sent there would wait in vain; live engines
- * announce themselves within about a second.
+ * Most requests sent to an engine that is known only from state loaded from disk, until it
+ * announces itself. It may have stopped while the keepers were down, and a request sent there would
+ * wait in vain; live engines announce themselves within about a second.
  */
 const MAX_UNCONFIRMED_REQUESTS = 1;
 
--- a/packages/domain/src/allocation/planner.ts
+++ b/packages/domain/src/allocation/planner.ts
@@ -47,17 +47,17 @@
   partMs: number;
   firstTokenMs: number;
   /**
-   * Tokens of work that become late by this plan, of this request and of others, and smaller
-   * preferences.
+   * Tokens of work that this plan makes late, of this request and of others, plus the smaller
+   * preferences of the weights.
    */
   penalty: number;
 }
 
 export type Decision =
   | { kind: 'begin'; plan: Plan }
-  /** Starting in so many milliseconds, after queued prefills have ended, has a lower penalty. */
+  /** Starting `inMs` later, when queued prefills have ended, has a lower penalty. */
   | { kind: 'later'; inMs: number }
-  /** No engine has a free slot, or the penalty exceeds the request's value. */
+  /** No engine has a free slot and enough memory, or the penalty exceeds the request's value. */
   | { kind: 'full' };
 
 /**
@@ -88,15 +88,15 @@
 const MAX_NONBLOCKING_PART_MS = 100;
 
 /**
- * Fraction of an engine's memory that must be free to decode the answer of a prompt larger than the
- * engine.
+ * Fraction of an engine's memory that must be free to decode the answer of a prompt that exceeds
+ * the engine's memory.
  */
 const MIN_DECODER_MEMORY_FRACTION = 0.5;
 
-/** Fraction of an engine's free memory that such a prompt may take there. */
+/** Fraction of an engine's free memory that such a prompt may reserve there. */
 const MAX_RESERVATION_FRACTION = 0.92;
 
-/** Smallest reservation on a helper: a tenth of an engine's memory. */
+/** Smallest reservation worth making on a helper: about a tenth of an engine's memory. */
 const MIN_KEPT_TOKENS = 30_000;
 
 interface Candidate {
@@ -117,9 +117,9 @@
 
 interface Scored {
   candidate: Candidate;
-  /** Penalty of the longer gaps of requests that decode there. */
+  /** Penalty of the longer inter-token gaps of the requests that decode there. */
   gapPenalty: number;
-  /** That, the delays of queued prefills and the request's own wait there. */
+  /** The gap penalty plus those of delayed prefills, of the request's wait and of failures. */
   penalty: number;
   /** Sort key among helpers, lowest first. */
   helperPenalty: number;
@@ -184,8 +184,8 @@
   }
 
   /**
-   * Free memory that a decoder needs: all of the request's, or a fixed fraction if the request
-   * exceeds an engine.
+   * Free memory that a decoder needs: as much as the whole request takes or, if that exceeds an
+   * engine's memory, a fixed fraction of the engine's; helpers keep the rest.
    */
   private minDecoderMemory({ tokens, answerTokens }: Prompt): number {
     const whole = tokens + answerTokens;
--- a/packages/domain/src/allocation/prefillQueue.ts
+++ b/packages/domain/src/allocation/prefillQueue.ts
@@ -4,9 +4,9 @@
  * starts the newest part at once and preempts an older one. On an engine with decoding requests, a
  * step prefills everything that is queued when it begins, and later arrivals wait for its end.
  *
- * The order matches a replay of a day's dispatches: with it, 99 in 100 prompts of over 100k tokens
- * had their first token within 1.27 times the predicted time; with parts in order of arrival,
- * within 4 times.
+ * Predictions depend on this order: in a replay of dispatches, 99 in 100 prompts of over 100k tokens
+ * had their first token within 1.27 times the predicted time; with predictions for parts in order
+ * of arrival, within 4 times.
  */
 import type * as prefills from './prefill';
 
@@ -76,7 +76,10 @@
     return this.waiting.length === 0 && this.step === undefined;
   }
 
-  /** Time until the current engine step ends, milliseconds; the mean for one without prefill. */
+  /**
+   * Time until the current engine step ends, milliseconds; half a step for one without prefill, as
+   * its phase is unknown.
+   */
   stepRestMs(now: number): number {
     this.advance(now);
     if (this.step !== undefined) return this.step.endsAt - now;
--- a/packages/domain/src/allocation/targetHealth.ts
+++ b/packages/domain/src/allocation/targetHealth.ts
@@ -1,8 +1,8 @@
 /**
  * Tracks the health of a target by the outcomes of its dispatches, as a target with a gray failure
- * passes health checks. Each failure in a row ejects it for twice as long; after that it gets one
- * canary request at a time until one succeeds. A single bad answer may be chance and costs a target
- * little.
+ * passes health checks. Each failure in a row ejects it for twice as long; after the ejection it
+ * gets one canary request at a time until one succeeds. A single broken answer may be chance: it
+ * ejects a target briefly and requires no canary request.
  */
 
 /** Outcome of a dispatch, as far as it concerns the health of the target. */
@@ -49,7 +49,7 @@
 const OUTCOME_WEIGHT = 0.15;
 const FAILURE_DECAY_MS = 5_000;
 
-/** From here on every ejection has the maximum length. */
+/** From this many failures in a row on, every ejection has the maximum length. */
 const MAX_DOUBLINGS = 4;
 
 export class TargetHealth {
--- a/packages/domain/src/allocation/weights.ts
+++ b/packages/domain/src/allocation/weights.ts
@@ -9,8 +9,9 @@
   /**
    * Most prompts that an engine prefills parts for as a helper. Engines prefill the newest part
    * first, so a second part delays the first; the planner accounts for that, but can't predict
-   * later prompts or the placements of entries without a leader. With bursts of long prompts, a
-   * limit of one saved a quarter of the prompt tokens that were prefilled twice without it.
+   * later prompts or the placements of entries without a leader. In bursts of long prompts, a limit
+   * of one reduced the prompt tokens that were prefilled twice by a quarter, compared with the
+   * engine's slots as the only limit.
    */
   maxHelpedPrompts: number;
   /** Preference for the caller's own data centre, as milliseconds of the objective. */
@@ -20,20 +21,20 @@
    * free.
    */
   packBonus: number;
-  /** Penalty of a wait as long as the objective, in addition to lateness. */
+  /** Penalty of a wait as long as the objective, in addition to the lateness penalty. */
   waitPenalty: number;
-  /** Penalty of a failure: a second target answers most such requests, mostly late. */
+  /** Penalty of a failure: a second target answers most failed requests, but most of them late. */
   failurePenalty: number;
   /** Penalty per engine: it may fail, and prefills for no other prompt meanwhile. */
   partPenalty: number;
   /**
-   * Penalty of occupying each engine for the whole objective: long parts block an engine for short
-   * prompts.
+   * Penalty of parts that occupy their engines for as long as the objective: long parts block an
+   * engine for short prompts.
    */
   blockPenalty: number;
   /**
-   * Factor on the gap penalty where decoding requests tolerate less than this one: more of them
-   * arrive before the part is prefilled.
+   * Factor on the gap penalty of an engine whose decoding requests tolerate clearly shorter gaps
+   * than the prompt's own caller: more such requests arrive before the part is prefilled.
    */
   tightGapFactor: number;
   /** Penalty per step of preference of a helper that is idle or has tighter gaps. */
--- a/packages/domain/src/backOff/__tests__/backOffs.test.ts
+++ b/packages/domain/src/backOff/__tests__/backOffs.test.ts
@@ -69,7 +69,7 @@
    */
   it('admit no more than two messages, in any order of answers and losses', () => {
     const step = fc.record({
-      kind: fc.constantFrom('request', 'upkeep', 'answer', 'lose', 'ask'),
+      kind: fc.constantFrom('request', 'upkeep', 'answer', 'lose', 'backOff'),
       waitMs: fc.integer({ min: 0, max: 400 }),
       forMs: fc.integer({ min: 1, max: 3_000 }),
     });
@@ -89,7 +89,7 @@
           if ((kind === 'request' || kind === 'upkeep') && isAdmitted) {
             sent.push(now);
             inFlight.push(fresh.sent(TARGET, now));
-          } else if (kind === 'ask') {
+          } else if (kind === 'backOff') {
             fresh.start(TARGET, forMs, now);
             backOffPeriods.push({ from: now + GRACE_MS, until: now + forMs });
           } else if (kind === 'answer') inFlight.at(0)?.answered();
--- a/packages/domain/src/backOff/backOffs.ts
+++ b/packages/domain/src/backOff/backOffs.ts
@@ -18,7 +18,7 @@
 /** Messages about running requests that a target gets during its back-off. */
 const MAX_UPKEEP_MESSAGES = 2;
 
-/** After this many answers a target gets requests like any other. */
+/** After this many answers since its back-off ended, a target gets requests like any other. */
 const ANSWERS_TO_RECOVER = 4;
 
 interface BackOff {
--- a/packages/domain/src/placement/__tests__/placement.test.ts
+++ b/packages/domain/src/placement/__tests__/placement.test.ts
@@ -54,7 +54,7 @@
   /*
    * Guards against the return of a model that was taken out of service: a former leader's order
    * arrives late, after the new leader's, at a target that ignores fencing numbers. Delays are
-   * random up to the stated limit, and the former leader sends until its lease ends.
+   * random up to `ORDER_DELAY_MS`, and the former leader sends until its lease ends.
    */
   it("leaves targets in the newest leader's state, fencing or not", () => {
     const delay = order.ORDER_DELAY_MS;
--- a/packages/domain/src/placement/order.ts
+++ b/packages/domain/src/placement/order.ts
@@ -2,8 +2,8 @@
  * Orders to targets: load a model, adapter and version, or unload it. The desired state follows
  * from the settings; an order is the difference to what a target reports. Orders carry a fencing
  * number (term, sequence). Some targets refuse old numbers; for those that ignore them, safety
- * depends on time: a single issuer by its lease, an expiry on every order, and a wait after a
- * change of issuer.
+ * depends on time: a lease allows one issuer at a time, every order expires, and a new issuer waits
+ * before its first order to them.
  */
 import * as document from '../settings/document';
 import * as target from '../target/target';
@@ -22,6 +22,7 @@
   expiresAt: number;
 }
 
+/** Whether an order is no newer than the latest one that the target accepted. */
 export function isStale(order: Fence, latest: Fence): boolean {
   return (
     order.term < latest.term || (order.term === latest.term && order.sequence <= latest.sequence)
--- a/packages/domain/src/rateLimits/__tests__/rateLimits.test.ts
+++ b/packages/domain/src/rateLimits/__tests__/rateLimits.test.ts
@@ -94,7 +94,7 @@
 
   /*
    * Guards against exceeding the limit when leaders and entries take over from each other: each
-   * begins with an empty bucket, so the total of consecutive processes stays that of one.
+   * begins with an empty bucket, so together they send no more than a single process would.
    */
   it('hold across processes, in whatever order they take over', () => {
     const windowMs = 4_000;
--- a/packages/domain/src/rateLimits/rateLimits.ts
+++ b/packages/domain/src/rateLimits/rateLimits.ts
@@ -48,14 +48,14 @@
 export class RateLimits {
   private readonly limited = new Map<string, Limited>();
 
-  /** Share of each limit that this process hands out. */
+  /** Share of each limit that this process hands out, from 0 to 1. */
   private share = 0;
 
   get size(): number {
     return this.limited.size;
   }
 
-  /** Hands out this share of each limit from now on, starting with empty buckets. */
+  /** Sets the share of each limit that this process hands out; it starts with empty buckets. */
   setShare(share: number, now: number): void {
     if (share === this.share) return;
     this.share = share;
--- a/packages/domain/src/rateLimits/tokenBucket.ts
+++ b/packages/domain/src/rateLimits/tokenBucket.ts
@@ -10,8 +10,8 @@
 const MIN_CAPACITY = 1;
 
 /**
- * Longest debt in seconds of the rate, and the debt in tokens that is always allowed; older
- * messages no longer count.
+ * The largest debt: this many seconds of the rate, and at least this many tokens. What exceeds it is
+ * forgotten, so that messages sent longer ago no longer count.
  */
 const MAX_DEBT_SECONDS = 4;
 const MIN_DEBT_LIMIT = 4;
--- a/packages/domain/src/request/__tests__/request.test.ts
+++ b/packages/domain/src/request/__tests__/request.test.ts
@@ -75,7 +75,7 @@
 describe('a request whose targets are lost', () => {
   /*
    * Guards against a request that crashes every engine it runs on: six engines crashed within a
-   * second, as the number of attempts is meant for long outages.
+   * second, as it was given all the attempts that are meant for long outages.
    */
   it('is not sent to a fourth target', () => {
     const source = random.seeded(1);
@@ -144,7 +144,7 @@
           const all = rates.reduce((sum, each) => sum + each, 0);
           limits.forEach((each, i) => each.rebalance(rate, all - rates[i], 8, now));
         }
-        // Demand that moves between daemons may use each one's burst, as stated in CONFIGURATION.
+        // Demand that moves between daemons may use each one's burst, as stated in docs/CONFIGURATION.md.
         expect(admitted).to.be.at.most(singleBucket(rate, 20) * 1.1);
         const demanded = weights.reduce((sum, each) => sum + each, 0) * 500 * 0.1 * 20;
         if (demanded > rate * 2) expect(admitted).to.be.at.least(rate * 20 * 0.7);
--- a/packages/domain/src/request/outcome.ts
+++ b/packages/domain/src/request/outcome.ts
@@ -11,12 +11,16 @@
 export type Fault =
   | 'connectFailed'
   | 'connectionLost'
+  /** Nothing arrived in time, and a probe of the target didn't find the request running. */
   | 'silent'
+  /** A frame of another request arrived, or frames are missing. */
   | 'crossed'
+  /** The stream broke off and could not be resumed. */
   | 'cutShort'
   | 'refused'
   | 'deadline'
   | 'callerGone'
+  /** A planned stop of the target. */
   | 'targetStopped';
 
 export interface Attempt {
--- a/packages/domain/src/request/retry.ts
+++ b/packages/domain/src/request/retry.ts
@@ -55,13 +55,13 @@
     };
 
 /**
- * Targets that may be lost under one request before it counts as the cause. All attempts together
- * would crash twice as many; three targets that fail independently under one request are rarer than
- * a request that crashes its targets.
+ * Targets that may be lost while they run one request before the request counts as the cause.
+ * Spending all attempts would crash twice as many; three targets that fail independently under one
+ * request are rarer than a request that crashes its targets.
  */
 const MAX_TARGETS_LOST = quarantine.QUARANTINE_CRASHES;
 
-/** Faults that indicate that a target was lost under a request. */
+/** Faults that indicate that a target was lost while it ran a request. */
 export const TARGET_LOST_FAULTS: readonly outcome.Fault[] = ['connectionLost', 'cutShort'];
 
 /** Decides what to do after the latest of `attempts` failed. */
--- a/packages/domain/src/request/stream.ts
+++ b/packages/domain/src/request/stream.ts
@@ -15,6 +15,10 @@
   last: boolean;
 }
 
+/**
+ * Result of the check of one frame; `crossed` is a frame of another request, `gap` one after lost
+ * frames.
+ */
 export type Finding =
   | { kind: 'next'; text: string; last: boolean }
   | { kind: 'repeated' }
--- a/packages/domain/src/routing/__tests__/routing.test.ts
+++ b/packages/domain/src/routing/__tests__/routing.test.ts
@@ -59,7 +59,7 @@
   });
 
   const STEP = fastCheck.record({
-    kind: fastCheck.constantFrom('new', 'first', 'end', 'refuse', 'break', 'mend', 'withdraw'),
+    kind: fastCheck.constantFrom('new', 'first', 'end', 'refuse', 'open', 'close', 'withdraw'),
     which: fastCheck.nat({ max: 30 }),
     tokens: fastCheck.constantFrom(1_000, 6_000, 30_000, 200_000, 900_000),
   });
@@ -95,9 +95,9 @@
             tested.refused(id, report, now);
             running.delete(id);
             waiting.add(id);
-          } else if (kind === 'break' || kind === 'mend') {
-            tested.setCircuitOpen(name, kind === 'break');
-            if (kind === 'break') openCircuits.add(name);
+          } else if (kind === 'open' || kind === 'close') {
+            tested.setCircuitOpen(name, kind === 'open');
+            if (kind === 'open') openCircuits.add(name);
             else openCircuits.delete(name);
           } else if (kind === 'withdraw') {
             const first = [...waiting][0] ?? '';
@@ -180,7 +180,7 @@
     expect(served).to.deep.equal({ small: 100, large: 300 });
   });
 
-  /** Guards against starvation: after a while a low priority request ranks with the others. */
+  /** Guards against starvation of low priority: after a while it ranks with the others. */
   it('lets low priority pass after ageing', () => {
     const tested = new fairQueue.FairQueue(1_000);
     const item = { organisation: 'o', share: 1, tokens: 1 };
--- a/packages/domain/src/routing/cell.ts
+++ b/packages/domain/src/routing/cell.ts
@@ -1,10 +1,10 @@
 /**
  * Determines which daemon places requests for which others. Daemons that place independently on
- * views of the others that are seconds old collide: every seventh short request met one of another
- * daemon. So the targets are split into cells, and in each cell one daemon, the allocator, places
- * all requests and knows every dispatch exactly. Rendezvous hashing picks the allocators, so no
- * election is needed; a daemon that can't reach its allocator places by itself until another takes
- * over.
+ * views of the others that are seconds old collide: every seventh short request met a request of
+ * another daemon on its target. So the targets are split into cells, and in each cell one daemon, the
+ * allocator, places all requests and knows every dispatch exactly. Rendezvous hashing picks the
+ * allocators, so no election is needed; a daemon that can't reach its allocator places by itself
+ * until another takes over.
  */
 import * as hashing from '../shared/hashing';
 
@@ -14,6 +14,7 @@
 /** Fleets of up to this many daemons share cells across all data centres. */
 export const SMALL_FLEET = 16;
 
+/** A daemon or a target. */
 export interface Member {
   id: string;
   dataCentre: string;
--- a/packages/domain/src/routing/dispatcher.ts
+++ b/packages/domain/src/routing/dispatcher.ts
@@ -1,7 +1,7 @@
 /**
  * The queue of one daemon and its choice of targets. It keeps an estimate of each target, sizes the
- * bands from demand and releases a request when the policy finds a place for it. Several daemons
- * run one each without a central scheduler; they exchange `outstanding` summaries.
+ * bands from demand and dispatches a request when the policy finds a target for it. Each daemon runs
+ * its own dispatcher, without a central scheduler; they exchange `outstanding` summaries.
  */
 import * as hashing from '../shared/hashing';
 import * as document from '../settings/document';
@@ -197,7 +197,7 @@
     return undefined;
   }
 
-  /** Removes a waiting request whose caller left or whose deadline passed. */
+  /** Removes a waiting request whose caller left or whose deadline passed; false if not queued. */
   withdraw(id: string): boolean {
     return band.BANDS.some((each) => this.queues[each].remove(id) !== undefined);
   }
@@ -280,7 +280,7 @@
     if (this.queueLength >= this.options.queueLength) return 'queueFull';
     if (this.serving(request).length === 0) return 'noTarget';
     const candidates = this.candidates(request);
-    // All circuits are open: it waits for the next trial, as long as its deadline allows.
+    // All circuits are open: the request waits for the next trial, as long as its deadline allows.
     if (candidates.length === 0) return undefined;
     const soonest = Math.min(
       ...candidates.map(({ estimate: targetEstimate }) =>
@@ -296,7 +296,10 @@
     return [...this.targets.values()].filter(({ announced }) => target.serves(announced, model));
   }
 
-  /** Targets with a closed circuit that were not tried yet; if all were, those that failed once. */
+  /**
+   * Targets with a closed circuit that were not tried yet; if all were tried, all of them, as a
+   * target that failed once is better than none.
+   */
   private candidates(request: Request): policy.Candidate[] {
     const healthy = this.serving(request).filter(
       ({ announced }) => !this.openCircuits.has(announced.name),
@@ -334,7 +337,8 @@
   private place(waiting: QueuedRequest, now: number): Dispatch | undefined {
     const { id, promptTokens: tokens, answerTokens } = waiting;
     const largest = this.largestMemory(waiting.model);
-    // For a prompt longer than any engine, the daemon reserves memory of others before it starts.
+    // For a prompt that exceeds the memory of every engine, the daemon reserves memory on further
+    // engines before the prompt starts.
     const memoryTokens = Math.min(
       tokens + answerTokens,
       Math.floor(largest * MAX_PRIMARY_MEMORY_FRACTION),
--- a/packages/domain/src/routing/policy.ts
+++ b/packages/domain/src/routing/policy.ts
@@ -1,7 +1,7 @@
 /**
- * The placement policies that were compared. All use the same estimates; they differ in which
- * targets they consider, what they compare, and whether they hold a request back until a target is
- * nearly free. docs/decisions/0005 has the comparison.
+ * Placement policies: the elastic reserve and the simpler ones that it is compared with. All use the
+ * same estimates; they differ in which targets they consider, what they compare, and whether they
+ * hold a request back until a target is nearly free. docs/decisions/0005 has the comparison.
  */
 import * as random from '../shared/random';
 import * as band from './band';
@@ -213,8 +213,8 @@
   }
 
   /**
-   * A long prompt counts only the wait for other long ones, as shorter ones always overtake it on
-   * the engine.
+   * Whether the predicted wait exceeds the band's window. A long prompt counts only the wait for
+   * other long ones, as shorter ones always overtake it on the engine.
    */
   private isFull(inBand: band.Band, { estimate: targetEstimate }: Candidate, now: number): boolean {
     const waiting =
@@ -231,8 +231,8 @@
   }
 
   /**
-   * Candidates with enough free memory. An engine without it would hold the request in its own
-   * queue, where no engine that frees memory sooner can take it.
+   * Candidates with enough free memory; for a short job all, if none has enough. An engine without
+   * it would hold the request in its own queue, where no engine that frees memory sooner can take it.
    */
   private withRoom(job: Job, candidates: readonly Candidate[], now: number): readonly Candidate[] {
     const withMemory = candidates.filter(
--- a/packages/domain/src/routing/prefixIndex.ts
+++ b/packages/domain/src/routing/prefixIndex.ts
@@ -1,7 +1,7 @@
 /**
  * An approximate index of the prompt prefixes that each target has cached. Cache events arrive late
  * and with gaps; after a gap the index of that target is distrusted until a full listing arrives.
- * Memory is bounded per target, oldest keys are dropped first.
+ * Memory is bounded per target; the oldest keys are dropped first.
  */
 
 /** Tokens per cached block. The keys of a prompt form a chain: each covers all blocks before it. */
