--- a/packages/domain/src/placement/order.ts
+++ b/packages/domain/src/placement/order.ts
@@ -3,7 +3,7 @@
  * from the settings; an order is the difference to what a target reports. Orders carry a fencing
  * number (term, sequence). Some targets refuse old numbers; for those that ignore them, safety
  * depends on time: a lease allows one issuer at a time, every order expires, and a new issuer waits
- * before its first order to them.
+ * before its first order to such a target.
  */
 import * as document from '../settings/document';
 import * as target from '../target/target';
--- a/packages/domain/src/request/outcome.ts
+++ b/packages/domain/src/request/outcome.ts
@@ -11,7 +11,7 @@
 export type Fault =
   | 'connectFailed'
   | 'connectionLost'
-  /** Nothing arrived in time, and a probe of the target didn't find the request running. */
+  /** Nothing arrived in time, and a probe of the request or the resumption of its stream failed. */
   | 'silent'
   /** A frame of another request arrived, or frames are missing. */
   | 'crossed'
--- a/packages/domain/src/routing/dispatcher.ts
+++ b/packages/domain/src/routing/dispatcher.ts
@@ -337,8 +337,8 @@
   private place(waiting: QueuedRequest, now: number): Dispatch | undefined {
     const { id, promptTokens: tokens, answerTokens } = waiting;
     const largest = this.largestMemory(waiting.model);
-    // For a prompt that exceeds the memory of every engine, the daemon reserves memory on further
-    // engines before the prompt starts.
+    // For a longer prompt, the daemon reserves the rest of the memory on further engines before the
+    // prompt starts.
     const memoryTokens = Math.min(
       tokens + answerTokens,
       Math.floor(largest * MAX_PRIMARY_MEMORY_FRACTION),
