--- a/packages/domain/src/allocation/isolation.ts
+++ b/packages/domain/src/allocation/isolation.ts
@@ -25,6 +25,7 @@
 
 interface Suspect {
   id: string;
+  /** Number of targets that crashed while running it; undefined if none did. */
   endings?: number;
 }
 
@@ -58,6 +59,6 @@
 }
 
 function leastLoaded(loads: readonly load.Load[]): load.Load[] {
-  const byWriters = [...loads].sort((a, b) => a.decodingCount - b.decodingCount);
-  return byWriters.slice(0, Math.ceil(LEAST_LOADED_FRACTION * loads.length));
+  const byDecodingCount = [...loads].sort((a, b) => a.decodingCount - b.decodingCount);
+  return byDecodingCount.slice(0, Math.ceil(LEAST_LOADED_FRACTION * loads.length));
 }
--- a/packages/domain/src/placement/order.ts
+++ b/packages/domain/src/placement/order.ts
@@ -2,8 +2,8 @@
  * Orders to targets: load a model, adapter and version, or unload it. The desired state follows
  * from the settings; an order is the difference to what a target reports. Orders carry a fencing
  * number (term, sequence). Some targets refuse old numbers; for those that ignore them, safety
- * depends on time: a single issuer by its lease, an expiry on every order, and a wait after a
- * change of issuer.
+ * depends on time: a lease allows one issuer at a time, every order expires, and a new issuer waits
+ * before its first order to such a target.
  */
 import * as document from '../settings/document';
 import * as target from '../target/target';
@@ -22,6 +22,7 @@
   expiresAt: number;
 }
 
+/** Whether an order is no newer than the latest one that the target accepted. */
 export function isStale(order: Fence, latest: Fence): boolean {
   return (
     order.term < latest.term || (order.term === latest.term && order.sequence <= latest.sequence)
@@ -59,11 +60,11 @@
  * this system loaded it.
  */
 export function differences(
-  wanted: readonly document.Model[],
+  desiredModels: readonly document.Model[],
   targets: readonly target.Target[],
   owned: OwnedModels,
 ): Difference[] {
-  const models: target.Loaded[] = wanted.map(({ base, adapter, version }) => {
+  const models: target.Loaded[] = desiredModels.map(({ base, adapter, version }) => {
     return { base, adapter, version };
   });
   const engines = targets.filter(({ kind, status }) => kind === 'engine' && status === 'serving');
@@ -89,9 +90,9 @@
 function replacementIsUp(
   engine: target.Target,
   old: target.Loaded,
-  wanted: readonly target.Loaded[],
+  desiredModels: readonly target.Loaded[],
 ): boolean {
-  const successors = wanted.filter(
+  const successors = desiredModels.filter(
     ({ base, adapter }) => base === old.base && adapter === old.adapter,
   );
   return successors.every((model) => target.serves(engine, model));
@@ -132,13 +133,13 @@
 
   /** The orders to send now. */
   issue(
-    wanted: readonly Difference[],
+    needed: readonly Difference[],
     fencingOf: (name: string) => target.Fencing,
     now: number,
   ): Order[] {
     this.refill(now);
     const orders: Order[] = [];
-    wanted.forEach((difference) => {
+    needed.forEach((difference) => {
       const key = `${difference.kind}/${keyOf(difference.target, difference.model)}`;
       const wasIssuedRecently = now - (this.issuedAt.get(key) ?? -Infinity) < this.options.repeatMs;
       // A target that ignores fencing numbers would apply a late order of the former leader after a
--- a/packages/domain/src/routing/dispatcher.ts
+++ b/packages/domain/src/routing/dispatcher.ts
@@ -1,7 +1,7 @@
 /**
  * The queue of one daemon and its choice of targets. It keeps an estimate of each target, sizes the
- * bands from demand and releases a request when the policy finds a place for it. Several daemons
- * run one each without a central scheduler; they exchange `outstanding` summaries.
+ * bands from demand and dispatches a request when the policy finds a target for it. Each daemon runs
+ * its own dispatcher, without a central scheduler; they exchange `outstanding` summaries.
  */
 import * as hashing from '../shared/hashing';
 import * as document from '../settings/document';
@@ -146,12 +146,14 @@
   }
 
   private setTarget(announced: target.Target): void {
-    const known = this.targets.get(announced.name);
+    const previous = this.targets.get(announced.name);
     const hasRestarted =
-      known !== undefined && known.announced.incarnation !== announced.incarnation;
+      previous !== undefined && previous.announced.incarnation !== announced.incarnation;
     if (hasRestarted) this.prefixes.forget(announced.name);
     const targetEstimate =
-      known === undefined || hasRestarted ? this.newEstimate(announced) : known.targetEstimate;
+      previous === undefined || hasRestarted
+        ? this.newEstimate(announced)
+        : previous.targetEstimate;
     this.targets.set(announced.name, { announced, targetEstimate });
   }
 
@@ -168,8 +170,8 @@
   }
 
   /** Targets whose circuit is open get nothing until it closes. */
-  setCircuitOpen(name: string, broken: boolean): void {
-    if (broken) this.openCircuits.add(name);
+  setCircuitOpen(name: string, isOpen: boolean): void {
+    if (isOpen) this.openCircuits.add(name);
     else this.openCircuits.delete(name);
   }
 
@@ -195,7 +197,7 @@
     return undefined;
   }
 
-  /** Removes a waiting request whose caller left or whose deadline passed. */
+  /** Removes a waiting request whose caller left or whose deadline passed; false if not queued. */
   withdraw(id: string): boolean {
     return band.BANDS.some((each) => this.queues[each].remove(id) !== undefined);
   }
@@ -263,7 +265,9 @@
 
   /** Running requests on a target. */
   runningOn(name: string): string[] {
-    return [...this.running].filter(([, entry]) => entry.target === name).map(([id]) => id);
+    return [...this.running]
+      .filter(([, runningRequest]) => runningRequest.target === name)
+      .map(([id]) => id);
   }
 
   get queueLength(): number {
@@ -271,12 +275,12 @@
   }
 
   private refusal(request: Request, inBand: band.Band, now: number): Refusal | undefined {
-    const waiting = band.BANDS.reduce((sum, each) => sum + this.queues[each].tokens, 0);
-    if (waiting + request.promptTokens > this.options.queueTokens) return 'queueFull';
+    const waitingTokens = band.BANDS.reduce((sum, each) => sum + this.queues[each].tokens, 0);
+    if (waitingTokens + request.promptTokens > this.options.queueTokens) return 'queueFull';
     if (this.queueLength >= this.options.queueLength) return 'queueFull';
     if (this.serving(request).length === 0) return 'noTarget';
     const candidates = this.candidates(request);
-    // All circuits are open: it waits for the next trial, as long as its deadline allows.
+    // All circuits are open: the request waits for the next trial, as long as its deadline allows.
     if (candidates.length === 0) return undefined;
     const soonest = Math.min(
       ...candidates.map(({ estimate: targetEstimate }) =>
@@ -292,7 +296,10 @@
     return [...this.targets.values()].filter(({ announced }) => target.serves(announced, model));
   }
 
-  /** Targets with a closed circuit that were not tried yet; if all were, those that failed once. */
+  /**
+   * Targets with a closed circuit that were not tried yet; if all were tried, all of them, as a
+   * target that failed once is better than none.
+   */
   private candidates(request: Request): policy.Candidate[] {
     const healthy = this.serving(request).filter(
       ({ announced }) => !this.openCircuits.has(announced.name),
@@ -310,8 +317,8 @@
   }
 
   private preferenceOf(name: string): number {
-    const place = this.preferencePositions.get(name) ?? 0;
-    return (place - this.offset + 1) % 1;
+    const position = this.preferencePositions.get(name) ?? 0;
+    return (position - this.offset + 1) % 1;
   }
 
   private drain(inBand: band.Band, now: number): Dispatch[] {
@@ -330,7 +337,8 @@
   private place(waiting: QueuedRequest, now: number): Dispatch | undefined {
     const { id, promptTokens: tokens, answerTokens } = waiting;
     const largest = this.largestMemory(waiting.model);
-    // For a prompt longer than any engine, the daemon reserves memory of others before it starts.
+    // For a longer prompt, the daemon reserves the rest of the memory on further engines before the
+    // prompt starts.
     const memoryTokens = Math.min(
       tokens + answerTokens,
       Math.floor(largest * MAX_PRIMARY_MEMORY_FRACTION),
@@ -339,12 +347,12 @@
     const placement = this.placer.place(job, this.candidates(waiting), now);
     if (placement === undefined) return undefined;
     const { target: name, enginePriority, needsRoom, predictedMs } = placement;
-    const known = this.targets.get(name) as TargetState;
+    const chosen = this.targets.get(name) as TargetState;
     const cached = this.prefixes.cachedTokens(name, waiting.prefixKeys);
     const uncached = Math.max(0, tokens - cached);
-    known.targetEstimate.dispatched(id, waiting.band, uncached, memoryTokens, now);
+    chosen.targetEstimate.dispatched(id, waiting.band, uncached, memoryTokens, now);
     this.prefixes.expectCached(name, waiting.prefixKeys);
-    const { announced } = known;
+    const { announced } = chosen;
     const { band: inBand } = waiting;
     return {
       request: waiting,
@@ -388,10 +396,10 @@
     // except for targets near its boundary while their views of demand differ.
     const ranked = hashing.rendezvous(this.hash, 'reserve', names);
     const reserved = ranked.slice(0, this.reserveSize);
-    const open = ranked.slice(this.reserveSize);
+    const unreserved = ranked.slice(this.reserveSize);
     this.reservedTargets = new Set(reserved);
     this.preferencePositions = new Map(
-      [reserved, open].flatMap((part) =>
+      [reserved, unreserved].flatMap((part) =>
         part.map((name, i): [string, number] => [name, i / part.length]),
       ),
     );
