--- a/packages/daemon/src/fleet/fleetState.ts
+++ b/packages/daemon/src/fleet/fleetState.ts
@@ -103,7 +103,7 @@
 
   /**
    * Applies many records, logged in one line: an entry that has just started has callers waiting, and a line for each
-   * of 155 targets wrote 40 KB of log before it could serve the first of them.
+   * of 155 targets wrote 40 KB of log before it could serve the first of them. The leader logs each target.
    */
   private applyManyRecords(records: readonly Announcement[], apply: ApplyRecords): void {
     const changed = apply(records);
--- a/packages/daemon/src/fleet/messages.ts
+++ b/packages/daemon/src/fleet/messages.ts
@@ -26,6 +26,7 @@
   address: string;
   /** Version of the catalogue in force at the follower. */
   version: number;
+  /** Version of the registry in force at the follower. */
   mark: RegistryVersion;
   /** Running dispatches of an entry, sent to a leader that it polls for the first time. */
   dispatches: RunningDispatch[];
@@ -54,6 +55,7 @@
   lacksTargets: boolean;
   /** Average load per service, for an entry that loses the leader and then sees only its own dispatches. */
   crowding: domain.allocation.assumedLoad.AverageLoad[];
+  /** The changes that the follower lacks. */
   news: FleetUpdate;
 }
 
@@ -90,6 +92,7 @@
 
 /** A target lifetime that crashed while it ran a request. */
 export interface TargetCrash {
+  /** Fingerprint of the request. */
   content: string;
   lifetime: domain.quarantine.crashedLifetimes.Lifetime;
   /** Whether that run was a canary run, allowed while the request was already suspect. */
@@ -112,6 +115,7 @@
 
 /** `permit`: asks whether a suspect request may run now. */
 export interface PermitRequest {
+  /** Fingerprint of the request. */
   content: string;
   /** Id of the request, and the entry that holds it. */
   id: string;
@@ -123,8 +127,8 @@
 
 export type PermitAnswer =
   /**
-   * It runs as the only request with its fingerprint; `endings` is 0 if the leader suspects nothing. `target` is
-   * where it must run; undefined for any target.
+   * It runs as the only request with its fingerprint. `endings` is the number of crashes counted against it, 0 if the
+   * leader suspects nothing. `target` is where it must run; undefined for any target.
    */
   | { kind: 'granted'; endings: number; target: string | undefined }
   /** Another request with its fingerprint is running, or every target runs another suspect. */
@@ -134,8 +138,10 @@
 
 /** `trialEnded`: a canary run has ended. */
 export interface CanaryEnded {
+  /** Fingerprint of the request. */
   content: string;
   id: string;
+  /** Whether the request got its complete answer. */
   ranWhole: boolean;
 }
 
@@ -156,6 +162,7 @@
 
 export interface FinishedDispatch {
   id: string;
+  /** Outcome of the dispatch. */
   ending: domain.allocation.targetHealth.DispatchOutcome;
   /** Id of the target that caused the failure, if it isn't the one that got the request. */
   faulty?: string;
@@ -181,13 +188,15 @@
 /** `limited`: rate limits that an entry's targets reported or no longer report, and the messages that it sent them. */
 export interface LimitReport {
   limits: RateLimit[];
+  /** Messages that the entry sent without a grant. */
   spent: UngrantedMessages[];
 }
 
 /** `grant`: asks whether one of several limited targets may be sent a message now. */
 export interface GrantRequest {
+  /** Addresses of the targets. */
   places: readonly LimitedPlace[];
-  /** A liveness probe may be requested while a request has to wait. */
+  /** What the message is; a liveness probe (`check`) may be granted while a request has to wait. */
   purpose: 'request' | 'check';
 }
 
--- a/packages/daemon/src/fleet/registrySnapshots.ts
+++ b/packages/daemon/src/fleet/registrySnapshots.ts
@@ -1,7 +1,7 @@
 /**
  * Registry snapshots and large batches of registry records, packed for transport once for all followers that lack the
- * same. After an outage of all VMs, two hundred entries ask a new leader within some tenths of a second; packing 155
- * targets for each took it 0.1 s in total, and 3.6 MB on its link, of which compressed snapshots take a sixth.
+ * same. After an outage of all VMs, two hundred entries poll a new leader within some tenths of a second; packing 155
+ * targets for each cost it 0.1 s and 3.6 MB on its link in total, of which compressed snapshots take a sixth.
  */
 import * as zlib from 'node:zlib';
 import type * as domain from '@celerydrift/domain';
--- a/packages/daemon/src/http/targetsApi.ts
+++ b/packages/daemon/src/http/targetsApi.ts
@@ -1,4 +1,4 @@
-/** HTTP API on which targets announce themselves, renew their lease and report that they drain. */
+/** HTTP API on which targets announce themselves; announcements also renew a target's lease and report its draining. */
 import * as crypto from 'node:crypto';
 import type * as domain from '@celerydrift/domain';
 import * as t from 'io-ts';
--- a/packages/daemon/src/keeper/__tests__/announcementRelay.test.ts
+++ b/packages/daemon/src/keeper/__tests__/announcementRelay.test.ts
@@ -13,9 +13,9 @@
 
 describe('announcements forwarded by a keeper', () => {
   /*
-   * Guards against announcements that keep the leader from acknowledging settings. 3,000 targets announced every 1.2
-   * s that they live, and the keepers called the leader for each: it answered some hundred a second, the others timed
-   * out and closed the connection for all calls in flight.
+   * Guards against announcements that keep the leader from acknowledging settings. 3,000 targets announced themselves
+   * every 1.2 s, and the keepers called the leader for each: it answered some hundred a second, the others timed out
+   * and closed the connection for all calls in flight.
    */
   it('are batched while the leader is busy, each forwarded once and answered by its batch', async () => {
     const forwarded: Announcement[][] = [];
--- a/packages/daemon/src/keeper/__tests__/leaderLoad.test.ts
+++ b/packages/daemon/src/keeper/__tests__/leaderLoad.test.ts
@@ -138,7 +138,8 @@
 
   /*
    * Guards against callers that wait while an entry writes its log: an entry that has just started receives 155
-   * targets at once, and logged a line for each before it served the first request.
+   * targets at once, and logged a line for each before it served the first request. One line is enough, as the
+   * leader logs each target.
    */
   it('sends an entry its targets in one snapshot, logged in one line', async () => {
     const { leader } = await setUp(1);
--- a/packages/daemon/src/keeper/controlServer.ts
+++ b/packages/daemon/src/keeper/controlServer.ts
@@ -18,6 +18,7 @@
   observer: observer.Observer;
   /** Forwards an announcement; resolves with true once the leader has it. */
   announce: (record: Announcement) => Promise<boolean>;
+  /** Forwards a target's departure; resolves with true once the leader has it. */
   depart: (departed: messages.Departure) => Promise<boolean>;
   submit: (
     edition: domain.catalogue.newestCatalogue.PackedCatalogue,
@@ -36,7 +37,7 @@
 /** How long a target or operator may keep an idle connection, in milliseconds. */
 const KEEP_ALIVE_MS = 15_000;
 
-const UNAVAILABLE: Reply = { status: 503, body: '{"error":"no leader in touch"}' };
+const UNAVAILABLE: Reply = { status: 503, body: '{"error":"no leader is reachable"}' };
 
 export class ControlServer {
   private readonly server: http.Server;
--- a/packages/daemon/src/keeper/keeper.ts
+++ b/packages/daemon/src/keeper/keeper.ts
@@ -48,9 +48,9 @@
   heartbeat: 120,
   electionMin: 450,
   electionMax: 750,
-  // Reads ask a quorum and don't rely on a lease. A heartbeat and some message delays of a millisecond pass before
-  // the first attempt, and another attempt follows with each tick, so that after an outage of all keepers one leads
-  // 0.1 s after a quorum is up.
+  // A restarted keeper may vote at once, as reads ask a quorum and don't rely on a leader's lease. A heartbeat and
+  // some message delays of a millisecond pass before its first election attempt, and another attempt follows with
+  // each tick, so that after an outage of all keepers one leads 0.1 s after a quorum is up.
   restart: { min: 150, max: 200, again: { min: 40, max: 60 } },
 };
 
--- a/packages/daemon/src/keeper/leaderCalls.ts
+++ b/packages/daemon/src/keeper/leaderCalls.ts
@@ -103,7 +103,7 @@
     const { host, link, client } = this.dependencies;
     if (host.isLeader) return settle.here();
     const leader = host.leaderAddress || link.leader;
-    if (leader === '') return settle.unavailable('no leader known');
+    if (leader === '') return settle.unavailable('no leader is known');
     const answer = await client.call<T>(leader, method, content, { timeoutMs });
     if (answer.ok) return answer.val;
     link.reportFailure(leader);
--- a/packages/daemon/src/keeper/leadership.ts
+++ b/packages/daemon/src/keeper/leadership.ts
@@ -265,7 +265,10 @@
     await this.updates.publish(changed);
   }
 
-  /** Applies announcements, received in targets' answers to entries, that those targets are draining. */
+  /**
+   * Marks targets as draining that announced it in answers to some entries, so that the other entries learn of it
+   * before they get such an answer themselves.
+   */
   leaving({ lifetimes }: messages.DrainingReport): messages.AppliedAnswer {
     const changed = lifetimes.flatMap((each) => this.options.fleetState.applyDraining(each));
     if (changed.length > 0) void this.updates.publish(changed);
@@ -277,11 +280,13 @@
     return this.updates.publishEdition(edition);
   }
 
+  /** Places a request; a small batch of the requests that arrive together is handled per turn of the event loop. */
   async place(request: messages.PlaceRequest): Promise<messages.PlaceAnswer> {
     const answer = await this.placementQueue.run(() => this.placer.place(request));
     return answer.kind === 'closed' ? { kind: 'redirect', leader: '' } : answer;
   }
 
+  /** Applies finished dispatches of an entry, and serves the wait queue, as they leave slots free. */
   ended({ dispatches }: messages.FinishedDispatches): void {
     const now = this.options.now();
     dispatches.forEach(({ id, ending, faulty, gapMs, target }) => {
--- a/packages/daemon/src/keeper/registryUpdates.ts
+++ b/packages/daemon/src/keeper/registryUpdates.ts
@@ -21,6 +21,7 @@
 export interface Dependencies {
   snapshot: () => registrySnapshots.RegistrySnapshot;
   now: () => number;
+  /** Number of followers. */
   followers: () => number;
   /** Resolves when the reachable followers have applied the update, or after a time limit. */
   push: (update: messages.FleetUpdate) => Promise<void>;
--- a/packages/daemon/src/keeper/suspectTracker.ts
+++ b/packages/daemon/src/keeper/suspectTracker.ts
@@ -71,6 +71,7 @@
     this.publishChanges(quarantine.applyAnnouncement({ id, bornAt }, sequence));
   }
 
+  /** Decides whether a suspect request may run now, as the only canary run with its fingerprint. */
   permit(request: messages.PermitRequest): messages.PermitAnswer {
     const { quarantine, now } = this.dependencies;
     const { content, id, entry } = request;
@@ -87,6 +88,7 @@
     return { kind: 'granted', endings, target };
   }
 
+  /** Ends a canary run; one with a complete answer clears the suspicion. */
   trialEnded({ content, id, ranWhole }: messages.CanaryEnded): void {
     this.canaries.end(content, id);
     const change = ranWhole ? this.dependencies.quarantine.completed(content) : undefined;
--- a/packages/daemon/src/keeper/waitQueue.ts
+++ b/packages/daemon/src/keeper/waitQueue.ts
@@ -2,8 +2,8 @@
  * Queue of requests that wait for an engine slot, each for a bounded time. Requests that can still be on time go
  * before late ones, and older ones before newer ones. An attempt costs the leader up to a millisecond. In a burst
  * hundreds of requests wait while hundreds of slots become free each second; trying all of them each time kept a
- * leader busy for seconds, so that entries lost it and all chose engines by themselves. A round therefore skips
- * requests that can't succeed because a smaller one has just failed.
+ * leader busy for seconds, so that entries took it for lost and each chose engines by itself. A round therefore
+ * skips requests that can't succeed because a smaller one has just failed.
  */
 
 export interface QueuedRequest<T> {
--- a/packages/daemon/src/requests/__tests__/promptQuarantine.test.ts
+++ b/packages/daemon/src/requests/__tests__/promptQuarantine.test.ts
@@ -18,8 +18,8 @@
 
 describe('quarantine of prompts in a daemon', () => {
   /*
-   * A prompt crashed three engines, was refused and was resent, which crashed three more: each request had its own
-   * retry limit, and nothing was kept between requests.
+   * Guards against a prompt that crashes three more engines each time it is resent: each request had its own retry
+   * limit, and nothing was kept between requests.
    */
   it('quarantines a prompt that lost three engines, counted across requests', () => {
     let now = 0;
--- a/packages/daemon/src/requests/admission.ts
+++ b/packages/daemon/src/requests/admission.ts
@@ -1,6 +1,7 @@
 /**
- * Admission control: authenticates the caller, resolves the model or service, the deadline and the
- * priority, and charges the organisation's rate limit. A request refused here has certainly not run.
+ * Admission control: authenticates the caller, resolves the model or service, the deadline and the priority,
+ * estimates the tokens of the prompt and charges the organisation's rate limit. A request refused here has certainly
+ * not run.
  */
 import * as crypto from 'node:crypto';
 import * as domain from '@celerydrift/domain';
@@ -42,6 +43,7 @@
 export class Admission {
   directory = new domain.settings.directory.Directory([]);
 
+  /** Estimates the tokens of a prompt from its length. */
   readonly estimator = new domain.request.tokens.Estimator();
 
   private readonly limits = new Map<string, TrackedLimit>();
--- a/packages/daemon/src/requests/allocator.ts
+++ b/packages/daemon/src/requests/allocator.ts
@@ -19,7 +19,7 @@
 /** Longest wait for a placement in one call; the entry then repeats the call. */
 const MAX_PLACEMENT_WAIT_MS = 200;
 
-/** A request without a placement whose entry has not called for this long is abandoned. */
+/** A request without a placement is dropped if its entry has not called for this long: it gave up or died. */
 const ABANDONED_AFTER_MS = 2_000;
 
 const SWEEP_INTERVAL_MS = 500;
--- a/packages/daemon/src/requests/execution.ts
+++ b/packages/daemon/src/requests/execution.ts
@@ -109,7 +109,7 @@
   /** Target of the current attempt; planned stops use it to find affected requests. */
   target = '';
 
-  /** What a loss of the engine in the current attempt is reported with. */
+  /** Properties of the current attempt, for the report if its engine is lost. */
   private attemptContext: Omit<promptQuarantine.EngineLoss, 'target'> = {
     sentAt: 0,
     isTrial: false,
@@ -179,7 +179,10 @@
     }
   }
 
-  /** An engine that refuses for lack of memory ran nothing, so the request returns to its place in the queue. */
+  /**
+   * Repeats an attempt while engines refuse it for lack of memory: they ran nothing, so the request returns to its
+   * place in the queue and the attempt keeps its id.
+   */
   private async attemptUntilAccepted(
     id: string,
     first: Dispatch,
@@ -298,8 +301,9 @@
 
   /**
    * Sends the prompt and waits for the response headers. A pooled connection may have died while idle, in
-   * which case no headers ever arrive, so an overdue request is probed over a new connection. If the engine
-   * knows the request, its stream is resumed there; otherwise the engine never received it.
+   * which case no headers ever arrive and the request would wait until its deadline, so an overdue request is
+   * probed over a new connection. If the engine knows the request, its stream is resumed there; otherwise the
+   * engine never received it.
    */
   private async open(
     target: domain.target.target.Target,
@@ -458,7 +462,7 @@
     return { attempt: { target, progress, fault }, retryAfterMs, isTargetFault };
   }
 
-  /** Waits for the next retry, or returns the error that ends the request. */
+  /** Records a failed attempt, then waits for the next retry or returns the error that ends the request. */
   private async retryOrGiveUp(failure: AttemptFailure): Promise<errors.RequestError | undefined> {
     const { attempt, retryAfterMs, isTargetFault } = failure;
     this.attempts.push(attempt);
--- a/packages/daemon/src/requests/leaseLoop.ts
+++ b/packages/daemon/src/requests/leaseLoop.ts
@@ -28,6 +28,7 @@
 const RECLAIM_INTERVAL_MS = 3_000;
 
 export class LeaseLoop {
+  /** The resources that this daemon leases. */
   readonly holdings = new domain.memory.leasedResources.LeasedResources();
 
   private timers: NodeJS.Timeout[] = [];
@@ -50,7 +51,7 @@
     this.holdings.add(target.name, target.incarnation, id, kind);
   }
 
-  /** Releases at once and repeats it until the engine confirms. */
+  /** Releases a resource at once, and again until the engine confirms it. */
   release(target: string, id: string): void {
     this.holdings.release(target, id, this.options.now());
     this.releaseDue();
--- a/packages/daemon/src/requests/router.ts
+++ b/packages/daemon/src/requests/router.ts
@@ -83,7 +83,7 @@
     });
   }
 
-  /** Queues a request again that an engine refused for lack of memory; resolves to its next target. */
+  /** Queues a request that an engine refused for lack of memory again; resolves to its next target. */
   async requeue(id: string, load: adapter.AgedLoad): Promise<Dispatch | DequeueReason> {
     const now = this.options.now();
     const { ageMs, ...report } = load;
@@ -148,7 +148,7 @@
     return this.circuit(target).state === 'open';
   }
 
-  /** Takes a peer's workload report. */
+  /** Applies a peer's workload report. */
   updatePeerWorkload(workload: gossipRecords.Workload): void {
     this.peerWorkloads.set(workload.daemon, workload);
     this.applyPeerWorkloads();
--- a/packages/daemon/src/targets/errors.ts
+++ b/packages/daemon/src/targets/errors.ts
@@ -1,8 +1,9 @@
-/** Errors of calls to targets, including how far the call certainly got. */
+/** Errors of calls to targets, with what they prove about whether the call ran. */
 import type * as domain from '@celerydrift/domain';
 import type * as adapter from './adapter';
 
 export interface TargetError {
+  /** How far the call certainly got. */
   progress: domain.request.outcome.Progress;
   fault: domain.request.outcome.Fault;
   detail: string;
--- a/packages/daemon/src/targets/targetTable.ts
+++ b/packages/daemon/src/targets/targetTable.ts
@@ -65,6 +65,7 @@
     return this.targets.get(name);
   }
 
+  /** Number of targets whose lease this daemon holds as their keeper. */
   get kept(): number {
     return this.keeper.size;
   }
