--- a/packages/daemon/src/fleet/leaderLink.ts
+++ b/packages/daemon/src/fleet/leaderLink.ts
@@ -92,7 +92,7 @@
    */
   private readonly polling = new Set<string>();
 
-  private stopped = false;
+  private isStopped = false;
 
   /** Time at which the current leader last answered a probe. */
   private probedAt = clock.NEVER;
@@ -118,7 +118,7 @@
   }
 
   stop(): void {
-    this.stopped = true;
+    this.isStopped = true;
     clearTimeout(this.timer);
   }
 
@@ -175,7 +175,7 @@
   }
 
   private schedule(delayMs: number): void {
-    if (this.stopped) return;
+    if (this.isStopped) return;
     clearTimeout(this.timer);
     this.timer = setTimeout(() => {
       void this.pollNext();
--- a/packages/daemon/src/fleet/messages.ts
+++ b/packages/daemon/src/fleet/messages.ts
@@ -5,7 +5,7 @@
 type Announcement = domain.registry.registry.Announcement;
 type SuspectReport = domain.quarantine.suspect.SuspectReport;
 type RateLimit = domain.rateLimits.rateLimits.RateLimit;
-type LimitedPlace = domain.rateLimits.rateLimits.Endpoint;
+type Endpoint = domain.rateLimits.rateLimits.Endpoint;
 
 /** A version of the registry at one leader; versions of different leaderships aren't comparable. */
 export interface RegistryVersion {
@@ -181,7 +181,7 @@
  * Number of messages sent to a limited target without a grant: those that couldn't wait, or were sent without a
  * leader.
  */
-export interface UngrantedMessages extends LimitedPlace {
+export interface UngrantedMessages extends Endpoint {
   count: number;
 }
 
@@ -195,13 +195,13 @@
 /** `grant`: asks whether one of several limited targets may be sent a message now. */
 export interface GrantRequest {
   /** Addresses of the targets. */
-  places: readonly LimitedPlace[];
+  places: readonly Endpoint[];
   /** What the message is; a liveness probe (`check`) may be granted while a request has to wait. */
   purpose: 'request' | 'check';
 }
 
 export type GrantAnswer =
-  | { kind: 'granted'; place: LimitedPlace }
+  | { kind: 'granted'; place: Endpoint }
   /** None of them admits another message before this time, in milliseconds. */
   | { kind: 'wait'; waitMs: number }
   | Redirect;
--- a/packages/daemon/src/fleet/packedCatalogue.ts
+++ b/packages/daemon/src/fleet/packedCatalogue.ts
@@ -2,13 +2,13 @@
 import * as zlib from 'node:zlib';
 import type * as domain from '@celerydrift/domain';
 
-type Edition = domain.catalogue.newestCatalogue.PackedCatalogue;
+type PackedCatalogue = domain.catalogue.newestCatalogue.PackedCatalogue;
 
-export function pack(version: number, document: Buffer): Edition {
+export function pack(version: number, document: Buffer): PackedCatalogue {
   return { version, packed: zlib.deflateRawSync(document) };
 }
 
 /** Returns the operator's document. */
-export function unpack({ packed }: Edition): Buffer {
+export function unpack({ packed }: PackedCatalogue): Buffer {
   return zlib.inflateRawSync(packed);
 }
--- a/packages/daemon/src/http/completionWriter.ts
+++ b/packages/daemon/src/http/completionWriter.ts
@@ -45,12 +45,12 @@
 /** Writes the complete answer as one JSON response. */
 export function writeCompletion(
   response: http.ServerResponse,
-  shape: ResponseMetadata,
+  metadata: ResponseMetadata,
   result: execution.Completion,
 ): void {
   const content = {
-    ...envelope(shape, false),
-    choices: [choice(shape, result.text, 'stop', false)],
+    ...envelope(metadata, false),
+    choices: [choice(metadata, result.text, 'stop', false)],
     usage: usage(result),
   };
   reply.json(response, 200, content, {
@@ -64,7 +64,7 @@
  * gets its own status. A later failure is sent as an error frame; `[DONE]` follows only a complete answer.
  */
 export class StreamWriter {
-  private started = false;
+  private isStarted = false;
 
   private readonly envelope: Record<string, unknown>;
 
@@ -90,7 +90,7 @@
   }
 
   fail(error: errors.RequestError): void {
-    if (!this.started) {
+    if (!this.isStarted) {
       reply.error(this.response, error);
       return;
     }
@@ -99,8 +99,8 @@
   }
 
   private start(): void {
-    if (this.started) return;
-    this.started = true;
+    if (this.isStarted) return;
+    this.isStarted = true;
     this.response.writeHead(200, {
       'content-type': 'text/event-stream',
       'cache-control': 'no-cache',
--- a/packages/daemon/src/http/operatorsApi.ts
+++ b/packages/daemon/src/http/operatorsApi.ts
@@ -195,8 +195,8 @@
     else reply.json(call.response, 200, { index: executed.val.index });
   }
 
-  private async answerQuery(call: listener.Call, question: query.Query): Promise<void> {
-    const answer = await this.options.query.send(question);
+  private async answerQuery(call: listener.Call, request: query.Query): Promise<void> {
+    const answer = await this.options.query.send(request);
     if (answer.err) this.unavailable(call, answer.val);
     else if (answer.val === null) {
       reply.error(call.response, errors.notRun('notFound', 'nothing exists under this name'));
--- a/packages/daemon/src/keeper/__tests__/__fixtures__/leaderFixture.ts
+++ b/packages/daemon/src/keeper/__tests__/__fixtures__/leaderFixture.ts
@@ -30,7 +30,7 @@
   /** Time that a follower takes to answer a push, in milliseconds. */
   answerMs: number;
   /** Whether followers acknowledge each push without having the version that it builds on. */
-  reportsNoState?: boolean;
+  acknowledgesWithoutVersion?: boolean;
   /** The leader's clock; with the default, followers stay reachable however long a test takes. */
   now?: () => number;
 }
@@ -39,7 +39,7 @@
 export async function leaderWithFollowers({
   followers,
   answerMs,
-  reportsNoState = false,
+  acknowledgesWithoutVersion = false,
   now = () => 0,
 }: Setup): Promise<LeaderFixture> {
   const pushes: Push[] = [];
@@ -47,7 +47,7 @@
     call: async (address: string, _method: string, update: messages.FleetUpdate) => {
       pushes.push({ address, update });
       await clock.sleep(answerMs);
-      return Ok(reportsNoState ? { mark: messages.NO_VERSION } : {});
+      return Ok(acknowledgesWithoutVersion ? { mark: messages.NO_VERSION } : {});
     },
   };
   const confirmations: boolean[] = [];
--- a/packages/daemon/src/keeper/__tests__/keeper.test.ts
+++ b/packages/daemon/src/keeper/__tests__/keeper.test.ts
@@ -118,7 +118,7 @@
   }
 
   async start(i: number, mayFound = true): Promise<void> {
-    const made = new keeper.Keeper({
+    const created = new keeper.Keeper({
       settings: { ...this.configurations[i].settings, mayFound },
       protocol: PROTOCOL,
       observer: this.observer,
@@ -127,8 +127,8 @@
         throw new Error(String(error));
       },
     });
-    expect(await made.start()).to.equal(true);
-    this.running.set(i, made);
+    expect(await created.start()).to.equal(true);
+    this.running.set(i, created);
   }
 
   async stop(i: number): Promise<void> {
--- a/packages/daemon/src/keeper/__tests__/largeFleet.test.ts
+++ b/packages/daemon/src/keeper/__tests__/largeFleet.test.ts
@@ -78,10 +78,10 @@
     await announceAll(setup);
     const sent = setup.pushes.reduce((sum, { update }) => sum + bytesOf(update), 0);
     expect(sent).to.be.below(2 * LINK_BYTES_PER_S);
-    const one = makeFollower();
+    const follower = makeFollower();
     const first = setup.pushes.filter(({ address }) => address === fixture.addressOf(0));
-    first.forEach(({ update }) => one.applyUpdate(update));
-    expect(one.registry.ready('s').length).to.equal(TARGETS);
+    first.forEach(({ update }) => follower.applyUpdate(update));
+    expect(follower.registry.ready('s').length).to.equal(TARGETS);
   });
 
   /*
@@ -90,18 +90,18 @@
    */
   it('sends a follower that polls meanwhile only the changes it lacks', async () => {
     const setup = await fixture.leaderWithFollowers({ followers: 1, answerMs: 1 });
-    const one = makeFollower();
+    const follower = makeFollower();
     const begin = await setup.leader.follow(fixture.followRequest(0));
-    if (begin !== undefined) one.applyUpdate(begin.news);
+    if (begin !== undefined) follower.applyUpdate(begin.news);
     const announced = Array.from({ length: TARGETS }, (_each, i) => {
       return setup.leader.announce(announcement(i));
     });
-    const answer = await setup.leader.follow({ ...fixture.followRequest(0), mark: one.mark });
+    const answer = await setup.leader.follow({ ...fixture.followRequest(0), mark: follower.mark });
     await Promise.all(announced);
     expect(answer?.news.packedRegistry).to.equal(undefined);
-    const last = await setup.leader.follow({ ...fixture.followRequest(0), mark: one.mark });
-    if (last !== undefined) one.applyUpdate(last.news);
-    expect(one.registry.ready('s').length).to.equal(TARGETS);
+    const last = await setup.leader.follow({ ...fixture.followRequest(0), mark: follower.mark });
+    if (last !== undefined) follower.applyUpdate(last.news);
+    expect(follower.registry.ready('s').length).to.equal(TARGETS);
   });
 
   /*
@@ -172,8 +172,8 @@
     setup.fleet.loadRecords(Array.from({ length: TARGETS }, (_each, i) => announcement(i)));
     for (let i = 0; i < TARGETS; i++)
       await setup.leader.announce({ ...announcement(i), sequence: 2 });
-    const known = await setup.leader.follow(fixture.followRequest(0));
-    const mark = known?.news.mark ?? messages.NO_VERSION;
+    const confirmation = await setup.leader.follow(fixture.followRequest(0));
+    const mark = confirmation?.news.mark ?? messages.NO_VERSION;
     await setup.leader.follow({ ...fixture.followRequest(0), mark });
     await setup.leader.announce({ ...announcement(7), state: 'draining', sequence: 3 });
     expect(
@@ -190,7 +190,7 @@
     const setup = await fixture.leaderWithFollowers({
       followers: 1,
       answerMs: 50,
-      reportsNoState: true,
+      acknowledgesWithoutVersion: true,
     });
     const announced = [1, 2].map((i) =>
       setup.leader.announce({ ...announcement(i), state: 'draining' }),
--- a/packages/daemon/src/keeper/__tests__/leaderLoad.test.ts
+++ b/packages/daemon/src/keeper/__tests__/leaderLoad.test.ts
@@ -85,8 +85,8 @@
     const { leader } = await setUp(1);
     const empty = await leader.follow(followRequest(0));
     await leader.announce(announcement(1));
-    const known = await leader.follow(followRequest(1));
-    expect([empty?.lacksTargets, known?.lacksTargets]).to.deep.equal([true, false]);
+    const informed = await leader.follow(followRequest(1));
+    expect([empty?.lacksTargets, informed?.lacksTargets]).to.deep.equal([true, false]);
   });
 
   /*
@@ -172,13 +172,13 @@
     const lifetime = { id: 't0', bornAt: 1 };
     const run = { isTrial: false, agoMs: 0, sentAgoMs: 10 };
     leader.suspects.blame({ ended: [{ content: '4-content', lifetime, ...run }] });
-    const ask = (entry: string): string => {
+    const requestPermit = (entry: string): string => {
       const request = { content: '4-content', id: entry, entry, service: 's', excluded: [] };
       return leader.suspects.permit(request).kind;
     };
-    const replies = [ask('e0'), ask('e1')];
+    const replies = [requestPermit('e0'), requestPermit('e1')];
     await leader.follow(followRequest(0));
-    expect([...replies, ask('e1')]).to.deep.equal(['granted', 'busy', 'granted']);
+    expect([...replies, requestPermit('e1')]).to.deep.equal(['granted', 'busy', 'granted']);
   });
 
   /*
--- a/packages/daemon/src/keeper/__tests__/limitCoordinator.test.ts
+++ b/packages/daemon/src/keeper/__tests__/limitCoordinator.test.ts
@@ -8,10 +8,10 @@
 
 type RateLimit = domain.rateLimits.rateLimits.RateLimit;
 
-const PLACES = [1, 2].map((i) => ({ service: 's', address: `10.0.0.${i}:80` }));
+const ENDPOINTS = [1, 2].map((i) => ({ service: 's', address: `10.0.0.${i}:80` }));
 
-const LIMITED: RateLimit = { ...PLACES[0], perSecond: 1 };
-const ENDED: RateLimit = { ...PLACES[0], perSecond: undefined };
+const LIMITED: RateLimit = { ...ENDPOINTS[0], perSecond: 1 };
+const ENDED: RateLimit = { ...ENDPOINTS[0], perSecond: undefined };
 
 describe('limit coordinator', () => {
   let now: number;
@@ -40,17 +40,17 @@
   });
 
   it('grants requests one by one, to the target with the most capacity left', () => {
-    coordinator.report({ limits: [LIMITED, { ...PLACES[1], perSecond: 2 }], spent: [] });
+    coordinator.report({ limits: [LIMITED, { ...ENDPOINTS[1], perSecond: 2 }], spent: [] });
     now = 500;
-    const request = { places: PLACES, purpose: 'request' } as const;
-    expect(coordinator.grant(request)).to.deep.equal({ kind: 'granted', place: PLACES[1] });
+    const request = { places: ENDPOINTS, purpose: 'request' } as const;
+    expect(coordinator.grant(request)).to.deep.equal({ kind: 'granted', place: ENDPOINTS[1] });
     expect(coordinator.grant(request)).to.deep.equal({ kind: 'wait', waitMs: 500 });
   });
 
   it('counts messages that entries sent without a grant', () => {
-    coordinator.report({ limits: [LIMITED], spent: [{ ...PLACES[0], count: 2 }] });
+    coordinator.report({ limits: [LIMITED], spent: [{ ...ENDPOINTS[0], count: 2 }] });
     now = 2_000;
-    const request = { places: [PLACES[0]], purpose: 'request' } as const;
+    const request = { places: [ENDPOINTS[0]], purpose: 'request' } as const;
     expect(coordinator.grant(request)).to.deep.equal({ kind: 'wait', waitMs: 1_000 });
   });
 
@@ -71,7 +71,7 @@
     coordinator.report({ limits: [LIMITED], spent: [] });
     coordinator.setLeading(false);
     now = 60_000;
-    const request = { places: [PLACES[0]], purpose: 'check' } as const;
+    const request = { places: [ENDPOINTS[0]], purpose: 'check' } as const;
     expect(coordinator.grant(request).kind).to.equal('wait');
   });
 });
--- a/packages/daemon/src/keeper/__tests__/placer.test.ts
+++ b/packages/daemon/src/keeper/__tests__/placer.test.ts
@@ -132,13 +132,13 @@
       patienceMs: 2_000,
     };
     const placed: [string, number][] = [];
-    const ask = (id: string, writers?: string[]): void => {
+    const place = (id: string, writers?: string[]): void => {
       tested.placeWithCallback({ ...prompt, id, writers }, ({ kind }) =>
         placed.push([`${id} ${kind}`, now]),
       );
     };
-    ask('returning', ['bound']);
-    ask('new');
+    place('returning', ['bound']);
+    place('new');
     while (now < 2_000) {
       const next = timers.sort((a, b) => a.at - b.at).shift();
       if (next === undefined) break;
--- a/packages/daemon/src/keeper/catalogueMachine.ts
+++ b/packages/daemon/src/keeper/catalogueMachine.ts
@@ -2,30 +2,30 @@
 import * as domain from '@celerydrift/domain';
 import type * as stateMachine from '../replicas/stateMachine';
 
-type Edition = domain.catalogue.newestCatalogue.PackedCatalogue;
+type PackedCatalogue = domain.catalogue.newestCatalogue.PackedCatalogue;
 
 export class CatalogueMachine implements stateMachine.StateMachine {
-  readonly versions = new domain.catalogue.newestCatalogue.NewestCatalogue();
+  readonly catalogue = new domain.catalogue.newestCatalogue.NewestCatalogue();
 
   private isNotificationQueued = false;
 
   /** `onChange` receives the newest catalogue version once all versions committed together are applied. */
-  constructor(private readonly onChange: (edition: Edition) => void) {}
+  constructor(private readonly onChange: (edition: PackedCatalogue) => void) {}
 
   apply(command: unknown): domain.catalogue.newestCatalogue.ApplyResult {
-    const acceptance = this.versions.apply(command as Edition);
-    if (acceptance.changed) this.queueNotification();
-    return acceptance;
+    const result = this.catalogue.apply(command as PackedCatalogue);
+    if (result.changed) this.queueNotification();
+    return result;
   }
 
   snapshot(): unknown {
-    return this.versions.newest;
+    return this.catalogue.newest;
   }
 
   restore(state: unknown): void {
-    const edition = state as Edition | undefined | null;
+    const edition = state as PackedCatalogue | undefined | null;
     if (edition === undefined || edition === null) return;
-    this.versions.restore(edition);
+    this.catalogue.restore(edition);
     this.onChange(edition);
   }
 
@@ -38,7 +38,7 @@
     this.isNotificationQueued = true;
     queueMicrotask(() => {
       this.isNotificationQueued = false;
-      const { newest } = this.versions;
+      const { newest } = this.catalogue;
       if (newest !== undefined) this.onChange(newest);
     });
   }
--- a/packages/daemon/src/keeper/keeper.ts
+++ b/packages/daemon/src/keeper/keeper.ts
@@ -25,7 +25,7 @@
 import * as leadership from './leadership';
 import * as softStateStore from './softStateStore';
 
-type Edition = domain.catalogue.newestCatalogue.PackedCatalogue;
+type PackedCatalogue = domain.catalogue.newestCatalogue.PackedCatalogue;
 
 export interface Dependencies {
   settings: roleSettings.Settings;
@@ -55,7 +55,7 @@
 };
 
 /** Catalogue versions in the log before a snapshot replaces them; at 10 KB each, the journal stays under 1 MB. */
-const SNAPSHOT_EVERY = 64;
+const SNAPSHOT_INTERVAL_ENTRIES = 64;
 
 /**
  * Time without contact after which a voter is replaced by a spare, if there is one, in milliseconds. A successor must
@@ -98,7 +98,7 @@
     const { settings, observer: observe, protocol } = dependencies;
     this.client = peers.clientOf(settings, observe);
     this.server = new peerServer.PeerServer(settings.secret, undefined, observe);
-    this.machine = new catalogueMachine.CatalogueMachine((edition) => this.applyEdition(edition));
+    this.machine = new catalogueMachine.CatalogueMachine((edition) => this.applyCatalogue(edition));
     this.fleetState = new fleetState.FleetState({
       protocol,
       observer: observe,
@@ -139,7 +139,7 @@
       random,
       client: this.client,
       observer: observe,
-      snapshotIntervalEntries: SNAPSHOT_EVERY,
+      snapshotIntervalEntries: SNAPSHOT_INTERVAL_ENTRIES,
       onDiskFailure,
     });
     if (opened.err) return false;
@@ -217,7 +217,7 @@
       observer: this.dependencies.observer,
       now: clock.steady,
       random: this.dependencies.random,
-      newestCatalogue: () => this.machine.versions.newest,
+      newestCatalogue: () => this.machine.catalogue.newest,
       onSuspects: () => this.softState.suspectsChanged(),
       onLimits: () => this.softState.limitsChanged(),
       linkMbps: this.dependencies.settings.linkMbps,
@@ -228,7 +228,7 @@
   }
 
   /** Puts a committed catalogue into force here; the leader pushes it to its followers. */
-  private applyEdition(edition: Edition): void {
+  private applyCatalogue(edition: PackedCatalogue): void {
     this.fleetState.applyCatalogue(edition);
   }
 
--- a/packages/daemon/src/keeper/leaderCalls.ts
+++ b/packages/daemon/src/keeper/leaderCalls.ts
@@ -12,7 +12,7 @@
 import type * as leadership from './leadership';
 
 type Announcement = domain.registry.registry.Announcement;
-type Edition = domain.catalogue.newestCatalogue.PackedCatalogue;
+type PackedCatalogue = domain.catalogue.newestCatalogue.PackedCatalogue;
 
 export interface Dependencies {
   host: logHost.LogHost;
@@ -66,7 +66,7 @@
     return true;
   }
 
-  submit(edition: Edition): Promise<messages.SubmitAnswer> {
+  submit(edition: PackedCatalogue): Promise<messages.SubmitAnswer> {
     const content = { edition } satisfies messages.SubmitRequest;
     return this.atLeader<messages.SubmitAnswer>(
       { method: 'submit', content, timeoutMs: SUBMIT_TIMEOUT_MS },
@@ -74,11 +74,11 @@
     );
   }
 
-  async submitHere(edition: Edition): Promise<messages.SubmitAnswer> {
+  async submitHere(edition: PackedCatalogue): Promise<messages.SubmitAnswer> {
     const applied = await this.dependencies.host.propose(edition);
     if (applied.err) return unavailable(applied.val.kind);
     const { version, changed } = applied.val.answer as domain.catalogue.newestCatalogue.ApplyResult;
-    if (changed) await this.dependencies.leadership.publishEdition(edition);
+    if (changed) await this.dependencies.leadership.publishCatalogue(edition);
     return { kind: 'accepted', version };
   }
 
@@ -92,7 +92,7 @@
   async newestHere(): Promise<messages.NewestAnswer> {
     const confirmed = await this.dependencies.host.confirmLeadership(true);
     if (!confirmed) return unavailable('not confirmed by a quorum');
-    return { kind: 'newest', edition: this.dependencies.machine.versions.newest };
+    return { kind: 'newest', edition: this.dependencies.machine.catalogue.newest };
   }
 
   /** Settles a call here if this keeper leads, or else at the leader. */
--- a/packages/daemon/src/keeper/leadership.ts
+++ b/packages/daemon/src/keeper/leadership.ts
@@ -253,13 +253,13 @@
   }
 
   async depart({ id, bornAt }: messages.Departure): Promise<void> {
-    const known = this.options.fleetState.registry.get(id);
+    const previous = this.options.fleetState.registry.get(id);
     const changed = this.options.fleetState.registry.depart(id, this.options.now(), bornAt);
     if (changed.length === 0) return;
     this.options.observer.log('targetAnnounced', {
       target: id,
       state: 'gone',
-      before: known?.state,
+      before: previous?.state,
     });
     changed.forEach((record) => this.allocator.observe(record));
     await this.updates.publish(changed);
@@ -276,8 +276,8 @@
   }
 
   /** Pushes an accepted catalogue to the followers. */
-  publishEdition(edition: domain.catalogue.newestCatalogue.PackedCatalogue): Promise<void> {
-    return this.updates.publishEdition(edition);
+  publishCatalogue(edition: domain.catalogue.newestCatalogue.PackedCatalogue): Promise<void> {
+    return this.updates.publishCatalogue(edition);
   }
 
   /** Places a request; a small batch of the requests that arrive together is handled per turn of the event loop. */
@@ -291,7 +291,7 @@
     const now = this.options.now();
     dispatches.forEach(({ id, ending, faulty, gapMs, target }) => {
       this.allocator.endDispatch(id, ending, now, { faulty, gapMs });
-      if (ending === 'replaced') this.presumeGone(faulty ?? target);
+      if (ending === 'replaced') this.reportReplaced(faulty ?? target);
     });
     this.placer.scheduleServing();
   }
@@ -300,7 +300,7 @@
    * Marks a target as gone whose address now belongs to another lifetime; otherwise each request would find that out
    * by itself.
    */
-  private presumeGone(id: string): void {
+  private reportReplaced(id: string): void {
     const changed = this.options.fleetState.registry.reportReplaced(id, this.options.now());
     if (changed.length === 0) return;
     this.options.observer.log('targetAnnounced', { target: id, state: 'gone', presumed: true });
@@ -377,8 +377,8 @@
 
 /** Whether an announcement confirms what was loaded from disk about a target. */
 function isConfirmation(
-  known: Announcement | undefined,
+  loaded: Announcement | undefined,
   { state, address }: Announcement,
 ): boolean {
-  return known?.isRemembered === true && known.state === state && known.address === address;
+  return loaded?.isRemembered === true && loaded.state === state && loaded.address === address;
 }
--- a/packages/daemon/src/keeper/limitCoordinator.ts
+++ b/packages/daemon/src/keeper/limitCoordinator.ts
@@ -35,14 +35,16 @@
 
   tick(): void {
     const { limits, registry, now } = this.dependencies;
-    this.publishChanges(limits.forget((place) => registry.isServed(place), now()));
+    this.publishChanges(limits.forget((endpoint) => registry.isServed(endpoint), now()));
   }
 
   /** Merges limits that a follower of another leader knows and this leader doesn't. */
   merge(reports: readonly RateLimit[]): void {
     const { limits } = this.dependencies;
     this.apply(
-      reports.filter((place) => !limits.isLimited(place) && !this.endedLimits.has(keyOf(place))),
+      reports.filter(
+        (endpoint) => !limits.isLimited(endpoint) && !this.endedLimits.has(keyOf(endpoint)),
+      ),
     );
   }
 
@@ -50,15 +52,19 @@
   report({ limits, spent }: messages.LimitReport): messages.AppliedAnswer {
     this.apply(limits);
     const { now } = this.dependencies;
-    spent.forEach(({ count, ...place }) => this.dependencies.limits.countSent(place, count, now()));
+    spent.forEach(({ count, ...endpoint }) =>
+      this.dependencies.limits.countSent(endpoint, count, now()),
+    );
     return { kind: 'taken' };
   }
 
   /** Grants one message to the address with the most capacity left. */
   grant({ places, purpose }: messages.GrantRequest): messages.GrantAnswer {
     const { limits, now } = this.dependencies;
-    const available = places.filter((place) => {
-      return purpose === 'check' ? limits.mayProbe(place, now()) : limits.maySend(place, now());
+    const available = places.filter((endpoint) => {
+      return purpose === 'check'
+        ? limits.mayProbe(endpoint, now())
+        : limits.maySend(endpoint, now());
     });
     this.dependencies.observer.count(`limits.${available.length === 0 ? 'waits' : 'grants'}`);
     if (available.length === 0) {
--- a/packages/daemon/src/keeper/placer.ts
+++ b/packages/daemon/src/keeper/placer.ts
@@ -167,16 +167,16 @@
     }
     const waitedMs = request.waitedMs + now - since;
     const mayWait = now - since < request.patienceMs;
-    const choice = this.dependencies.allocator.choose({ ...request, waitedMs }, now, mayWait);
-    if (choice.kind === 'placed') settle(choice.placement);
-    else if (choice.kind === 'full') this.enqueue(pending);
-    else this.defer(pending, choice.inMs);
+    const result = this.dependencies.allocator.choose({ ...request, waitedMs }, now, mayWait);
+    if (result.kind === 'placed') settle(result.placement);
+    else if (result.kind === 'full') this.enqueue(pending);
+    else this.defer(pending, result.inMs);
   }
 
-  private defer(pending: PendingRequest, wantedMs: number): void {
+  private defer(pending: PendingRequest, suggestedMs: number): void {
     const { min, max } = DEFERRAL_MS;
     const minDelayMs = Math.max(min, (this.attemptMs * ATTEMPTS_PER_DEFERRAL) / DEFERRAL_SHARE);
-    const inMs = Math.min(max, Math.max(minDelayMs, wantedMs));
+    const inMs = Math.min(max, Math.max(minDelayMs, suggestedMs));
     this.dependencies.clock.after(inMs, () => this.tryPlace(pending));
   }
 
@@ -207,8 +207,8 @@
   private refuse(request: Request, waitedMs: number): Answer {
     const { min, max } = RETRY_AFTER_MS;
     const limitedForMs = this.limitedForMs(request.service);
-    const nextPlaceMs = this.dependencies.allocator.nextAvailableMs(request.service, this.now);
-    const predictedMs = Math.max(nextPlaceMs, limitedForMs);
+    const nextAvailableMs = this.dependencies.allocator.nextAvailableMs(request.service, this.now);
+    const predictedMs = Math.max(nextAvailableMs, limitedForMs);
     // Callers that waited in vain retry at different times; if all came back at once, most would find the slots taken
     // again.
     const spread =
--- a/packages/daemon/src/keeper/registryUpdates.ts
+++ b/packages/daemon/src/keeper/registryUpdates.ts
@@ -149,7 +149,7 @@
   }
 
   /** Pushes a catalogue, which leaves the registry version unchanged. */
-  async publishEdition(edition: domain.catalogue.newestCatalogue.PackedCatalogue): Promise<void> {
+  async publishCatalogue(edition: domain.catalogue.newestCatalogue.PackedCatalogue): Promise<void> {
     const { pushedVersion } = this;
     await this.dependencies.push({
       edition,
--- a/packages/daemon/src/keeper/softStateStore.ts
+++ b/packages/daemon/src/keeper/softStateStore.ts
@@ -46,11 +46,11 @@
 
   /** Schedules a write only if the quarantine changed: most suspects never get there and cost the disk nothing. */
   suspectsChanged(): void {
-    const contents = this.quarantineReports()
+    const fingerprints = this.quarantineReports()
       .map(({ content }) => content)
       .join(' ');
-    if (contents === this.storedQuarantine) return;
-    this.storedQuarantine = contents;
+    if (fingerprints === this.storedQuarantine) return;
+    this.storedQuarantine = fingerprints;
     this.quarantine.markChanged();
   }
 
--- a/packages/daemon/src/keeper/suspectStore.ts
+++ b/packages/daemon/src/keeper/suspectStore.ts
@@ -8,7 +8,7 @@
 import { Err, Ok, Result } from 'ts-results';
 import * as softStateFile from './softStateFile';
 
-type Report = domain.quarantine.suspect.SuspectReport;
+type SuspectReport = domain.quarantine.suspect.SuspectReport;
 
 export const FILE = 'quarantine';
 
@@ -22,7 +22,9 @@
 );
 
 /** Reads the file; empty if there is none yet. */
-export async function read(folder: string): Promise<Result<Report[], softStateFile.Unusable>> {
+export async function read(
+  folder: string,
+): Promise<Result<SuspectReport[], softStateFile.Unusable>> {
   const content = await softStateFile.read(folder, FILE);
   if (content.err) return content;
   const decoded = REPORTS.decode(content.val ?? []);
@@ -35,6 +37,6 @@
 export function contentOf(
   quarantine: domain.quarantine.quarantine.Quarantine,
   now: number,
-): Report[] {
+): SuspectReport[] {
   return quarantine.reports(now).filter(({ quarantinedForMs }) => quarantinedForMs !== undefined);
 }
--- a/packages/daemon/src/keeper/suspectTracker.ts
+++ b/packages/daemon/src/keeper/suspectTracker.ts
@@ -7,8 +7,8 @@
 import type * as messages from '../fleet/messages';
 import type * as observer from '../observability/observer';
 
-type Change = domain.quarantine.quarantine.StatusChange;
-type Report = domain.quarantine.suspect.SuspectReport;
+type StatusChange = domain.quarantine.quarantine.StatusChange;
+type SuspectReport = domain.quarantine.suspect.SuspectReport;
 
 /**
  * How long after a crash an announcement sent before it may still arrive, in milliseconds: a usual announcement
@@ -27,7 +27,7 @@
   observer: observer.Observer;
   now: () => number;
   /** Publishes reports to all followers. */
-  publish: (reports: Report[]) => void;
+  publish: (reports: SuspectReport[]) => void;
 }
 
 export class SuspectTracker {
@@ -46,12 +46,12 @@
   }
 
   /** Merges reports of suspects that a follower knows and this leader may not. */
-  merge(reports: readonly Report[]): void {
+  merge(reports: readonly SuspectReport[]): void {
     this.publishChanges(this.dependencies.quarantine.merge(reports, this.dependencies.now()));
   }
 
   /** Applies crash reports; returns the current report of each named request, also where nothing changed. */
-  blame({ ended }: messages.CrashReport): Report[] {
+  blame({ ended }: messages.CrashReport): SuspectReport[] {
     const { quarantine, now } = this.dependencies;
     const changes = ended
       .filter((each) => !this.hasAnnouncedSince(each))
@@ -106,8 +106,8 @@
   }: messages.PermitRequest): 'any' | 'none' | domain.registry.registry.Announcement {
     const { quarantine, registry, isAllocated } = this.dependencies;
     if (isAllocated(service)) return 'any';
-    const taken = new Set([...this.canaries.targets, ...excluded]);
-    const free = registry.ready(service).filter(({ id }) => !taken.has(id));
+    const unavailable = new Set([...this.canaries.targets, ...excluded]);
+    const free = registry.ready(service).filter(({ id }) => !unavailable.has(id));
     return free.find((record) => !quarantine.hasCrashed(record)) ?? free.at(0) ?? 'none';
   }
 
@@ -122,7 +122,7 @@
     return registry.spokeAt(lifetime) > endedAt + MAX_ANNOUNCEMENT_DELAY_MS;
   }
 
-  private publishChanges(changes: readonly Change[]): void {
+  private publishChanges(changes: readonly StatusChange[]): void {
     if (changes.length === 0) return;
     const { quarantine, observer: observe, now } = this.dependencies;
     changes.forEach(({ content, standing, endings, reason }) => {
@@ -133,7 +133,9 @@
       } else if (reason === undefined) observe.log('requestSuspected', { content, endings });
       else observe.log('suspicionEnded', { content, endings, reason });
     });
-    const contents = new Set(changes.map(({ content }) => content));
-    this.dependencies.publish([...contents].map((content) => quarantine.report(content, now())));
+    const fingerprints = new Set(changes.map(({ content }) => content));
+    this.dependencies.publish(
+      [...fingerprints].map((content) => quarantine.report(content, now())),
+    );
   }
 }
--- a/packages/daemon/src/keeper/waitQueue.ts
+++ b/packages/daemon/src/keeper/waitQueue.ts
@@ -37,8 +37,8 @@
     return this.requests.some(({ inTimeUntil }) => inTimeUntil > now);
   }
 
-  add(waiting: QueuedRequest<T>): void {
-    this.requests.push(waiting);
+  add(request: QueuedRequest<T>): void {
+    this.requests.push(request);
   }
 
   /**
@@ -48,12 +48,12 @@
   serve(now: number): number {
     const expired = this.requests.filter(({ until }) => until <= now);
     const isLate = (waiting: QueuedRequest<T>): number => (waiting.inTimeUntil <= now ? 1 : 0);
-    const current = this.requests
+    const unexpired = this.requests
       .filter(({ until }) => until > now)
       .sort((a, b) => isLate(a) - isLate(b) || a.since - b.since);
-    this.requests = current;
+    this.requests = unexpired;
     expired.forEach(({ resolve }) => resolve(undefined));
-    const { left, attempts } = attemptEach(current);
+    const { left, attempts } = attemptEach(unexpired);
     this.requests = left;
     return attempts;
   }
@@ -74,13 +74,13 @@
   const left = requests.filter((waiting) => {
     const willFail = failed.some((each) => impliesFailure(each, waiting));
     if (willFail || failed.length >= MAX_FAILED_ATTEMPTS) return true;
-    const found = waiting.attempt();
-    if (found === undefined) {
+    const placement = waiting.attempt();
+    if (placement === undefined) {
       failed.push(waiting);
       return true;
     }
     served += 1;
-    waiting.resolve(found);
+    waiting.resolve(placement);
     return false;
   });
   return { left, attempts: served + failed.length };
--- a/packages/daemon/src/requests/admission.ts
+++ b/packages/daemon/src/requests/admission.ts
@@ -139,16 +139,16 @@
 
   private sharedLimit(name: string, rate: number, now: number): domain.request.limit.SharedLimit {
     const daemons = this.options.liveDaemonCount();
-    const known = this.limits.get(name);
-    if (known === undefined) {
+    const tracked = this.limits.get(name);
+    if (tracked === undefined) {
       const limit = new domain.request.limit.SharedLimit(rate, daemons, now);
       this.limits.set(name, { limit, rebalancedAt: now });
       return limit;
     }
-    if (now - known.rebalancedAt > REBALANCE_INTERVAL_MS) {
-      known.rebalancedAt = now;
-      known.limit.rebalance(rate, this.options.peerDemand(name), daemons, now);
+    if (now - tracked.rebalancedAt > REBALANCE_INTERVAL_MS) {
+      tracked.rebalancedAt = now;
+      tracked.limit.rebalance(rate, this.options.peerDemand(name), daemons, now);
     }
-    return known.limit;
+    return tracked.limit;
   }
 }
--- a/packages/daemon/src/requests/allocationClient.ts
+++ b/packages/daemon/src/requests/allocationClient.ts
@@ -53,8 +53,8 @@
 
   async acquire(request: Request): Promise<Dispatch | router.DequeueReason | Refusal> {
     const address = this.options.allocator();
-    const usable = address !== '' && this.options.now() >= this.backOffUntil;
-    if (!usable) return this.options.router.acquire(request);
+    const isUsable = address !== '' && this.options.now() >= this.backOffUntil;
+    if (!isUsable) return this.options.router.acquire(request);
     const remote = { address, request: this.withOpenCircuitsExcluded(request) };
     this.remoteRequests.set(request.id, remote);
     return this.requestPlacement(remote);
@@ -124,8 +124,8 @@
       if (!this.remoteRequests.has(request.id)) return 'withdrawn';
       if (answer.err) return this.placeLocally(remote);
       const reply = answer.val;
-      if (reply[0] === 'refused') return this.conclude(request.id, reply[1]);
-      if (reply[0] === 'ended') return this.conclude(request.id, reply[1]);
+      if (reply[0] === 'refused') return this.endRemote(request.id, reply[1]);
+      if (reply[0] === 'ended') return this.endRemote(request.id, reply[1]);
       if (reply[0] === 'placed') {
         const dispatch = this.dispatchOf(request, reply);
         // The allocator may know a target that this daemon has not received yet.
@@ -146,7 +146,7 @@
     return { request, target, band, enginePriority, needsRoom, predictedMs: 0 };
   }
 
-  private conclude<T extends router.DequeueReason | Refusal>(id: string, reason: T): T {
+  private endRemote<T extends router.DequeueReason | Refusal>(id: string, reason: T): T {
     this.remoteRequests.delete(id);
     return reason;
   }
--- a/packages/daemon/src/requests/allocator.ts
+++ b/packages/daemon/src/requests/allocator.ts
@@ -95,25 +95,25 @@
   ): Allocation {
     const pending = Promise.resolve();
     const { deadline } = request;
-    const placed: Allocation = {
+    const allocation: Allocation = {
       owner,
       deadline,
       lastRequestAt: now,
       reply: undefined,
       pending,
     };
-    this.allocations.set(request.id, placed);
-    this.trackPlacement(placed, this.options.router.acquire(request));
-    return placed;
+    this.allocations.set(request.id, allocation);
+    this.trackPlacement(allocation, this.options.router.acquire(request));
+    return allocation;
   }
 
   private trackPlacement(
-    tracked: Allocation,
+    allocation: Allocation,
     result: Promise<Dispatch | router.DequeueReason | domain.routing.dispatcher.Refusal>,
   ): void {
-    tracked.reply = undefined;
-    tracked.pending = result.then((placement) => {
-      tracked.reply = replyOf(placement);
+    allocation.reply = undefined;
+    allocation.pending = result.then((placement) => {
+      allocation.reply = replyOf(placement);
     });
   }
 
--- a/packages/daemon/src/requests/execution.ts
+++ b/packages/daemon/src/requests/execution.ts
@@ -269,8 +269,8 @@
     this.check.continueAs(id);
     this.dependencies.holdings.hold(target, id, 'stream');
     const failure = await this.stream(id, dispatch, gathered.val.parts);
-    const nothingLeased = failure === undefined || failure.noRoom !== undefined;
-    if (nothingLeased) this.dependencies.holdings.holdings.confirmRelease(target.name, id);
+    const hasNoLease = failure === undefined || failure.noRoom !== undefined;
+    if (hasNoLease) this.dependencies.holdings.holdings.confirmRelease(target.name, id);
     else this.dependencies.holdings.release(target.name, id);
     this.dependencies.gatherer.release(gathered.val);
     return failure;
--- a/packages/daemon/src/requests/ledgerClient.ts
+++ b/packages/daemon/src/requests/ledgerClient.ts
@@ -6,7 +6,7 @@
 
 type Command =
   Exclude<domain.ledger.ledger.Command, { kind: 'claim' }> | domain.ledger.ledger.TimedClaim;
-type Verdict = domain.ledger.ledger.CommandResult;
+type CommandResult = domain.ledger.ledger.CommandResult;
 
 export function shardName(shard: number): string {
   return `ledger-${shard}`;
@@ -22,9 +22,9 @@
   async execute(
     command: Command,
     waitLimitMs?: number,
-  ): Promise<Result<Verdict, controlErrors.ControlError>> {
+  ): Promise<Result<CommandResult, controlErrors.ControlError>> {
     const log = shardName(this.hash(command.key) % this.shards);
-    const done = await this.client.execute(log, command, waitLimitMs);
-    return done.map(({ answer }) => answer as Verdict);
+    const executed = await this.client.execute(log, command, waitLimitMs);
+    return executed.map(({ answer }) => answer as CommandResult);
   }
 }
--- a/packages/daemon/src/requests/router.ts
+++ b/packages/daemon/src/requests/router.ts
@@ -220,8 +220,8 @@
   }
 
   private circuit(target: string): domain.request.circuit.Circuit {
-    const known = this.circuits.get(target);
-    if (known !== undefined) return known;
+    const existing = this.circuits.get(target);
+    if (existing !== undefined) return existing;
     const created = new domain.request.circuit.Circuit();
     this.circuits.set(target, created);
     return created;
--- a/packages/daemon/src/requests/serviceProxy.ts
+++ b/packages/daemon/src/requests/serviceProxy.ts
@@ -14,7 +14,7 @@
 import type * as router from './router';
 
 type Target = domain.target.target.Target;
-type Verdict = domain.ledger.ledger.CommandResult;
+type CommandResult = domain.ledger.ledger.CommandResult;
 
 export interface ServiceCall {
   tenant: domain.settings.directory.Tenant;
@@ -131,14 +131,14 @@
     for (;;) {
       const remainingMs = call.deadline - this.options.now();
       const timedClaim = { ...claim, timeLeftMs: remainingMs };
-      const verdict = await this.options.ledger.execute(timedClaim, Math.min(remainingMs, 8_000));
-      if (verdict.err) {
+      const claimed = await this.options.ledger.execute(timedClaim, Math.min(remainingMs, 8_000));
+      if (claimed.err) {
         // The claim may still be committed later; it is released so that a resend can run.
         void this.options.ledger.execute({ kind: 'release', key, attempt, at: 0 }, 30_000);
-        return Err(claimError(verdict.val.detail));
+        return Err(claimError(claimed.val.detail));
       }
-      if (verdict.val.kind === 'granted') return this.runClaimed(call, key, attempt);
-      if (verdict.val.kind !== 'running') return resultOfVerdict(verdict.val);
+      if (claimed.val.kind === 'granted') return this.runClaimed(call, key, attempt);
+      if (claimed.val.kind !== 'running') return resultOfClaim(claimed.val);
       if (remainingMs <= CLAIM_POLL_INTERVAL_MS) return Err(stillRunningError());
       await clock.sleep(CLAIM_POLL_INTERVAL_MS);
     }
@@ -286,20 +286,20 @@
   return { kind: 'failed', outcome, message, retryAfterMs: outcome === 'notRun' ? 1_000 : 0 };
 }
 
-function resultOfVerdict(verdict: Verdict): Result<ServiceAnswer, errors.RequestError> {
-  if (verdict.kind === 'mismatch') {
+function resultOfClaim(result: CommandResult): Result<ServiceAnswer, errors.RequestError> {
+  if (result.kind === 'mismatch') {
     return Err(errors.notRun('keyMismatch', 'this idempotency key was used for another call'));
   }
-  if (verdict.kind === 'expired') {
+  if (result.kind === 'expired') {
     const message = 'this idempotency key is too old; its outcome is no longer stored';
     return Err({ kind: 'keyExpired', outcome: 'unknown', message, retryAfterMs: 0 });
   }
-  if (verdict.kind === 'overLimit') {
+  if (result.kind === 'overLimit') {
     const message = 'the organisation holds too many claims';
-    return Err(errors.notRun('overLimit', message, verdict.retryAfterMs));
+    return Err(errors.notRun('overLimit', message, result.retryAfterMs));
   }
-  if (verdict.kind === 'settled' && verdict.settlement === 'completed') {
-    const { status, contentType, body } = verdict.answer as domain.ledger.ledger.Answer;
+  if (result.kind === 'settled' && result.settlement === 'completed') {
+    const { status, contentType, body } = result.answer as domain.ledger.ledger.Answer;
     return Ok({ status, contentType, body: Buffer.from(body, 'base64'), replayed: true });
   }
   const message = 'an earlier call with this key ended without a known outcome';
--- a/packages/daemon/src/targets/httpAdapter.ts
+++ b/packages/daemon/src/targets/httpAdapter.ts
@@ -30,7 +30,7 @@
 
   private waiter: Waiter | undefined;
 
-  private ended = false;
+  private isEnded = false;
 
   private failure: Error | undefined;
 
@@ -56,7 +56,7 @@
     const frame = this.frames.shift();
     if (frame !== undefined) return Promise.resolve(frame);
     if (this.failure !== undefined) return Promise.reject(this.failure);
-    if (this.ended) return Promise.resolve(undefined);
+    if (this.isEnded) return Promise.resolve(undefined);
     return new Promise((resolve, reject) => {
       this.waiter = { resolve, reject };
     });
@@ -74,7 +74,7 @@
   }
 
   private finish(): void {
-    this.ended = true;
+    this.isEnded = true;
     this.settleWaiter((waiter) => waiter.resolve(undefined));
   }
 
--- a/packages/daemon/src/targets/httpClient.ts
+++ b/packages/daemon/src/targets/httpClient.ts
@@ -86,8 +86,8 @@
   }
 
   private pool(address: string): undici.Pool {
-    const known = this.pools.get(address);
-    if (known !== undefined) return known;
+    const existing = this.pools.get(address);
+    if (existing !== undefined) return existing;
     const created = new undici.Pool(this.origin(address), {
       ...this.poolOptions(),
       connections: 256,
--- a/packages/daemon/src/targets/targetTable.ts
+++ b/packages/daemon/src/targets/targetTable.ts
@@ -125,15 +125,15 @@
       const renewed = await client.call<boolean>(peer.address, 'renew', renewal, callOptions);
       if (renewed.ok && renewed.val) return;
     }
-    const taken = await client.call(peer.address, 'announce', target, callOptions);
+    const announced = await client.call(peer.address, 'announce', target, callOptions);
     // An unreachable keeper must not make a target look gone, so this daemon acts as keeper and spreads it.
-    if (taken.err) this.acceptAsKeeper(target);
+    if (announced.err) this.acceptAsKeeper(target);
   }
 
   private acceptAsKeeper(target: Target): void {
-    const isNews = this.keeper.announce(target, this.options.now());
+    const isSignificant = this.keeper.announce(target, this.options.now());
     if (!this.merge(target)) return;
-    if (isNews) this.options.members().post({ kind: 'target', target });
+    if (isSignificant) this.options.members().post({ kind: 'target', target });
   }
 
   /** Adopts leases of targets whose keeper this daemon has become, and drops those that others keep now. */
