--- a/packages/daemon/src/fleet/messages.ts
+++ b/packages/daemon/src/fleet/messages.ts
@@ -211,13 +211,14 @@
   records: Announcement[];
 }
 
+/** `departed`: a target lifetime that ended, as the target announced to the sending keeper. */
 export interface Departure {
   id: string;
   /** Start time of the lifetime that ended, in Unix milliseconds; undefined if the target didn't report it. */
   bornAt: number | undefined;
 }
 
-/** `leaving`: lifetimes that announced in answers to an entry that they drain. */
+/** `leaving`: target lifetimes that announced, in answers to an entry, that they drain. */
 export interface DrainingReport {
   lifetimes: domain.quarantine.crashedLifetimes.Lifetime[];
 }
--- a/packages/daemon/src/http/listening.ts
+++ b/packages/daemon/src/http/listening.ts
@@ -2,7 +2,10 @@
 import type * as net from 'node:net';
 import type * as codecs from '../configuration/codecs';
 
-/** A socket that accepts connections before the server that will handle them exists. */
+/**
+ * A socket that accepts connections before the server that will handle them exists; `earlyListener.cjs` of the program
+ * creates it, with these field names.
+ */
 export interface EarlyListener {
   address: codecs.Address;
   /** The listening socket, whose handle is passed to the final server. */
--- a/packages/daemon/src/requests/execution.ts
+++ b/packages/daemon/src/requests/execution.ts
@@ -269,6 +269,7 @@
     this.check.continueAs(id);
     this.dependencies.holdings.hold(target, id, 'stream');
     const failure = await this.stream(id, dispatch, gathered.val.parts);
+    // A complete answer or a refusal for lack of memory leaves nothing leased on the engine.
     const hasNoLease = failure === undefined || failure.noRoom !== undefined;
     if (hasNoLease) this.dependencies.holdings.holdings.confirmRelease(target.name, id);
     else this.dependencies.holdings.release(target.name, id);
--- a/packages/daemon/src/targets/httpClient.ts
+++ b/packages/daemon/src/targets/httpClient.ts
@@ -29,7 +29,7 @@
   private readonly pools = new Map<string, undici.Pool>();
 
   /** Addresses treated as unreachable; tests cut network paths with it. */
-  readonly cut = new Set<string>();
+  readonly blockedAddresses = new Set<string>();
 
   constructor(
     private readonly connectMs: number,
@@ -37,7 +37,7 @@
   ) {}
 
   async request(address: string, call: Call): Promise<undici.Dispatcher.ResponseData> {
-    if (this.cut.has(address)) {
+    if (this.blockedAddresses.has(address)) {
       throw Object.assign(new Error('path cut'), { code: 'EHOSTUNREACH' });
     }
     const { newConnection = false, headersTimeoutMs = CONTROL_TIMEOUT_MS, ...rest } = call;
