--- a/packages/daemon/src/keeper/__tests__/largeFleet.test.ts
+++ b/packages/daemon/src/keeper/__tests__/largeFleet.test.ts
@@ -76,8 +76,8 @@
   it('reports all targets to its followers within two seconds of link capacity', async () => {
     const setup = await fixture.leaderWithFollowers({ followers: FOLLOWERS, answerMs: 20 });
     await announceAll(setup);
-    const sent = setup.pushes.reduce((sum, { update }) => sum + bytesOf(update), 0);
-    expect(sent).to.be.below(2 * LINK_BYTES_PER_S);
+    const sentBytes = setup.pushes.reduce((sum, { update }) => sum + bytesOf(update), 0);
+    expect(sentBytes).to.be.below(2 * LINK_BYTES_PER_S);
     const follower = makeFollower();
     const first = setup.pushes.filter(({ address }) => address === fixture.addressOf(0));
     first.forEach(({ update }) => follower.applyUpdate(update));
@@ -121,7 +121,7 @@
       return entries.filter(({ registry }) => registry.ready('s').length < TARGETS);
     };
     while (lacking().length > 0 && rounds < 100) {
-      let sent = 0;
+      let sentBytes = 0;
       for (let i = 0; i < FOLLOWERS; i++) {
         const answer = await setup.leader.follow({
           ...fixture.followRequest(i),
@@ -129,10 +129,10 @@
         });
         expect(answer?.kind).to.equal('confirmed');
         if (answer === undefined) return;
-        sent += bytesOf(answer.news);
+        sentBytes += bytesOf(answer.news);
         entries[i].applyUpdate(answer.news);
       }
-      if (rounds === 0) firstBytes = sent;
+      if (rounds === 0) firstBytes = sentBytes;
       rounds += 1;
       now += 500;
     }
--- a/packages/daemon/src/keeper/__tests__/placer.test.ts
+++ b/packages/daemon/src/keeper/__tests__/placer.test.ts
@@ -107,8 +107,8 @@
     const allocator = new domain.allocation.allocator.Allocator(undefined, undefined, limits);
     allocator.setServices([{ name: 's', healthPath: '/', maxConnections: 200, engine: ENGINE }]);
     ['bound', 'free'].forEach((id) => {
-      const about = { service: 's', address: `10.0.0.${id.length}:80`, dataCentre: 'east' };
-      allocator.observe({ id, ...about, bornAt: 1, slots: 7, state: 'ready', sequence: 1 });
+      const location = { service: 's', address: `10.0.0.${id.length}:80`, dataCentre: 'east' };
+      allocator.observe({ id, ...location, bornAt: 1, slots: 7, state: 'ready', sequence: 1 });
     });
     limits.set({ service: 's', address: '10.0.0.5:80', perSecond: 1 }, now);
     const timers: { at: number; action: () => void }[] = [];
--- a/packages/daemon/src/keeper/leadership.ts
+++ b/packages/daemon/src/keeper/leadership.ts
@@ -368,10 +368,10 @@
   private plainTargets(): Announcement[] {
     const { directory, registry } = this.options.fleetState;
     const services = directory?.catalogue.services ?? [];
-    const plain = new Set(
+    const plainServices = new Set(
       services.filter(({ engine }) => engine === undefined).map(({ name }) => name),
     );
-    return registry.records().filter(({ service }) => plain.has(service));
+    return registry.records().filter(({ service }) => plainServices.has(service));
   }
 }
 
--- a/packages/daemon/src/keeper/placer.ts
+++ b/packages/daemon/src/keeper/placer.ts
@@ -211,9 +211,9 @@
     const predictedMs = Math.max(nextAvailableMs, limitedForMs);
     // Callers that waited in vain retry at different times; if all came back at once, most would find the slots taken
     // again.
-    const spread =
+    const waitFactor =
       RETRY_SPREAD.min + (RETRY_SPREAD.max - RETRY_SPREAD.min) * this.dependencies.random.uniform();
-    const delayMs = Math.max(min, predictedMs, spread * waitedMs);
+    const delayMs = Math.max(min, predictedMs, waitFactor * waitedMs);
     const retryAfterMs = Math.round(Math.min(max, delayMs));
     const waiting = this.queue.length;
     this.dependencies.onRefused({ request, waitedMs, waiting, limitedForMs, retryAfterMs });
--- a/packages/daemon/src/targets/targetTable.ts
+++ b/packages/daemon/src/targets/targetTable.ts
@@ -76,9 +76,9 @@
       this.merge(target);
       await this.options.members().push({ kind: 'target', target });
     }
-    const known = this.get(target.name);
+    const current = this.get(target.name);
     const isUnchanged =
-      known !== undefined && !domain.target.target.isSignificantChange(target, known);
+      current !== undefined && !domain.target.target.isSignificantChange(target, current);
     const { self } = this.options.members();
     const keepers = this.keepersOf(target);
     if (keepers.includes(self.id)) this.acceptAsKeeper(target);
