--- a/packages/daemon/src/keeper/__tests__/placer.test.ts
+++ b/packages/daemon/src/keeper/__tests__/placer.test.ts
@@ -107,8 +107,8 @@
     const allocator = new domain.allocation.allocator.Allocator(undefined, undefined, limits);
     allocator.setServices([{ name: 's', healthPath: '/', maxConnections: 200, engine: ENGINE }]);
     ['bound', 'free'].forEach((id) => {
-      const about = { service: 's', address: `10.0.0.${id.length}:80`, dataCentre: 'east' };
-      allocator.observe({ id, ...about, bornAt: 1, slots: 7, state: 'ready', sequence: 1 });
+      const location = { service: 's', address: `10.0.0.${id.length}:80`, dataCentre: 'east' };
+      allocator.observe({ id, ...location, bornAt: 1, slots: 7, state: 'ready', sequence: 1 });
     });
     limits.set({ service: 's', address: '10.0.0.5:80', perSecond: 1 }, now);
     const timers: { at: number; action: () => void }[] = [];
@@ -132,13 +132,13 @@
       patienceMs: 2_000,
     };
     const placed: [string, number][] = [];
-    const ask = (id: string, writers?: string[]): void => {
+    const place = (id: string, writers?: string[]): void => {
       tested.placeWithCallback({ ...prompt, id, writers }, ({ kind }) =>
         placed.push([`${id} ${kind}`, now]),
       );
     };
-    ask('returning', ['bound']);
-    ask('new');
+    place('returning', ['bound']);
+    place('new');
     while (now < 2_000) {
       const next = timers.sort((a, b) => a.at - b.at).shift();
       if (next === undefined) break;
--- a/packages/daemon/src/keeper/leadership.ts
+++ b/packages/daemon/src/keeper/leadership.ts
@@ -253,19 +253,22 @@
   }
 
   async depart({ id, bornAt }: messages.Departure): Promise<void> {
-    const known = this.options.fleetState.registry.get(id);
+    const previous = this.options.fleetState.registry.get(id);
     const changed = this.options.fleetState.registry.depart(id, this.options.now(), bornAt);
     if (changed.length === 0) return;
     this.options.observer.log('targetAnnounced', {
       target: id,
       state: 'gone',
-      before: known?.state,
+      before: previous?.state,
     });
     changed.forEach((record) => this.allocator.observe(record));
     await this.updates.publish(changed);
   }
 
-  /** Applies announcements, received in targets' answers to entries, that those targets are draining. */
+  /**
+   * Marks targets as draining that announced it in answers to some entries, so that the other entries learn of it
+   * before they get such an answer themselves.
+   */
   leaving({ lifetimes }: messages.DrainingReport): messages.AppliedAnswer {
     const changed = lifetimes.flatMap((each) => this.options.fleetState.applyDraining(each));
     if (changed.length > 0) void this.updates.publish(changed);
@@ -273,20 +276,22 @@
   }
 
   /** Pushes an accepted catalogue to the followers. */
-  publishEdition(edition: domain.catalogue.newestCatalogue.PackedCatalogue): Promise<void> {
-    return this.updates.publishEdition(edition);
+  publishCatalogue(edition: domain.catalogue.newestCatalogue.PackedCatalogue): Promise<void> {
+    return this.updates.publishCatalogue(edition);
   }
 
+  /** Places a request; a small batch of the requests that arrive together is handled per turn of the event loop. */
   async place(request: messages.PlaceRequest): Promise<messages.PlaceAnswer> {
     const answer = await this.placementQueue.run(() => this.placer.place(request));
     return answer.kind === 'closed' ? { kind: 'redirect', leader: '' } : answer;
   }
 
+  /** Applies finished dispatches of an entry, and serves the wait queue, as they leave slots free. */
   ended({ dispatches }: messages.FinishedDispatches): void {
     const now = this.options.now();
     dispatches.forEach(({ id, ending, faulty, gapMs, target }) => {
       this.allocator.endDispatch(id, ending, now, { faulty, gapMs });
-      if (ending === 'replaced') this.presumeGone(faulty ?? target);
+      if (ending === 'replaced') this.reportReplaced(faulty ?? target);
     });
     this.placer.scheduleServing();
   }
@@ -295,7 +300,7 @@
    * Marks a target as gone whose address now belongs to another lifetime; otherwise each request would find that out
    * by itself.
    */
-  private presumeGone(id: string): void {
+  private reportReplaced(id: string): void {
     const changed = this.options.fleetState.registry.reportReplaced(id, this.options.now());
     if (changed.length === 0) return;
     this.options.observer.log('targetAnnounced', { target: id, state: 'gone', presumed: true });
@@ -363,17 +368,17 @@
   private plainTargets(): Announcement[] {
     const { directory, registry } = this.options.fleetState;
     const services = directory?.catalogue.services ?? [];
-    const plain = new Set(
+    const plainServices = new Set(
       services.filter(({ engine }) => engine === undefined).map(({ name }) => name),
     );
-    return registry.records().filter(({ service }) => plain.has(service));
+    return registry.records().filter(({ service }) => plainServices.has(service));
   }
 }
 
 /** Whether an announcement confirms what was loaded from disk about a target. */
 function isConfirmation(
-  known: Announcement | undefined,
+  loaded: Announcement | undefined,
   { state, address }: Announcement,
 ): boolean {
-  return known?.isRemembered === true && known.state === state && known.address === address;
+  return loaded?.isRemembered === true && loaded.state === state && loaded.address === address;
 }
--- a/packages/daemon/src/requests/admission.ts
+++ b/packages/daemon/src/requests/admission.ts
@@ -1,6 +1,7 @@
 /**
- * Admission control: authenticates the caller, resolves the model or service, the deadline and the
- * priority, and charges the organisation's rate limit. A request refused here has certainly not run.
+ * Admission control: authenticates the caller, resolves the model or service, the deadline and the priority,
+ * estimates the tokens of the prompt and charges the organisation's rate limit. A request refused here has certainly
+ * not run.
  */
 import * as crypto from 'node:crypto';
 import * as domain from '@celerydrift/domain';
@@ -42,6 +43,7 @@
 export class Admission {
   directory = new domain.settings.directory.Directory([]);
 
+  /** Estimates the tokens of a prompt from its length. */
   readonly estimator = new domain.request.tokens.Estimator();
 
   private readonly limits = new Map<string, TrackedLimit>();
@@ -137,16 +139,16 @@
 
   private sharedLimit(name: string, rate: number, now: number): domain.request.limit.SharedLimit {
     const daemons = this.options.liveDaemonCount();
-    const known = this.limits.get(name);
-    if (known === undefined) {
+    const tracked = this.limits.get(name);
+    if (tracked === undefined) {
       const limit = new domain.request.limit.SharedLimit(rate, daemons, now);
       this.limits.set(name, { limit, rebalancedAt: now });
       return limit;
     }
-    if (now - known.rebalancedAt > REBALANCE_INTERVAL_MS) {
-      known.rebalancedAt = now;
-      known.limit.rebalance(rate, this.options.peerDemand(name), daemons, now);
+    if (now - tracked.rebalancedAt > REBALANCE_INTERVAL_MS) {
+      tracked.rebalancedAt = now;
+      tracked.limit.rebalance(rate, this.options.peerDemand(name), daemons, now);
     }
-    return known.limit;
+    return tracked.limit;
   }
 }
--- a/packages/daemon/src/targets/targetTable.ts
+++ b/packages/daemon/src/targets/targetTable.ts
@@ -65,6 +65,7 @@
     return this.targets.get(name);
   }
 
+  /** Number of targets whose lease this daemon holds as their keeper. */
   get kept(): number {
     return this.keeper.size;
   }
@@ -75,9 +76,9 @@
       this.merge(target);
       await this.options.members().push({ kind: 'target', target });
     }
-    const known = this.get(target.name);
+    const current = this.get(target.name);
     const isUnchanged =
-      known !== undefined && !domain.target.target.isSignificantChange(target, known);
+      current !== undefined && !domain.target.target.isSignificantChange(target, current);
     const { self } = this.options.members();
     const keepers = this.keepersOf(target);
     if (keepers.includes(self.id)) this.acceptAsKeeper(target);
@@ -124,15 +125,15 @@
       const renewed = await client.call<boolean>(peer.address, 'renew', renewal, callOptions);
       if (renewed.ok && renewed.val) return;
     }
-    const taken = await client.call(peer.address, 'announce', target, callOptions);
+    const announced = await client.call(peer.address, 'announce', target, callOptions);
     // An unreachable keeper must not make a target look gone, so this daemon acts as keeper and spreads it.
-    if (taken.err) this.acceptAsKeeper(target);
+    if (announced.err) this.acceptAsKeeper(target);
   }
 
   private acceptAsKeeper(target: Target): void {
-    const isNews = this.keeper.announce(target, this.options.now());
+    const isSignificant = this.keeper.announce(target, this.options.now());
     if (!this.merge(target)) return;
-    if (isNews) this.options.members().post({ kind: 'target', target });
+    if (isSignificant) this.options.members().post({ kind: 'target', target });
   }
 
   /** Adopts leases of targets whose keeper this daemon has become, and drops those that others keep now. */
