--- a/packages/check/src/explorer.ts
+++ b/packages/check/src/explorer.ts
@@ -53,7 +53,7 @@
 
 /** Applies all sequences of at most `depth` events. */
 export function explore<State, Event>(model: Model<State, Event>, depth: number): Exploration {
-  const known = new Set([model.fingerprint(model.initialState())]);
+  const fingerprints = new Set([model.fingerprint(model.initialState())]);
   let frontier: Event[][] = [[]];
   let steps = 0;
   for (let level = 0; level < depth; level++) {
@@ -63,17 +63,17 @@
         const longer = [...trace, event];
         const fingerprint = model.fingerprint(replayTrace(model, longer));
         steps += 1;
-        if (!known.has(fingerprint)) {
-          known.add(fingerprint);
+        if (!fingerprints.has(fingerprint)) {
+          fingerprints.add(fingerprint);
           next.push(longer);
           const finding = checkTrace(model, longer);
-          if (finding !== undefined) return { states: known.size, steps, finding };
+          if (finding !== undefined) return { states: fingerprints.size, steps, finding };
         }
       }
     }
     frontier = next;
   }
-  return { states: known.size, steps, finding: undefined };
+  return { states: fingerprints.size, steps, finding: undefined };
 }
 
 export interface RandomWalks {
@@ -115,8 +115,10 @@
   trace: readonly Event[],
 ): readonly Event[] {
   const shorter = trace
-    .map((_event, left) => trace.filter((_each, i) => i !== left))
-    .find((each) => isFeasible(model, each) && checkTrace(model, each) !== undefined);
+    .map((_event, removed) => trace.filter((_each, i) => i !== removed))
+    .find(
+      (candidate) => isFeasible(model, candidate) && checkTrace(model, candidate) !== undefined,
+    );
   return shorter === undefined ? trace : shrink(model, shorter);
 }
 
--- a/packages/check/src/models/quarantineModel.ts
+++ b/packages/check/src/models/quarantineModel.ts
@@ -147,18 +147,21 @@
             return { kind: 'terminate', contents, isCrash: true, targets };
           });
         });
-      const kills = subsets(innocentContents).map((contents): Event => {
+      const powerLosses = subsets(innocentContents).map((contents): Event => {
         return { kind: 'terminate', contents, isCrash: false, targets: 1 };
       });
-      const ends = [...crashes, ...(state.powerLosses < MAX_POWER_LOSSES ? kills : [])];
-      const wholes = innocentContents
+      const terminations = [
+        ...crashes,
+        ...(state.powerLosses < MAX_POWER_LOSSES ? powerLosses : []),
+      ];
+      const completions = innocentContents
         .filter((content) => state.quarantine.standing(content) === 'suspected')
         .map((content): Event => ({ kind: 'complete', content }));
       const waits = WAITS_MS.map((ms): Event => ({ kind: 'wait', ms }));
-      const possible = ends.filter(
+      const permitted = terminations.filter(
         (event) => event.kind === 'terminate' && mayRun(state, event.contents, event.targets),
       );
-      return [...possible, ...wholes, ...waits];
+      return [...permitted, ...completions, ...waits];
     },
 
     apply: (state, event) => {
--- a/packages/check/src/models/registryModel.ts
+++ b/packages/check/src/models/registryModel.ts
@@ -48,7 +48,7 @@
   sequence: number;
   delayed: Announcement[];
   /** Lifetimes that departed, and the replicas that know of it. */
-  departures: { lifetime: Lifetime; known: Set<number> }[];
+  departures: { lifetime: Lifetime; knownBy: Set<number> }[];
 }
 
 const IDS = ['a', 'b'] as const;
@@ -141,8 +141,8 @@
 function newAnnouncement(state: State, { id, bornAt }: Lifetime): Announcement {
   state.sequence += 1;
   const { sequence } = state;
-  const place = { service: 's', address: ADDRESS, dataCentre: 'd', slots: 1 };
-  return { id, bornAt, ...place, state: 'ready', sequence };
+  const common = { service: 's', address: ADDRESS, dataCentre: 'd', slots: 1 };
+  return { id, bornAt, ...common, state: 'ready', sequence };
 }
 
 function announce(state: State, how: 'everywhere' | 'leaderOnly' | 'delayed'): void {
@@ -169,21 +169,25 @@
   const { registries, leader, now, running } = state;
   if (running === undefined) return;
   registries[leader].depart(running.id, now, running.bornAt);
-  state.departures.push({ lifetime: running, known: new Set([leader]) });
+  state.departures.push({ lifetime: running, knownBy: new Set([leader]) });
   state.running = undefined;
 }
 
 function replicate(state: State, from: number, to: number): void {
   const { registries, now } = state;
   registries[to].follow(registries[from].records(), now);
-  state.departures.filter(({ known }) => known.has(from)).forEach(({ known }) => known.add(to));
+  state.departures
+    .filter(({ knownBy }) => knownBy.has(from))
+    .forEach(({ knownBy }) => knownBy.add(to));
 }
 
 function mergeIntoLeader({ registries, leader, now, departures }: State): void {
   const other = 1 - leader;
   const changed = registries[leader].merge(registries[other].records(), now);
   registries[other].follow(changed, now);
-  departures.filter(({ known }) => known.has(other)).forEach(({ known }) => known.add(leader));
+  departures
+    .filter(({ knownBy }) => knownBy.has(other))
+    .forEach(({ knownBy }) => knownBy.add(leader));
 }
 
 function isSameLifetime({ id, bornAt }: Lifetime, record: Lifetime): boolean {
@@ -198,9 +202,9 @@
   const problems = registries.map((registry, i) => {
     const used = inUse(registry);
     if (used.length > 1) return `copy ${i} has ${used.map(nameOf).join(' and ')} in use`;
-    const known = departures.filter(({ known: copies }) => copies.has(i));
+    const departed = departures.filter(({ knownBy }) => knownBy.has(i));
     const returned = used.find((record) =>
-      known.some(({ lifetime }) => isSameLifetime(lifetime, record)),
+      departed.some(({ lifetime }) => isSameLifetime(lifetime, record)),
     );
     return returned && `copy ${i} has ${nameOf(returned)} in use, which left`;
   });
@@ -216,11 +220,11 @@
     announce(state, 'everywhere');
     replicate(state, state.leader, 1 - state.leader);
   }
-  const lacking = registries.findIndex((registry) => {
+  const lagging = registries.findIndex((registry) => {
     return !inUse(registry).some((record) => isSameLifetime(running, record));
   });
-  if (lacking === -1) return invariantViolation(state);
-  return `copy ${lacking} hasn't ${nameOf(running)} in use, which has announced itself ${SETTLING_ANNOUNCEMENTS} times`;
+  if (lagging === -1) return invariantViolation(state);
+  return `copy ${lagging} hasn't ${nameOf(running)} in use, which has announced itself ${SETTLING_ANNOUNCEMENTS} times`;
 }
 
 function nameOf({ id, bornAt }: Lifetime): string {
@@ -238,10 +242,10 @@
   if (event.kind === 'merge') return 'the leader gets all that the other copy has';
   if (event.kind === 'crash') return 'the target crashes';
   if (event.kind === 'depart') return 'the target leaves in order';
-  const heard = {
+  const receipt = {
     everywhere: 'heard everywhere',
     leaderOnly: 'heard by the leader',
     delayed: 'held up',
   };
-  return `the target announces itself, ${heard[event.how]}`;
+  return `the target announces itself, ${receipt[event.how]}`;
 }
--- a/packages/domain/src/catalogue/__tests__/catalogue.test.ts
+++ b/packages/domain/src/catalogue/__tests__/catalogue.test.ts
@@ -84,12 +84,12 @@
    */
   it('keeps the highest version in any order of arrival', () => {
     const tested = new newestCatalogue.NewestCatalogue();
-    const edition = (version: number, byte = version): newestCatalogue.PackedCatalogue => {
+    const packedCatalogue = (version: number, byte = version): newestCatalogue.PackedCatalogue => {
       return { version, packed: Uint8Array.of(byte) };
     };
-    tested.apply(edition(9));
-    expect(tested.apply(edition(7))).to.deep.equal({ version: 9, changed: false });
-    expect(tested.apply(edition(9, 1))).to.deep.equal({ version: 9, changed: false });
-    expect(tested.newest).to.deep.equal(edition(9));
+    tested.apply(packedCatalogue(9));
+    expect(tested.apply(packedCatalogue(7))).to.deep.equal({ version: 9, changed: false });
+    expect(tested.apply(packedCatalogue(9, 1))).to.deep.equal({ version: 9, changed: false });
+    expect(tested.newest).to.deep.equal(packedCatalogue(9));
   });
 });
--- a/packages/domain/src/catalogue/directory.ts
+++ b/packages/domain/src/catalogue/directory.ts
@@ -49,10 +49,10 @@
 /** Picks one of a route's services by weight. */
 export function pickService(route: catalogue.Route, source: random.Random): string {
   const total = route.shares.reduce((sum, { weight }) => sum + weight, 0);
-  let left = source.uniform() * total;
+  let remainingWeight = source.uniform() * total;
   const picked = route.shares.find(({ weight }) => {
-    left -= weight;
-    return left < 0;
+    remainingWeight -= weight;
+    return remainingWeight < 0;
   });
   return (picked ?? route.shares[route.shares.length - 1]).service;
 }
--- a/packages/domain/src/catalogue/newestCatalogue.ts
+++ b/packages/domain/src/catalogue/newestCatalogue.ts
@@ -29,13 +29,13 @@
     return this.current?.version ?? 0;
   }
 
-  apply(edition: PackedCatalogue): ApplyResult {
-    const changed = edition.version > this.version;
-    if (changed) this.current = edition;
+  apply(candidate: PackedCatalogue): ApplyResult {
+    const changed = candidate.version > this.version;
+    if (changed) this.current = candidate;
     return { version: this.version, changed };
   }
 
-  restore(edition: PackedCatalogue | undefined): void {
-    if (edition !== undefined) this.apply(edition);
+  restore(candidate: PackedCatalogue | undefined): void {
+    if (candidate !== undefined) this.apply(candidate);
   }
 }
--- a/packages/domain/src/control/__tests__/view.test.ts
+++ b/packages/domain/src/control/__tests__/view.test.ts
@@ -68,10 +68,10 @@
               const differing = new Set(
                 upstream.digest(hash).buckets.flatMap((sum, b) => (sum === own[b] ? [] : [b])),
               );
-              const parts = upstream.itemsIn(hash, differing);
-              const kept = new Set(parts.map(({ key }) => key));
+              const items = upstream.itemsIn(hash, differing);
+              const kept = new Set(items.map(({ key }) => key));
               follower.replace(
-                parts,
+                items,
                 follower.keysMissingFrom(hash, differing, kept),
                 upstream.index,
               );
@@ -98,13 +98,13 @@
       return { kind: 'subtree', index, name: 'a', subtree };
     };
     tested.advance([delta(5, 'new')], 5);
-    const taken = [
+    const advanced = [
       tested.advance([delta(4, 'old')], 4),
       tested.replace([{ key: 'subtree/a', delta: delta(4, 'old') }], [], 5),
       tested.adopt(new state.State()),
       tested.advance([delta(4, 'old'), delta(6, 'newer')], 6),
     ];
-    expect([taken, tested.subtrees.get('a')?.text]).to.deep.equal([
+    expect([advanced, tested.subtrees.get('a')?.text]).to.deep.equal([
       [false, false, false, true],
       'newer',
     ]);
--- a/packages/domain/src/control/view.ts
+++ b/packages/domain/src/control/view.ts
@@ -56,10 +56,10 @@
   }
 
   /** Replaces the differing items after a comparison of digests made at `index`. */
-  replace(parts: readonly ViewItem[], removed: readonly string[], index: number): boolean {
+  replace(items: readonly ViewItem[], removed: readonly string[], index: number): boolean {
     if (index <= this.index) return false;
     removed.forEach((key) => this.removeItem(key));
-    parts.forEach(({ delta }) => this.store(delta));
+    items.forEach(({ delta }) => this.store(delta));
     this.index = index;
     this.deltas = [];
     this.deltasAfter = index;
@@ -74,10 +74,10 @@
 
   digest(hash: hashing.Hash): Digest {
     const buckets = new Array<number>(BUCKET_COUNT).fill(0);
-    this.items().forEach((part) => {
-      const bucket = hash(part.key) % BUCKET_COUNT;
+    this.items().forEach((item) => {
+      const bucket = hash(item.key) % BUCKET_COUNT;
       // Addition makes the digest independent of the order in which items arrived.
-      buckets[bucket] = ((buckets[bucket] ?? 0) + hash(JSON.stringify(part.delta))) % 2 ** 32;
+      buckets[bucket] = ((buckets[bucket] ?? 0) + hash(JSON.stringify(item.delta))) % 2 ** 32;
     });
     return { index: this.index, buckets };
   }
--- a/packages/domain/src/ledger/__tests__/ledger.test.ts
+++ b/packages/domain/src/ledger/__tests__/ledger.test.ts
@@ -36,13 +36,13 @@
           if (kind === 'restore') {
             tested = ledger.Ledger.restore(structuredClone(tested.snapshot()), LIMITS);
           } else if (kind === 'claim') {
-            const verdict = tested.apply(claim(key, attempt, at));
-            if (verdict.kind !== 'granted') return;
+            const result = tested.apply(claim(key, attempt, at));
+            if (result.kind !== 'granted') return;
             expect(dispatchers.get(key) ?? attempt).to.equal(attempt);
             dispatchers.set(key, attempt);
           } else if (kind === 'release') {
-            const verdict = tested.apply({ kind: 'release', key, attempt, at });
-            if (verdict.kind === 'released') dispatchers.delete(key);
+            const result = tested.apply({ kind: 'release', key, attempt, at });
+            if (result.kind === 'released') dispatchers.delete(key);
           } else {
             const settlement = kind === 'settle' ? 'completed' : 'unknown';
             tested.apply({ kind: 'settle', key, attempt, settlement, answer: undefined, at });
--- a/packages/domain/src/ledger/ledger.ts
+++ b/packages/domain/src/ledger/ledger.ts
@@ -141,13 +141,13 @@
   }
 
   private claim(claim: Claim): CommandResult {
-    const known = this.entries.get(claim.key);
-    if (known !== undefined) {
-      if (known.content !== claim.content) return { kind: 'mismatch' };
+    const entry = this.entries.get(claim.key);
+    if (entry !== undefined) {
+      if (entry.content !== claim.content) return { kind: 'mismatch' };
       // The grant was lost on its way to the attempt, which hasn't dispatched the call yet and
       // still may.
-      const isSameAttempt = known.attempt === claim.attempt && known.settlement === 'running';
-      return isSameAttempt ? { kind: 'granted' } : this.resultFor(known, claim.at);
+      const isSameAttempt = entry.attempt === claim.attempt && entry.settlement === 'running';
+      return isSameAttempt ? { kind: 'granted' } : this.resultFor(entry, claim.at);
     }
     if (this.tombstones.has(claim.key)) return { kind: 'expired' };
     const claimCount = this.claimCounts.get(claim.organisation) ?? 0;
--- a/packages/domain/src/membership/__tests__/membership.test.ts
+++ b/packages/domain/src/membership/__tests__/membership.test.ts
@@ -96,33 +96,33 @@
       fastCheck.property(fastCheck.integer(), (seed) => {
         const source = random.seeded(seed);
         const names = ['a', 'b', 'c', 'd', 'e'];
-        const boards = new Map(names.map((name) => [name, new gossip.GossipBuffer<string>(hash)]));
-        const known = new Map(names.map((name) => [name, new Set<string>()]));
+        const buffers = new Map(names.map((name) => [name, new gossip.GossipBuffer<string>(hash)]));
+        const received = new Map(names.map((name) => [name, new Set<string>()]));
         const deliver = (at: string, record: string, from: string): void => {
-          if (known.get(at)?.has(record) === true) return;
-          known.get(at)?.add(record);
-          boards.get(at)?.put(record, record, from);
+          if (received.get(at)?.has(record) === true) return;
+          received.get(at)?.add(record);
+          buffers.get(at)?.put(record, record, from);
         };
         names.forEach((name) => deliver(name, `of-${name}`, ''));
         for (let round = 0; round < 200; round++) {
           const from = random.pick(source, names);
           const to = random.pick(source, names);
-          const board = boards.get(from) as gossip.GossipBuffer<string>;
-          const batch = board.batchFor(to, 3);
+          const buffer = buffers.get(from) as gossip.GossipBuffer<string>;
+          const batch = buffer.batchFor(to, 3);
           // Half of the exchanges are lost; the batch must be sent again.
           if (from === to || source.uniform() < 0.5) continue;
-          board.acknowledge(to, batch.upTo);
+          buffer.acknowledge(to, batch.upTo);
           batch.records.forEach((record) => deliver(to, record, from));
         }
-        names.forEach((name) => expect(known.get(name)?.size).to.equal(names.length));
+        names.forEach((name) => expect(received.get(name)?.size).to.equal(names.length));
         const due = (): number => {
           let records = 0;
           names.forEach((name) => {
             names.forEach((peer) => {
-              const board = boards.get(name) as gossip.GossipBuffer<string>;
-              const batch = board.batchFor(peer, 10);
+              const buffer = buffers.get(name) as gossip.GossipBuffer<string>;
+              const batch = buffer.batchFor(peer, 10);
               records += batch.records.length;
-              board.acknowledge(peer, batch.upTo);
+              buffer.acknowledge(peer, batch.upTo);
             });
           });
           return records;
@@ -157,13 +157,13 @@
         return tested.admission(10_000, id, ids) === 'admit';
       });
       expect(accepted && admitting.length > 0, `split ${leaderSide.join()}`).to.equal(false);
-      const nobodyLeads = ids.filter((id) => {
+      const admittingWithoutLeader = ids.filter((id) => {
         const tested = new freshness.Freshness('majority', lease);
         tested.renewLease(0);
         ids.forEach((peer) => tested.recordExchange(peer, 9_000));
         return tested.admission(10_000, id, ids) === 'admit';
       });
-      expect(nobodyLeads.length).to.equal(ids.length);
+      expect(admittingWithoutLeader.length).to.equal(ids.length);
     }
   });
 
--- a/packages/domain/src/membership/detector.ts
+++ b/packages/domain/src/membership/detector.ts
@@ -23,7 +23,7 @@
 }
 
 export class Detector {
-  private readonly known = new Map<string, KnownDaemon>();
+  private readonly daemons = new Map<string, KnownDaemon>();
 
   private probeQueue: string[] = [];
 
@@ -32,7 +32,7 @@
     private readonly randomSource: random.Random,
     private readonly timing: Timing = DEFAULT_TIMING,
   ) {
-    this.known.set(self.id, { record: self, changedAt: 0 });
+    this.daemons.set(self.id, { record: self, changedAt: 0 });
   }
 
   get own(): daemon.Daemon {
@@ -42,16 +42,16 @@
   /** Merges a record received from a peer; returns the changes, to be gossiped on. */
   merge(record: daemon.Daemon, now: number): daemon.Daemon[] {
     if (record.id === this.self.id) return this.refute(record);
-    const current = this.known.get(record.id);
+    const current = this.daemons.get(record.id);
     if (!daemon.isNewer(record, current?.record)) return [];
-    this.known.set(record.id, { record, changedAt: now });
+    this.daemons.set(record.id, { record, changedAt: now });
     return [record];
   }
 
   /** Announces that this daemon is leaving; it stays so in this incarnation. */
   leave(): daemon.Daemon {
     this.self = { ...this.self, incarnation: this.self.incarnation + 1, status: 'leaving' };
-    this.known.set(this.self.id, { record: this.self, changedAt: 0 });
+    this.daemons.set(this.self.id, { record: this.self, changedAt: 0 });
     return this.self;
   }
 
@@ -62,7 +62,7 @@
   nextProbe(): daemon.Daemon | undefined {
     if (this.probeQueue.length === 0) this.probeQueue = this.shuffledPeers();
     while (this.probeQueue.length > 0) {
-      const record = this.known.get(this.probeQueue.pop() ?? '')?.record;
+      const record = this.daemons.get(this.probeQueue.pop() ?? '')?.record;
       if (record !== undefined && record.status !== 'dead') return record;
     }
     return undefined;
@@ -71,14 +71,14 @@
   /** Other live peers in the data centre for indirect probes. */
   indirectProbers(subject: string, count: number): daemon.Daemon[] {
     return this.shuffledPeers()
-      .map((id) => this.known.get(id)?.record)
+      .map((id) => this.daemons.get(id)?.record)
       .filter((record) => record?.status === 'alive' && record.id !== subject)
       .slice(0, count) as daemon.Daemon[];
   }
 
   /** Marks a daemon as suspected after its probes failed on all paths. */
   suspect(id: string, now: number): daemon.Daemon[] {
-    const current = this.known.get(id);
+    const current = this.daemons.get(id);
     if (current === undefined || !daemon.isLive(current.record)) return [];
     return this.merge({ ...current.record, status: 'suspect' }, now);
   }
@@ -86,23 +86,23 @@
   /** Declares suspects dead that didn't refute in time, and forgets old records. */
   expire(now: number): daemon.Daemon[] {
     const changes: daemon.Daemon[] = [];
-    this.known.forEach(({ record, changedAt }, id) => {
+    this.daemons.forEach(({ record, changedAt }, id) => {
       const age = now - changedAt;
       if (record.status === 'suspect' && age > this.timing.suspicion) {
         changes.push(...this.merge({ ...record, status: 'dead' }, now));
       }
       const isFinal = record.status === 'dead' || record.status === 'leaving';
-      if (isFinal && id !== this.self.id && age > this.timing.forget) this.known.delete(id);
+      if (isFinal && id !== this.self.id && age > this.timing.forget) this.daemons.delete(id);
     });
     return changes;
   }
 
   list(): daemon.Daemon[] {
-    return [...this.known.values()].map(({ record }) => record);
+    return [...this.daemons.values()].map(({ record }) => record);
   }
 
   get(id: string): daemon.Daemon | undefined {
-    return this.known.get(id)?.record;
+    return this.daemons.get(id)?.record;
   }
 
   /** Ids of the live daemons in a data centre, including this one unless it is leaving. */
@@ -117,7 +117,7 @@
     const isCurrent = record.incarnation >= this.self.incarnation;
     if (!isCurrent || record.status === this.self.status) return [];
     this.self = { ...this.self, incarnation: record.incarnation + 1 };
-    this.known.set(this.self.id, { record: this.self, changedAt: 0 });
+    this.daemons.set(this.self.id, { record: this.self, changedAt: 0 });
     return [this.self];
   }
 
--- a/packages/domain/src/membership/gossip.ts
+++ b/packages/domain/src/membership/gossip.ts
@@ -56,10 +56,10 @@
   }
 
   remove(key: string): void {
-    const known = this.queued.get(key);
-    if (known === undefined) return;
+    const replaced = this.queued.get(key);
+    if (replaced === undefined) return;
     this.queued.delete(key);
-    this.sum = (this.sum - known.sum + MODULUS) % MODULUS;
+    this.sum = (this.sum - replaced.sum + MODULUS) % MODULUS;
   }
 
   /** The peer has the same lasting records, so there is nothing to send. */
--- a/packages/domain/src/memory/__tests__/memory.test.ts
+++ b/packages/domain/src/memory/__tests__/memory.test.ts
@@ -18,7 +18,7 @@
   it('are reclaimed only if they are ours and their owner is dead or restarted', () => {
     const owner = { daemon: 'd', incarnation: 5 };
     const listed = { id: 'h', kind: 'stream', owner, tokens: 1 } as const;
-    const standings: leasedResources.OwnerStatus[] = [
+    const statuses: leasedResources.OwnerStatus[] = [
       { kind: 'dead' },
       { kind: 'unknown' },
       { kind: 'live', incarnation: 5 },
@@ -26,7 +26,7 @@
     ];
     const findings = [leasedResources.SYSTEM, 'older'].map((system) => [
       system,
-      ...standings.map((standing) => leasedResources.classify({ ...listed, system }, standing)),
+      ...statuses.map((status) => leasedResources.classify({ ...listed, system }, status)),
     ]);
     expect(findings).toMatchSnapshot();
   });
@@ -58,7 +58,7 @@
 describe('gathering', () => {
   interface Prompt {
     parts: gathering.MemoryPart[];
-    held: number;
+    reservedParts: number;
     done: boolean;
   }
 
@@ -75,25 +75,25 @@
           parts: ['a', 'b', 'c']
             .filter(() => source.uniform() < 0.8)
             .map((target) => ({ target, tokens: 30 + random.below(source, 71) })),
-          held: 0,
+          reservedParts: 0,
           done: false,
         }));
         const releaseAll = (prompt: Prompt): void => {
-          prompt.parts.slice(0, prompt.held).forEach(({ target, tokens }) => {
+          prompt.parts.slice(0, prompt.reservedParts).forEach(({ target, tokens }) => {
             free.set(target, (free.get(target) as number) + tokens);
           });
-          prompt.held = 0;
+          prompt.reservedParts = 0;
         };
         for (let step = 0; step < 2_000 && prompts.some(({ done }) => !done); step++) {
           const prompt = random.pick(source, prompts);
-          const part = prompt.parts[prompt.held];
+          const part = prompt.parts[prompt.reservedParts];
           if (prompt.done) continue;
           if (part === undefined) {
             releaseAll(prompt);
             prompt.done = true;
           } else if ((free.get(part.target) as number) >= part.tokens) {
             free.set(part.target, (free.get(part.target) as number) - part.tokens);
-            prompt.held += 1;
+            prompt.reservedParts += 1;
           } else releaseAll(prompt);
         }
         expect(prompts.every(({ done }) => done)).to.equal(true);
--- a/packages/domain/src/quarantine/__tests__/quarantine.test.ts
+++ b/packages/domain/src/quarantine/__tests__/quarantine.test.ts
@@ -294,16 +294,18 @@
   it('releases a request as doubtful until three targets crashed well after its third crash', () => {
     const tested = new quarantine.Quarantine();
     const both = [CULPRIT, BYSTANDER];
-    const ends: number[] = [];
+    const crashTimes: number[] = [];
     for (let at = 0; at < 110_000; at += 100) {
       tested.tick(at);
       if (both.every((content) => tested.standing(content) !== 'quarantined')) {
-        const run = { sentAt: at, isTrial: ends.length > 0 };
-        both.forEach((content) => tested.reportCrash(content, keyOf(`t${ends.length}`), run, at));
-        ends.push(at);
+        const run = { sentAt: at, isTrial: crashTimes.length > 0 };
+        both.forEach((content) =>
+          tested.reportCrash(content, keyOf(`t${crashTimes.length}`), run, at),
+        );
+        crashTimes.push(at);
       }
     }
-    expect(ends.filter((at) => at > ends[2] + 3_000).length).to.equal(3);
+    expect(crashTimes.filter((at) => at > crashTimes[2] + 3_000).length).to.equal(3);
   });
 
   /**
--- a/packages/domain/src/quarantine/quarantine.ts
+++ b/packages/domain/src/quarantine/quarantine.ts
@@ -146,16 +146,16 @@
     if ((this.lifetimes.reportedAt(lifetime) ?? Infinity) < sentAt) return undefined;
     if (this.lifetimes.isCleared(fingerprint, lifetime)) return undefined;
     this.lifetimes.record(lifetime, now);
-    const known = this.suspects.get(fingerprint) ?? this.add(fingerprint, now);
-    if (known.endings.some((each) => each.lifetime === lifetime)) return undefined;
-    known.endings.push({ lifetime, at: now, isTrial });
-    countCrash(known, now);
+    const suspect = this.suspects.get(fingerprint) ?? this.add(fingerprint, now);
+    if (suspect.endings.some((each) => each.lifetime === lifetime)) return undefined;
+    suspect.endings.push({ lifetime, at: now, isTrial });
+    countCrash(suspect, now);
     this.lifetimes.addSuspect(fingerprint, lifetime);
-    if (suspects.crashCountOf(known) >= QUARANTINE_CRASHES && !suspects.isQuarantined(known)) {
-      known.quarantinedAt = now;
-      known.quarantines += 1;
+    if (suspects.crashCountOf(suspect) >= QUARANTINE_CRASHES && !suspects.isQuarantined(suspect)) {
+      suspect.quarantinedAt = now;
+      suspect.quarantines += 1;
     }
-    return this.statusChange(known, undefined);
+    return this.statusChange(suspect, undefined);
   }
 
   /**
@@ -177,8 +177,8 @@
 
   /** The request ran to completion, so it didn't cause the crashes that happened beside it. */
   completed(fingerprint: string): StatusChange | undefined {
-    const known = this.suspects.get(fingerprint);
-    return known === undefined ? undefined : this.clearSuspicion(known, 'ranWhole');
+    const suspect = this.suspects.get(fingerprint);
+    return suspect === undefined ? undefined : this.clearSuspicion(suspect, 'ranWhole');
   }
 
   /**
@@ -208,14 +208,16 @@
 
   /** State of one request, without crashes where it isn't a suspect. */
   report(fingerprint: string, now: number): suspects.SuspectReport {
-    const known = this.suspects.get(fingerprint);
-    return known === undefined ? suspects.emptyReport(fingerprint) : suspects.toReport(known, now);
+    const suspect = this.suspects.get(fingerprint);
+    return suspect === undefined
+      ? suspects.emptyReport(fingerprint)
+      : suspects.toReport(suspect, now);
   }
 
   /** Applies the leader's report, which replaces the state of that request here. */
   applyReport(report: suspects.SuspectReport, now: number): void {
-    const known = this.suspects.get(report.content);
-    if (known !== undefined) this.deleteSuspect(known);
+    const suspect = this.suspects.get(report.content);
+    if (suspect !== undefined) this.deleteSuspect(suspect);
     if (report.endings.length > 0) this.restore(report, now);
   }
 
@@ -229,13 +231,13 @@
   merge(reports: readonly suspects.SuspectReport[], now: number): StatusChange[] {
     return reports.flatMap((received) => {
       const report = this.withoutCleared(received);
-      const known = this.suspects.get(report.content);
-      if (known === undefined) {
+      const suspect = this.suspects.get(report.content);
+      if (suspect === undefined) {
         return report.endings.length === 0
           ? []
           : [this.statusChange(this.restore(report, now), undefined)];
       }
-      known.quarantines = Math.max(known.quarantines, report.quarantines);
+      suspect.quarantines = Math.max(suspect.quarantines, report.quarantines);
       return (
         report.endings
           // The reporter has checked that the request was sent before the crash.
--- a/packages/domain/src/registry/__tests__/loadedTargets.test.ts
+++ b/packages/domain/src/registry/__tests__/loadedTargets.test.ts
@@ -47,8 +47,8 @@
   it('are given up without an announcement, and return with a later one', () => {
     const tested = loadedRegistry(announcement('a'));
     expect(tested.expireLoaded(registry.LOADED_TIMEOUT_MS - 1)).to.deep.equal([]);
-    const ended = tested.expireLoaded(registry.LOADED_TIMEOUT_MS + 1);
-    expect(ended.map(({ id, state }) => `${id} ${state}`)).to.deep.equal(['a gone']);
+    const expired = tested.expireLoaded(registry.LOADED_TIMEOUT_MS + 1);
+    expect(expired.map(({ id, state }) => `${id} ${state}`)).to.deep.equal(['a gone']);
     expect(readyTargets(tested)).to.deep.equal([]);
     tested.announce(announcement('a', { sequence: 9 }), registry.LOADED_TIMEOUT_MS + 50);
     expect(readyTargets(tested)).to.deep.equal(['a']);
--- a/packages/domain/src/registry/registry.ts
+++ b/packages/domain/src/registry/registry.ts
@@ -88,14 +88,14 @@
 
   /** The lifetime is gone, or announced that it goes; `bornAt` if it is known which one. */
   depart(id: string, now: number, bornAt = Infinity): Announcement[] {
-    const known = this.entries.get(id);
-    if (known === undefined) return [this.store(unknownGone(id, bornAt), now).record];
-    if (bornAt < known.record.bornAt) return [];
-    const isLater = bornAt !== Infinity && bornAt > known.record.bornAt;
-    const wasGone = known.record.state === 'gone' && !isLater;
-    const recordOfLifetime = isLater ? { ...known.record, bornAt } : known.record;
-    this.replaceRecord(known, { ...recordOfLifetime, isPresumed: undefined });
-    return wasGone ? [] : [this.markGone(known, now)];
+    const entry = this.entries.get(id);
+    if (entry === undefined) return [this.store(unknownGone(id, bornAt), now).record];
+    if (bornAt < entry.record.bornAt) return [];
+    const isLater = bornAt !== Infinity && bornAt > entry.record.bornAt;
+    const wasGone = entry.record.state === 'gone' && !isLater;
+    const recordOfLifetime = isLater ? { ...entry.record, bornAt } : entry.record;
+    this.replaceRecord(entry, { ...recordOfLifetime, isPresumed: undefined });
+    return wasGone ? [] : [this.markGone(entry, now)];
   }
 
   /**
@@ -103,10 +103,10 @@
    * don't undo that.
    */
   reportDraining(id: string, bornAt: number): Announcement[] {
-    const known = this.entries.get(id);
-    if (known?.record.bornAt !== bornAt || known.record.state !== 'ready') return [];
-    this.replaceRecord(known, { ...known.record, state: 'draining', isRemembered: undefined });
-    return [known.record];
+    const entry = this.entries.get(id);
+    if (entry?.record.bornAt !== bornAt || entry.record.state !== 'ready') return [];
+    this.replaceRecord(entry, { ...entry.record, state: 'draining', isRemembered: undefined });
+    return [entry.record];
   }
 
   /**
@@ -114,9 +114,9 @@
    * when it announces itself.
    */
   reportReplaced(id: string, now: number): Announcement[] {
-    const known = this.entries.get(id);
-    if (known === undefined || known.record.state === 'gone') return [];
-    return [this.presumeEntryDead(known, now)];
+    const entry = this.entries.get(id);
+    if (entry === undefined || entry.record.state === 'gone') return [];
+    return [this.presumeEntryDead(entry, now)];
   }
 
   /**
@@ -167,9 +167,9 @@
    * When a lifetime last announced itself here; `-Infinity` where it didn't, or is known as gone.
    */
   spokeAt({ id, bornAt }: Pick<Announcement, 'id' | 'bornAt'>): number {
-    const known = this.entries.get(id);
-    const isSameLifetime = known?.record.bornAt === bornAt && known.record.state !== 'gone';
-    return isSameLifetime ? known.spokeAt : NEVER;
+    const entry = this.entries.get(id);
+    const isSameLifetime = entry?.record.bornAt === bornAt && entry.record.state !== 'gone';
+    return isSameLifetime ? entry.spokeAt : NEVER;
   }
 
   get size(): number {
@@ -212,12 +212,12 @@
   }
 
   private applyAnnouncement(announcement: Announcement, now: number): Announcement[] {
-    const known = this.entries.get(announcement.id);
-    if (known === undefined) return this.addLifetime(announcement, now);
-    if (announcement.bornAt > known.record.bornAt) return this.restart(known, announcement, now);
-    if (announcement.bornAt < known.record.bornAt) return [];
-    if (isPresumedDead(known)) return this.contradict(known, announcement, now);
-    return this.update(known, announcement, now);
+    const entry = this.entries.get(announcement.id);
+    if (entry === undefined) return this.addLifetime(announcement, now);
+    if (announcement.bornAt > entry.record.bornAt) return this.restart(entry, announcement, now);
+    if (announcement.bornAt < entry.record.bornAt) return [];
+    if (isPresumedDead(entry)) return this.contradict(entry, announcement, now);
+    return this.update(entry, announcement, now);
   }
 
   private applyRecords(
@@ -230,8 +230,8 @@
     const goneRecords = records.filter(({ state }) => state === 'gone');
     const others = records.filter(({ state }) => state !== 'gone');
     return [...goneRecords, ...others].flatMap((record) => {
-      const known = this.entries.get(record.id);
-      if (known !== undefined) return this.mergeKnown(known, record, now, isFromLeader);
+      const entry = this.entries.get(record.id);
+      if (entry !== undefined) return this.mergeKnown(entry, record, now, isFromLeader);
       if (record.state === 'gone') return [this.store(record, now).record];
       if (!this.isAddressTaken(record, isFromLeader)) return this.addLifetime(record, now);
       this.store({ ...record, state: 'gone', isPresumed: true }, now);
@@ -253,11 +253,11 @@
   }
 
   private store(record: Announcement, now: number): Entry {
-    const known = this.entries.get(record.id);
-    if (known !== undefined) {
-      if (record.bornAt !== known.record.bornAt) known.spokeAt = NEVER;
-      this.replaceRecord(known, record);
-      return Object.assign(known, { heardAt: now, contradictedAt: 0 });
+    const existing = this.entries.get(record.id);
+    if (existing !== undefined) {
+      if (record.bornAt !== existing.record.bornAt) existing.spokeAt = NEVER;
+      this.replaceRecord(existing, record);
+      return Object.assign(existing, { heardAt: now, contradictedAt: 0 });
     }
     const entry = { record, heardAt: now, spokeAt: NEVER, contradictedAt: 0 };
     this.entries.set(record.id, entry);
@@ -286,23 +286,23 @@
   }
 
   private mergeKnown(
-    known: Entry,
+    entry: Entry,
     record: Announcement,
     now: number,
     isFromLeader: boolean,
   ): Announcement[] {
-    if (record.bornAt > known.record.bornAt) return this.restart(known, record, now);
-    if (record.bornAt < known.record.bornAt) return [];
+    if (record.bornAt > entry.record.bornAt) return this.restart(entry, record, now);
+    if (record.bornAt < entry.record.bornAt) return [];
     // The copy that received its announcement has checked that it wasn't delayed since before its
     // death.
     const isRevived =
-      isPresumedDead(known) &&
+      isPresumedDead(entry) &&
       record.state !== 'gone' &&
       !isLoadedFromDisk(record) &&
-      record.sequence > known.record.sequence &&
+      record.sequence > entry.record.sequence &&
       // A copy that missed the end of this lifetime must not take the address from the present one.
       (isFromLeader || this.live.atAddress(record.address).length === 0);
-    return isRevived ? this.addLifetime(record, now) : this.update(known, record, now);
+    return isRevived ? this.addLifetime(record, now) : this.update(entry, record, now);
   }
 
   /**
@@ -310,22 +310,22 @@
    * it drained. The former lifetime is reported as gone first; otherwise its dispatches would count
    * against the new one.
    */
-  private restart(known: Entry, announcement: Announcement, now: number): Announcement[] {
-    const ended = known.record.state === 'gone' ? [] : [this.markGone(known, now)];
+  private restart(entry: Entry, announcement: Announcement, now: number): Announcement[] {
+    const ended = entry.record.state === 'gone' ? [] : [this.markGone(entry, now)];
     return [...ended, ...this.addLifetime(announcement, now)];
   }
 
-  private update(known: Entry, announcement: Announcement, now: number): Announcement[] {
-    if (isLoadedFromDisk(known.record) && !isLoadedFromDisk(announcement)) {
-      return this.confirm(known, announcement, now);
+  private update(entry: Entry, announcement: Announcement, now: number): Announcement[] {
+    if (isLoadedFromDisk(entry.record) && !isLoadedFromDisk(announcement)) {
+      return this.confirm(entry, announcement, now);
     }
-    if (isLoadedFromDisk(announcement) && !isLoadedFromDisk(known.record)) return [];
-    if (known.record.state !== 'gone') known.heardAt = now;
-    if (STATE_RANK[announcement.state] < STATE_RANK[known.record.state]) return [];
-    const sameState = announcement.state === known.record.state;
-    if (sameState && announcement.sequence <= known.record.sequence) return [];
-    const moved = announcement.address !== known.record.address;
-    this.replaceRecord(known, announcement);
+    if (isLoadedFromDisk(announcement) && !isLoadedFromDisk(entry.record)) return [];
+    if (entry.record.state !== 'gone') entry.heardAt = now;
+    if (STATE_RANK[announcement.state] < STATE_RANK[entry.record.state]) return [];
+    const sameState = announcement.state === entry.record.state;
+    if (sameState && announcement.sequence <= entry.record.sequence) return [];
+    const moved = announcement.address !== entry.record.address;
+    this.replaceRecord(entry, announcement);
     return sameState && !moved ? [] : [announcement];
   }
 
@@ -333,9 +333,9 @@
    * A target loaded from disk announces itself, perhaps after it was given up for not doing so.
    * Announcements older than the loaded record are ignored.
    */
-  private confirm(known: Entry, announcement: Announcement, now: number): Announcement[] {
-    if (announcement.sequence < known.record.sequence) return [];
-    if (known.record.state === 'gone') return this.addLifetime(announcement, now);
+  private confirm(entry: Entry, announcement: Announcement, now: number): Announcement[] {
+    if (announcement.sequence < entry.record.sequence) return [];
+    if (entry.record.state === 'gone') return this.addLifetime(announcement, now);
     this.store(announcement, now);
     return [announcement];
   }
@@ -354,10 +354,10 @@
     return this.live.atAddress(address).map((entry) => this.presumeEntryDead(entry, now));
   }
 
-  private contradict(known: Entry, announcement: Announcement, now: number): Announcement[] {
-    if (announcement.sequence <= known.record.sequence) return [];
-    if (known.contradictedAt === 0) known.contradictedAt = now;
-    if (now - known.contradictedAt < REVIVE_AFTER_MS) return [];
+  private contradict(entry: Entry, announcement: Announcement, now: number): Announcement[] {
+    if (announcement.sequence <= entry.record.sequence) return [];
+    if (entry.contradictedAt === 0) entry.contradictedAt = now;
+    if (now - entry.contradictedAt < REVIVE_AFTER_MS) return [];
     return this.addLifetime(announcement, now);
   }
 }
--- a/packages/domain/src/replication/__tests__/replica.test.ts
+++ b/packages/domain/src/replication/__tests__/replica.test.ts
@@ -25,8 +25,8 @@
   if (simulation.problem !== '') return { seed, problem: simulation.problem };
   const last = simulation.propose();
   simulation.heal(500);
-  const taken = simulation.acknowledged.has(last);
-  return taken ? undefined : { seed, problem: 'no command taken after everything healed' };
+  const isAccepted = simulation.acknowledged.has(last);
+  return isAccepted ? undefined : { seed, problem: 'no command taken after everything healed' };
 }
 
 const EAGER_RESTART = { min: 150, max: 200, again: { min: 40, max: 60 } };
@@ -261,8 +261,8 @@
     const members = leader?.replica?.members ?? [];
     const spare = { id: 's0', address: 's0', dataCentre: 'd', role: 'voter' } as const;
     const now = (leader as unknown as { skew: number }).skew;
-    const asked = leader?.replica?.changeMembers([...members, spare], simulation.clock + now);
-    expect(asked?.refusal).to.equal('notCaughtUp');
+    const change = leader?.replica?.changeMembers([...members, spare], simulation.clock + now);
+    expect(change?.refusal).to.equal('notCaughtUp');
   });
 
   /*
--- a/packages/domain/src/replication/replica.ts
+++ b/packages/domain/src/replication/replica.ts
@@ -465,9 +465,9 @@
   }
 
   private progressOf(id: string, now: number): Progress {
-    const known = this.progress.get(id);
-    if (known !== undefined) return known;
-    const fresh = {
+    const existing = this.progress.get(id);
+    if (existing !== undefined) return existing;
+    const initial = {
       next: this.log.lastIndex + 1,
       matched: 0,
       // The silence of a member counts from now, not from before it was a member.
@@ -475,8 +475,8 @@
       answeredAt: -Infinity,
       pendingSince: 0,
     };
-    this.progress.set(id, fresh);
-    return fresh;
+    this.progress.set(id, initial);
+    return initial;
   }
 
   /**
@@ -526,8 +526,8 @@
     this.followLeader(from, now);
     // Everything that the snapshot covers is committed and therefore equal at any leader.
     const isCovered = request.previousIndex < this.log.snapshot.index;
-    const known = this.log.termAt(request.previousIndex);
-    if (!isCovered && known !== request.previousTerm) {
+    const ownTerm = this.log.termAt(request.previousIndex);
+    if (!isCovered && ownTerm !== request.previousTerm) {
       answer(false, Math.min(this.log.lastIndex, request.previousIndex - 1));
       return;
     }
@@ -554,9 +554,9 @@
       this.log.truncate(conflict.index);
       this.effects.persist.push({ kind: 'truncate', from: conflict.index });
     }
-    const fresh = entries.filter(({ index }) => index >= conflict.index);
-    this.log.append(fresh);
-    this.effects.persist.push({ kind: 'append', entries: fresh });
+    const newEntries = entries.filter(({ index }) => index >= conflict.index);
+    this.log.append(newEntries);
+    this.effects.persist.push({ kind: 'append', entries: newEntries });
   }
 
   private handleAppendAnswer(answer: messages.AppendAnswer, now: number): void {
--- a/packages/domain/src/settings/directory.ts
+++ b/packages/domain/src/settings/directory.ts
@@ -31,8 +31,8 @@
     subtrees.forEach(({ name, index, text }) => {
       this.revisions.set(name, index);
       const isUnchanged = previous?.revisions.get(name) === index;
-      const known = isUnchanged ? previous?.documents.get(name) : undefined;
-      const content = known ?? document.parse(text).unwrapOr(undefined);
+      const reusable = isUnchanged ? previous?.documents.get(name) : undefined;
+      const content = reusable ?? document.parse(text).unwrapOr(undefined);
       if (content !== undefined) this.add(name, content);
     });
   }
--- a/packages/domain/src/settings/document.ts
+++ b/packages/domain/src/settings/document.ts
@@ -173,14 +173,14 @@
 }
 
 function danglingReferences(document: Document): schema.Problem[] {
-  const known = new Set(document.organisations.map(({ name }) => name));
+  const organisationNames = new Set(document.organisations.map(({ name }) => name));
   const owners = [
     ...document.models.map((model) => ({ section: `model.${model.name}`, ...model })),
     ...document.services.map((service) => ({ section: `service.${service.name}`, ...service })),
   ];
   return owners.flatMap(({ section, organisations }) =>
     organisations
-      .filter((name) => name !== '*' && !known.has(name))
+      .filter((name) => name !== '*' && !organisationNames.has(name))
       .map((name) => ({
         section,
         key: 'organisations',
--- a/packages/domain/src/settings/schema.ts
+++ b/packages/domain/src/settings/schema.ts
@@ -88,10 +88,10 @@
       problems.push({ section, key, value: String(raw[key]), mend });
     });
   Object.entries(fields).forEach(([key, codec]) => {
-    const given = raw[key] ?? defaults[key];
-    const decoded = codec.type.decode(given === undefined ? undefined : String(given));
+    const value = raw[key] ?? defaults[key];
+    const decoded = codec.type.decode(value === undefined ? undefined : String(value));
     if (Either.isRight(decoded)) values.set(key, decoded.right);
-    else problems.push({ section, key, value: String(given ?? '(missing)'), mend: codec.mend });
+    else problems.push({ section, key, value: String(value ?? '(missing)'), mend: codec.mend });
   });
   return values;
 }
--- a/packages/domain/src/stop/stop.ts
+++ b/packages/domain/src/stop/stop.ts
@@ -50,11 +50,11 @@
 export function progress(
   stop: Stop,
   daemons: readonly string[],
-  remainders: ReadonlyMap<string, readonly RunningCount[]>,
+  runningCounts: ReadonlyMap<string, readonly RunningCount[]>,
 ): Progress {
   const isDone = daemons.every((id) => {
-    const own = remainders.get(id)?.find((remainder) => remainder.stop === stop.id);
-    return own !== undefined && own.running === 0;
+    const count = runningCounts.get(id)?.find((each) => each.stop === stop.id);
+    return count !== undefined && count.running === 0;
   });
   return isDone ? 'safeToStop' : 'draining';
 }
--- a/packages/domain/src/target/__tests__/target.test.ts
+++ b/packages/domain/src/target/__tests__/target.test.ts
@@ -77,7 +77,7 @@
 describe('keeper', () => {
   it('reports only significant changes, and "gone" once when the lease has expired', () => {
     const tested = new keeper.Keeper(1_000);
-    const told = [
+    const reported = [
       tested.announce(announced(1, 1), 0),
       tested.announce(announced(1, 2), 500),
       tested.announce({ ...announced(1, 3), memoryTokens: 2 }, 600),
@@ -87,28 +87,30 @@
       tested.announce(announced(1, 5, 'leaving'), 800),
     ];
     const gone = [1_700, 1_900, 2_000].map((now) => tested.expire(now).map((t) => t.status));
-    expect({ told, gone }).toMatchSnapshot();
+    expect({ told: reported, gone }).toMatchSnapshot();
   });
 });
 
 describe('planned stop', () => {
   it('covers a target, a VM or a data centre, and is safe once no daemon runs requests there', () => {
-    const made = (subject: stop.Subject, name: string): stop.Stop => {
+    const newStop = (subject: stop.Subject, name: string): stop.Stop => {
       return { id: 's', subject, name, author: '', at: 0, graceSeconds: 1 };
     };
     const place = { target: 't', host: '10.0.0.1', dataCentre: 'dc' };
-    const covered = [made('target', 't'), made('vm', '10.0.0.1'), made('dataCentre', 'dc')].map(
-      (each) => stop.covers(each, place),
-    );
+    const covered = [
+      newStop('target', 't'),
+      newStop('vm', '10.0.0.1'),
+      newStop('dataCentre', 'dc'),
+    ].map((each) => stop.covers(each, place));
     const progress = (running: number[]): stop.Progress =>
       stop.progress(
-        made('target', 't'),
+        newStop('target', 't'),
         ['a', 'b'],
         new Map(running.map((count, i) => [['a', 'b'][i], [{ stop: 's', running: count }]])),
       );
     expect({
       covered,
-      other: stop.covers(made('target', 'u'), place),
+      other: stop.covers(newStop('target', 'u'), place),
       silent: progress([0]),
       running: progress([0, 1]),
       safe: progress([0, 0]),
