--- a/packages/check/src/models/registryModel.ts
+++ b/packages/check/src/models/registryModel.ts
@@ -206,7 +206,7 @@
     const returned = used.find((record) =>
       departed.some(({ lifetime }) => isSameLifetime(lifetime, record)),
     );
-    return returned && `copy ${i} has ${nameOf(returned)} in use, which left`;
+    return returned && `copy ${i} has ${nameOf(returned)} in use, which has departed`;
   });
   return problems.find((problem) => problem !== undefined);
 }
@@ -234,12 +234,13 @@
 function describe(event: Event): string {
   if (event.kind === 'start') return `a target starts as ${event.id}`;
   if (event.kind === 'deliver') return 'an announcement that was held up arrives';
-  if (event.kind === 'contradict') return `an entry meets another lifetime in place of ${event.id}`;
+  if (event.kind === 'contradict')
+    return `an entry reaches another lifetime at the address of ${event.id}`;
   if (event.kind === 'changeLeader')
     return `the other keeper leads, ${event.isCaughtUp ? '' : 'not '}told of all`;
   if (event.kind === 'wait') return `${event.ms} ms pass`;
-  if (event.kind === 'replicate') return 'the other copy gets all';
-  if (event.kind === 'merge') return 'the leader gets all that the other copy has';
+  if (event.kind === 'replicate') return 'the other copy receives all records of the leader';
+  if (event.kind === 'merge') return 'the leader merges all records of the other copy';
   if (event.kind === 'crash') return 'the target crashes';
   if (event.kind === 'depart') return 'the target leaves in order';
   const receipt = {
--- a/packages/domain/src/catalogue/catalogue.ts
+++ b/packages/domain/src/catalogue/catalogue.ts
@@ -46,19 +46,21 @@
   slots: number;
   /** Memory of one engine, in tokens. */
   memoryTokens: number;
-  /** Engine steps in a pass with at least one decoding request. */
+  /** Decode iterations in an engine step in which at least one request decodes. */
   stepsPerPass: number;
+  /** Fixed part of the duration of an iteration. */
   stepMs: number;
-  /** Added to an engine step for each decoding request. */
+  /** Added to an iteration for each decoding request. */
   writerStepMs: number;
-  /** Added to an engine step for each thousand context tokens of a decoding request. */
+  /** Added to an iteration for each thousand context tokens of a decoding request. */
   contextStepMs: number;
+  /** Prefill rate without the cost of attention. */
   readTokensPerMs: number;
   /** Attention cost: milliseconds for a million pairs of a prompt token and an earlier one. */
   pairMsPerMillion: number;
-  /** Maximum number of prompt tokens prefilled in one engine step. */
+  /** Maximum number of prompt tokens prefilled in one iteration. */
   chunkTokens: number;
-  /** Added to each engine step of a request whose prompt was prefilled by several engines. */
+  /** Added to each iteration of a request whose prompt was prefilled by several engines. */
   hopMs: number;
   /** Mean length of an answer in tokens, for requests without a length of their own. */
   usualAnswerTokens: number;
--- a/packages/domain/src/quarantine/__tests__/quarantine.test.ts
+++ b/packages/domain/src/quarantine/__tests__/quarantine.test.ts
@@ -33,9 +33,9 @@
   });
 
   /*
-   * Guards against all lookups being refused after a single crash: a crashed target stays announced
-   * as ready for two seconds, and each request that met its broken connections in that time had the
-   * crash counted against it.
+   * Guards against all requests being refused after a single crash: a crashed target stays
+   * announced as ready for two seconds, and each request that met its broken connections in that
+   * time had the crash counted against it and was quarantined after the third one.
    */
   it("doesn't count a crash against requests that were sent after it", () => {
     const tested = afterCrashes(1);
@@ -87,7 +87,8 @@
   /*
    * Guards against targets that count as crashed for good: frozen targets were reported as crashed
    * and announced themselves again only after the suspicion was cleared, and nothing recorded that
-   * they were alive. All requests for them were refused as "a copy runs".
+   * they were alive. All requests were refused for as long as the fleet ran, as if a copy of each
+   * were running.
    */
   it('takes targets that announce themselves again for alive without any suspect left', () => {
     const tested = afterCrashes(1);
--- a/packages/domain/src/quarantine/quarantine.ts
+++ b/packages/domain/src/quarantine/quarantine.ts
@@ -375,7 +375,7 @@
   }
 
   /**
-   * Clears suspects with a single crash of the crashes that a quarantined request explains.
+   * Crashes of a quarantined request no longer count against suspects whose crashes count as one.
    * Suspects with a crash in a canary run as well may be culprits of their own.
    */
   private explain(now: number): StatusChange[] {
--- a/packages/domain/src/quarantine/suspect.ts
+++ b/packages/domain/src/quarantine/suspect.ts
@@ -7,7 +7,10 @@
 export interface Crash {
   lifetime: string;
   at: number;
-  /** Whether the request ran as a canary: as the only suspect on the target, being one already. */
+  /**
+   * Whether it was a canary run: the request was a suspect before and ran as the only one on the
+   * target.
+   */
   isTrial: boolean;
 }
 
@@ -34,8 +37,9 @@
    */
   explained: Set<string>;
   /**
-   * Lifetimes whose crash this request's quarantine explained to a possible culprit. This doubt
-   * outlasts the other one's clearance.
+   * Lifetimes whose crash no longer counts against a possible culprit, because this request's
+   * quarantine explained it. Unlike `explained`, they are kept when a quarantine of this request
+   * ends.
    */
   shared: Set<string>;
 }
--- a/packages/domain/src/registry/__tests__/registry.test.ts
+++ b/packages/domain/src/registry/__tests__/registry.test.ts
@@ -110,7 +110,7 @@
     expect(states(tested)).to.deep.equal({ live: 'ready', dead: 'gone' });
   });
 
-  it('ends no known target for a record from a copy', () => {
+  it('keeps a target that announced itself when a copy reports another one at its address', () => {
     const tested = new registry.Registry();
     tested.announce(announcement('live'), 0);
     expect(tested.merge([announcement('dead')], 10)).to.deep.equal([]);
@@ -155,7 +155,7 @@
 
   /*
    * Guards against dispatches of the former lifetime that count against the new one: a copy that
-   * only sees the target ready before and after must be told of the end in between.
+   * only sees the target ready before and after must receive the end in between.
    */
   it('ends the former lifetime when a target restarts unnoticed, here and in copies', () => {
     const tested = new registry.Registry();
--- a/packages/domain/src/registry/registry.ts
+++ b/packages/domain/src/registry/registry.ts
@@ -55,8 +55,8 @@
 
 /**
  * How long a target loaded from disk may go without an announcement, milliseconds: two of the usual
- * intervals. A live one announces itself within that time, and a target that stops is told that it
- * may be used for some seconds more at most.
+ * intervals. A live one announces itself within that time, and one that departed was told before
+ * that requests may reach it for some seconds more at most.
  */
 export const LOADED_TIMEOUT_MS = 2_400;
 
@@ -86,7 +86,10 @@
     return changed;
   }
 
-  /** The lifetime is gone, or announced that it goes; `bornAt` if it is known which one. */
+  /**
+   * Marks a lifetime as gone that ended or announced its departure. `bornAt` tells which one;
+   * without it, the present one, or all of the id if none is registered.
+   */
   depart(id: string, now: number, bornAt = Infinity): Announcement[] {
     const entry = this.entries.get(id);
     if (entry === undefined) return [this.store(unknownGone(id, bornAt), now).record];
@@ -278,8 +281,8 @@
 
   private presumeEntryDead(entry: Entry, now: number): Announcement {
     this.markGone(entry, now);
-    // Another target's own announcement replaces it. So this also counts for copies that received
-    // an announcement of it since it was loaded from disk.
+    // The end is inferred from another target at its address and not from the disk. With the mark
+    // `isRemembered`, copies that received an announcement of this lifetime would ignore it.
     this.replaceRecord(entry, { ...entry.record, isPresumed: true, isRemembered: undefined });
     entry.contradictedAt = 0;
     return entry.record;
--- a/packages/domain/src/replication/__tests__/replica.test.ts
+++ b/packages/domain/src/replication/__tests__/replica.test.ts
@@ -26,7 +26,7 @@
   const last = simulation.propose();
   simulation.heal(500);
   const isAccepted = simulation.acknowledged.has(last);
-  return isAccepted ? undefined : { seed, problem: 'no command taken after everything healed' };
+  return isAccepted ? undefined : { seed, problem: 'no command accepted after all faults ended' };
 }
 
 const EAGER_RESTART = { min: 150, max: 200, again: { min: 40, max: 60 } };
