--- a/packages/domain/src/settings/__tests__/settings.test.ts
+++ b/packages/domain/src/settings/__tests__/settings.test.ts
@@ -46,14 +46,14 @@
           const content = JSON.stringify([subtree, basedOn, text]);
           const earlier = answers.get(request.id);
           const revision = revisions.get(subtree) ?? 0;
-          const fresh = basedOn === revision ? 'accepted' : 'conflict';
+          const decision = basedOn === revision ? 'accepted' : 'conflict';
           const replayed = earlier?.content === content ? earlier.kind : 'reused';
-          const expected = earlier === undefined ? fresh : replayed;
+          const expected = earlier === undefined ? decision : replayed;
           if (restore) tested = tree.Tree.restore(structuredClone(tested.snapshot()));
           expect(tested.apply(request, index + 1).answer.kind).to.equal(expected);
           if (earlier !== undefined) return;
-          answers.set(request.id, { content, kind: fresh });
-          if (fresh === 'accepted') revisions.set(subtree, revision + 1);
+          answers.set(request.id, { content, kind: decision });
+          if (decision === 'accepted') revisions.set(subtree, revision + 1);
         });
       }),
       { seed: 5, numRuns: 1_000 },
--- a/packages/domain/src/shared/__tests__/random.test.ts
+++ b/packages/domain/src/shared/__tests__/random.test.ts
@@ -7,11 +7,11 @@
 const SEEDS = 200;
 
 /** Counts how many draws for neighbouring and distant seeds fall into each tenth of [0, 1). */
-function countByTenth(of: (seed: number) => number): number[] {
+function countByTenth(draw: (seed: number) => number): number[] {
   const counts = new Array<number>(10).fill(0);
   for (let i = 0; i < SEEDS; i++) {
     const seed = i % 2 === 0 ? i : Math.imul(i, 2_654_435_761) >>> 1;
-    counts[Math.floor(of(seed) * 10)] += 1;
+    counts[Math.floor(draw(seed) * 10)] += 1;
   }
   return counts;
 }
@@ -29,9 +29,9 @@
   });
 
   it('differs in the distance between the draws of neighbouring seeds', () => {
-    const apart = countByTenth((seed) => {
+    const distances = countByTenth((seed) => {
       return Math.abs(random.independent(seed).uniform() - random.independent(seed + 1).uniform());
     });
-    expect(apart[0]).to.be.lessThan(60);
+    expect(distances[0]).to.be.lessThan(60);
   });
 });
