--- a/packages/check/src/models/registryModel.ts
+++ b/packages/check/src/models/registryModel.ts
@@ -200,10 +200,11 @@
 
 function invariantViolation({ registries, departures }: State): string | undefined {
   const problems = registries.map((registry, i) => {
-    const used = inUse(registry);
-    if (used.length > 1) return `copy ${i} has ${used.map(nameOf).join(' and ')} in use`;
+    const recordsInUse = inUse(registry);
+    if (recordsInUse.length > 1)
+      return `copy ${i} has ${recordsInUse.map(nameOf).join(' and ')} in use`;
     const departed = departures.filter(({ knownBy }) => knownBy.has(i));
-    const returned = used.find((record) =>
+    const returned = recordsInUse.find((record) =>
       departed.some(({ lifetime }) => isSameLifetime(lifetime, record)),
     );
     return returned && `copy ${i} has ${nameOf(returned)} in use, which has departed`;
--- a/packages/domain/src/control/__tests__/view.test.ts
+++ b/packages/domain/src/control/__tests__/view.test.ts
@@ -64,9 +64,11 @@
             const deltas = upstream.since(follower.index) as state.Delta[];
             if (i % 3 > 0) follower.advance(deltas, upstream.index);
             else {
-              const own = follower.digest(hash).buckets;
+              const ownBuckets = follower.digest(hash).buckets;
               const differing = new Set(
-                upstream.digest(hash).buckets.flatMap((sum, b) => (sum === own[b] ? [] : [b])),
+                upstream
+                  .digest(hash)
+                  .buckets.flatMap((sum, b) => (sum === ownBuckets[b] ? [] : [b])),
               );
               const items = upstream.itemsIn(hash, differing);
               const kept = new Set(items.map(({ key }) => key));
--- a/packages/domain/src/membership/__tests__/membership.test.ts
+++ b/packages/domain/src/membership/__tests__/membership.test.ts
@@ -51,18 +51,18 @@
     const peer = new detector.Detector(member('peer'), random.seeded(2));
     self.merge(member('peer'), 0);
     self.merge(member('other'), 0);
-    const seen: string[] = [];
+    const statuses: string[] = [];
     for (let round = 0; round < 3; round++) {
       const [suspected] = self.suspect('peer', round * 1_000);
-      seen.push(self.get('peer')?.status ?? '');
+      statuses.push(self.get('peer')?.status ?? '');
       const [refuted] = peer.merge(suspected, round * 1_000);
       self.merge(refuted, round * 1_000 + 500);
-      seen.push(self.get('peer')?.status ?? '');
+      statuses.push(self.get('peer')?.status ?? '');
     }
     self.suspect('peer', 10_000);
     self.expire(14_000);
-    seen.push(self.get('peer')?.status ?? '', self.get('other')?.status ?? '');
-    expect(seen.join(' ')).to.equal('suspect alive suspect alive suspect alive dead alive');
+    statuses.push(self.get('peer')?.status ?? '', self.get('other')?.status ?? '');
+    expect(statuses.join(' ')).to.equal('suspect alive suspect alive suspect alive dead alive');
   });
 });
 
--- a/packages/domain/src/membership/gossip.ts
+++ b/packages/domain/src/membership/gossip.ts
@@ -72,11 +72,11 @@
     const start = this.acknowledgedUpTo.get(peer) ?? 0;
     const records: R[] = [];
     let upTo = start;
-    for (const each of this.queued.values()) {
-      if (each.number <= start) continue;
+    for (const queued of this.queued.values()) {
+      if (queued.number <= start) continue;
       if (records.length >= limit) break;
-      upTo = each.number;
-      if (each.from !== peer) records.push(each.record);
+      upTo = queued.number;
+      if (queued.from !== peer) records.push(queued.record);
     }
     return { records, upTo };
   }
--- a/packages/domain/src/memory/leasedResources.ts
+++ b/packages/domain/src/memory/leasedResources.ts
@@ -104,10 +104,10 @@
 
   /** Releases to send now; each is repeated with exponential backoff until confirmed. */
   dueReleases(now: number): { target: string; id: string; kind: Kind }[] {
-    const ready = [...this.resources.values()].filter(
+    const due = [...this.resources.values()].filter(
       (entry) => entry.state === 'releasing' && entry.retryAt <= now,
     );
-    return ready.map((entry) => {
+    return due.map((entry) => {
       entry.tries += 1;
       entry.retryAt = now + Math.min(MAX_RELEASE_RETRY_MS, RELEASE_RETRY_MS * 2 ** entry.tries);
       return { target: entry.target, id: entry.id, kind: entry.kind };
--- a/packages/domain/src/quarantine/__tests__/quarantine.test.ts
+++ b/packages/domain/src/quarantine/__tests__/quarantine.test.ts
@@ -24,11 +24,11 @@
 describe('quarantine', () => {
   it('begins with the third crashed lifetime, however often each crash is reported', () => {
     const tested = new quarantine.Quarantine();
-    const seen = ['t0', 't0', 't1', 't1', 't2'].map((id) => {
+    const standings = ['t0', 't0', 't1', 't1', 't2'].map((id) => {
       tested.reportCrash(CULPRIT, keyOf(id), { sentAt: 0, isTrial: true }, 0);
       return tested.standing(CULPRIT);
     });
-    expect(seen.join(' ')).to.equal('suspected suspected suspected suspected quarantined');
+    expect(standings.join(' ')).to.equal('suspected suspected suspected suspected quarantined');
     expect([tested.mayHaveSuspect(9), tested.mayHaveSuspect(8)]).to.deep.equal([true, false]);
   });
 
@@ -94,11 +94,11 @@
     const tested = afterCrashes(1);
     const target = { id: 't0', bornAt: 1 };
     tested.completed(CULPRIT);
-    const seen = [7, 8].map((sequence) => {
+    const hasCrashed = [7, 8].map((sequence) => {
       tested.applyAnnouncement(target, sequence);
       return tested.hasCrashed(target);
     });
-    expect(seen).to.deep.equal([true, false]);
+    expect(hasCrashed).to.deep.equal([true, false]);
   });
 
   it('ends when the request completes', () => {
--- a/packages/domain/src/registry/__tests__/registry.test.ts
+++ b/packages/domain/src/registry/__tests__/registry.test.ts
@@ -174,9 +174,9 @@
   it('ignores late reports of a former lifetime', () => {
     const tested = new registry.Registry();
     tested.announce(announcement('a', { bornAt: 200 }), 0);
-    const late = announcement('a', { bornAt: 100, state: 'draining', sequence: 9 });
-    expect(tested.announce(late, 10)).to.deep.equal([]);
-    expect(tested.merge([{ ...late, state: 'gone' }], 20)).to.deep.equal([]);
+    const lateReport = announcement('a', { bornAt: 100, state: 'draining', sequence: 9 });
+    expect(tested.announce(lateReport, 10)).to.deep.equal([]);
+    expect(tested.merge([{ ...lateReport, state: 'gone' }], 20)).to.deep.equal([]);
     expect(tested.depart('a', 30, 100)).to.deep.equal([]);
     expect(states(tested)).to.deep.equal({ a: 'ready' });
     tested.depart('a', 40, 200);
--- a/packages/domain/src/registry/registry.ts
+++ b/packages/domain/src/registry/registry.ts
@@ -314,8 +314,8 @@
    * against the new one.
    */
   private restart(entry: Entry, announcement: Announcement, now: number): Announcement[] {
-    const ended = entry.record.state === 'gone' ? [] : [this.markGone(entry, now)];
-    return [...ended, ...this.addLifetime(announcement, now)];
+    const goneRecords = entry.record.state === 'gone' ? [] : [this.markGone(entry, now)];
+    return [...goneRecords, ...this.addLifetime(announcement, now)];
   }
 
   private update(entry: Entry, announcement: Announcement, now: number): Announcement[] {
@@ -348,9 +348,9 @@
    * target. A late announcement of the dead one finds its lifetime gone.
    */
   private addLifetime(announcement: Announcement, now: number): Announcement[] {
-    const ended = this.presumeDead(announcement.address, now);
+    const goneRecords = this.presumeDead(announcement.address, now);
     this.store(announcement, now);
-    return [...ended, announcement];
+    return [...goneRecords, announcement];
   }
 
   private presumeDead(address: string, now: number): Announcement[] {
--- a/packages/domain/src/replication/__tests__/replica.test.ts
+++ b/packages/domain/src/replication/__tests__/replica.test.ts
@@ -164,12 +164,12 @@
       loss: 0,
     });
     simulation.heal(3_000);
-    const old = simulation.leader()?.id ?? '';
-    simulation.isolate(old);
+    const formerLeader = simulation.leader()?.id ?? '';
+    simulation.isolate(formerLeader);
     simulation.advance(3_000);
-    const isolated = simulation.nodes.get(old)?.replica;
+    const isolated = simulation.nodes.get(formerLeader)?.replica;
     expect(isolated?.state).to.not.equal('leader');
-    expect(simulation.leader()?.id).to.not.equal(old);
+    expect(simulation.leader()?.id).to.not.equal(formerLeader);
     simulation.propose();
     simulation.heal(3_000);
     simulation.propose();
--- a/packages/domain/src/target/keeper.ts
+++ b/packages/domain/src/target/keeper.ts
@@ -70,9 +70,9 @@
 
   /** Removes expired leases; returns their targets as `gone` with the last received sequence. */
   expire(now: number): target.Target[] {
-    const silent = [...this.leases.values()].filter(({ heardAt }) => now - heardAt > this.leaseMs);
-    silent.forEach(({ announced }) => this.leases.delete(announced.name));
-    return silent.map(({ announced }) => ({ ...announced, status: 'gone' }));
+    const expired = [...this.leases.values()].filter(({ heardAt }) => now - heardAt > this.leaseMs);
+    expired.forEach(({ announced }) => this.leases.delete(announced.name));
+    return expired.map(({ announced }) => ({ ...announced, status: 'gone' }));
   }
 
   get size(): number {
