--- a/packages/domain/src/quarantine/__tests__/quarantine.test.ts
+++ b/packages/domain/src/quarantine/__tests__/quarantine.test.ts
@@ -24,18 +24,18 @@
 describe('quarantine', () => {
   it('begins with the third crashed lifetime, however often each crash is reported', () => {
     const tested = new quarantine.Quarantine();
-    const seen = ['t0', 't0', 't1', 't1', 't2'].map((id) => {
+    const standings = ['t0', 't0', 't1', 't1', 't2'].map((id) => {
       tested.reportCrash(CULPRIT, keyOf(id), { sentAt: 0, isTrial: true }, 0);
       return tested.standing(CULPRIT);
     });
-    expect(seen.join(' ')).to.equal('suspected suspected suspected suspected quarantined');
+    expect(standings.join(' ')).to.equal('suspected suspected suspected suspected quarantined');
     expect([tested.mayHaveSuspect(9), tested.mayHaveSuspect(8)]).to.deep.equal([true, false]);
   });
 
   /*
-   * Guards against all lookups being refused after a single crash: a crashed target stays announced
-   * as ready for two seconds, and each request that met its broken connections in that time had the
-   * crash counted against it.
+   * Guards against all requests being refused after a single crash: a crashed target stays
+   * announced as ready for two seconds, and each request that met its broken connections in that
+   * time had the crash counted against it and was quarantined after the third one.
    */
   it("doesn't count a crash against requests that were sent after it", () => {
     const tested = afterCrashes(1);
@@ -87,17 +87,18 @@
   /*
    * Guards against targets that count as crashed for good: frozen targets were reported as crashed
    * and announced themselves again only after the suspicion was cleared, and nothing recorded that
-   * they were alive. All requests for them were refused as "a copy runs".
+   * they were alive. All requests were refused for as long as the fleet ran, as if a copy of each
+   * were running.
    */
   it('takes targets that announce themselves again for alive without any suspect left', () => {
     const tested = afterCrashes(1);
     const target = { id: 't0', bornAt: 1 };
     tested.completed(CULPRIT);
-    const seen = [7, 8].map((sequence) => {
+    const hasCrashed = [7, 8].map((sequence) => {
       tested.applyAnnouncement(target, sequence);
       return tested.hasCrashed(target);
     });
-    expect(seen).to.deep.equal([true, false]);
+    expect(hasCrashed).to.deep.equal([true, false]);
   });
 
   it('ends when the request completes', () => {
@@ -294,16 +295,18 @@
   it('releases a request as doubtful until three targets crashed well after its third crash', () => {
     const tested = new quarantine.Quarantine();
     const both = [CULPRIT, BYSTANDER];
-    const ends: number[] = [];
+    const crashTimes: number[] = [];
     for (let at = 0; at < 110_000; at += 100) {
       tested.tick(at);
       if (both.every((content) => tested.standing(content) !== 'quarantined')) {
-        const run = { sentAt: at, isTrial: ends.length > 0 };
-        both.forEach((content) => tested.reportCrash(content, keyOf(`t${ends.length}`), run, at));
-        ends.push(at);
+        const run = { sentAt: at, isTrial: crashTimes.length > 0 };
+        both.forEach((content) =>
+          tested.reportCrash(content, keyOf(`t${crashTimes.length}`), run, at),
+        );
+        crashTimes.push(at);
       }
     }
-    expect(ends.filter((at) => at > ends[2] + 3_000).length).to.equal(3);
+    expect(crashTimes.filter((at) => at > crashTimes[2] + 3_000).length).to.equal(3);
   });
 
   /**
--- a/packages/domain/src/registry/__tests__/registry.test.ts
+++ b/packages/domain/src/registry/__tests__/registry.test.ts
@@ -110,7 +110,7 @@
     expect(states(tested)).to.deep.equal({ live: 'ready', dead: 'gone' });
   });
 
-  it('ends no known target for a record from a copy', () => {
+  it('keeps a target that announced itself when a copy reports another one at its address', () => {
     const tested = new registry.Registry();
     tested.announce(announcement('live'), 0);
     expect(tested.merge([announcement('dead')], 10)).to.deep.equal([]);
@@ -155,7 +155,7 @@
 
   /*
    * Guards against dispatches of the former lifetime that count against the new one: a copy that
-   * only sees the target ready before and after must be told of the end in between.
+   * only sees the target ready before and after must receive the end in between.
    */
   it('ends the former lifetime when a target restarts unnoticed, here and in copies', () => {
     const tested = new registry.Registry();
@@ -174,9 +174,9 @@
   it('ignores late reports of a former lifetime', () => {
     const tested = new registry.Registry();
     tested.announce(announcement('a', { bornAt: 200 }), 0);
-    const late = announcement('a', { bornAt: 100, state: 'draining', sequence: 9 });
-    expect(tested.announce(late, 10)).to.deep.equal([]);
-    expect(tested.merge([{ ...late, state: 'gone' }], 20)).to.deep.equal([]);
+    const lateReport = announcement('a', { bornAt: 100, state: 'draining', sequence: 9 });
+    expect(tested.announce(lateReport, 10)).to.deep.equal([]);
+    expect(tested.merge([{ ...lateReport, state: 'gone' }], 20)).to.deep.equal([]);
     expect(tested.depart('a', 30, 100)).to.deep.equal([]);
     expect(states(tested)).to.deep.equal({ a: 'ready' });
     tested.depart('a', 40, 200);
