--- a/packages/daemon/src/control/controlPlane.ts
+++ b/packages/daemon/src/control/controlPlane.ts
@@ -45,7 +45,7 @@
 
 const FRESHNESS_EXCHANGE_INTERVAL_MS = 500;
 
-/** Daemons queried at once for their index while this one has no lease. */
+/** Maximum number of daemons queried at once for their index while this one has no lease. */
 const EXCHANGE_FANOUT = 16;
 
 export class ControlPlane {
--- a/packages/daemon/src/control/logServer.ts
+++ b/packages/daemon/src/control/logServer.ts
@@ -28,7 +28,7 @@
 /**
  * Whether a command must not be accepted without a majority: commands that a daemon with stale settings
  * would violate, and commands that change the set of registered daemons from which the majority is counted.
- * Notes and new addresses of registered daemons do neither.
+ * Audit notes (`note`) and new addresses of registered daemons do neither.
  */
 function needsMajority(command: Command, registered: ReadonlyMap<string, unknown>): boolean {
   if (command.kind === 'note') return false;
--- a/packages/daemon/src/replicas/logHost.ts
+++ b/packages/daemon/src/replicas/logHost.ts
@@ -52,9 +52,9 @@
 const RECOVERY_RETRY_MS = 250;
 
 /**
- * Urgent leadership checks within this time share one round of the quorum, milliseconds. When a whole fleet
- * restarts, each of two hundred entries asks within a few tenths of a second, and one round answers them as
- * well as two hundred would.
+ * Urgent leadership checks within this time share one round of the quorum, milliseconds. After a power loss of
+ * the whole fleet, each of two hundred entry processes requests one within a few tenths of a second, and one round
+ * answers them as well as two hundred would.
  */
 const QUORUM_CHECK_BATCH_MS = 10;
 
--- a/packages/daemon/src/rpc/peerClient.ts
+++ b/packages/daemon/src/rpc/peerClient.ts
@@ -155,7 +155,7 @@
     if (fresh) this.drop(address, 'replaced');
     const connection = this.connection(address);
     if (connection === undefined) {
-      return Err({ kind: 'unreachable', address, method, detail: 'path cut' });
+      return Err({ kind: 'unreachable', address, method, detail: 'address is blocked' });
     }
     let timer: NodeJS.Timeout | undefined;
     const timeout = new Promise<Result<T, errors.CallError>>((resolve) => {
@@ -207,7 +207,7 @@
 
   private connection(address: string): Connection | undefined {
     if (this.blockedAddresses.has(address)) {
-      this.drop(address, 'path cut');
+      this.drop(address, 'address is blocked');
       return undefined;
     }
     const existing = this.connections.get(address);
--- a/packages/measure/src/demo.ts
+++ b/packages/measure/src/demo.ts
@@ -92,7 +92,7 @@
   return results;
 }
 
-/** Sends the same hold through each daemon; the service must run it once. */
+/** Sends the same parts hold (a run-once service call) through each daemon; the service must run it once. */
 async function resendHold(target: fleet.Fleet): Promise<{ runs: number; replayed: number }> {
   const responses: client.ServiceResponse[] = [];
   for (const entry of target.entryUrls) {
--- a/packages/measure/src/settings/settings.ts
+++ b/packages/measure/src/settings/settings.ts
@@ -161,7 +161,7 @@
   const takeoverMs = performance.now() - since;
   await waitUntilInForce(target, next.index, entry);
   const inForceMs = performance.now() - since;
-  // The new leader must response a resent change from before the takeover as the former leader did.
+  // The new leader must answer a resent change from before the takeover as the former leader did.
   const resent = await putUntilAnswered(target, 'taken', 'taken-0', 0, entry);
   const acceptedTwice = resent.index === first.index ? 0 : 1;
   target.startDaemon(name);
--- a/packages/soak/src/observations.ts
+++ b/packages/soak/src/observations.ts
@@ -126,16 +126,24 @@
 /** Observations at the start of a run. */
 export function empty() {
   return {
+    /** Requests of ordinary callers. */
     asked: [] as RequestRecord[],
     probes: [] as Probe[],
+    /** Requests of callers whose requests crash targets. */
     crashers: [] as CrashingRequest[],
     crashed: [] as TargetCrash[],
+    /** Requests that targets ran. */
     ran: [] as Execution[],
+    /** Messages that targets received. */
     got: [] as TargetExchange[],
+    /** Responses in which a target reported its rate limit. */
     told: [] as TargetExchange[],
+    /** Responses in which a target reported that it is draining. */
     saidLeaving: [] as TargetExchange[],
+    /** Responses in which a target rejected a request and requested back-off. */
     turnedAway: [] as TargetExchange[],
     limited: [] as LimitWindow[],
+    /** Documents that the operator submitted. */
     sent: [] as SubmittedDocument[],
     revoked: [] as RevokedKey[],
     drained: [] as DrainedTarget[],
--- a/packages/standins/src/engine/engineModel.ts
+++ b/packages/standins/src/engine/engineModel.ts
@@ -1,7 +1,7 @@
 /**
  * Simulates one engine: continuous batching in engine steps, chunked prefill by priority, KV memory
- * and a prefix cache. It has no clock: `begin` returns the duration of the next step and `finish`
- * applies the step, so the same code runs under a virtual clock and behind HTTP.
+ * and a prefix cache. It has no clock: `beginStep` returns the duration of the next step and
+ * `finishStep` applies it, so the same code runs under a virtual clock and behind HTTP.
  */
 import * as parameters from './parameters';
 import * as prefixCache from './prefixCache';
--- a/packages/standins/src/service/plainService.ts
+++ b/packages/standins/src/service/plainService.ts
@@ -1,5 +1,5 @@
 /**
- * Stand-in for a plain service: POST requests create entries and count how often each id ran, so that
+ * Stand-in for a plain service: POST requests create records and count how often each id ran, so that
  * tests detect duplicate runs; all other requests are lookups, which may be repeated.
  */
 import * as announcer from '../announcer';
@@ -19,7 +19,7 @@
 }
 
 export class PlainService {
-  /** Number of runs by entry id. */
+  /** Number of runs by record id. */
   readonly runCounts = new Map<string, number>();
 
   private readonly incarnation = Date.now();
