--- a/packages/cli/src/fleetCommands.ts
+++ b/packages/cli/src/fleetCommands.ts
@@ -49,10 +49,10 @@
     ['', ''],
     Object.entries(fields).map(([key, value]) => [key, String(value)]),
   );
-  const known = (daemons ?? []) as domain.membership.daemon.Daemon[];
+  const fleetDaemons = (daemons ?? []) as domain.membership.daemon.Daemon[];
   output.table(
     ['daemon', 'data centre', 'status', 'incarnation'],
-    known.map(({ id, dataCentre, status, incarnation }) => {
+    fleetDaemons.map(({ id, dataCentre, status, incarnation }) => {
       return [id, dataCentre, status, String(incarnation)];
     }),
   );
--- a/packages/cli/src/settingsCommands.ts
+++ b/packages/cli/src/settingsCommands.ts
@@ -169,15 +169,15 @@
 async function resolveBaseRevision(
   client: operatorsClient.OperatorsClient,
   name: string,
-  given: string | undefined,
+  basedOn: string | undefined,
 ): Promise<Result<number, errors.CommandError>> {
-  if (given === undefined) {
+  if (basedOn === undefined) {
     const current = await fetchSubtree(client, name);
     return current.map((subtree) => subtree?.revision ?? NO_REVISION);
   }
-  const revision = Number(given);
+  const revision = Number(basedOn);
   if (Number.isInteger(revision) && revision >= 0) return Ok(revision);
-  return Err({ kind: 'usage', message: `--based-on "${given}": expected a revision number` });
+  return Err({ kind: 'usage', message: `--based-on "${basedOn}": expected a revision number` });
 }
 
 /** Resends the change with the same id while it is unknown whether it took effect. */
@@ -217,13 +217,14 @@
 export async function history(
   client: operatorsClient.OperatorsClient,
   limit: string,
-  only: string | undefined,
+  actionFilter: string | undefined,
   asJson: boolean,
 ): CommandOutcome {
   const response = await client.get(`audit?limit=${encodeURIComponent(limit)}`);
   if (response.err) return response;
   const records = response.val as domain.control.state.AuditEntry[];
-  const entries = only === undefined ? records : records.filter(({ action }) => action === only);
+  const entries =
+    actionFilter === undefined ? records : records.filter(({ action }) => action === actionFilter);
   if (asJson) output.json(entries);
   else {
     const rows = entries.map(({ index, at, author, address, action, subject, detail }) => {
--- a/packages/daemon/src/control/contacts.ts
+++ b/packages/daemon/src/control/contacts.ts
@@ -31,28 +31,32 @@
 
   update(contacts: readonly Contact[], now: number): void {
     contacts.forEach(({ id, index, ageMs }) => {
-      const known = this.records.get(id);
+      const previous = this.records.get(id);
       const at = now - ageMs;
-      if (known !== undefined && known.at >= at && known.index >= index) return;
-      const newest = Math.max(index, known?.index ?? 0);
-      this.records.set(id, { index: newest, at: Math.max(at, known?.at ?? 0), isForwarded: false });
+      if (previous !== undefined && previous.at >= at && previous.index >= index) return;
+      const newest = Math.max(index, previous?.index ?? 0);
+      this.records.set(id, {
+        index: newest,
+        at: Math.max(at, previous?.at ?? 0),
+        isForwarded: false,
+      });
     });
   }
 
   /** Contacts that have not been sent upstream yet; marks them as sent. */
   takeUnsent(now: number): Contact[] {
     const unsent = [...this.records].filter(([, { isForwarded }]) => !isForwarded);
-    return unsent.map(([id, entry]) => {
-      entry.isForwarded = true;
-      return { id, index: entry.index, ageMs: now - entry.at };
+    return unsent.map(([id, record]) => {
+      record.isForwarded = true;
+      return { id, index: record.index, ageMs: now - record.at };
     });
   }
 
   /** Marks contacts for another attempt after sending them failed. */
   markUnsent(contacts: readonly Contact[]): void {
     contacts.forEach(({ id }) => {
-      const entry = this.records.get(id);
-      if (entry !== undefined) entry.isForwarded = false;
+      const record = this.records.get(id);
+      if (record !== undefined) record.isForwarded = false;
     });
   }
 
--- a/packages/daemon/src/control/controlPlane.ts
+++ b/packages/daemon/src/control/controlPlane.ts
@@ -292,12 +292,12 @@
     return followed;
   }
 
-  private handleQuery(question: query.Query): query.QueryResponse {
+  private handleQuery(request: query.Query): query.QueryResponse {
     const { host } = this;
     if (host === undefined) return { kind: 'notLeader', leader: '' };
     const { now } = this.options;
     return new query.QueryServer(host, this.machine, this.contacts, this.stops, now).answer(
-      question,
+      request,
     );
   }
 
@@ -328,12 +328,14 @@
 
   private replicaAddresses(): string[] {
     const { seeds } = this.options.configuration;
-    const known = [...this.view.daemons.values()].filter(({ replica }) => replica !== '');
+    const registeredReplicas = [...this.view.daemons.values()].filter(
+      ({ replica }) => replica !== '',
+    );
     const members = this.host?.replica.members ?? [];
     const all = [
       this.leaderAddress(),
       ...members.map(({ address }) => address),
-      ...known.map(({ address }) => address),
+      ...registeredReplicas.map(({ address }) => address),
       ...seeds,
     ];
     return [...new Set(all)].filter((address) => address !== '');
--- a/packages/daemon/src/control/query.ts
+++ b/packages/daemon/src/control/query.ts
@@ -37,19 +37,19 @@
     private readonly now: () => number,
   ) {}
 
-  answer(question: Query): QueryResponse {
+  answer(request: Query): QueryResponse {
     if (!this.host.hasFreshState()) {
       return { kind: 'notLeader', leader: this.host.leaderAddress };
     }
-    return { kind: 'answer', content: this.resultOf(question) };
+    return { kind: 'answer', content: this.resultOf(request) };
   }
 
-  private resultOf(question: Query): unknown {
+  private resultOf(request: Query): unknown {
     const { state } = this.machine;
-    if (question.kind === 'subtree') return state.tree.get(question.name) ?? null;
-    if (question.kind === 'subtrees') return state.tree.list();
-    if (question.kind === 'audit') return state.history(question.limit);
-    if (question.kind === 'inForce') return this.inForce(question.index);
+    if (request.kind === 'subtree') return state.tree.get(request.name) ?? null;
+    if (request.kind === 'subtrees') return state.tree.list();
+    if (request.kind === 'audit') return state.history(request.limit);
+    if (request.kind === 'inForce') return this.inForce(request.index);
     return this.stops.report([...state.stops.values()]);
   }
 
@@ -75,7 +75,7 @@
     private readonly replicas: () => string[],
   ) {}
 
-  async send(question: Query): Promise<Result<unknown, errors.ControlError>> {
+  async send(request: Query): Promise<Result<unknown, errors.ControlError>> {
     let leader = '';
     for (let round = 0; round < MAX_ROUNDS; round++) {
       const replicas = this.replicas();
@@ -83,7 +83,7 @@
         leader === '' ? replicas : [leader, ...replicas.filter((a) => a !== leader)];
       for (const address of candidates) {
         const call = { timeoutMs: 1_000 };
-        const response = await this.client.call<QueryResponse>(address, 'query', question, call);
+        const response = await this.client.call<QueryResponse>(address, 'query', request, call);
         if (response.ok && response.val.kind === 'answer') return Ok(response.val.content);
         leader = response.ok ? (response.val as { leader: string }).leader : '';
         if (leader !== '' && leader !== address) break;
--- a/packages/daemon/src/control/stopProgress.ts
+++ b/packages/daemon/src/control/stopProgress.ts
@@ -5,7 +5,7 @@
 import * as domain from '@celerydrift/domain';
 
 type Stop = domain.stop.stop.Stop;
-type Remainder = domain.stop.stop.RunningCount;
+type RunningCount = domain.stop.stop.RunningCount;
 
 export interface StopReport extends Stop {
   progress: domain.stop.stop.Progress;
@@ -19,14 +19,14 @@
 const MAX_REPORT_AGE_MS = 5_000;
 
 export class StopProgress {
-  private readonly reports = new Map<string, { remainders: Remainder[]; at: number }>();
+  private readonly reports = new Map<string, { remainders: RunningCount[]; at: number }>();
 
   constructor(
     private readonly liveDaemons: () => string[],
     private readonly now: () => number,
   ) {}
 
-  update(daemon: string, remainders: Remainder[]): void {
+  update(daemon: string, remainders: RunningCount[]): void {
     this.reports.set(daemon, { remainders, at: this.now() });
   }
 
@@ -39,7 +39,7 @@
         .map(([daemon, { remainders }]) => [daemon, remainders]),
     );
     return stops.map((stop) => {
-      const remainderOf = (daemon: string): Remainder | undefined =>
+      const remainderOf = (daemon: string): RunningCount | undefined =>
         recent.get(daemon)?.find((remainder) => remainder.stop === stop.id);
       const running = daemons.reduce((sum, id) => sum + (remainderOf(id)?.running ?? 0), 0);
       const waitingFor = daemons.filter((id) => remainderOf(id)?.running !== 0);
--- a/packages/daemon/src/membership/members.ts
+++ b/packages/daemon/src/membership/members.ts
@@ -259,8 +259,8 @@
   }
 
   private mergeExchange({ from, records }: GossipExchange): void {
-    const known = this.detector.get(from.id);
-    const hasRestarted = known !== undefined && known.incarnation < from.incarnation;
+    const previous = this.detector.get(from.id);
+    const hasRestarted = previous !== undefined && previous.incarnation < from.incarnation;
     if (hasRestarted) {
       this.board.resetPeer(from.id);
       this.contacted.delete(from.id);
--- a/packages/daemon/src/membership/workloadAnnouncer.ts
+++ b/packages/daemon/src/membership/workloadAnnouncer.ts
@@ -51,8 +51,8 @@
   }
 
   private isStale({ daemon, incarnation, version }: gossipRecords.Workload): boolean {
-    const known = this.versions.get(daemon);
-    if (known === undefined || incarnation > known.incarnation) return false;
-    return incarnation < known.incarnation || version <= known.version;
+    const newest = this.versions.get(daemon);
+    if (newest === undefined || incarnation > newest.incarnation) return false;
+    return incarnation < newest.incarnation || version <= newest.version;
   }
 }
--- a/packages/daemon/src/replicas/replicaSet.ts
+++ b/packages/daemon/src/replicas/replicaSet.ts
@@ -62,8 +62,8 @@
   static async open(options: Options): Promise<Result<ReplicaSet, frames.CorruptFrame>> {
     const id = await identity.readOrCreate(options.folder);
     const set = new ReplicaSet(id, options);
-    for (const [log, state] of options.machines) {
-      const opened = await set.openLog(log, state);
+    for (const [log, machine] of options.machines) {
+      const opened = await set.openLog(log, machine);
       if (opened.err) return Err(opened.val);
     }
     return Ok(set);
--- a/packages/measure/src/decisions/__tests__/allocationSimulation.test.ts
+++ b/packages/measure/src/decisions/__tests__/allocationSimulation.test.ts
@@ -42,9 +42,9 @@
       const at = 250 * i;
       events.at(at, () => {
         const prefillMs = domain.allocation.cost.prefillMs(USUAL_WORKLOAD.engine, tokens, 6);
-        const reading = new domain.allocation.prefill.Prefill(`r${i}`, 1, 3_000, at);
-        reading.addPart(queue);
-        queue.add({ prefill: reading, isPart: true, leftMs: prefillMs }, at);
+        const promptPrefill = new domain.allocation.prefill.Prefill(`r${i}`, 1, 3_000, at);
+        promptPrefill.addPart(queue);
+        queue.add({ prefill: promptPrefill, isPart: true, leftMs: prefillMs }, at);
         engine.prefill(`r${i}`, tokens, 6, () => ends.push([i, events.now]));
       });
       events.at(749, () => undefined);
--- a/packages/measure/src/decisions/engine.ts
+++ b/packages/measure/src/decisions/engine.ts
@@ -30,7 +30,7 @@
 
   private decodes: Decode[] = [];
 
-  private isStepping = false;
+  private isPassRunning = false;
 
   /** An unresponsive engine runs no passes and reports nothing. */
   isUnresponsive = false;
@@ -86,9 +86,9 @@
   }
 
   private startPass(): void {
-    if (this.isStepping || this.isUnresponsive) return;
+    if (this.isPassRunning || this.isUnresponsive) return;
     if (this.prefillParts.length + this.wholePrefills.length + this.decodes.length === 0) return;
-    this.isStepping = true;
+    this.isPassRunning = true;
     const { chunkTokens, stepsPerPass } = this.parameters;
     const steps = this.decodes.length > 0 ? stepsPerPass : 1;
     const { prefillMs, done } = this.prefillUpTo(steps * chunkTokens);
@@ -122,7 +122,7 @@
   }
 
   private endPass(done: readonly Prefill[], decoding: readonly Decode[]): void {
-    this.isStepping = false;
+    this.isPassRunning = false;
     if (this.isUnresponsive) return;
     done.forEach(({ onPrefilled }) => onPrefilled());
     decoding.filter((decode) => this.decodes.includes(decode)).forEach((each) => this.emit(each));
--- a/packages/measure/src/faults/faults.ts
+++ b/packages/measure/src/faults/faults.ts
@@ -330,7 +330,7 @@
     await running;
     const { left, seconds } = await waitForNoLeases(target);
     const { content } = await target.callOperator<{ name: string }[]>('GET', 'subtrees');
-    const kept = content.filter(({ name }) => name.startsWith('probe-')).length;
+    const remaining = content.filter(({ name }) => name.startsWith('probe-')).length;
     const { hung, wrong, cut } = load.counts;
     return {
       hung,
@@ -338,7 +338,7 @@
       cut,
       ...(await checkCalls(target, load.calls)),
       holdingsLeft: left,
-      settingsLost: accepted - kept,
+      settingsLost: accepted - remaining,
       cutByPlannedStop: entryLostIn.get('plannedStopOfDaemon') ?? 0,
       newWorkAfterStop: plannedStop.newWork,
       safeToStopSeconds: plannedStop.seconds,
--- a/packages/measure/src/leader/leader.ts
+++ b/packages/measure/src/leader/leader.ts
@@ -156,15 +156,15 @@
 export async function run(quick: boolean, log: (line: string) => void): Promise<Result> {
   const engineCounts = quick ? QUICK_ENGINE_COUNTS : ENGINE_COUNTS;
   const costs = engineCounts.map((engines) => {
-    const each = measureCosts(engines, quick ? QUICK_DECISIONS : DECISIONS);
-    const placing = Object.entries(each.placing)
+    const measured = measureCosts(engines, quick ? QUICK_DECISIONS : DECISIONS);
+    const placing = Object.entries(measured.placing)
       .map(([name, { p50, p99 }]) => `${name} ${p50.toFixed(2)} / ${p99.toFixed(2)} ms`)
       .join(', ');
     log(
-      `${engines} engines: ${placing} (p50 / p99); first hundred ${each.firstHundredMs.toFixed(0)} ms; ` +
-        `averages ${each.averagesMs.toFixed(3)} ms; announcement ${each.announcementMs.toFixed(4)} ms`,
+      `${engines} engines: ${placing} (p50 / p99); first hundred ${measured.firstHundredMs.toFixed(0)} ms; ` +
+        `averages ${measured.averagesMs.toFixed(3)} ms; announcement ${measured.announcementMs.toFixed(4)} ms`,
     );
-    return each;
+    return measured;
   });
   const slopes = Object.fromEntries(
     KINDS.map(({ name }) => {
--- a/packages/measure/src/measure.ts
+++ b/packages/measure/src/measure.ts
@@ -36,8 +36,8 @@
 async function run(name: string, options: { quick?: boolean }): Promise<void> {
   const scenario = SCENARIOS[name];
   if (scenario === undefined) {
-    const known = Object.keys(SCENARIOS).join(', ');
-    process.stderr.write(`measure: unknown scenario "${name}"; expected one of ${known}\n`);
+    const names = Object.keys(SCENARIOS).join(', ');
+    process.stderr.write(`measure: unknown scenario "${name}"; expected one of ${names}\n`);
     process.exit(2);
   }
   const log: Log = (line) => {
--- a/packages/measure/src/state/state.ts
+++ b/packages/measure/src/state/state.ts
@@ -35,10 +35,10 @@
   return process.memoryUsage().heapUsed;
 }
 
-function measureBytes<T>(count: number, make: () => T): { bytes: number; made: T } {
+function measureBytes<T>(count: number, make: () => T): { bytes: number; value: T } {
   const before = usedHeapBytes();
-  const made = make();
-  return { bytes: (usedHeapBytes() - before) / count, made };
+  const value = make();
+  return { bytes: (usedHeapBytes() - before) / count, value };
 }
 
 function meanMs(action: () => unknown, times: number): number {
@@ -158,7 +158,7 @@
   const unchanged = [...view.subtrees.values()];
   const changed = unchanged.map((each, i) => (i === 0 ? { ...each, index: 1e6 } : each));
   const { Directory } = domain.settings.directory;
-  const formerDirectory = subtrees.made;
+  const formerDirectory = subtrees.value;
   const placedAt = (prefix: string, i: number): domain.routing.cell.Member => {
     return { id: `${prefix}${i}`, dataCentre: `dc-${i % 17}` };
   };
@@ -176,6 +176,6 @@
     directoryAfterChangeMs: meanMs(() => new Directory(changed, formerDirectory), 20),
     cellMs: meanMs(() => domain.routing.cell.cellOf(hash, self, fleet, engines), 20),
     placeMs: measurePlacementMs(hash),
-    snapshotMsPerThousandClaims: meanMs(() => claims.made.snapshot(), 5) / (CLAIMS / 1_000),
+    snapshotMsPerThousandClaims: meanMs(() => claims.value.snapshot(), 5) / (CLAIMS / 1_000),
   };
 }
--- a/packages/soak/src/checks.ts
+++ b/packages/soak/src/checks.ts
@@ -246,11 +246,11 @@
 }
 
 function revokedKeyRuns({ asked, ran, revoked }: Observations): Violation[] {
-  const all = new Set(ran.map(({ request }) => request));
+  const ranRequests = new Set(ran.map(({ request }) => request));
   return asked.flatMap(({ key, request, sentAt }) => {
     const revocation = revoked.find((each) => each.key === key);
     const isLate = revocation !== undefined && sentAt > revocation.ackedAt + layout.BOUNDS.revokeMs;
-    if (!isLate || !all.has(request)) return [];
+    if (!isLate || !ranRequests.has(request)) return [];
     return [{ promise: 'revokedKeyRan', detail: `${request} with ${key}` }];
   });
 }
@@ -297,14 +297,16 @@
       .filter((each) => each.body === body)
       .sort((a, b) => a.at - b.at);
     if (crashes.length < CRASHES_TO_QUARANTINE) return [];
-    const known = crashes[CRASHES_TO_QUARANTINE - 1].at + SETTLING_MS;
+    const quarantinedAt = crashes[CRASHES_TO_QUARANTINE - 1].at + SETTLING_MS;
     const copies = new Map(
       observed.crashers.filter((each) => each.body === body).map((each) => [each.request, each]),
     );
     const later = observed.ran.filter(({ request, at }) => {
       const copy = copies.get(request);
       return (
-        copy !== undefined && at > known && isUndisturbed(observed, copy.entry, copy.sentAt, at)
+        copy !== undefined &&
+        at > quarantinedAt &&
+        isUndisturbed(observed, copy.entry, copy.sentAt, at)
       );
     });
     if (later.length <= MAX_LATER_ARRIVALS) return [];
@@ -314,10 +316,10 @@
 }
 
 function falselyRefusedCrashers({ crashers, ran }: Observations): Violation[] {
-  const all = new Set(ran.map(({ request }) => request));
+  const ranRequests = new Set(ran.map(({ request }) => request));
   return crashers
     .filter(({ ending }) => ending.kind === 'answered' && NOT_RUN_STATUSES.has(ending.status))
-    .filter(({ request }) => all.has(request))
+    .filter(({ request }) => ranRequests.has(request))
     .map(({ request }) => ({
       promise: 'falseNotRun',
       detail: `${request} ran, crashed its target and was reported as not run`,
--- a/packages/soak/src/operator.ts
+++ b/packages/soak/src/operator.ts
@@ -204,26 +204,26 @@
     catalogue: Catalogue,
     label: string,
   ): Promise<observations.SubmittedDocument> {
-    const sent: observations.SubmittedDocument = {
+    const document: observations.SubmittedDocument = {
       version: catalogue.version,
       label,
       keys: (catalogue.organisations ?? []).flatMap(({ keys }) => keys),
       sentAt: Date.now(),
       ackedAt: undefined,
     };
-    this.observed.sent.push(sent);
+    this.observed.sent.push(document);
     const call = counterpart.submit(catalogue);
     const until = Date.now() + CALL_TIMEOUT_MS;
     while (Date.now() < until) {
       await this.submissionsResumed;
       const { status } = await controlClient.call(this.pickKeeper(), call);
       if (status === 200) {
-        sent.ackedAt = Date.now();
-        return sent;
+        document.ackedAt = Date.now();
+        return document;
       }
       await sleep(RETRY_INTERVAL_MS);
     }
-    return sent;
+    return document;
   }
 
   private pickKeeper(): string {
--- a/packages/soak/src/schedule.ts
+++ b/packages/soak/src/schedule.ts
@@ -218,9 +218,9 @@
 const ISOLATION_SECONDS = 10;
 
 function drawIsolation(seed: number, seconds: number, entries: number): IsolationSpan[] {
-  const about = { seconds, meanPause: MEAN_ISOLATION_INTERVAL_SECONDS };
+  const timing = { seconds, meanPause: MEAN_ISOLATION_INTERVAL_SECONDS };
   const minGap = ISOLATION_SECONDS;
-  return drawSpans({ seed: seed + ISOLATION_SEED_OFFSET, ...about, minGap }, (random, at) => ({
+  return drawSpans({ seed: seed + ISOLATION_SEED_OFFSET, ...timing, minGap }, (random, at) => ({
     at,
     forSeconds: ISOLATION_SECONDS,
     index: domain.shared.random.below(random, entries),
--- a/packages/soak/src/targetMain.ts
+++ b/packages/soak/src/targetMain.ts
@@ -215,8 +215,8 @@
     backOffSeconds?: number,
   ): void {
     const { socket } = request;
-    const about = { target: this.options.id, bornAt: this.bornAt, at: Date.now() };
-    printLine({ kind, ...about, source: socket.remoteAddress ?? '', backOffSeconds });
+    const exchange = { target: this.options.id, bornAt: this.bornAt, at: Date.now() };
+    printLine({ kind, ...exchange, source: socket.remoteAddress ?? '', backOffSeconds });
   }
 
   private crash(body: string): void {
@@ -284,8 +284,8 @@
     this.sequence += 1;
     const { id, service, address, dataCentre, slots } = this.options;
     const { state, sequence, bornAt } = this;
-    const about = { id, bornAt, service, address, dataCentre, slots };
-    return this.callKeepers(counterpart.announce({ ...about, state, sequence }));
+    const description = { id, bornAt, service, address, dataCentre, slots };
+    return this.callKeepers(counterpart.announce({ ...description, state, sequence }));
   }
 
   /** Sends a call to the keepers in turn until one acknowledges it. */
--- a/packages/standins/src/engine/engineModel.ts
+++ b/packages/standins/src/engine/engineModel.ts
@@ -90,12 +90,12 @@
 
   /** Cancels a queued or running request; false if it is unknown. */
   cancel(id: string, now: number): boolean {
-    const queued = this.queue.length;
+    const queuedBefore = this.queue.length;
     this.queue = this.queue.filter(({ job }) => job.id !== id);
     const running = this.running.find(({ job }) => job.id === id);
     if (running !== undefined) this.release(running);
     this.recordLoad(now);
-    return running !== undefined || this.queue.length < queued;
+    return running !== undefined || this.queue.length < queuedBefore;
   }
 
   stateOf(id: string): RequestState {
--- a/packages/standins/src/service/plainService.ts
+++ b/packages/standins/src/service/plainService.ts
@@ -77,7 +77,7 @@
     } else if (call.path === '/runs') {
       httpServer.sendJson(call, 200, Object.fromEntries(this.runCounts));
     } else if (call.method === 'POST') {
-      await this.createEntry(call);
+      await this.createRecord(call);
     } else {
       const { method, path, headers } = call;
       httpServer.sendJson(call, 200, {
@@ -88,7 +88,7 @@
     }
   }
 
-  private async createEntry(call: httpServer.Call): Promise<void> {
+  private async createRecord(call: httpServer.Call): Promise<void> {
     if (this.faultInjector.consume('refuse') !== undefined) {
       call.response.setHeader('x-not-run', 'true');
       httpServer.sendJson(call, 503, { error: 'not accepting requests', notRun: true });
--- a/testing/__tests__/knownRed.test.ts
+++ b/testing/__tests__/knownRed.test.ts
@@ -14,15 +14,15 @@
 }
 
 describe('known red tests', () => {
-  const known = knownRed.parseTitles('# comment\n\na loses b | npm test | seen | cause | 10\n');
+  const listed = knownRed.parseTitles('# comment\n\na loses b | npm test | seen | cause | 10\n');
 
   it('may fail, and nothing else may', () => {
-    expect(knownRed.findProblems(testRun(['x'], ['a loses b']), known)).to.deep.equal([]);
-    expect(knownRed.findProblems(testRun([], ['a loses b', 'x']), known)).toMatchSnapshot();
+    expect(knownRed.findProblems(testRun(['x'], ['a loses b']), listed)).to.deep.equal([]);
+    expect(knownRed.findProblems(testRun([], ['a loses b', 'x']), listed)).toMatchSnapshot();
   });
 
   it('fail the run when they pass or are gone', () => {
-    expect(knownRed.findProblems(testRun(['a loses b'], []), known)).toMatchSnapshot();
-    expect(knownRed.findProblems(testRun(['x'], []), known)).toMatchSnapshot();
+    expect(knownRed.findProblems(testRun(['a loses b'], []), listed)).toMatchSnapshot();
+    expect(knownRed.findProblems(testRun(['x'], []), listed)).toMatchSnapshot();
   });
 });
--- a/testing/knownRed.d.ts
+++ b/testing/knownRed.d.ts
@@ -5,5 +5,5 @@
 export function parseTitles(text: string): string[];
 export function findProblems(
   run: { passes: TestResult[]; failures: TestResult[] },
-  known: string[],
+  listed: string[],
 ): string[];
--- a/testing/knownRed.js
+++ b/testing/knownRed.js
@@ -16,12 +16,12 @@
 }
 
 /** One line for each deviation of a run from the list; empty if the run passes. */
-function findProblems({ passes, failures }, known) {
+function findProblems({ passes, failures }, listed) {
   const passed = new Set(passes.map(({ fullTitle }) => fullTitle));
   const failed = new Set(failures.map(({ fullTitle }) => fullTitle));
-  const unlisted = [...failed].filter((title) => !known.includes(title));
-  const passing = known.filter((title) => passed.has(title) && !failed.has(title));
-  const missing = known.filter((title) => !passed.has(title) && !failed.has(title));
+  const unlisted = [...failed].filter((title) => !listed.includes(title));
+  const passing = listed.filter((title) => passed.has(title) && !failed.has(title));
+  const missing = listed.filter((title) => !passed.has(title) && !failed.has(title));
   return [
     ...unlisted.map((title) => `failed: ${title}`),
     ...passing.map((title) => `listed as red, but passes: ${title}`),
@@ -31,14 +31,14 @@
 
 function main([report, list]) {
   const results = JSON.parse(fs.readFileSync(report, 'utf8'));
-  const known = fs.existsSync(list) ? parseTitles(fs.readFileSync(list, 'utf8')) : [];
-  known.forEach((title) => console.log(`known red: ${title}`));
+  const listed = fs.existsSync(list) ? parseTitles(fs.readFileSync(list, 'utf8')) : [];
+  listed.forEach((title) => console.log(`known red: ${title}`));
   results.failures.forEach(({ fullTitle, err }) => {
     console.log(`\n${fullTitle}\n${err.stack ?? err.message}`);
   });
-  const problems = findProblems(results, known);
+  const problems = findProblems(results, listed);
   problems.forEach((problem) => console.log(problem));
-  const unexpected = results.failures.length - known.length;
+  const unexpected = results.failures.length - listed.length;
   console.log(`${results.passes.length} passed, ${Math.max(problems.length, unexpected)} failed`);
   process.exitCode = problems.length === 0 && results.passes.length > 0 ? 0 : 1;
 }
