--- a/packages/daemon/src/membership/members.ts
+++ b/packages/daemon/src/membership/members.ts
@@ -48,7 +48,7 @@
 export class Members {
   readonly detector: domain.membership.detector.Detector;
 
-  private readonly board: domain.membership.gossip.GossipBuffer<gossipRecords.GossipRecord>;
+  private readonly gossipBuffer: domain.membership.gossip.GossipBuffer<gossipRecords.GossipRecord>;
 
   private timer: NodeJS.Timeout | undefined;
 
@@ -59,9 +59,9 @@
 
   constructor(private readonly options: Options) {
     const { self, random, hash } = options;
-    this.board = new domain.membership.gossip.GossipBuffer(hash);
+    this.gossipBuffer = new domain.membership.gossip.GossipBuffer(hash);
     this.detector = new domain.membership.detector.Detector(self, random);
-    this.board.put(`daemon/${self.id}`, { kind: 'daemon', daemon: self }, '');
+    this.gossipBuffer.put(`daemon/${self.id}`, { kind: 'daemon', daemon: self }, '');
   }
 
   start(server: peerServer.PeerServer): void {
@@ -102,7 +102,7 @@
   }
 
   private postFrom(record: gossipRecords.GossipRecord, from: string): void {
-    this.board.put(gossipRecords.keyOf(record), record, from, record.kind === 'work');
+    this.gossipBuffer.put(gossipRecords.keyOf(record), record, from, record.kind === 'work');
   }
 
   /**
@@ -229,8 +229,8 @@
   private async exchange(address: string, id: string, fresh: boolean): Promise<boolean> {
     // The first exchange sends only the checksum: the answer shows whether the peer lacks any records.
     const isKnown = this.contacted.has(id);
-    const batch = this.board.batchFor(id, isKnown ? BATCH_LIMIT : 0);
-    const { checksum } = this.board;
+    const batch = this.gossipBuffer.batchFor(id, isKnown ? BATCH_LIMIT : 0);
+    const { checksum } = this.gossipBuffer;
     const message: GossipExchange = { from: this.self, checksum, records: batch.records };
     const options = { timeoutMs: PROBE_TIMEOUT_MS, fresh };
     const answer = await this.options.client.call<GossipExchange>(
@@ -241,8 +241,8 @@
     );
     if (answer.err) return false;
     this.contacted.add(id);
-    if (answer.val.checksum === checksum) this.board.markInSync(id);
-    else this.board.acknowledge(id, batch.upTo);
+    if (answer.val.checksum === checksum) this.gossipBuffer.markInSync(id);
+    else this.gossipBuffer.acknowledge(id, batch.upTo);
     this.mergeExchange(answer.val);
     return true;
   }
@@ -250,11 +250,11 @@
   private handleExchange(exchange: GossipExchange): GossipExchange {
     this.mergeExchange(exchange);
     const { id } = exchange.from;
-    const { checksum } = this.board;
-    if (exchange.checksum === checksum) this.board.markInSync(id);
-    const batch = this.board.batchFor(id, BATCH_LIMIT);
+    const { checksum } = this.gossipBuffer;
+    if (exchange.checksum === checksum) this.gossipBuffer.markInSync(id);
+    const batch = this.gossipBuffer.batchFor(id, BATCH_LIMIT);
     // Records in a lost answer are not resent to this peer; it receives them from others and by its own probes.
-    this.board.acknowledge(id, batch.upTo);
+    this.gossipBuffer.acknowledge(id, batch.upTo);
     return { from: this.self, checksum, records: batch.records };
   }
 
@@ -262,7 +262,7 @@
     const previous = this.detector.get(from.id);
     const hasRestarted = previous !== undefined && previous.incarnation < from.incarnation;
     if (hasRestarted) {
-      this.board.resetPeer(from.id);
+      this.gossipBuffer.resetPeer(from.id);
       this.contacted.delete(from.id);
     }
     this.mergeRecord({ kind: 'daemon', daemon: from }, from.id);
@@ -283,7 +283,7 @@
   }
 
   private handleChange(daemon: Daemon, from: string): void {
-    this.board.put(`daemon/${daemon.id}`, { kind: 'daemon', daemon }, from);
+    this.gossipBuffer.put(`daemon/${daemon.id}`, { kind: 'daemon', daemon }, from);
     const { id, status } = daemon;
     if (status === 'suspect') this.options.observer.log('daemonSuspected', { id });
     if (status === 'dead') this.options.observer.log('daemonDead', { id });
