--- a/packages/soak/src/schedule.ts
+++ b/packages/soak/src/schedule.ts
@@ -14,24 +14,37 @@
   | 'keeperKill'
   | 'keeperPause'
   | 'keeperCut'
+  /** Power loss of a keeper that loses its disk too. */
   | 'keeperWipe'
+  /** Power loss of a keeper during a write to its journal. */
   | 'keeperTear'
+  /** Power loss of all keepers. */
   | 'keepersKill'
+  /** Power loss of all keepers and entries. */
   | 'fleetKill'
   | 'diskFull'
   | 'diskStall'
   | 'clockStep'
+  /** Some open connections stop carrying data but stay open. */
   | 'silence'
+  /** Some open connections are reset. */
   | 'reset'
   | 'delay'
   | 'targetKill'
+  /** A target drains, exits and is restarted. */
   | 'targetLeave'
   | 'targetPause'
+  /** A gray failure of a target. */
   | 'targetGrey'
+  /** The operator submits several documents in quick succession. */
   | 'changes'
+  /** The operator submits two documents concurrently. */
   | 'race'
+  /** The operator replaces an organisation's key. */
   | 'revoke'
+  /** The operator submits an invalid document. */
   | 'invalid'
+  /** An entry reloads its settings file. */
   | 'reload';
 
 export interface Step {
--- a/packages/soak/src/targetMain.ts
+++ b/packages/soak/src/targetMain.ts
@@ -10,7 +10,11 @@
 import * as controlClient from './controlClient';
 import type * as observations from './observations';
 
-/** Behaviour of a target; all modes but `sound` are gray failures. */
+/**
+ * Behaviour of a target; all modes but `sound` are gray failures: the target answers 500 (`failing`) or never (`mute`),
+ * truncates responses (`cutting`), puts the id of another request into them (`crossed`), or sends a second response
+ * after them that nobody requested (`extra`).
+ */
 export type Mode = 'sound' | 'failing' | 'mute' | 'cutting' | 'crossed' | 'extra';
 
 export interface Options {
--- a/packages/standins/src/engine/engineModel.ts
+++ b/packages/standins/src/engine/engineModel.ts
@@ -40,7 +40,7 @@
 /** A stream reports the engine's load once in this many tokens. */
 export const LOAD_REPORT_INTERVAL_TOKENS = 16;
 
-/** At this count samples that are no longer reported are dropped, and if still needed every other one. */
+/** At this count, samples too old to be reported are dropped; if that removes none, every other one is. */
 const MAX_LOAD_SAMPLES = 256;
 
 interface RunningRequest {
