--- a/packages/soak/src/__tests__/checks.test.ts
+++ b/packages/soak/src/__tests__/checks.test.ts
@@ -50,7 +50,7 @@
 }
 
 /** Names of the violated guarantees in a run without violations that `change` modifies. */
-function brokenPromises(change: (good: Observations) => void): string[] {
+function violatedGuarantees(change: (good: Observations) => void): string[] {
   const good = observations.empty();
   good.sent.push(submittedDocument(1, 1_000));
   good.readBack = { version: 1, label: '' };
@@ -100,9 +100,9 @@
 describe('soak: checks', () => {
   it('allow one and a half times a limit and a few messages more, and any number from a disturbed entry', () => {
     // The allowed maximum is 11 messages in 4 s.
-    expect(brokenPromises((good) => addLimitedTarget(good, 370))).to.deep.equal([]);
-    expect(brokenPromises((good) => addLimitedTarget(good, 350))).to.deep.equal(['overLimit']);
-    const disturbed = brokenPromises((good) => {
+    expect(violatedGuarantees((good) => addLimitedTarget(good, 370))).to.deep.equal([]);
+    expect(violatedGuarantees((good) => addLimitedTarget(good, 350))).to.deep.equal(['overLimit']);
+    const disturbed = violatedGuarantees((good) => {
       addLimitedTarget(good, 100);
       const disturbance = { subject: 'entry', index: 0, what: 'entryCut' } as const;
       good.disturbances.push({ ...disturbance, from: 10_000, until: 20_000 });
@@ -111,8 +111,8 @@
   });
 
   it('allow a few copies after the third crash, and any number from a disturbed entry', () => {
-    expect(brokenPromises((good) => addCrashes(good, MAX_LATER_ARRIVALS))).to.deep.equal([]);
-    const found = brokenPromises((good) => {
+    expect(violatedGuarantees((good) => addCrashes(good, MAX_LATER_ARRIVALS))).to.deep.equal([]);
+    const found = violatedGuarantees((good) => {
       addCrashes(good, 9);
       const disturbance = { subject: 'entry', index: 0, what: 'entryCut' } as const;
       good.disturbances.push({ ...disturbance, from: 13_000, until: 14_000 });
@@ -121,10 +121,10 @@
   });
 
   it('find nothing in a run without violations', () => {
-    expect(brokenPromises(() => undefined)).to.deep.equal([]);
+    expect(violatedGuarantees(() => undefined)).to.deep.equal([]);
   });
 
-  const violationCases: [checks.PromiseName, (good: Observations) => void][] = [
+  const violationCases: [checks.Guarantee, (good: Observations) => void][] = [
     [
       'wrongAnswer',
       ({ asked: all }) => all.push(requestRecord('r3', { ending: answered(200, 'other') })),
@@ -214,12 +214,12 @@
 
   violationCases.forEach(([promise, change]) => {
     it(`find ${promise}`, () => {
-      expect(brokenPromises(change)).to.include(promise);
+      expect(violatedGuarantees(change)).to.include(promise);
     });
   });
 
   it('allow what may happen to a disturbed process', () => {
-    const found = brokenPromises(({ probes, asked: all, disturbances, sent: documents }) => {
+    const found = violatedGuarantees(({ probes, asked: all, disturbances, sent: documents }) => {
       const disturbance = {
         subject: 'entry',
         index: 0,
@@ -244,7 +244,7 @@
    */
   it('allow a stop to truncate responses to requests sent right after a freeze, but not to later ones', () => {
     const cutAfter = (frozenUntil: number): string[] =>
-      brokenPromises(({ asked: all, ran, stopped, disturbances }) => {
+      violatedGuarantees(({ asked: all, ran, stopped, disturbances }) => {
         all.push(requestRecord('r3', { ending: { kind: 'broken' } }));
         ran.push({ request: 'r3', target: 't0-1', at: 10_050 });
         stopped.push({ entry: 0, incarnation: 1, from: 4_000, until: 12_000 });
--- a/packages/soak/src/checks.ts
+++ b/packages/soak/src/checks.ts
@@ -10,7 +10,7 @@
 type Observations = observations.Observations;
 type Probe = observations.Probe;
 
-export type PromiseName =
+export type Guarantee =
   /** A successful response that isn't the complete response to the caller's own request. */
   | 'wrongAnswer'
   /** A request that must run at most once ran more than once. */
@@ -47,7 +47,7 @@
   | 'notRecovered';
 
 export interface Violation {
-  promise: PromiseName;
+  promise: Guarantee;
   detail: string;
 }
 
--- a/packages/soak/src/run.ts
+++ b/packages/soak/src/run.ts
@@ -40,7 +40,7 @@
   /** Distinct request bodies that crash targets, requests sent with them, and target processes that crashed. */
   crashing: { contents: number; copies: number; ended: number };
   /** Number of violations per promise; empty for a run that passed. */
-  broken: Partial<Record<checks.PromiseName | 'notPlayed', number>>;
+  broken: Partial<Record<checks.Guarantee | 'notPlayed', number>>;
   /** The first violations; included because the folder of a run on another machine may be lost. */
   violations: checks.Violation[];
   folder: string;
