--- a/packages/daemon/src/control/logClient.ts
+++ b/packages/daemon/src/control/logClient.ts
@@ -60,6 +60,7 @@
         } else {
           detail = `${response.val.kind} ${response.val.detail}`;
           this.leaders.delete(log);
+          // A connection that was closed before the response may have carried the command.
           mayHaveTakenEffect ||= response.val.kind !== 'unreachable' || detail.includes('closed');
         }
         if (this.now() >= deadline) break;
