--- a/packages/soak/src/targetMain.ts
+++ b/packages/soak/src/targetMain.ts
@@ -10,7 +10,11 @@
 import * as controlClient from './controlClient';
 import type * as observations from './observations';
 
-/** Behaviour of a target; all modes but `sound` are gray failures. */
+/**
+ * Behaviour of a target; all modes but `sound` are gray failures: the target answers 500 (`failing`) or never (`mute`),
+ * truncates responses (`cutting`), puts the id of another request into them (`crossed`), or sends a second response
+ * after them that nobody requested (`extra`).
+ */
 export type Mode = 'sound' | 'failing' | 'mute' | 'cutting' | 'crossed' | 'extra';
 
 export interface Options {
@@ -215,8 +219,8 @@
     backOffSeconds?: number,
   ): void {
     const { socket } = request;
-    const about = { target: this.options.id, bornAt: this.bornAt, at: Date.now() };
-    printLine({ kind, ...about, source: socket.remoteAddress ?? '', backOffSeconds });
+    const exchange = { target: this.options.id, bornAt: this.bornAt, at: Date.now() };
+    printLine({ kind, ...exchange, source: socket.remoteAddress ?? '', backOffSeconds });
   }
 
   private crash(body: string): void {
@@ -284,8 +288,8 @@
     this.sequence += 1;
     const { id, service, address, dataCentre, slots } = this.options;
     const { state, sequence, bornAt } = this;
-    const about = { id, bornAt, service, address, dataCentre, slots };
-    return this.callKeepers(counterpart.announce({ ...about, state, sequence }));
+    const description = { id, bornAt, service, address, dataCentre, slots };
+    return this.callKeepers(counterpart.announce({ ...description, state, sequence }));
   }
 
   /** Sends a call to the keepers in turn until one acknowledges it. */
--- a/packages/standins/src/engine/engineModel.ts
+++ b/packages/standins/src/engine/engineModel.ts
@@ -1,7 +1,7 @@
 /**
  * Simulates one engine: continuous batching in engine steps, chunked prefill by priority, KV memory
- * and a prefix cache. It has no clock: `begin` returns the duration of the next step and `finish`
- * applies the step, so the same code runs under a virtual clock and behind HTTP.
+ * and a prefix cache. It has no clock: `beginStep` returns the duration of the next step and
+ * `finishStep` applies it, so the same code runs under a virtual clock and behind HTTP.
  */
 import * as parameters from './parameters';
 import * as prefixCache from './prefixCache';
@@ -40,7 +40,7 @@
 /** A stream reports the engine's load once in this many tokens. */
 export const LOAD_REPORT_INTERVAL_TOKENS = 16;
 
-/** At this count samples that are no longer reported are dropped, and if still needed every other one. */
+/** At this count, samples too old to be reported are dropped; if that removes none, every other one is. */
 const MAX_LOAD_SAMPLES = 256;
 
 interface RunningRequest {
@@ -90,12 +90,12 @@
 
   /** Cancels a queued or running request; false if it is unknown. */
   cancel(id: string, now: number): boolean {
-    const queued = this.queue.length;
+    const queuedBefore = this.queue.length;
     this.queue = this.queue.filter(({ job }) => job.id !== id);
     const running = this.running.find(({ job }) => job.id === id);
     if (running !== undefined) this.release(running);
     this.recordLoad(now);
-    return running !== undefined || this.queue.length < queued;
+    return running !== undefined || this.queue.length < queuedBefore;
   }
 
   stateOf(id: string): RequestState {
--- a/packages/standins/src/service/plainService.ts
+++ b/packages/standins/src/service/plainService.ts
@@ -1,5 +1,5 @@
 /**
- * Stand-in for a plain service: POST requests create entries and count how often each id ran, so that
+ * Stand-in for a plain service: POST requests create records and count how often each id ran, so that
  * tests detect duplicate runs; all other requests are lookups, which may be repeated.
  */
 import * as announcer from '../announcer';
@@ -19,7 +19,7 @@
 }
 
 export class PlainService {
-  /** Number of runs by entry id. */
+  /** Number of runs by record id. */
   readonly runCounts = new Map<string, number>();
 
   private readonly incarnation = Date.now();
@@ -77,7 +77,7 @@
     } else if (call.path === '/runs') {
       httpServer.sendJson(call, 200, Object.fromEntries(this.runCounts));
     } else if (call.method === 'POST') {
-      await this.createEntry(call);
+      await this.createRecord(call);
     } else {
       const { method, path, headers } = call;
       httpServer.sendJson(call, 200, {
@@ -88,7 +88,7 @@
     }
   }
 
-  private async createEntry(call: httpServer.Call): Promise<void> {
+  private async createRecord(call: httpServer.Call): Promise<void> {
     if (this.faultInjector.consume('refuse') !== undefined) {
       call.response.setHeader('x-not-run', 'true');
       httpServer.sendJson(call, 503, { error: 'not accepting requests', notRun: true });
