--- a/packages/daemon/src/__tests__/limitedTargets.test.ts
+++ b/packages/daemon/src/__tests__/limitedTargets.test.ts
@@ -85,8 +85,8 @@
       setLimit(limited, LIMIT_PER_SECOND);
       const since = clock.steady() + PROPAGATION_MS;
       const replies = await fleet.sendLoad({ service, kind }, PROPAGATION_MS + WINDOW_MS);
-      const most = limited.map((target) => maxInWindow(fleet, target, since));
-      expect(Math.max(...most)).to.be.at.most(MAX_IN_WINDOW);
+      const counts = limited.map((target) => maxInWindow(fleet, target, since));
+      expect(Math.max(...counts)).to.be.at.most(MAX_IN_WINDOW);
       expect(new Set(replies.map(({ status }) => status))).to.deep.equal(new Set([200]));
     });
   });
@@ -132,11 +132,11 @@
     const fleet = await pool.take('engines');
     setLimit(fleet.targets, LIMIT_PER_SECOND);
     await fleet.sendLoad({ service: 'engines' }, PROPAGATION_MS);
-    const known = [...fleet.keepers.values()].map((each) => each.gauges().limits);
+    const limitCounts = [...fleet.keepers.values()].map((each) => each.gauges().limits);
     await fleet.restartAll();
     const restored = [...fleet.entries.values()].map((each) => each.gauges().limits);
-    expect(Math.max(...known)).to.be.above(0);
-    expect(restored).to.deep.equal(restored.map(() => Math.max(...known)));
+    expect(Math.max(...limitCounts)).to.be.above(0);
+    expect(restored).to.deep.equal(restored.map(() => Math.max(...limitCounts)));
   });
 
   /** Guards against a limit that stays in force after the target has recovered. */
@@ -159,7 +159,7 @@
     await fleet.sendLoad({ service: 'plain', kind: 'safe' }, PROPAGATION_MS);
     setLimit(limited, undefined);
     await fleet.sendLoad({ service: 'plain', kind: 'safe' }, 5_000);
-    const known = [...fleet.entries.values()].map((each) => each.gauges().limits);
-    expect(known).to.deep.equal(known.map(() => 0));
+    const limitCounts = [...fleet.entries.values()].map((each) => each.gauges().limits);
+    expect(limitCounts).to.deep.equal(limitCounts.map(() => 0));
   });
 });
--- a/packages/daemon/src/__tests__/tls.test.ts
+++ b/packages/daemon/src/__tests__/tls.test.ts
@@ -10,7 +10,7 @@
 const { expect } = chai;
 
 function createCertificate(folder: string, name: string): daemonFleet.TlsFiles {
-  const made = selfsigned.generate([{ name: 'commonName', value: name }], {
+  const generated = selfsigned.generate([{ name: 'commonName', value: name }], {
     keySize: 2_048,
     extensions: [
       { name: 'basicConstraints', cA: true },
@@ -22,8 +22,8 @@
     key: path.join(folder, `${name}.key`),
     authority: path.join(folder, `${name}.pem`),
   };
-  fs.writeFileSync(files.certificate, made.cert);
-  fs.writeFileSync(files.key, made.private);
+  fs.writeFileSync(files.certificate, generated.cert);
+  fs.writeFileSync(files.key, generated.private);
   return files;
 }
 
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -525,10 +525,10 @@
 
   /** Whether the owner of a leased resource is live, dead or unknown, as the failure detector sees it. */
   private ownerStanding(daemon: string): domain.memory.leasedResources.OwnerStatus {
-    const known = this.members.detector.get(daemon);
-    if (known === undefined) return { kind: 'unknown' };
-    if (known.status === 'dead') return { kind: 'dead' };
-    return { kind: 'live', incarnation: known.incarnation };
+    const member = this.members.detector.get(daemon);
+    if (member === undefined) return { kind: 'unknown' };
+    if (member.status === 'dead') return { kind: 'dead' };
+    return { kind: 'live', incarnation: member.incarnation };
   }
 
   /** Records in the replicated log whether a model is ordered to be loaded; returns whether that succeeded. */
--- a/packages/daemon/src/entry/__tests__/__fixtures__/harness.ts
+++ b/packages/daemon/src/entry/__tests__/__fixtures__/harness.ts
@@ -144,7 +144,7 @@
 
   private readonly servers: net.Server[] = [];
 
-  private readonly crashes: quarantineClient.QuarantineClient;
+  private readonly quarantine: quarantineClient.QuarantineClient;
 
   private readonly registry = new domain.registry.registry.Registry();
 
@@ -173,14 +173,14 @@
       now: clock.steady,
     });
     this.targets = new targetClient.TargetClient({ protocol: PROTOCOL, gate: this.signals });
-    const checks = new livenessProbes.LivenessProbes({
+    const liveness = new livenessProbes.LivenessProbes({
       protocol: PROTOCOL,
       limits,
       gate: this.signals,
       observer: observe,
       source: undefined,
     });
-    this.crashes = new quarantineClient.QuarantineClient({
+    this.quarantine = new quarantineClient.QuarantineClient({
       name: 'e0',
       fleetState: {
         quarantine: new domain.quarantine.quarantine.Quarantine(),
@@ -188,21 +188,21 @@
       },
       link: { leader: '' },
       client,
-      liveness: checks,
+      liveness,
       observer: observe,
       now: clock.steady,
     });
     const services: exchange.Dependencies = {
       protocol: PROTOCOL,
       selector: {
-        choose: (wish: targetSelector.PlacementRequest) => this.choose(wish),
+        choose: (request: targetSelector.PlacementRequest) => this.choose(request),
         unavailableForMs: () => 0,
       } as unknown as targetSelector.TargetSelector,
       targets: this.targets,
-      liveness: checks,
+      liveness,
       limits,
       signals: this.signals,
-      quarantine: this.crashes,
+      quarantine: this.quarantine,
       budgets,
       observer: observe,
       random: domain.shared.random.seeded(1),
@@ -223,25 +223,25 @@
   /** Starts a target for each behavior; targets are selected in this order. */
   static async start(...behaviours: TargetBehaviour[]): Promise<TestHarness> {
     const addresses: string[] = [];
-    const created = new TestHarness(addresses);
+    const harness = new TestHarness(addresses);
     for (const behave of behaviours) {
       const server = net.createServer((socket) => {
         socket.on('error', () => undefined);
         socket.on('data', (data) => {
           const text = data.toString();
-          if (text.includes(REPORT_PATH)) created.probes += 1;
-          else created.received.push(text);
+          if (text.includes(REPORT_PATH)) harness.probes += 1;
+          else harness.received.push(text);
           behave(text, socket);
         });
       });
-      created.servers.push(server);
+      harness.servers.push(server);
       const address = `127.0.0.1:${await listen(server)}`;
-      created.registry.announce({ ...RECORD, id: `t${addresses.length}`, address }, 0);
+      harness.registry.announce({ ...RECORD, id: `t${addresses.length}`, address }, 0);
       addresses.push(address);
     }
-    created.port = await ports.freePort();
-    await created.ingress.listen({ host: '127.0.0.1', port: created.port });
-    return created;
+    harness.port = await ports.freePort();
+    await harness.ingress.listen({ host: '127.0.0.1', port: harness.port });
+    return harness;
   }
 
   /** Simulates the crash of a target: its address refuses connections from then on. */
@@ -254,7 +254,7 @@
   stop(): void {
     this.ingress.close();
     this.targets.close();
-    this.crashes.close();
+    this.quarantine.close();
     this.servers.forEach((server) => server.close());
   }
 
@@ -294,15 +294,15 @@
 
   private async choose(request: targetSelector.PlacementRequest): Promise<targetSelector.Choice> {
     this.placementRequests.push(request);
-    const again = request.writers?.[0];
+    const onlyTarget = request.writers?.[0];
     const excluded = new Set([...request.excluded, ...this.signals.unavailable('app')]);
-    const index = again === undefined ? excluded.size : Number(again.slice(1));
+    const index = onlyTarget === undefined ? excluded.size : Number(onlyTarget.slice(1));
     await clock.sleep(this.placementDelayMs);
     const address = this.addresses[index];
     if (address === undefined) return { kind: 'noPlace', retryAfterMs: 250 };
     const placement = { target: `t${index}`, address, helpers: [], firstTokenMs: 0 };
-    const release = (ending: string): void => {
-      this.outcomes.push(ending);
+    const release = (outcome: string): void => {
+      this.outcomes.push(outcome);
     };
     return { kind: 'placed', placement, release };
   }
--- a/packages/daemon/src/entry/__tests__/livenessProbes.test.ts
+++ b/packages/daemon/src/entry/__tests__/livenessProbes.test.ts
@@ -16,7 +16,7 @@
   await new Promise<void>((resolve) => {
     server.listen(0, '127.0.0.1', resolve);
   });
-  const checks = new livenessProbes.LivenessProbes({
+  const probes = new livenessProbes.LivenessProbes({
     protocol: harness.PROTOCOL,
     limits: { mayProbe: async () => true },
     gate: harness.PERMISSIVE_GATE,
@@ -24,7 +24,7 @@
     source: undefined,
   });
   const { port } = server.address() as net.AddressInfo;
-  const alive = await checks.isAlive('t', `127.0.0.1:${port}`);
+  const alive = await probes.isAlive('t', `127.0.0.1:${port}`);
   server.close();
   return alive;
 }
--- a/packages/daemon/src/entry/__tests__/quarantineClient.test.ts
+++ b/packages/daemon/src/entry/__tests__/quarantineClient.test.ts
@@ -21,7 +21,7 @@
    */
   it('accepts the state of the leader, which knows that they are alive', async () => {
     const quarantine = new domain.quarantine.quarantine.Quarantine();
-    const nothing = new domain.quarantine.quarantine.Quarantine().report(CONTENT, 0);
+    const emptyReport = new domain.quarantine.quarantine.Quarantine().report(CONTENT, 0);
     const client = new quarantineClient.QuarantineClient({
       name: 'e0',
       fleetState: { quarantine, registry: new domain.registry.registry.Registry() },
@@ -29,7 +29,7 @@
       client: {
         call: async <T>() => {
           await clock.sleep(1);
-          return Ok({ kind: 'taken', reports: [nothing] } as T);
+          return Ok({ kind: 'taken', reports: [emptyReport] } as T);
         },
       },
       liveness: { isAlive: async () => false },
--- a/packages/daemon/src/entry/__tests__/targetSelector.test.ts
+++ b/packages/daemon/src/entry/__tests__/targetSelector.test.ts
@@ -63,7 +63,7 @@
   return { ...placementRequest(patienceMs), tokens: 280_000, objectiveMs: 10_000, pauseMs: 1_000 };
 }
 
-function pause(ms: number): Promise<void> {
+function sleep(ms: number): Promise<void> {
   return clock.sleep(ms);
 }
 
@@ -81,13 +81,13 @@
   /** Delay of the leader's answers to each call, milliseconds; infinite for no answer. */
   let delays: { place: number; other: number };
 
-  const after = async <T>(ms: number, answer: T): Promise<T> => {
+  const answerAfter = async <T>(ms: number, answer: T): Promise<T> => {
     if (ms === Infinity) {
       return new Promise(() => {
         // Never settles: a frozen leader doesn't answer.
       });
     }
-    await pause(ms);
+    await sleep(ms);
     return answer;
   };
 
@@ -96,10 +96,10 @@
     reported = [];
     probes = 0;
     server = new peerServer.PeerServer('a-secret-of-the-test', undefined, observe);
-    server.add('place', () => after(delays.place, PLACED));
+    server.add('place', () => answerAfter(delays.place, PLACED));
     server.add('identify', () => {
       probes += 1;
-      return after(delays.other, {});
+      return answerAfter(delays.other, {});
     });
     server.add('ended', (content) => {
       reported.push(...(content as messages.FinishedDispatches).dispatches);
@@ -120,7 +120,7 @@
         limits: [],
       },
     };
-    server.add('follow', () => after(delays.other, confirmed));
+    server.add('follow', () => answerAfter(delays.other, confirmed));
     const address = `127.0.0.1:${await server.listen({ host: '127.0.0.1', port: 0 })}`;
     client = new peerClient.PeerClient('a-secret-of-the-test', undefined, observe);
     const state = {
@@ -163,7 +163,7 @@
     selector.fallback.setServices([SERVICE]);
     selector.fallback.observe(RECORD);
     link.start();
-    while (link.leader === '') await pause(5);
+    while (link.leader === '') await sleep(5);
   });
 
   afterEach(async () => {
@@ -266,7 +266,7 @@
     delays.place = 500;
     const [where] = await place(100);
     expect(where).to.equal('local');
-    await pause(500);
+    await sleep(500);
     expect(reported.map(({ id, ending }) => [id, ending])).to.deep.equal([['r1/0.0', 'cancelled']]);
   });
 
@@ -279,7 +279,7 @@
     const waiting: Promise<unknown>[] = [];
     for (let i = 0; i < 8; i++) {
       waiting.push(place(2_000));
-      await pause(50);
+      await sleep(50);
     }
     await Promise.all(waiting);
     // The first after 150 ms, the last after 1.4 s, 300 ms apart.
--- a/packages/daemon/src/entry/__tests__/targetSignals.test.ts
+++ b/packages/daemon/src/entry/__tests__/targetSignals.test.ts
@@ -135,10 +135,10 @@
       ['an answer of another lifetime', { isWrongLifetime: true }, REQUEST],
       ['an answer that nobody vouches for', { isNotRun: false }, REQUEST],
     ];
-    const accepted = answers.map(([what, facts, sending]) => {
-      const each = new Harness();
-      each.exchange(facts, sending);
-      return [what, each.signals.unavailable('s').length > 0];
+    const accepted = answers.map(([what, facts, message]) => {
+      const harness = new Harness();
+      harness.exchange(facts, message);
+      return [what, harness.signals.unavailable('s').length > 0];
     });
     expect(accepted).toMatchSnapshot();
   });
--- a/packages/daemon/src/entry/callerResponse.ts
+++ b/packages/daemon/src/entry/callerResponse.ts
@@ -154,19 +154,19 @@
     const { head, caller } = this;
     if (head === undefined || head.facts.isNotRun) return false;
     const { facts } = head;
-    const isOurs = facts.requestId === caller.requestId;
-    if (!isOurs || facts.isEncoded) return false;
+    const isToThisRequest = facts.requestId === caller.requestId;
+    if (!isToThisRequest || facts.isEncoded) return false;
     return facts.isSigned && !NOT_RUN_STATUSES.has(head.status);
   }
 
   private forwardEvents(chunk: Buffer): void {
     const { head } = this;
-    const cut = this.splitter.push(chunk);
-    if (head === undefined || cut.events === 0) return;
+    const split = this.splitter.push(chunk);
+    if (head === undefined || split.events === 0) return;
     this.writeHead(head);
-    this.lastEventId = cut.lastId ?? this.lastEventId;
+    this.lastEventId = split.lastId ?? this.lastEventId;
     this.recordEvent(clock.steady());
-    this.write(cut.bytes);
+    this.write(split.bytes);
   }
 
   private recordEvent(now: number): void {
@@ -218,14 +218,14 @@
 
   private writeHead({ status, raw }: targetClient.ResponseHead): void {
     if (this.response.headersSent) return;
-    const kept: string[] = [];
+    const forwarded: string[] = [];
     // Another target may continue the stream, so the first one's length doesn't cover all of it.
     const isDropped = (name: string): boolean =>
       hopByHop.HOP_BY_HOP.has(name) || (this.isStream && name === 'content-length');
     for (let i = 0; i + 1 < raw.length; i += 2) {
-      if (!isDropped(raw[i].toLowerCase())) kept.push(raw[i], raw[i + 1]);
+      if (!isDropped(raw[i].toLowerCase())) forwarded.push(raw[i], raw[i + 1]);
     }
-    this.response.writeHead(status, kept as unknown as http.OutgoingHttpHeaders);
+    this.response.writeHead(status, forwarded as unknown as http.OutgoingHttpHeaders);
   }
 }
 
--- a/packages/daemon/src/entry/entry.ts
+++ b/packages/daemon/src/entry/entry.ts
@@ -178,8 +178,8 @@
 
   async start(): Promise<void> {
     const { settings } = this.dependencies;
-    this.server.add('learn', (news) => {
-      this.fleetState.applyUpdate(news as messages.FleetUpdate);
+    this.server.add('learn', (update) => {
+      this.fleetState.applyUpdate(update as messages.FleetUpdate);
       return { mark: this.fleetState.mark } satisfies messages.UpdateAck;
     });
     await this.server.listen(settings.peers);
@@ -194,13 +194,13 @@
 
   /** A planned stop: unready at once, new requests served for `LINGER_MS`, requests in progress finished. */
   async stop(): Promise<void> {
-    const begun = clock.steady();
+    const startedAt = clock.steady();
     this.isDraining = true;
     this.ingress.drain();
     await clock.sleep(LINGER_MS);
     this.ingress.refuseNew();
-    const until = begun + this.dependencies.settings.stopMs - STOP_MARGIN_MS;
-    while (this.ingress.activeRequests > 0 && clock.steady() < until)
+    const deadline = startedAt + this.dependencies.settings.stopMs - STOP_MARGIN_MS;
+    while (this.ingress.activeRequests > 0 && clock.steady() < deadline)
       await clock.sleep(STOP_POLL_MS);
     this.link.stop();
     this.quarantine.close();
--- a/packages/daemon/src/entry/exchange.ts
+++ b/packages/daemon/src/entry/exchange.ts
@@ -304,10 +304,13 @@
 
   private async send(choice: targetSelector.Choice & { kind: 'placed' }): Promise<Outcome> {
     const { placement } = choice;
-    const memory = new reservations.Reservations(this.admitted.facts.requestId, this.dependencies);
-    const isReserved = await memory.reserveAll(placement.helpers);
+    const helperReservations = new reservations.Reservations(
+      this.admitted.facts.requestId,
+      this.dependencies,
+    );
+    const isReserved = await helperReservations.reserveAll(placement.helpers);
     const release: targetSelector.Release = (dispatchOutcome, observed) => {
-      memory.release();
+      helperReservations.release();
       choice.release(dispatchOutcome, observed);
     };
     if (this.isOver || !isReserved) {
@@ -321,7 +324,7 @@
       target: placement.target,
       organisation,
       timeLeftMs: this.timeLeftMs,
-      helpers: memory.named(placement.helpers),
+      helpers: helperReservations.withReservations(placement.helpers),
       resumeAfter,
     });
     const attempt = targets.send(
--- a/packages/daemon/src/entry/exchangeLog.ts
+++ b/packages/daemon/src/entry/exchangeLog.ts
@@ -78,7 +78,7 @@
     });
   }
 
-  private ended(status: number, more: object): void {
+  private ended(status: number, outcomeFields: object): void {
     const { admitted, attempts: attemptsMade, observer: observe, now } = this.dependencies;
     const { facts, route, arrivedAt } = admitted;
     observe.log('requestEnded', {
@@ -90,7 +90,7 @@
       tokens: facts.promptTokens,
       targets: attemptsMade.targets,
       tookMs: Math.round(now() - arrivedAt),
-      ...more,
+      ...outcomeFields,
     });
   }
 }
--- a/packages/daemon/src/entry/leaderOutbox.ts
+++ b/packages/daemon/src/entry/leaderOutbox.ts
@@ -28,8 +28,8 @@
     while (this.unreported.length > 0 && !this.isClosed) {
       await clock.sleep(RETRY_INTERVAL_MS);
       const pending = this.unreported;
-      const isTaken = await this.deliver(pending);
-      if (isTaken) this.unreported = this.unreported.filter((each) => !pending.includes(each));
+      const isAccepted = await this.deliver(pending);
+      if (isAccepted) this.unreported = this.unreported.filter((each) => !pending.includes(each));
     }
     this.isRetrying = false;
   }
--- a/packages/daemon/src/entry/livenessProbes.ts
+++ b/packages/daemon/src/entry/livenessProbes.ts
@@ -32,11 +32,11 @@
    * as alive.
    */
   isAlive(target: string, address: string): Promise<boolean> {
-    const known = this.pending.get(target);
-    if (known !== undefined) return known;
-    const started = this.probe(target, address).finally(() => this.pending.delete(target));
-    this.pending.set(target, started);
-    return started;
+    const pending = this.pending.get(target);
+    if (pending !== undefined) return pending;
+    const probe = this.probe(target, address).finally(() => this.pending.delete(target));
+    this.pending.set(target, probe);
+    return probe;
   }
 
   private async probe(target: string, address: string): Promise<boolean> {
--- a/packages/daemon/src/entry/rateLimitClient.ts
+++ b/packages/daemon/src/entry/rateLimitClient.ts
@@ -15,10 +15,10 @@
 
 const { keyOf } = domain.rateLimits.rateLimits;
 
-type Place = domain.rateLimits.rateLimits.Endpoint;
+type Endpoint = domain.rateLimits.rateLimits.Endpoint;
 
 /** A request that a target responded to. */
-export interface AnsweredRequest extends Place {
+export interface AnsweredRequest extends Endpoint {
   requestId: string;
   target: string;
   status: number;
@@ -96,18 +96,18 @@
   async mayProbe(target: string): Promise<boolean> {
     const record = this.dependencies.fleetState.registry.get(target);
     if (record === undefined || !this.dependencies.fleetState.limits.isLimited(record)) return true;
-    const answer = await this.requestGrant({ places: [placeOf(record)], purpose: 'check' });
+    const answer = await this.requestGrant({ places: [endpointOf(record)], purpose: 'check' });
     return answer?.kind === 'granted';
   }
 
   /** Grants one request to one of several targets with limits. */
-  async grant(places: readonly Place[]): Promise<Grant> {
-    const message = { places: places.map(placeOf), purpose: 'request' } as const;
+  async grant(places: readonly Endpoint[]): Promise<Grant> {
+    const message = { places: places.map(endpointOf), purpose: 'request' } as const;
     return (await this.requestGrant(message)) ?? this.grantLocally(places);
   }
 
   /** Grants one request to a target whose limit may be over, which only a response of the target can show. */
-  async grantProbe(places: readonly Place[]): Promise<Place | undefined> {
+  async grantProbe(places: readonly Endpoint[]): Promise<Endpoint | undefined> {
     const { now, fleetState: state } = this.dependencies;
     const intervalMs = PROBE_INTERVAL_MS * Math.max(1, this.entries / PROBING_ENTRIES);
     const due = places.find((place) => {
@@ -130,7 +130,7 @@
     return leaderCall.call<messages.GrantAnswer>(this.dependencies, 'grant', message);
   }
 
-  private grantLocally(places: readonly Place[]): Grant {
+  private grantLocally(places: readonly Endpoint[]): Grant {
     const { fleetState: state, now } = this.dependencies;
     const place = places.find((each) => state.limits.maySend(each, now()));
     if (place === undefined) {
@@ -141,7 +141,7 @@
     return { kind: 'granted', place };
   }
 
-  private recordSpent(place: Place): void {
+  private recordSpent(place: Endpoint): void {
     if (!this.dependencies.fleetState.limits.isLimited(place)) return;
     this.unreported.addSpent(place, 1);
     void this.reportToLeader();
@@ -171,6 +171,6 @@
   }
 }
 
-function placeOf({ service, address }: Place): Place {
+function endpointOf({ service, address }: Endpoint): Endpoint {
   return { service, address };
 }
--- a/packages/daemon/src/entry/reservations.ts
+++ b/packages/daemon/src/entry/reservations.ts
@@ -84,7 +84,7 @@
   }
 
   /** The helpers with their reservations, as the request lists them. */
-  named(helpers: readonly Helper[]): protocols.PrefillHelper[] {
+  withReservations(helpers: readonly Helper[]): protocols.PrefillHelper[] {
     return helpers.map(({ target, address }) => {
       const reservation = this.reservations.find(({ helper }) => helper.target === target);
       return { address, reservation: reservation?.id };
--- a/packages/daemon/src/entry/targetClient.ts
+++ b/packages/daemon/src/entry/targetClient.ts
@@ -327,8 +327,8 @@
   }
 
   private pool(target: string, address: string): undici.Pool {
-    const known = this.pools.get(target);
-    if (known !== undefined) return known;
+    const existing = this.pools.get(target);
+    if (existing !== undefined) return existing;
     const created = new undici.Pool(`http://${address}`, {
       connect: this.connections.connect as unknown as undici.buildConnector.connector,
       pipelining: 1,
--- a/packages/daemon/src/entry/targetSelector.ts
+++ b/packages/daemon/src/entry/targetSelector.ts
@@ -72,7 +72,7 @@
 
 /** At least one target accepts requests from this VM; `excluded` lists those that the request must not go to. */
 interface Availability {
-  kind: 'open';
+  kind: 'available';
   excluded: readonly string[];
 }
 
@@ -172,7 +172,7 @@
       const choice = (await this.placeByLeader(allowed, until)) ?? this.placeLocally(allowed);
       if (choice !== undefined) return choice;
       const leftMs = until - this.options.now();
-      if (leftMs <= 0) return { kind: 'noPlace', retryAfterMs: this.nextPlaceMs(request) };
+      if (leftMs <= 0) return { kind: 'noPlace', retryAfterMs: this.retryAfterMs(request) };
       await clock.sleep(Math.min(leftMs, PLACEMENT_RETRY_MS));
     }
   }
@@ -196,7 +196,8 @@
     for (;;) {
       const unavailable = signals.unavailable(request.service);
       const waitMs = this.untilAvailableMs(request, unavailable);
-      if (waitMs === 0) return { kind: 'open', excluded: [...request.excluded, ...unavailable] };
+      if (waitMs === 0)
+        return { kind: 'available', excluded: [...request.excluded, ...unavailable] };
       if (now() + waitMs > until) {
         const jitter = 1 + RETRY_AFTER_JITTER * random.uniform();
         const retryAfterMs = Math.round(Math.max(RETRY_AFTER_MS.min, waitMs) * jitter);
@@ -315,7 +316,7 @@
     return { kind: 'placed', placement, release };
   }
 
-  private nextPlaceMs({ service }: PlacementRequest): number {
+  private retryAfterMs({ service }: PlacementRequest): number {
     const now = this.options.now();
     const waitMs = this.fallback.limitedForMs(service, 0, now);
     return Math.max(
@@ -336,11 +337,11 @@
     for (;;) {
       const availability = await this.awaitAvailability(request, backOffUntil);
       if (availability.kind === 'noPlace') return availability;
-      const { open, limited } = this.eligibleTargets({
+      const { unlimited, limited } = this.eligibleTargets({
         ...request,
         excluded: availability.excluded,
       });
-      const healthy = this.usableOf(open);
+      const healthy = this.usableOf(unlimited);
       const healthyLimited = this.usableOf(limited);
       if (healthy.length > 0) {
         const probe = await limits.grantProbe(healthyLimited);
@@ -348,7 +349,7 @@
         return this.placePlain(probed ?? this.leastBusy(healthy));
       }
       if (limited.length === 0) {
-        if (open.length > 0) return this.placePlain(this.leastBusy(open));
+        if (unlimited.length > 0) return this.placePlain(this.leastBusy(unlimited));
         return { kind: 'noPlace', retryAfterMs: NO_TARGET_RETRY_MS };
       }
       const candidates = healthyLimited.length > 0 ? healthyLimited : limited;
@@ -357,7 +358,7 @@
         const granted = candidates.find(({ address }) => address === grant.place.address);
         return this.placePlain(granted ?? candidates[0]);
       }
-      if (open.length > 0) return this.placePlain(this.leastBusy(open));
+      if (unlimited.length > 0) return this.placePlain(this.leastBusy(unlimited));
       const waitMs = Number.isFinite(grant.waitMs) ? grant.waitMs : PLACEMENT_RETRY_MS;
       if (now() + waitMs > until) {
         return { kind: 'noPlace', retryAfterMs: limitRetryAfterMs(grant), reason: 'limited' };
@@ -368,7 +369,7 @@
 
   /** Ready targets that may take a call, split into those without a rate limit and those with one. */
   private eligibleTargets({ service, excluded, writers }: PlacementRequest): {
-    open: Announcement[];
+    unlimited: Announcement[];
     limited: Announcement[];
   } {
     const { fleetState: state } = this.options;
@@ -376,7 +377,7 @@
       return !excluded.includes(id) && writers?.includes(id) !== false;
     });
     return {
-      open: ready.filter((record) => !state.limits.isLimited(record)),
+      unlimited: ready.filter((record) => !state.limits.isLimited(record)),
       limited: ready.filter((record) => state.limits.isLimited(record)),
     };
   }
@@ -414,8 +415,8 @@
   }
 
   private releasePlain(target: string, outcome: DispatchOutcome): void {
-    const left = (this.activeCalls.get(target) ?? 1) - 1;
-    if (left > 0) this.activeCalls.set(target, left);
+    const remaining = (this.activeCalls.get(target) ?? 1) - 1;
+    if (remaining > 0) this.activeCalls.set(target, remaining);
     else this.activeCalls.delete(target);
     const health =
       this.targetHealth.get(target) ?? new domain.allocation.targetHealth.TargetHealth();
--- a/packages/daemon/src/entry/targetSignals.ts
+++ b/packages/daemon/src/entry/targetSignals.ts
@@ -29,7 +29,7 @@
 /** A message that was sent; `at` is its time on the steady clock, milliseconds. */
 interface SentMessage {
   message: targetClient.TargetMessage;
-  passage: domain.backOff.backOffs.InFlightMessage;
+  inFlight: domain.backOff.backOffs.InFlightMessage;
   at: number;
 }
 
@@ -80,13 +80,13 @@
       this.dependencies.observer.count(`messages.withheld.${purpose}`);
       return undefined;
     }
-    const passage = this.backOffs.sent(target, now());
-    const sent = { message, passage, at: now() };
+    const inFlight = this.backOffs.sent(target, now());
+    const sent = { message, inFlight, at: now() };
     this.countActive(target, 1);
     return {
       answered: (head) => this.answered(sent, head),
       ended: () => {
-        passage.ended();
+        inFlight.ended();
         this.countActive(target, -1);
       },
     };
@@ -173,11 +173,11 @@
     sentMessage: SentMessage,
     { status, facts }: targetClient.ResponseHead,
   ): void {
-    const { message, passage } = sentMessage;
+    const { message, inFlight } = sentMessage;
     const { backOff } = facts;
     const { observer: observe, now } = this.dependencies;
     if (backOff.kind === 'none') {
-      passage.answered();
+      inFlight.answered();
       return;
     }
     observe.count(`backOffs.${backOff.kind}`);
--- a/packages/daemon/src/entry/unreportedLimits.ts
+++ b/packages/daemon/src/entry/unreportedLimits.ts
@@ -7,7 +7,7 @@
 
 const { keyOf } = domain.rateLimits.rateLimits;
 
-type Place = domain.rateLimits.rateLimits.Endpoint;
+type Endpoint = domain.rateLimits.rateLimits.Endpoint;
 type RateLimit = domain.rateLimits.rateLimits.RateLimit;
 
 export class UnreportedLimits {
@@ -23,7 +23,7 @@
     this.limits.set(keyOf(limit), limit);
   }
 
-  addSpent({ service, address }: Place, count: number): void {
+  addSpent({ service, address }: Endpoint, count: number): void {
     const key = keyOf({ service, address });
     const before = this.spent.get(key)?.count ?? 0;
     this.spent.set(key, { service, address, count: before + count });
@@ -31,10 +31,10 @@
 
   /** Removes and returns everything, to be reported. */
   takeAll(): messages.LimitReport {
-    const taken = { limits: [...this.limits.values()], spent: [...this.spent.values()] };
+    const report = { limits: [...this.limits.values()], spent: [...this.spent.values()] };
     this.limits.clear();
     this.spent.clear();
-    return taken;
+    return report;
   }
 
   /** Puts back a report that no leader accepted; limits set meanwhile are newer and stay. */
