--- a/packages/daemon/src/configuration/roleSettings.ts
+++ b/packages/daemon/src/configuration/roleSettings.ts
@@ -19,7 +19,7 @@
   /** Address on which a keeper listens for targets and operators. */
   control: codecs.Address | undefined;
   peers: codecs.Address;
-  /** Address by which peers reach `peers`; differs from it behind a forwarding proxy. */
+  /** Address at which peers reach the listener on `peers`; differs from it behind a forwarding proxy. */
   advertised: codecs.Address;
   /** Source IP address of outgoing connections; undefined if the operating system chooses it. */
   source: string | undefined;
@@ -100,7 +100,10 @@
 
 type Values = domain.settings.schema.Values;
 
-/** Replaces the port of each seed by `keeper-port`, the peer port of all keepers, unless that is 0. */
+/**
+ * Replaces the port of each seed by `keeper-port`, the peer port of all keepers, unless that is 0. Seeds may thus be
+ * listed with any port of their keepers.
+ */
 function readSeeds(values: Values): string[] {
   const port = values.get('keepers.keeper-port') as number;
   const seeds = values.get('keepers.seeds') as string[];
--- a/packages/daemon/src/entry/__tests__/__fixtures__/harness.ts
+++ b/packages/daemon/src/entry/__tests__/__fixtures__/harness.ts
@@ -18,7 +18,7 @@
 /** Path of liveness probes to the targets of these tests. */
 export const REPORT_PATH = '/alive';
 
-/** A minimal protocol with plain headers: `id`, `signed`, `not-run`, `resume-after`. */
+/** A minimal protocol with plain headers, such as `id`, `signed`, `not-run`, `limit`, `back-off` and `resume-after`. */
 export const PROTOCOL: protocols.TrafficProtocol = {
   callerMetadata: (headers) => ({
     requestId: String(headers.id ?? ''),
--- a/packages/daemon/src/entry/__tests__/exchange.test.ts
+++ b/packages/daemon/src/entry/__tests__/exchange.test.ts
@@ -129,8 +129,8 @@
   });
 
   /*
-   * Guards against a target whose replacement at the same address is detected by each request anew: the refusal that
-   * shows it was taken for that of a full target, and not reported.
+   * Guards against a target that restarted at the same address, which each request detects anew: the refusal by the new
+   * lifetime was mistaken for that of a full target, and not reported.
    */
   it('reports which lifetime was replaced when another one responded', async () => {
     const other = harness.answer('', 421, 'not-run: 1\r\n');
--- a/packages/daemon/src/entry/__tests__/livenessProbes.test.ts
+++ b/packages/daemon/src/entry/__tests__/livenessProbes.test.ts
@@ -31,7 +31,8 @@
 
 describe('liveness probes', () => {
   /**
-   * Guards against reporting a crash, and suspecting the requests that ran, of a target that was too busy for a probe.
+   * Guards against a target that is given up because it was too busy to answer a probe, and against suspicions of the
+   * requests that it ran.
    */
   it('count a target that refuses them as alive, but no other responder', async () => {
     const answers = [
--- a/packages/daemon/src/entry/__tests__/quarantineClient.test.ts
+++ b/packages/daemon/src/entry/__tests__/quarantineClient.test.ts
@@ -16,8 +16,9 @@
 
 describe('an entry that was cut off from all targets', () => {
   /*
-   * Guards against a suspicion that only one entry holds. An entry that was cut off took three targets for crashed and
-   * refused a lookup with 502 until its restart: the leader had rejected the reports, but sent no update.
+   * Guards against a suspicion that only one entry has. One entry of eight was cut off from its targets, concluded that
+   * three had crashed, and refused a harmless request with 502 until its restart: the leader had rejected the crash
+   * reports, but sent the entry no update.
    */
   it('accepts the state of the leader, which knows that they are alive', async () => {
     const quarantine = new domain.quarantine.quarantine.Quarantine();
@@ -89,8 +90,8 @@
 
 describe('a request that is a suspect at its entry but not yet at the leader', () => {
   /**
-   * Guards against separate runs of a crashing request that count as one concurrent run, so that it is never
-   * quarantined.
+   * Guards against a crashing request that is never quarantined because its separate runs don't count as canary runs,
+   * but as copies that ran at the same time.
    */
   it('makes a canary run', async () => {
     const quarantine = new domain.quarantine.quarantine.Quarantine();
--- a/packages/daemon/src/entry/__tests__/responseTimeout.test.ts
+++ b/packages/daemon/src/entry/__tests__/responseTimeout.test.ts
@@ -51,8 +51,8 @@
   });
 
   /*
-   * A prompt of 178k tokens was given up 0.3 s before its first token, and prefilled again elsewhere. Its engine was
-   * alive, and late only because prefill parts of later prompts ran first.
+   * Guards against a second prefill of a prompt whose engine is about to respond. A prompt of 178k tokens was given up
+   * 0.3 s before its first token. Its engine was alive, and late only because prefill parts of later prompts ran first.
    */
   it('expires only when callers are about to leave', () => {
     const thresholds = responseTimeout.thresholdsOf(route('streaming', 3_000, 1_000), 800);
--- a/packages/daemon/src/entry/__tests__/targetSelector.test.ts
+++ b/packages/daemon/src/entry/__tests__/targetSelector.test.ts
@@ -211,7 +211,9 @@
     expect(ms).to.be.below(200);
   });
 
-  /* Engines would fill unevenly if entries placed prompts that wait for a placement at a live leader. */
+  /*
+   * Guards against engines that fill unevenly because entries place prompts that wait for a placement at a live leader.
+   */
   it('leaves a prompt with a short objective to a leader that passes liveness probes', async () => {
     delays.place = 400;
     const [where] = await place(1_000);
--- a/packages/daemon/src/entry/entry.ts
+++ b/packages/daemon/src/entry/entry.ts
@@ -1,6 +1,6 @@
 /**
  * An entry: a stateless process that serves callers' requests. It receives the settings and the targets from the leader
- * of the keepers within a second of its start.
+ * of the keepers within a second of its start, so it needs no disk.
  */
 import * as http from 'node:http';
 import * as domain from '@celerydrift/domain';
@@ -35,8 +35,9 @@
 }
 
 /**
- * Share of the time within which a revoked key must be refused for which an entry admits keys without a confirmation.
- * The rest, a second at 5 s, covers the way of a request that was admitted at the last moment to its target.
+ * An entry without a confirmation from a leader admits keys for this share of `revokeMs`, the time after which a
+ * revoked key must be refused. The rest, one second of five, covers the transit to its target of a request that is
+ * admitted at the last moment.
  */
 const LEASE_SHARE = 0.8;
 
@@ -192,7 +193,9 @@
     this.link.addSeeds(settings.seeds);
   }
 
-  /** A planned stop: unready at once, new requests served for `LINGER_MS`, requests in progress finished. */
+  /**
+   * Runs a planned stop: becomes unready at once, serves new requests for `LINGER_MS`, and finishes those in progress.
+   */
   async stop(): Promise<void> {
     const startedAt = clock.steady();
     this.isDraining = true;
--- a/packages/daemon/src/entry/exchange.ts
+++ b/packages/daemon/src/entry/exchange.ts
@@ -1,6 +1,7 @@
 /**
- * Handles one caller's request from its route to its final response, which is either a target's own or one that states
- * exactly what is known: 503 guarantees that the request did not run and never will; 502 and 504 guarantee nothing.
+ * Handles one caller's request from its route to its final response. That is either a target's own response or one
+ * whose status states exactly what is known: 503 guarantees that the request did not run and never will; 502 and 504
+ * guarantee nothing.
  */
 import type * as http from 'node:http';
 import * as domain from '@celerydrift/domain';
@@ -234,7 +235,7 @@
   /** Whether the request is attempted again after this outcome; otherwise its caller gets the final response. */
   private async shouldRetry(service: string, outcome: Outcome): Promise<boolean> {
     if (outcome.kind === 'answered' || this.isOver) return false;
-    // The target became unavailable between its selection and the attempt; the next selection takes that into account.
+    // The target became unavailable between its selection and the attempt; the next selection excludes it.
     if (outcome.kind === 'withheld') return true;
     if (outcome.kind === 'noMemory' && this.reservationRetries < MAX_RESERVATION_RETRIES) {
       this.reservationRetries += 1;
@@ -255,7 +256,8 @@
 
   /**
    * Refuses a quarantined request, which crashed three targets, or one whose copy makes a canary run. The first has
-   * run, if under another id, so a 503 would only bring it back; the second hasn't, and its caller is told to retry.
+   * run, if under another id, so a 503 would be false, and its caller would send it again. The second hasn't run, so a
+   * 503 tells its caller to retry.
    */
   private refuseSuspect(kind: 'quarantined' | 'busy'): void {
     this.mayHaveRun ||= kind === 'quarantined';
@@ -292,9 +294,9 @@
   }
 
   /**
-   * How long the caller has waited for a first event: 0 for a stream that resumes, and the objective at most for a
-   * request that moves to a second target. A longer wait would make any engine look worthless, and an interrupted
-   * stream would be aborted although engines are free.
+   * How long the caller has waited for a first event: 0 for a stream that resumes, as its first event has arrived, and
+   * the objective at most for a request that moves to a second target. With a longer wait the allocator would consider
+   * every engine too late to be worth using, and an interrupted stream would be aborted although engines are free.
    */
   private get waitedMs(): number {
     if (this.reply.lastEventId !== undefined) return 0;
--- a/packages/daemon/src/entry/leaderCall.ts
+++ b/packages/daemon/src/entry/leaderCall.ts
@@ -1,6 +1,6 @@
 /**
- * Calls of an entry to the current leader that can't wait: the leader answers within a few milliseconds, or else a new
- * leader will.
+ * Calls of an entry to the current leader, with a short timeout: a leader that works answers within a few
+ * milliseconds, and one that doesn't is replaced.
  */
 import type * as leaderLink from '../fleet/leaderLink';
 import type * as messages from '../fleet/messages';
--- a/packages/daemon/src/entry/outcome.ts
+++ b/packages/daemon/src/entry/outcome.ts
@@ -1,4 +1,7 @@
-/** Outcome of one attempt of a request, beyond how its connection ended. */
+/**
+ * Outcome of one attempt of a request. Unlike `targetClient.SendResult`, which says how the connection ended, it says
+ * whether the target may have run the request and what the caller has received.
+ */
 import type * as domain from '@celerydrift/domain';
 
 type DispatchOutcome = domain.allocation.targetHealth.DispatchOutcome;
--- a/packages/daemon/src/entry/rateLimitClient.ts
+++ b/packages/daemon/src/entry/rateLimitClient.ts
@@ -67,7 +67,7 @@
     this.dependencies.fleetState.limits.setShare(share, this.dependencies.now());
   }
 
-  /** Applies the limit named in a response to a caller's request. */
+  /** Applies the limit that a response names; a response that names none lifts the limit. */
   answered(answer: AnsweredRequest, limit: protocols.AdvertisedLimit): void {
     const { observer: observe, fleetState: state } = this.dependencies;
     if (limit.kind !== 'none') observe.count(`limits.${limit.kind}`);
--- a/packages/daemon/src/entry/reservations.ts
+++ b/packages/daemon/src/entry/reservations.ts
@@ -43,7 +43,7 @@
 const RELEASE_RETRY_MS = 600;
 const MAX_RELEASE_TRIES = 6;
 
-/** Longest lease that targets grant, milliseconds. */
+/** Longest lease that targets grant, milliseconds; they refuse a longer one. */
 const MAX_LEASE_MS = 20_000;
 
 interface Reservation {
--- a/packages/daemon/src/entry/responseTimeout.ts
+++ b/packages/daemon/src/entry/responseTimeout.ts
@@ -1,5 +1,5 @@
 /**
- * Response timeouts of a request, derived from its route and its predicted time to the first token. Milliseconds.
+ * Response timeouts of a request, derived from its route and its predicted time to the first token.
  *
  * A late target may be dead, or busy with work that came after the prediction. Once a response is `overdue`, its target
  * is probed on a separate connection. A target that fails the probe is given up at once, one that passes it only when
@@ -14,11 +14,14 @@
 const OVERDUE_FACTOR = 1.5;
 const OVERDUE_MARGIN_MS = 300;
 
-/** The next event is overdue after this gap, which exceeds the usual engine step with prefill for other requests. */
+/**
+ * The next event is overdue after this gap, which exceeds the usual engine step with prefill for other requests, or
+ * after this multiple of the gap that the route tolerates, whichever is longer.
+ */
 const OVERDUE_GAP_MS = 600;
 const OVERDUE_GAP_FACTOR = 1.5;
 
-/** Response timeout as a share of the time after which callers disconnect, and its minimum. */
+/** Response timeout of a stream, as a share of the time after which its caller disconnects, and its minimum. */
 const TIMEOUT_SHARE = 0.5;
 const MIN_TIMEOUT_MS = 1_500;
 
--- a/packages/daemon/src/entry/targetClient.ts
+++ b/packages/daemon/src/entry/targetClient.ts
@@ -100,7 +100,7 @@
  * returns it; after a clean close that read returns no bytes.
  */
 function wasReset(socket: net.Socket): boolean {
-  // There is no public API for the descriptor. Without one the socket is closed already, which proves nothing.
+  // There is no public API for the descriptor. A socket without one is closed already and can't prove a clean close.
   const { _handle: handle } = socket as unknown as { _handle?: { fd?: number } | null };
   if (handle?.fd === undefined || handle.fd < 0) return true;
   try {
--- a/packages/daemon/src/entry/targetSelector.ts
+++ b/packages/daemon/src/entry/targetSelector.ts
@@ -20,7 +20,7 @@
 type Placement = domain.allocation.allocator.Placement;
 type PlaceResult = Result<messages.PlaceAnswer, errors.CallError>;
 
-/** A request that needs a target. Sent to the leader as it is, in `messages.Place`. */
+/** A request that needs a target. Sent to the leader as it is, in `messages.PlaceRequest`. */
 export interface PlacementRequest {
   id: string;
   service: string;
@@ -97,8 +97,8 @@
 
 /**
  * Prompts with a shorter objective, milliseconds, would miss it while the entry detects the loss of the leader. They
- * stop waiting once a liveness probe of the leader is unanswered for `LEADER_OVERDUE_MS`, thirty round trips; a leader
- * that is only busy, or has no free engine for the prompt, answers it within a few.
+ * stop waiting for the leader's placement once it leaves a liveness probe unanswered for `LEADER_OVERDUE_MS`, thirty
+ * round trips. A leader that is only busy, or has no free engine for the prompt, answers the probe within a few.
  */
 const SHORT_OBJECTIVE_MS = 900;
 const SHORT_CHECK_INTERVAL_MS = 60;
@@ -116,7 +116,7 @@
  */
 const PLACEMENT_RETRY_MS = 50;
 
-/** Minimum wait before a target with a rate limit, or an unavailable one, is tried again, milliseconds. */
+/** Minimum pause before targets that are unavailable or limited are checked again, milliseconds. */
 const MIN_WAIT_MS = 10;
 
 /** Bounds of the Retry-After that callers get when targets are full or limited, milliseconds. */
@@ -316,6 +316,7 @@
     return { kind: 'placed', placement, release };
   }
 
+  /** Retry-After where no engine became free in time, milliseconds. */
   private retryAfterMs({ service }: PlacementRequest): number {
     const now = this.options.now();
     const waitMs = this.fallback.limitedForMs(service, 0, now);
@@ -326,8 +327,8 @@
   }
 
   /**
-   * Targets with rate limits get the calls that no other target can take, and occasional probes whether the limit is
-   * over.
+   * Targets with rate limits get the calls that no other target can take, and occasionally a call that shows whether
+   * the limit is over.
    */
   private async choosePlain(
     request: PlacementRequest,
@@ -383,8 +384,8 @@
   }
 
   /**
-   * Targets that aren't ejected. One that hasn't announced itself since all keepers were down may be gone: one call at
-   * a time.
+   * Targets that aren't ejected. One that hasn't announced itself since all keepers were down may be gone, so it gets
+   * one call at a time, unless there is no other.
    */
   private usableOf(records: Announcement[]): Announcement[] {
     const healthy = records.filter(({ id }) => {
@@ -431,7 +432,9 @@
     this.targetHealth.delete(target);
   }
 
-  /** Reports to the current leader, also for a dispatch that an earlier one placed: the new one may have counted it. */
+  /**
+   * Reports to the current leader, even if an earlier one placed the dispatch: the current one may count it as well.
+   */
   private report(
     id: string,
     target: string,
