--- a/packages/daemon/src/__tests__/failures.test.ts
+++ b/packages/daemon/src/__tests__/failures.test.ts
@@ -28,10 +28,7 @@
   after(() => fleet.stop());
 
   async function leasedOnEngines(): Promise<number> {
-    return [...fleet.engines.values()].reduce(
-      (sum, { leases: held }) => sum + held.list().length,
-      0,
-    );
+    return [...fleet.engines.values()].reduce((sum, { leases }) => sum + leases.list().length, 0);
   }
 
   /** Waits until no resources are leased, neither on the engines nor in the daemon's records. */
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -401,7 +401,7 @@
         observer: observe,
         now,
         allocator: () => this.cells.allocatorAddress(),
-        target: (wanted) => this.cells.availableTarget(wanted),
+        target: (id) => this.cells.availableTarget(id),
       }),
       adapter,
       gatherer: new gatherer.Gatherer({
--- a/packages/daemon/src/entry/__tests__/__fixtures__/harness.ts
+++ b/packages/daemon/src/entry/__tests__/__fixtures__/harness.ts
@@ -30,12 +30,12 @@
     lastEventId: undefined,
   }),
   requestHeaders: (raw, { target, resumeAfter }) => {
-    const kept = raw.flatMap((value, i) => {
+    const idHeader = raw.flatMap((value, i) => {
       const isId = i % 2 === 0 && value.toLowerCase() === 'id';
       return isId ? [value, raw[i + 1]] : [];
     });
     const resume = resumeAfter === undefined ? [] : ['resume-after', resumeAfter];
-    return [...kept, 'target', target, ...resume];
+    return [...idHeader, 'target', target, ...resume];
   },
   responseMetadata: (status, headers) => ({
     requestId: headers.id as string | undefined,
--- a/packages/daemon/src/entry/outcome.ts
+++ b/packages/daemon/src/entry/outcome.ts
@@ -33,8 +33,9 @@
   outcome: Outcome,
   { helpers }: domain.allocation.allocator.Placement,
 ): string | undefined {
-  const named = outcome.kind === 'notRun' ? outcome.faulty : undefined;
-  return helpers.find(({ target, address }) => named === target || named === address)?.target;
+  const faultyTarget = outcome.kind === 'notRun' ? outcome.faulty : undefined;
+  return helpers.find(({ target, address }) => faultyTarget === target || faultyTarget === address)
+    ?.target;
 }
 
 export function dispatchOutcomeOf(outcome: Outcome): DispatchOutcome {
