--- a/packages/daemon/src/__tests__/__fixtures__/crashableTarget.ts
+++ b/packages/daemon/src/__tests__/__fixtures__/crashableTarget.ts
@@ -32,8 +32,8 @@
   at: number;
 }
 
-/** An answer by which a target asked the sender of a request to back off. */
-export interface BackOffAnswer {
+/** A response by which a target asked the sender of a request to back off. */
+export interface BackOffResponse {
   /** Name of the target, the same for all its lifetimes. */
   name: string;
   /** IP address of the sender. */
@@ -63,20 +63,20 @@
   port: number;
   announce: (record: domain.registry.registry.Announcement) => Promise<void>;
   onMessage: (message: Message) => void;
-  onBackOffAnswer: (answer: BackOffAnswer) => void;
+  onBackOffResponse: (response: BackOffResponse) => void;
   onDraining: () => void;
   onArrival: (arrival: Arrival) => void;
   onCrash: (target: string, at: number) => void;
 }
 
 export class CrashableTarget {
-  /** Rate limit for the whole fleet that its answers report, requests a second; undefined for none. */
+  /** Rate limit for the whole fleet that its responses report, requests a second; undefined for none. */
   limit: number | undefined;
 
   /** Back-off that it asks the sender of each request for, milliseconds; undefined while it accepts requests. */
   backOffMs: number | undefined;
 
-  /** Whether its answers report that it drains; its announcements still say that it is ready. */
+  /** Whether its responses report that it drains; its announcements still say that it is ready. */
   isDraining = false;
 
   private lifetime = 0;
@@ -154,12 +154,13 @@
       this.options.onMessage({ name, isRequest, source, at: clock.steady() });
       if (request.headers.target !== id) this.reply(request, response, 421);
       else if (request.url === entryHarness.REPORT_PATH) this.reply(request, response, 200);
-      else if (this.backOffMs !== undefined) this.answerBackOff(request, response, this.backOffMs);
+      else if (this.backOffMs !== undefined)
+        this.respondWithBackOff(request, response, this.backOffMs);
       else this.run(request, response, Buffer.concat(chunks).toString());
     });
   }
 
-  /** Answers a request that is not run, or a liveness probe. */
+  /** Responds to a request that is not run, or a liveness probe. */
   private reply(
     request: http.IncomingMessage,
     response: http.ServerResponse,
@@ -169,7 +170,7 @@
     response.writeHead(status, [...this.headersOf(request), ...notRun]).end();
   }
 
-  private answerBackOff(
+  private respondWithBackOff(
     request: http.IncomingMessage,
     response: http.ServerResponse,
     forMs: number,
@@ -178,7 +179,7 @@
     const source = request.socket.remoteAddress ?? '';
     const at = clock.steady();
     const id = String(request.headers.id);
-    this.options.onBackOffAnswer({ name, source, request: id, at, until: at + forMs });
+    this.options.onBackOffResponse({ name, source, request: id, at, until: at + forMs });
     response.writeHead(503, [
       ...this.headersOf(request),
       'not-run',
@@ -196,7 +197,7 @@
     return ['id', String(request.headers.id), 'signed', '1', ...limit, ...leaving];
   }
 
-  /** Runs a request: streams an answer, or crashes and restarts. */
+  /** Runs a request: streams a response, or crashes and restarts. */
   private run(request: http.IncomingMessage, response: http.ServerResponse, body: string): void {
     const { id } = this;
     this.options.onArrival({ target: id, body, at: clock.steady() });
--- a/packages/daemon/src/__tests__/__fixtures__/smallFleet.ts
+++ b/packages/daemon/src/__tests__/__fixtures__/smallFleet.ts
@@ -147,9 +147,9 @@
   /** All messages that targets received. */
   readonly messages: crashableTarget.Message[] = [];
 
-  readonly backOffAnswers: crashableTarget.BackOffAnswer[] = [];
+  readonly backOffResponses: crashableTarget.BackOffResponse[] = [];
 
-  /** When a target first answered that it drains, on the steady clock. */
+  /** When a target first reported in a response that it drains, on the steady clock. */
   drainingSince: number | undefined;
 
   readonly crashes: { target: string; at: number }[] = [];
@@ -276,7 +276,7 @@
     await until('all targets at all entries', () => this.entriesKnowAllTargets());
   }
 
-  /** Sends a request to an entry; resolves when the answer has ended or the connection has failed. */
+  /** Sends a request to an entry; resolves when the response has ended or the connection has failed. */
   send(entryIndex: number, options: RequestOptions): Promise<Reply> {
     const { service, kind = 'streaming', body, key = 'k', path: pathSuffix = 'a' } = options;
     this.requestCount += 1;
@@ -361,7 +361,7 @@
           await this.sendToKeeper('PUT', `/${record.id}`, record);
         },
         onMessage: (message) => this.messages.push(message),
-        onBackOffAnswer: (answer) => this.backOffAnswers.push(answer),
+        onBackOffResponse: (response) => this.backOffResponses.push(response),
         onDraining: () => {
           this.drainingSince ??= clock.steady();
         },
--- a/packages/daemon/src/__tests__/backingOffTargets.test.ts
+++ b/packages/daemon/src/__tests__/backingOffTargets.test.ts
@@ -33,8 +33,8 @@
 const MIN_IMMEDIATE_SHARE = 0.75;
 
 /** The largest number of messages that a VM sent to a target during a back-off that the target had asked for. */
-function maxMessagesDuringBackOff({ backOffAnswers, messages }: smallFleet.SmallFleet): number {
-  const counts = backOffAnswers.map(({ name, source, at, until }) => {
+function maxMessagesDuringBackOff({ backOffResponses, messages }: smallFleet.SmallFleet): number {
+  const counts = backOffResponses.map(({ name, source, at, until }) => {
     const during = messages.filter((each) => {
       const isSamePair = each.name === name && each.source === source;
       return isSamePair && each.at > at + IN_FLIGHT_MS && each.at < until;
@@ -74,10 +74,12 @@
     await onBoth(async (fleet, options) => {
       setBackOff(fleet.targets.slice(0, 2), BACK_OFF_MS);
       const replies = await fleet.sendLoad(options, 2 * BACK_OFF_MS, REQUEST_INTERVAL_MS);
-      expect(fleet.backOffAnswers).to.not.deep.equal([]);
+      expect(fleet.backOffResponses).to.not.deep.equal([]);
       expect(maxMessagesDuringBackOff(fleet)).to.be.at.most(MAX_MESSAGES);
       const wasRejectedEverywhere = ({ id }: smallFleet.Reply): boolean => {
-        return fleet.backOffAnswers.filter(({ request }) => request === id).length >= MAX_ATTEMPTS;
+        return (
+          fleet.backOffResponses.filter(({ request }) => request === id).length >= MAX_ATTEMPTS
+        );
       };
       const statuses = replies
         .filter((each) => !wasRejectedEverywhere(each))
--- a/packages/daemon/src/__tests__/crashingRequests.test.ts
+++ b/packages/daemon/src/__tests__/crashingRequests.test.ts
@@ -39,7 +39,7 @@
       }
       expect(fleet.crashes.length).to.equal(MAX_CRASHES);
       expect(fleet.arrivalsWithBody(CRASHING_BODY).length).to.equal(MAX_CRASHES);
-      // They have run, so no answer may say that they have not.
+      // They have run, so no response may say that they have not.
       expect(new Set(statuses)).to.deep.equal(new Set([502]));
     });
   });
--- a/packages/daemon/src/__tests__/drainingTargets.test.ts
+++ b/packages/daemon/src/__tests__/drainingTargets.test.ts
@@ -1,4 +1,4 @@
-/** Targets that report in their answers that they drain, while their announcements still say that they are ready. */
+/** Targets that report in their responses that they drain, while their announcements still say that they are ready. */
 import * as chai from 'chai';
 import * as clock from '../clock';
 import * as fleetPool from './__fixtures__/fleetPool';
@@ -12,7 +12,7 @@
 const LEADERLESS_LOAD_MS = 800;
 const LEADERLESS_INTERVAL_MS = 20;
 
-/** Time in which an entry reads its own target's answer, or learns from the leader what another entry read. */
+/** Time in which an entry reads its own target's response, or learns from the leader what another entry read. */
 const PROPAGATION_MS = 300;
 
 /** Source addresses of the entries that sent a request to the first target after `since`. */
@@ -26,17 +26,17 @@
   return [...new Set(requests.map(({ source }) => source))].sort();
 }
 
-describe('targets that report in an answer that they drain', () => {
+describe('targets that report in a response that they drain', () => {
   const pool = new fleetPool.FleetPool({ engines: 2, plain: 1 });
 
-  /** Guards against entries that keep sending to a draining target until each has received an answer itself. */
+  /** Guards against entries that keep sending to a draining target until each has received a response itself. */
   (['engines', 'plain'] as const).forEach((service) => {
     it(`get no new request from any entry, as ${service} targets, even if they announce later that they are ready`, async () => {
       const fleet = await pool.take(service);
       const options = { service, kind: 'safe' } as const;
       await fleet.sendLoad(options, LOAD_MS);
       fleet.targets[0].isDraining = true;
-      // One entry receives such an answer; the others learn it from the leader.
+      // One entry receives such a response; the others learn it from the leader.
       while (sendersToFirstTarget(fleet, 0).length === 0 || fleet.drainingSince === undefined) {
         await fleet.send(0, { ...options, body: 'x' });
       }
@@ -58,7 +58,7 @@
   });
 
   /** Guards against an entry that waits for an update from the leader while there is no leader. */
-  it('get no new request from an entry that received the answer, without a leader, and finish their streams', async () => {
+  it('get no new request from an entry that received the response, without a leader, and finish their streams', async () => {
     const fleet = await pool.take('engines');
     const options = { service: 'engines', kind: 'streaming' } as const;
     await Promise.all([0, 1].map((i) => fleet.stopKeeper(i)));
--- a/packages/daemon/src/__tests__/failures.test.ts
+++ b/packages/daemon/src/__tests__/failures.test.ts
@@ -49,7 +49,7 @@
   }
 
   /*
-   * Guards against a caller that receives another caller's answer: an engine sends frames of another request on a
+   * Guards against a caller that receives another caller's response: an engine sends frames of another request on a
    * connection. The frames must be dropped and the request must be completed by another engine.
    */
   it('drops frames of another request and retries on another engine', async () => {
@@ -64,7 +64,7 @@
   });
 
   /*
-   * Guards against a truncated answer that looks complete: the connection to the engine ends early. The daemon
+   * Guards against a truncated response that looks complete: the connection to the engine ends early. The daemon
    * must resume the stream over a new connection, at the position that it reached.
    */
   it('resumes an interrupted stream at its position', async () => {
@@ -76,7 +76,7 @@
   });
 
   /*
-   * Guards against an answer that never arrives: open connections stall while the engine keeps running. A probe
+   * Guards against a response that never arrives: open connections stall while the engine keeps running. A probe
    * over a new connection shows that it is decoding, so the stream must be resumed over a new connection.
    */
   it('detects a stalled connection to a running engine and resumes over a new one', async () => {
@@ -156,7 +156,7 @@
 
   /*
    * Two engines crash one after the other while requests run, and one restarts as a new lifetime. Every request must
-   * end with a complete answer or an explicit error, and the new lifetime must be used again.
+   * end with a complete response or an explicit error, and the new lifetime must be used again.
    */
   it('ends every request when two engines crash', async () => {
     await fleet.startEngine('second');
@@ -232,7 +232,7 @@
   }
 
   /*
-   * Guards against a call that runs twice: its caller gets no answer and resends it, and the load balancer routes
+   * Guards against a call that runs twice: its caller gets no response and resends it, and the load balancer routes
    * the copy to another daemon while the first is still running.
    */
   it('runs a call once, however often and to whichever daemon it is sent', async () => {
@@ -249,10 +249,10 @@
   });
 
   /*
-   * A service runs a call and crashes before it answers, so its outcome cannot be determined. The caller must get
+   * A service runs a call and crashes before it responds, so its outcome cannot be determined. The caller must get
    * "unknown", also for a copy, and the call must never be sent again.
    */
-  it('reports an unknown outcome, and never runs the call again, when the answer is lost', async () => {
+  it('reports an unknown outcome, and never runs the call again, when the response is lost', async () => {
     await fleet.injectFault('parts-1', 'cut', 1);
     await fleet.injectFault('parts-2', 'cut', 1);
     const first = await callOnce('h2', 0);
@@ -277,7 +277,7 @@
   });
 
   /*
-   * Guards against an answer that is lost in a planned stop of a VM, because the daemon waits for prompts but not
+   * Guards against a response that is lost in a planned stop of a VM, because the daemon waits for prompts but not
    * for calls to services.
    */
   it('finishes a call to a service before the daemon ends in a planned stop', async () => {
--- a/packages/daemon/src/__tests__/limitedTargets.test.ts
+++ b/packages/daemon/src/__tests__/limitedTargets.test.ts
@@ -127,8 +127,8 @@
     });
   });
 
-  /** Guards against a burst at limited targets after a restart of all processes, before their first answers. */
-  it('are known to all entries after a restart of all processes, before any target has answered', async () => {
+  /** Guards against a burst at limited targets after a restart of all processes, before their first responses. */
+  it('are known to all entries after a restart of all processes, before any target has responded', async () => {
     const fleet = await pool.take('engines');
     setLimit(fleet.targets, LIMIT_PER_SECOND);
     await fleet.sendLoad({ service: 'engines' }, PROPAGATION_MS);
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -401,7 +401,7 @@
         observer: observe,
         now,
         allocator: () => this.cells.allocatorAddress(),
-        target: (id) => this.cells.availableTarget(id),
+        target: (name) => this.cells.availableTarget(name),
       }),
       adapter,
       gatherer: new gatherer.Gatherer({
