--- a/packages/daemon/src/entry/__tests__/__fixtures__/harness.ts
+++ b/packages/daemon/src/entry/__tests__/__fixtures__/harness.ts
@@ -294,9 +294,9 @@
 
   private async choose(request: targetSelector.PlacementRequest): Promise<targetSelector.Choice> {
     this.placementRequests.push(request);
-    const onlyTarget = request.writers?.[0];
+    const allowedTarget = request.writers?.[0];
     const excluded = new Set([...request.excluded, ...this.signals.unavailable('app')]);
-    const index = onlyTarget === undefined ? excluded.size : Number(onlyTarget.slice(1));
+    const index = allowedTarget === undefined ? excluded.size : Number(allowedTarget.slice(1));
     await clock.sleep(this.placementDelayMs);
     const address = this.addresses[index];
     if (address === undefined) return { kind: 'noPlace', retryAfterMs: 250 };
