--- a/packages/daemon/src/entry/__tests__/livenessProbes.test.ts
+++ b/packages/daemon/src/entry/__tests__/livenessProbes.test.ts
@@ -16,7 +16,7 @@
   await new Promise<void>((resolve) => {
     server.listen(0, '127.0.0.1', resolve);
   });
-  const checks = new livenessProbes.LivenessProbes({
+  const probes = new livenessProbes.LivenessProbes({
     protocol: harness.PROTOCOL,
     limits: { mayProbe: async () => true },
     gate: harness.PERMISSIVE_GATE,
@@ -24,14 +24,15 @@
     source: undefined,
   });
   const { port } = server.address() as net.AddressInfo;
-  const alive = await checks.isAlive('t', `127.0.0.1:${port}`);
+  const alive = await probes.isAlive('t', `127.0.0.1:${port}`);
   server.close();
   return alive;
 }
 
 describe('liveness probes', () => {
   /**
-   * Guards against reporting a crash, and suspecting the requests that ran, of a target that was too busy for a probe.
+   * Guards against a target that is given up because it was too busy to answer a probe, and against suspicions of the
+   * requests that it ran.
    */
   it('count a target that refuses them as alive, but no other responder', async () => {
     const answers = [
--- a/packages/daemon/src/entry/__tests__/quarantineClient.test.ts
+++ b/packages/daemon/src/entry/__tests__/quarantineClient.test.ts
@@ -16,12 +16,13 @@
 
 describe('an entry that was cut off from all targets', () => {
   /*
-   * Guards against a suspicion that only one entry holds. An entry that was cut off took three targets for crashed and
-   * refused a lookup with 502 until its restart: the leader had rejected the reports, but sent no update.
+   * Guards against a suspicion that only one entry has. One entry of eight was cut off from its targets, concluded that
+   * three had crashed, and refused a harmless request with 502 until its restart: the leader had rejected the crash
+   * reports, but sent the entry no update.
    */
   it('accepts the state of the leader, which knows that they are alive', async () => {
     const quarantine = new domain.quarantine.quarantine.Quarantine();
-    const nothing = new domain.quarantine.quarantine.Quarantine().report(CONTENT, 0);
+    const emptyReport = new domain.quarantine.quarantine.Quarantine().report(CONTENT, 0);
     const client = new quarantineClient.QuarantineClient({
       name: 'e0',
       fleetState: { quarantine, registry: new domain.registry.registry.Registry() },
@@ -29,7 +30,7 @@
       client: {
         call: async <T>() => {
           await clock.sleep(1);
-          return Ok({ kind: 'taken', reports: [nothing] } as T);
+          return Ok({ kind: 'taken', reports: [emptyReport] } as T);
         },
       },
       liveness: { isAlive: async () => false },
@@ -89,8 +90,8 @@
 
 describe('a request that is a suspect at its entry but not yet at the leader', () => {
   /**
-   * Guards against separate runs of a crashing request that count as one concurrent run, so that it is never
-   * quarantined.
+   * Guards against a crashing request that is never quarantined because its separate runs don't count as canary runs,
+   * but as copies that ran at the same time.
    */
   it('makes a canary run', async () => {
     const quarantine = new domain.quarantine.quarantine.Quarantine();
--- a/packages/daemon/src/entry/reservations.ts
+++ b/packages/daemon/src/entry/reservations.ts
@@ -43,7 +43,7 @@
 const RELEASE_RETRY_MS = 600;
 const MAX_RELEASE_TRIES = 6;
 
-/** Longest lease that targets grant, milliseconds. */
+/** Longest lease that targets grant, milliseconds; they refuse a longer one. */
 const MAX_LEASE_MS = 20_000;
 
 interface Reservation {
@@ -84,7 +84,7 @@
   }
 
   /** The helpers with their reservations, as the request lists them. */
-  named(helpers: readonly Helper[]): protocols.PrefillHelper[] {
+  withReservations(helpers: readonly Helper[]): protocols.PrefillHelper[] {
     return helpers.map(({ target, address }) => {
       const reservation = this.reservations.find(({ helper }) => helper.target === target);
       return { address, reservation: reservation?.id };
--- a/packages/daemon/src/entry/targetSelector.ts
+++ b/packages/daemon/src/entry/targetSelector.ts
@@ -20,7 +20,7 @@
 type Placement = domain.allocation.allocator.Placement;
 type PlaceResult = Result<messages.PlaceAnswer, errors.CallError>;
 
-/** A request that needs a target. Sent to the leader as it is, in `messages.Place`. */
+/** A request that needs a target. Sent to the leader as it is, in `messages.PlaceRequest`. */
 export interface PlacementRequest {
   id: string;
   service: string;
@@ -72,7 +72,7 @@
 
 /** At least one target accepts requests from this VM; `excluded` lists those that the request must not go to. */
 interface Availability {
-  kind: 'open';
+  kind: 'available';
   excluded: readonly string[];
 }
 
@@ -97,8 +97,8 @@
 
 /**
  * Prompts with a shorter objective, milliseconds, would miss it while the entry detects the loss of the leader. They
- * stop waiting once a liveness probe of the leader is unanswered for `LEADER_OVERDUE_MS`, thirty round trips; a leader
- * that is only busy, or has no free engine for the prompt, answers it within a few.
+ * stop waiting for the leader's placement once it leaves a liveness probe unanswered for `LEADER_OVERDUE_MS`, thirty
+ * round trips. A leader that is only busy, or has no free engine for the prompt, answers the probe within a few.
  */
 const SHORT_OBJECTIVE_MS = 900;
 const SHORT_CHECK_INTERVAL_MS = 60;
@@ -116,7 +116,7 @@
  */
 const PLACEMENT_RETRY_MS = 50;
 
-/** Minimum wait before a target with a rate limit, or an unavailable one, is tried again, milliseconds. */
+/** Minimum pause before targets that are unavailable or limited are checked again, milliseconds. */
 const MIN_WAIT_MS = 10;
 
 /** Bounds of the Retry-After that callers get when targets are full or limited, milliseconds. */
@@ -172,7 +172,7 @@
       const choice = (await this.placeByLeader(allowed, until)) ?? this.placeLocally(allowed);
       if (choice !== undefined) return choice;
       const leftMs = until - this.options.now();
-      if (leftMs <= 0) return { kind: 'noPlace', retryAfterMs: this.nextPlaceMs(request) };
+      if (leftMs <= 0) return { kind: 'noPlace', retryAfterMs: this.retryAfterMs(request) };
       await clock.sleep(Math.min(leftMs, PLACEMENT_RETRY_MS));
     }
   }
@@ -196,7 +196,8 @@
     for (;;) {
       const unavailable = signals.unavailable(request.service);
       const waitMs = this.untilAvailableMs(request, unavailable);
-      if (waitMs === 0) return { kind: 'open', excluded: [...request.excluded, ...unavailable] };
+      if (waitMs === 0)
+        return { kind: 'available', excluded: [...request.excluded, ...unavailable] };
       if (now() + waitMs > until) {
         const jitter = 1 + RETRY_AFTER_JITTER * random.uniform();
         const retryAfterMs = Math.round(Math.max(RETRY_AFTER_MS.min, waitMs) * jitter);
@@ -315,7 +316,8 @@
     return { kind: 'placed', placement, release };
   }
 
-  private nextPlaceMs({ service }: PlacementRequest): number {
+  /** Retry-After where no engine became free in time, milliseconds. */
+  private retryAfterMs({ service }: PlacementRequest): number {
     const now = this.options.now();
     const waitMs = this.fallback.limitedForMs(service, 0, now);
     return Math.max(
@@ -325,8 +327,8 @@
   }
 
   /**
-   * Targets with rate limits get the calls that no other target can take, and occasional probes whether the limit is
-   * over.
+   * Targets with rate limits get the calls that no other target can take, and occasionally a call that shows whether
+   * the limit is over.
    */
   private async choosePlain(
     request: PlacementRequest,
@@ -336,11 +338,11 @@
     for (;;) {
       const availability = await this.awaitAvailability(request, backOffUntil);
       if (availability.kind === 'noPlace') return availability;
-      const { open, limited } = this.eligibleTargets({
+      const { unlimited, limited } = this.eligibleTargets({
         ...request,
         excluded: availability.excluded,
       });
-      const healthy = this.usableOf(open);
+      const healthy = this.usableOf(unlimited);
       const healthyLimited = this.usableOf(limited);
       if (healthy.length > 0) {
         const probe = await limits.grantProbe(healthyLimited);
@@ -348,7 +350,7 @@
         return this.placePlain(probed ?? this.leastBusy(healthy));
       }
       if (limited.length === 0) {
-        if (open.length > 0) return this.placePlain(this.leastBusy(open));
+        if (unlimited.length > 0) return this.placePlain(this.leastBusy(unlimited));
         return { kind: 'noPlace', retryAfterMs: NO_TARGET_RETRY_MS };
       }
       const candidates = healthyLimited.length > 0 ? healthyLimited : limited;
@@ -357,7 +359,7 @@
         const granted = candidates.find(({ address }) => address === grant.place.address);
         return this.placePlain(granted ?? candidates[0]);
       }
-      if (open.length > 0) return this.placePlain(this.leastBusy(open));
+      if (unlimited.length > 0) return this.placePlain(this.leastBusy(unlimited));
       const waitMs = Number.isFinite(grant.waitMs) ? grant.waitMs : PLACEMENT_RETRY_MS;
       if (now() + waitMs > until) {
         return { kind: 'noPlace', retryAfterMs: limitRetryAfterMs(grant), reason: 'limited' };
@@ -368,7 +370,7 @@
 
   /** Ready targets that may take a call, split into those without a rate limit and those with one. */
   private eligibleTargets({ service, excluded, writers }: PlacementRequest): {
-    open: Announcement[];
+    unlimited: Announcement[];
     limited: Announcement[];
   } {
     const { fleetState: state } = this.options;
@@ -376,14 +378,14 @@
       return !excluded.includes(id) && writers?.includes(id) !== false;
     });
     return {
-      open: ready.filter((record) => !state.limits.isLimited(record)),
+      unlimited: ready.filter((record) => !state.limits.isLimited(record)),
       limited: ready.filter((record) => state.limits.isLimited(record)),
     };
   }
 
   /**
-   * Targets that aren't ejected. One that hasn't announced itself since all keepers were down may be gone: one call at
-   * a time.
+   * Targets that aren't ejected. One that hasn't announced itself since all keepers were down may be gone, so it gets
+   * one call at a time, unless there is no other.
    */
   private usableOf(records: Announcement[]): Announcement[] {
     const healthy = records.filter(({ id }) => {
@@ -414,8 +416,8 @@
   }
 
   private releasePlain(target: string, outcome: DispatchOutcome): void {
-    const left = (this.activeCalls.get(target) ?? 1) - 1;
-    if (left > 0) this.activeCalls.set(target, left);
+    const remaining = (this.activeCalls.get(target) ?? 1) - 1;
+    if (remaining > 0) this.activeCalls.set(target, remaining);
     else this.activeCalls.delete(target);
     const health =
       this.targetHealth.get(target) ?? new domain.allocation.targetHealth.TargetHealth();
@@ -430,7 +432,9 @@
     this.targetHealth.delete(target);
   }
 
-  /** Reports to the current leader, also for a dispatch that an earlier one placed: the new one may have counted it. */
+  /**
+   * Reports to the current leader, even if an earlier one placed the dispatch: the current one may count it as well.
+   */
   private report(
     id: string,
     target: string,
