--- a/packages/daemon/src/__tests__/failures.test.ts
+++ b/packages/daemon/src/__tests__/failures.test.ts
@@ -35,7 +35,7 @@
   async function untilNothingLeased(): Promise<void> {
     await until('engines without leases', async () => (await leasedOnEngines()) === 0);
     const [daemon] = fleet.daemons;
-    await until('a daemon without leases', () => daemon?.holdings.holdings.size === 0);
+    await until('a daemon without leases', () => daemon?.holdings.leases.size === 0);
   }
 
   const { until } = daemonFleet;
@@ -200,7 +200,7 @@
     const reserved = [...fleet.engines.values()].map(({ model }) => model.reservedTokens);
     await until(
       'all memory to be released',
-      () => reserved.length > 0 && fleet.daemons[0]?.holdings.holdings.size === 0,
+      () => reserved.length > 0 && fleet.daemons[0]?.holdings.leases.size === 0,
     );
     expect([...fleet.engines.values()].every(({ model }) => model.reservedTokens === 0)).to.equal(
       true,
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -194,9 +194,9 @@
       observer: this.observer,
       now,
       leadership: () => this.control.leadership(),
-      wanted: () => this.admission.directory.servedModels(),
+      requiredModels: () => this.admission.directory.servedModels(),
       targets: () => this.targets.list(),
-      ours: () => this.control.ordered,
+      ownModels: () => this.control.ordered,
       record: (key, loaded) => this.recordOrder(key, loaded),
     });
     this.plannedStopTracker = new plannedStopTracker.PlannedStopTracker({
@@ -251,7 +251,7 @@
     await this.members.leave();
     await clock.sleep(BALANCER_NOTICE_MS);
     const deadline = this.now() + this.settings.timeouts.stopSeconds * 1_000;
-    while ((this.callers.active > 0 || this.holdings.holdings.size > 0) && this.now() < deadline) {
+    while ((this.callers.active > 0 || this.holdings.leases.size > 0) && this.now() < deadline) {
       await clock.sleep(20);
     }
     const closed = Promise.all(this.listeners.map((each) => each.close()));
@@ -311,7 +311,7 @@
       daemons: this.members.detector.list(),
       targetsKept: this.targets.kept,
       running: this.running.size,
-      holdings: this.holdings.holdings.size,
+      holdings: this.holdings.leases.size,
       memoryBytes: memory.rss,
       heapBytes: memory.heapUsed,
       cpuMicroseconds: cpu.user + cpu.system,
@@ -406,14 +406,14 @@
       adapter,
       gatherer: new gatherer.Gatherer({
         adapter,
-        holdings,
+        leaseLoop: holdings,
         random,
         owner,
         engines: () => this.cells.availableEngines(),
         freeTokens: (target) => route.freeTokens(target),
         now,
       }),
-      holdings,
+      leaseLoop: holdings,
       observer: observe,
       budget: retryBudget,
       quarantine: new promptQuarantine.PromptQuarantine(now),
@@ -490,11 +490,11 @@
   /** Forgets the leased resources and closes the pooled connections of a target that restarted or is gone. */
   private onTargetChanged(target: Target, before: Target | undefined): void {
     if (before !== undefined && before.incarnation < target.incarnation) {
-      this.holdings.holdings.targetRestarted(target.name, target.incarnation);
+      this.holdings.leases.targetRestarted(target.name, target.incarnation);
       this.targetsClient.closePool(before.address);
     }
     if (target.status === 'gone') {
-      this.holdings.holdings.targetGone(target.name);
+      this.holdings.leases.targetGone(target.name);
       this.targetsClient.closePool(target.address);
     }
     const isUnchanged =
--- a/packages/daemon/src/entry/__tests__/targetSelector.test.ts
+++ b/packages/daemon/src/entry/__tests__/targetSelector.test.ts
@@ -140,7 +140,7 @@
       client,
       fleetState: state,
       observer: observe,
-      moment: clock.readClocks,
+      readClocks: clock.readClocks,
       dispatches: () => [],
       onConfirmed: () => undefined,
     });
--- a/packages/daemon/src/entry/entry.ts
+++ b/packages/daemon/src/entry/entry.ts
@@ -111,7 +111,7 @@
       client: this.client,
       fleetState: this.fleetState,
       observer: observe,
-      moment: clock.readClocks,
+      readClocks: clock.readClocks,
       dispatches: () => this.selector.dispatches,
       onConfirmed: ({ entries, crowding }) => {
         this.selector.fallback.assumeAverageLoads(crowding);
@@ -181,7 +181,7 @@
     const { settings } = this.dependencies;
     this.server.add('learn', (update) => {
       this.fleetState.applyUpdate(update as messages.FleetUpdate);
-      return { mark: this.fleetState.mark } satisfies messages.UpdateAck;
+      return { mark: this.fleetState.registryVersion } satisfies messages.UpdateAck;
     });
     await this.server.listen(settings.peers);
     await this.ingress.listen(settings.callers as codecs.Address, this.dependencies.earlyListener);
--- a/packages/daemon/src/fleet/__tests__/leaderLink.test.ts
+++ b/packages/daemon/src/fleet/__tests__/leaderLink.test.ts
@@ -46,7 +46,7 @@
     };
     const state = {
       version: 0,
-      mark: messages.NO_VERSION,
+      registryVersion: messages.NO_VERSION,
       reportableSuspects: () => [],
       limits: { all: () => [] },
       applyUpdate: () => true,
@@ -61,7 +61,7 @@
       client: client as unknown as peerClient.PeerClient,
       fleetState: state as unknown as fleetState.FleetState,
       observer: new observer.Observer('test', 'fatal', undefined),
-      moment: clock.readClocks,
+      readClocks: clock.readClocks,
       dispatches: () => [],
       onConfirmed: () => undefined,
     });
--- a/packages/daemon/src/fleet/fleetState.ts
+++ b/packages/daemon/src/fleet/fleetState.ts
@@ -47,7 +47,7 @@
   readonly limits = new domain.rateLimits.rateLimits.RateLimits();
 
   /** Version of the registry that is in force here. */
-  mark: messages.RegistryVersion = messages.NO_VERSION;
+  registryVersion: messages.RegistryVersion = messages.NO_VERSION;
 
   private current: Directory | undefined;
 
@@ -168,19 +168,19 @@
     const { edition, mark, since, packedRegistry } = update;
     if (edition !== undefined) this.applyCatalogue(edition);
     if (packedRegistry !== undefined) this.applySnapshot(registrySnapshots.unpack(packedRegistry));
-    const isConsecutive = since === undefined || messages.includes(this.mark, since);
+    const isConsecutive = since === undefined || messages.includes(this.registryVersion, since);
     // An update of a former leader, or a delayed one, doesn't reflect later changes; its records are merged.
     this.applyRecords(
       registrySnapshots.unpackRecords(update),
-      isConsecutive && !isNewer(this.mark, mark),
+      isConsecutive && !isNewer(this.registryVersion, mark),
     );
     // A delayed push arrives after the answer to a later poll, so its suspects and limits are outdated.
-    if (!isNewer(this.mark, mark)) {
+    if (!isNewer(this.registryVersion, mark)) {
       this.applySuspects(update.suspects);
       this.applyLimits(update.limits);
     }
     if (!isConsecutive) return false;
-    if (!isNewer(this.mark, mark)) this.mark = mark;
+    if (!isNewer(this.registryVersion, mark)) this.registryVersion = mark;
     return true;
   }
 
--- a/packages/daemon/src/fleet/leaderLink.ts
+++ b/packages/daemon/src/fleet/leaderLink.ts
@@ -20,7 +20,7 @@
   client: peerClient.PeerClient;
   fleetState: fleetState.FleetState;
   observer: observer.Observer;
-  moment: () => clock.ClockReading;
+  readClocks: () => clock.ClockReading;
   /** Returns the dispatches running here, for a new leader's allocator. */
   dispatches: () => messages.RunningDispatch[];
   onConfirmed: (answer: messages.Confirmation) => void;
@@ -133,13 +133,13 @@
 
   /** Milliseconds since the last confirmed poll was sent; infinite if none was confirmed. */
   get confirmationAgeMs(): number {
-    return clock.elapsed(this.confirmedAt, this.options.moment());
+    return clock.elapsed(this.confirmedAt, this.options.readClocks());
   }
 
   /** How long the pending probe has been unanswered, in milliseconds; 0 if none is pending. */
   get unansweredMs(): number {
     const { probingSince } = this;
-    return probingSince === undefined ? 0 : clock.elapsed(probingSince, this.options.moment());
+    return probingSince === undefined ? 0 : clock.elapsed(probingSince, this.options.readClocks());
   }
 
   /** Reports that the leader didn't answer another call; the next poll goes to another keeper. */
@@ -159,15 +159,15 @@
    */
   async probe(): Promise<void> {
     const { leader, probingSince } = this;
-    const sinceProbeMs = clock.elapsed(this.probedAt, this.options.moment());
+    const sinceProbeMs = clock.elapsed(this.probedAt, this.options.readClocks());
     if (probingSince !== undefined || leader === '' || sinceProbeMs < PROBE_VALID_MS) return;
-    this.probingSince = this.options.moment();
+    this.probingSince = this.options.readClocks();
     const options = { timeoutMs: PROBE_TIMEOUT_MS };
     const answer = await this.options.client.call(leader, 'identify', {}, options);
     this.probingSince = undefined;
     if (this.leader !== leader) return;
     if (answer.ok) {
-      this.probedAt = this.options.moment();
+      this.probedAt = this.options.readClocks();
       return;
     }
     this.loseLeader('no sign of life');
@@ -210,7 +210,7 @@
   }
 
   private async poll(address: string): Promise<PollOutcome> {
-    const polledAt = this.options.moment();
+    const polledAt = this.options.readClocks();
     this.polling.add(address);
     const answer = await this.options.client.call<messages.FollowAnswer>(
       address,
@@ -244,7 +244,7 @@
       role,
       address: this.options.address,
       version: state.version,
-      mark: state.mark,
+      mark: state.registryVersion,
       ...registrySnapshots.packRecords(sendsRecords ? state.registry.records() : []),
       dispatches: isNew ? this.options.dispatches() : [],
       suspects: isNew ? state.reportableSuspects() : [],
--- a/packages/daemon/src/keeper/__tests__/keeper.test.ts
+++ b/packages/daemon/src/keeper/__tests__/keeper.test.ts
@@ -200,7 +200,7 @@
       client,
       fleetState: state,
       observer: this.observer,
-      moment: clock.readClocks,
+      readClocks: clock.readClocks,
       dispatches: () => [],
       onConfirmed: () => undefined,
     });
--- a/packages/daemon/src/keeper/__tests__/largeFleet.test.ts
+++ b/packages/daemon/src/keeper/__tests__/largeFleet.test.ts
@@ -96,10 +96,16 @@
     const announced = Array.from({ length: TARGETS }, (_each, i) => {
       return setup.leader.announce(announcement(i));
     });
-    const answer = await setup.leader.follow({ ...fixture.followRequest(0), mark: follower.mark });
+    const answer = await setup.leader.follow({
+      ...fixture.followRequest(0),
+      mark: follower.registryVersion,
+    });
     await Promise.all(announced);
     expect(answer?.news.packedRegistry).to.equal(undefined);
-    const last = await setup.leader.follow({ ...fixture.followRequest(0), mark: follower.mark });
+    const last = await setup.leader.follow({
+      ...fixture.followRequest(0),
+      mark: follower.registryVersion,
+    });
     if (last !== undefined) follower.applyUpdate(last.news);
     expect(follower.registry.ready('s').length).to.equal(TARGETS);
   });
@@ -125,7 +131,7 @@
       for (let i = 0; i < FOLLOWERS; i++) {
         const answer = await setup.leader.follow({
           ...fixture.followRequest(i),
-          mark: entries[i].mark,
+          mark: entries[i].registryVersion,
         });
         expect(answer?.kind).to.equal('confirmed');
         if (answer === undefined) return;
--- a/packages/daemon/src/keeper/keeper.ts
+++ b/packages/daemon/src/keeper/keeper.ts
@@ -202,7 +202,7 @@
       client: this.client,
       fleetState: this.fleetState,
       observer: observe,
-      moment: clock.readClocks,
+      readClocks: clock.readClocks,
       dispatches: () => [],
       onConfirmed: () => undefined,
     });
@@ -238,7 +238,7 @@
     server.add('follow', (request) => this.follow(request as messages.FollowRequest));
     server.add('learn', (update) => {
       this.fleetState.applyUpdate(update as messages.FleetUpdate);
-      return { mark: this.fleetState.mark } satisfies messages.UpdateAck;
+      return { mark: this.fleetState.registryVersion } satisfies messages.UpdateAck;
     });
     server.add('announced', (content) => calls.announceHere(content as messages.AnnouncementBatch));
     server.add('departed', (content) => calls.departHere(content as messages.Departure));
--- a/packages/daemon/src/orders/orderLoop.ts
+++ b/packages/daemon/src/orders/orderLoop.ts
@@ -17,10 +17,10 @@
   /** Term and start of this daemon's leadership; undefined unless it leads and has the lease. */
   leadership: () => Leadership | undefined;
   /** Models that the settings in force require. */
-  wanted: () => domain.settings.document.Model[];
+  requiredModels: () => domain.settings.document.Model[];
   targets: () => Target[];
   /** Keys of the models that this system has loaded; only these may be unloaded. */
-  ours: () => ReadonlySet<string>;
+  ownModels: () => ReadonlySet<string>;
   /** Records in the control log whether this system has loaded a model; resolves to whether that succeeded. */
   record: (key: string, loaded: boolean) => Promise<boolean>;
 }
@@ -69,9 +69,9 @@
     const fencingOf = (name: string): domain.target.target.Fencing =>
       targets.find((target) => target.name === name)?.fencing ?? 'ignored';
     const differences = domain.placement.order.differences(
-      this.options.wanted(),
+      this.options.requiredModels(),
       targets,
-      this.options.ours(),
+      this.options.ownModels(),
     );
     const orders = this.issuer.issue(differences, fencingOf, this.options.now());
     for (const order of orders) await this.send(order, targets);
--- a/packages/daemon/src/requests/execution.ts
+++ b/packages/daemon/src/requests/execution.ts
@@ -44,7 +44,7 @@
   allocationClient: allocationClient.AllocationClient;
   adapter: adapter.EngineAdapter;
   gatherer: gatherer.Gatherer;
-  holdings: leaseLoop.LeaseLoop;
+  leaseLoop: leaseLoop.LeaseLoop;
   observer: observer.Observer;
   budget: domain.request.retry.Budget;
   /** Quarantine of prompts that crash engines. */
@@ -267,12 +267,12 @@
     if (gathered.err)
       return this.attemptFailure(target.name, 'notSent', this.abortReason ?? 'refused', 0);
     this.check.continueAs(id);
-    this.dependencies.holdings.hold(target, id, 'stream');
+    this.dependencies.leaseLoop.addLease(target, id, 'stream');
     const failure = await this.stream(id, dispatch, gathered.val.parts);
     // A complete answer or a refusal for lack of memory leaves nothing leased on the engine.
     const hasNoLease = failure === undefined || failure.noRoom !== undefined;
-    if (hasNoLease) this.dependencies.holdings.holdings.confirmRelease(target.name, id);
-    else this.dependencies.holdings.release(target.name, id);
+    if (hasNoLease) this.dependencies.leaseLoop.leases.confirmRelease(target.name, id);
+    else this.dependencies.leaseLoop.release(target.name, id);
     this.dependencies.gatherer.release(gathered.val);
     return failure;
   }
--- a/packages/daemon/src/requests/gatherer.ts
+++ b/packages/daemon/src/requests/gatherer.ts
@@ -12,7 +12,7 @@
 
 export interface Options {
   adapter: adapter.EngineAdapter;
-  holdings: leaseLoop.LeaseLoop;
+  leaseLoop: leaseLoop.LeaseLoop;
   random: domain.shared.random.Random;
   owner: () => domain.memory.leasedResources.Owner;
   /** Engines that may lend memory. */
@@ -76,7 +76,7 @@
   /** Releases all reservations of a gathering. */
   release({ tag, parts }: Gathered): void {
     parts.forEach(({ target }) => {
-      this.options.holdings.release(target, this.reservationId(tag, target));
+      this.options.leaseLoop.release(target, this.reservationId(tag, target));
     });
   }
 
@@ -110,11 +110,11 @@
   }
 
   private async reserve(tag: string, { target: name, tokens }: Part): Promise<boolean> {
-    const { holdings, adapter: engine, owner } = this.options;
+    const { leaseLoop: holdings, adapter: engine, owner } = this.options;
     const target = this.options.engines().find((each) => each.name === name);
     if (target === undefined) return false;
     const reservation = this.reservationId(tag, name);
-    holdings.hold(target, reservation, 'reservation');
+    holdings.addLease(target, reservation, 'reservation');
     const leaseMs = domain.memory.leasedResources.LEASE_MS;
     const request = { id: reservation, owner: owner(), tokens, leaseMs };
     const reserved = await engine.reserve(target, request);
--- a/packages/daemon/src/requests/leaseLoop.ts
+++ b/packages/daemon/src/requests/leaseLoop.ts
@@ -29,7 +29,7 @@
 
 export class LeaseLoop {
   /** The resources that this daemon leases. */
-  readonly holdings = new domain.memory.leasedResources.LeasedResources();
+  readonly leases = new domain.memory.leasedResources.LeasedResources();
 
   private timers: NodeJS.Timeout[] = [];
 
@@ -47,18 +47,18 @@
     this.timers.forEach((timer) => clearInterval(timer));
   }
 
-  hold(target: Target, id: string, kind: domain.memory.leasedResources.Kind): void {
-    this.holdings.add(target.name, target.incarnation, id, kind);
+  addLease(target: Target, id: string, kind: domain.memory.leasedResources.Kind): void {
+    this.leases.add(target.name, target.incarnation, id, kind);
   }
 
   /** Releases a resource at once, and again until the engine confirms it. */
   release(target: string, id: string): void {
-    this.holdings.release(target, id, this.options.now());
+    this.leases.release(target, id, this.options.now());
     this.releaseDue();
   }
 
   private releaseDue(): void {
-    this.holdings.dueReleases(this.options.now()).forEach(({ target, id, kind }) => {
+    this.leases.dueReleases(this.options.now()).forEach(({ target, id, kind }) => {
       void this.releaseOne(target, id, kind);
     });
   }
@@ -71,12 +71,12 @@
     const target = this.options.target(name);
     if (target === undefined) return;
     const released = await this.options.adapter.release(target, id, kind);
-    if (released.ok) this.holdings.confirmRelease(name, id);
+    if (released.ok) this.leases.confirmRelease(name, id);
     else this.options.observer.log('releaseRetried', { target: name, id });
   }
 
   private renewAll(): void {
-    this.holdings.renewable().forEach(({ target: name, id }) => {
+    this.leases.renewable().forEach(({ target: name, id }) => {
       const target = this.options.target(name);
       if (target === undefined) return;
       void this.options.adapter.renew(target, id, domain.memory.leasedResources.LEASE_MS);
