--- a/packages/daemon/src/entry/exchange.ts
+++ b/packages/daemon/src/entry/exchange.ts
@@ -76,9 +76,9 @@
 
 /** Why a request wasn't sent, for the log; for engines the leader's own log line has the details. */
 const NO_PLACE_DETAIL: Record<targetSelector.NoPlaceReason, string> = {
-  full: 'no target with a free place',
-  limited: 'the limits of its targets let no request pass in time',
-  unavailable: 'its targets take no further request from this VM',
+  full: 'no target has a free slot',
+  limited: 'rate limits of the targets allow no request in time',
+  unavailable: 'all targets are unavailable to this VM',
 };
 
 /** Retries of a memory reservation for a prompt larger than one engine, and the pause between them, milliseconds. */
@@ -263,7 +263,9 @@
     this.mayHaveRun ||= kind === 'quarantined';
     const isBusy = kind === 'busy';
     this.fail(
-      isBusy ? 'a copy of it runs' : 'in quarantine: targets ended under it',
+      isBusy
+        ? 'another request with the same fingerprint is running'
+        : 'quarantined: it crashed targets',
       SUSPECT_RETRY_AFTER_MS,
     );
   }
@@ -494,7 +496,7 @@
     if (outcome.kind === 'late') {
       this.mayHaveRun ||= this.attempt?.wasSent === true;
       this.isLate = true;
-      this.fail('time is over', RETRY_AFTER_MS);
+      this.fail('deadline exceeded', RETRY_AFTER_MS);
     } else {
       this.requestLog.callerGone();
     }
--- a/packages/daemon/src/entry/responseWatchdog.ts
+++ b/packages/daemon/src/entry/responseWatchdog.ts
@@ -44,7 +44,7 @@
   private check(): void {
     if (!this.dependencies.hasAlternative()) return;
     const { status } = this;
-    if (status === 'timedOut') this.dependencies.onTimeout('target silent');
+    if (status === 'timedOut') this.dependencies.onTimeout('target timed out');
     else if (status === 'overdue') void this.probe();
   }
 
@@ -56,6 +56,7 @@
     this.isProbing = false;
     this.nextProbeAt = now() + responseTimeout.PROBE_INTERVAL_MS;
     // An event may have arrived during the probe.
-    if (!alive && this.status !== 'fine') this.dependencies.onTimeout('target dead');
+    if (!alive && this.status !== 'fine')
+      this.dependencies.onTimeout('target failed its liveness probe');
   }
 }
--- a/packages/daemon/src/keeper/__tests__/leaderLoad.test.ts
+++ b/packages/daemon/src/keeper/__tests__/leaderLoad.test.ts
@@ -163,9 +163,9 @@
   });
 
   /*
-   * Guards against a suspect request that is refused as "a copy of it runs" for a minute: an entry was killed during
-   * a canary run and was back within a second under the same name, so the leader never missed it and kept the run of
-   * a process that was gone.
+   * Guards against a suspect request that is refused as "another request with the same fingerprint is running" for a
+   * minute: an entry was killed during a canary run and was back within a second under the same name, so the leader
+   * never missed it and kept the run of a process that was gone.
    */
   it('ends the canary runs of an entry that restarted', async () => {
     const { leader } = await setUp(1);
