--- a/packages/daemon/src/targets/httpClient.ts
+++ b/packages/daemon/src/targets/httpClient.ts
@@ -38,7 +38,7 @@
 
   async request(address: string, call: Call): Promise<undici.Dispatcher.ResponseData> {
     if (this.blockedAddresses.has(address)) {
-      throw Object.assign(new Error('path cut'), { code: 'EHOSTUNREACH' });
+      throw Object.assign(new Error('address is blocked'), { code: 'EHOSTUNREACH' });
     }
     const { newConnection = false, headersTimeoutMs = CONTROL_TIMEOUT_MS, ...rest } = call;
     const dispatcher = newConnection ? this.singleUseClient(address) : this.pool(address);
