--- a/packages/domain/src/stop/stop.ts
+++ b/packages/domain/src/stop/stop.ts
@@ -16,21 +16,21 @@
 }
 
 /** The location that a stop is matched against. */
-export interface Place {
+export interface StopLocation {
   target: string;
   /** Address without port; a stop of a VM covers everything at this address. */
   host: string;
   dataCentre: string;
 }
 
-export function covers(stop: Stop, place: Place): boolean {
-  if (stop.subject === 'target') return stop.name === place.target;
-  if (stop.subject === 'vm') return stop.name === place.host;
-  return stop.name === place.dataCentre;
+export function covers(stop: Stop, location: StopLocation): boolean {
+  if (stop.subject === 'target') return stop.name === location.target;
+  if (stop.subject === 'vm') return stop.name === location.host;
+  return stop.name === location.dataCentre;
 }
 
-export function stopFor(stops: readonly Stop[], place: Place): Stop | undefined {
-  return stops.find((stop) => covers(stop, place));
+export function stopFor(stops: readonly Stop[], location: StopLocation): Stop | undefined {
+  return stops.find((stop) => covers(stop, location));
 }
 
 /** Whether the grace period is over, so that streams are moved now. */
