--- a/packages/daemon/src/entry/responseTimeout.ts
+++ b/packages/daemon/src/entry/responseTimeout.ts
@@ -42,7 +42,7 @@
   /** Inter-token gap after which the next event is overdue. */
   overdueGapMs: number;
   /** Response timeout: the target is given up even if it is alive. */
-  hopelessMs: number;
+  timeoutMs: number;
 }
 
 /** Progress of a response. */
@@ -63,14 +63,14 @@
     return {
       overdueFirstMs: callTimeoutMs,
       overdueGapMs: callTimeoutMs,
-      hopelessMs: callTimeoutMs,
+      timeoutMs: callTimeoutMs,
     };
   }
-  const hopelessMs = Math.max(MIN_TIMEOUT_MS, TIMEOUT_SHARE * callerTimeoutMs(route));
+  const timeoutMs = Math.max(MIN_TIMEOUT_MS, TIMEOUT_SHARE * callerTimeoutMs(route));
   return {
-    overdueFirstMs: Math.min(hopelessMs, OVERDUE_FACTOR * firstTokenMs + OVERDUE_MARGIN_MS),
+    overdueFirstMs: Math.min(timeoutMs, OVERDUE_FACTOR * firstTokenMs + OVERDUE_MARGIN_MS),
     overdueGapMs: Math.max(OVERDUE_GAP_MS, OVERDUE_GAP_FACTOR * pauseMs),
-    hopelessMs,
+    timeoutMs,
   };
 }
 
@@ -81,7 +81,7 @@
 ): Status {
   const isFlowing = lastEventAt > sentAt;
   const silentMs = now - (isFlowing ? lastEventAt : sentAt);
-  if (silentMs > thresholds.hopelessMs) return 'timedOut';
+  if (silentMs > thresholds.timeoutMs) return 'timedOut';
   const overdueMs = isFlowing ? thresholds.overdueGapMs : thresholds.overdueFirstMs;
   return silentMs > overdueMs ? 'overdue' : 'fine';
 }
