--- a/packages/daemon/src/__tests__/crashingRequests.test.ts
+++ b/packages/daemon/src/__tests__/crashingRequests.test.ts
@@ -90,8 +90,8 @@
   });
 
   /*
-   * Copies arrive faster than one of them crashes a target: those that arrived earlier run, but none may run after the
-   * third crash.
+   * Copies arrive at intervals shorter than the time until one of them crashes its target, so several run before the
+   * first crash. None may reach a target once all entries know of the third crash.
    */
   it('are stopped immediately when many copies arrive together', async () => {
     const fleet = await pool.take('engines');
--- a/packages/daemon/src/entry/targetSignals.ts
+++ b/packages/daemon/src/entry/targetSignals.ts
@@ -144,7 +144,7 @@
 
   private accepts(target: string, purpose: targetClient.MessagePurpose): boolean {
     const now = this.dependencies.now();
-    // Upkeep of what already runs there, and its memory, continues.
+    // A draining target still gets checks, and upkeep of the requests that run there and of their memory.
     const isNew = purpose === 'request' || purpose === 'order';
     if (isNew && (this.isDraining(target) || !this.hasFreeConnection(target))) return false;
     if (purpose === 'upkeep') return this.backOffs.mayReceiveUpkeep(target, now);
--- a/packages/domain/src/replication/__tests__/replica.test.ts
+++ b/packages/domain/src/replication/__tests__/replica.test.ts
@@ -72,8 +72,8 @@
 
   /*
    * Guards against refused requests for a second after a power loss of all VMs: all replicas
-   * restart at the same moment, and none votes before a whole election timeout has passed, for a
-   * lease that nobody relies on.
+   * restart at the same moment, and none votes before a whole election timeout has passed, which
+   * would protect a leader's lease, although no lease is in use.
    */
   it('elects a leader sooner after a restart of all where no lease is used', () => {
     const measureWait = (restart: replica.Timing['restart']): number => {
@@ -180,8 +180,8 @@
 
   /*
    * Guards against stale reads from a leader whose successor has accepted newer settings: the link
-   * between leader and one follower is silently cut, and the other follower, which has just
-   * confirmed the leader's lease, restarts, forgets that, and would help to elect the first.
+   * between leader and one follower is silently cut. The other follower confirms the leader's lease,
+   * loses its memory of that in a restart, and might then vote for the follower that is cut off.
    */
   [false, true].forEach((restarts) => {
     it(`elects no second leader during a lease, ${restarts ? 'with' : 'without'} restarts`, () => {
--- a/packages/domain/src/routing/dispatcher.ts
+++ b/packages/domain/src/routing/dispatcher.ts
@@ -38,7 +38,7 @@
   target: target.Target;
   band: band.Band;
   enginePriority: number;
-  /** The engine should refuse it at once rather than queue it for lack of memory. */
+  /** Whether an engine that lacks memory for the request should refuse it instead of queueing it. */
   needsRoom: boolean;
   predictedMs: number;
 }
@@ -162,8 +162,8 @@
   }
 
   /**
-   * Sets the index of this daemon among the `count` live ones. Each prefers other targets, evenly
-   * spread: it knows its own dispatches exactly, and those of the others only with a delay.
+   * Sets the index of this daemon among the `count` live ones. Their preferences are spread evenly
+   * over the targets, because a daemon learns of the dispatches of others only with a delay.
    */
   setPosition(index: number, count: number): void {
     this.offset = count > 0 ? index / count : 0;
